--- /dev/null
+++ b/tests/decision_trace.py
@@ -0,0 +1,311 @@
+"""A seeded trace of decisions: one digest, the same for as long as the decisions are the same.
+
+    python -m tests.decision_trace --seed 3         one line: seed, commands, digest
+    python -m tests.decision_trace --seeds 10       seeds 0 to 9
+    python -m tests.decision_trace --check          compares all seeds of tests/data/decision_trace.json
+
+Twenty thousand random events go into one front: requests, outcomes of the attempts that it made, cancels,
+streams that began, probe reports, endpoint updates, purges, capacity changes, a late endpoint list, request
+counts of other fronts, a shutdown near the end. The digest covers kind and values of each command, kinds by
+their place in `COMMANDS` and enum members by number, so that renaming them changes nothing.
+"""
+
+import argparse
+import hashlib
+import json
+import random
+import sys
+from pathlib import Path
+from typing import Any
+
+from limepath import contract as c
+from limepath.choice import Front
+
+EVENTS = 20_000
+RECORD = Path(__file__).parent / "data" / "decision_trace.json"
+SECOND = 1_000_000
+CACHE, PARENT, ORIGIN = 0, 2, 3
+COMMANDS = (c.Forward, c.Shed, c.Errored, c.Withdraw, c.Probe, c.Wake, c.Subscribe, c.Counts)
+
+
+class World:
+    """One front and what a host would know of it: requests that are open, attempts and probes under way."""
+
+    def __init__(self, seed: int):
+        self.random = random.Random(f"decision trace {seed}")
+        self.now = 100 * SECOND
+        self.services = tuple(self.service(number) for number in range(4))
+        self.front = self.make_front(seed)
+        self.digest = hashlib.sha256()
+        self.commands = 0
+        self.requests = 0
+        self.open: dict[int, int] = {}  # request id to number of its latest attempt
+        self.attempts: dict[tuple[int, int], int] = {}  # (request, attempt) to the cache asked
+        self.probes: list[int] = []
+        self.endpoints: dict[int, c.Member] = {}
+        self.version = 1
+
+    def service(self, number: int) -> c.DeliveryService:
+        """A delivery service of random terms; the last one passes through uncached."""
+        draw = self.random
+        return c.DeliveryService(
+            objective=draw.choice((300_000, 600_000)),
+            stretch=draw.choice((0.0, 1.6)),
+            viewer_timeout=draw.choice((2, 5)) * SECOND,
+            revenue=1.0,
+            late_share=0.2,
+            repeats=c.Repeats(draw.randrange(3)) if number else c.Repeats.IDEMPOTENT,
+            scope=c.Scope(draw.randrange(3)),
+            window=draw.choice((SECOND // 2, 2 * SECOND)),
+            streamed=False,
+            fresh=draw.choice((0, 8 * SECOND)),
+            grace=draw.choice((0, 30 * SECOND)),
+            stale_share=0.5,
+            uncacheable=number == 3,
+            segmented=False,
+        )
+
+    def make_front(self, seed: int) -> Front:
+        """A front with random permissions among a handful of others."""
+        draw = self.random
+        return Front(
+            seed=seed * 7919 + 17,
+            services=self.services,
+            footprint=c.Footprint(
+                zone=0,
+                hub_of=(0, 0),
+                link_kb_s=(draw.choice((9000.0, 40000.0)), 0.0),
+                fronts_in_zone=draw.choice((1, 3, 40)),
+                fronts=draw.choice((60, 200)),
+                parent_kind=PARENT,
+                origin_kind=ORIGIN,
+                flow_kb_s=1000.0,
+                weighted=draw.random() < 0.5,
+            ),
+            allowance=c.Allowance(
+                forwards=draw.choice((3, 6)),
+                overlap=draw.random() < 0.2,
+                withdraw=draw.random() < 0.8,
+                probing=draw.random() < 0.7,
+                peers=False,
+                come_back=SECOND,
+                direct=draw.random() < 0.7,
+                joins=draw.random() < 0.5,
+                lateral="none",
+                subscribe=draw.random() < 0.5,
+            ),
+            cache_warmup=c.Warmup(0.2, 10 * SECOND, 2.0, SECOND),
+            parent_warmup=c.Warmup(0.1, 20 * SECOND, 2.0, SECOND),
+            grace=c.Grace(8000, SECOND, 300_000, 6 * SECOND, 10 * SECOND),
+        )
+
+    def play(self, events: int) -> None:
+        """Hand over the first endpoint list, then random events in batches of one to four."""
+        self.feed([self.full_list()])
+        kinds = list(WEIGHTS)
+        weights = list(WEIGHTS.values())
+        played = 1
+        while played < events:
+            self.now += self.random.choice((40, 400, 2_000, 15_000)) + self.random.randrange(100)
+            if self.random.random() < 0.002:
+                self.now += self.random.randrange(4 * SECOND)
+            batch = []
+            for kind in self.random.choices(kinds, weights, k=self.random.randint(1, 4)):
+                if kind is World.shut_down and played < events - 400:
+                    continue
+                if event := kind(self):
+                    batch.append(event)
+            self.feed(batch)
+            played += len(batch)
+
+    def feed(self, batch: list[Any]) -> None:
+        """Hand a batch over, take the commands into the digest and keep what later events refer to."""
+        for command in self.front.handle(self.now, batch):
+            kind = COMMANDS.index(type(command))
+            self.digest.update(repr((kind, values(command))).encode())
+            self.commands += 1
+            self.carry_out(command)
+
+    def carry_out(self, command: Any) -> None:
+        if isinstance(command, c.Forward):
+            number = self.open.get(command.id, -1) + 1
+            self.open[command.id] = number
+            self.attempts[command.id, number] = command.cache
+        elif isinstance(command, c.Shed | c.Errored):
+            self.open.pop(command.id, None)
+        elif isinstance(command, c.Probe):
+            self.probes.append(command.cache)
+
+    # What may happen next; None where nothing like it can.
+
+    def request(self) -> c.Get:
+        self.requests += 1
+        draw = self.random
+        self.open[self.requests] = -1
+        obj = int(draw.paretovariate(0.7)) % 5000
+        return c.Get(
+            self.requests,
+            draw.choices((0, 1, 2, 3), (6, 2, 1, 2))[0],
+            0,
+            obj,
+            draw.choice((200_000, 2 * SECOND, 5 * SECOND)),
+            draw.choice((0.0, 20.0, 300.0, 900.0)),
+            obj % 40,
+            draw.choice((0, 0, 0, 1)),
+            False,
+            False,
+            draw.random() < 0.8,
+        )
+
+    def outcome(self) -> c.Outcome | None:
+        if not self.attempts:
+            return None
+        draw = self.random
+        request, number = draw.choice(sorted(self.attempts))
+        cache = self.attempts.pop((request, number))
+        verdict = draw.choices(
+            (c.Verdict.RETURNED, c.Verdict.MISS, *OTHER_VERDICTS), (60, 40, *[3] * len(OTHER_VERDICTS))
+        )[0]
+        closed = verdict == c.Verdict.RETURNED
+        if closed:
+            self.open.pop(request, None)
+        took = int(draw.expovariate(1 / 250_000))
+        return c.Outcome(request, number, verdict, cache, took, 0, closed, c.Hint.NONE, {})
+
+    def streaming(self) -> c.Streaming | None:
+        if not self.attempts:
+            return None
+        request, number = self.random.choice(sorted(self.attempts))
+        return c.Streaming(request, number, self.attempts[request, number], 1000)
+
+    def cancel(self) -> c.Left | None:
+        if not self.open:
+            return None
+        request = self.random.choice(sorted(self.open))
+        del self.open[request]
+        return c.Left(request)
+
+    def probe_report(self) -> c.ProbeReport | None:
+        draw = self.random
+        verdict = draw.choice((c.Verdict.RETURNED, *OTHER_VERDICTS))
+        load = {"util": draw.choice((0.2, 0.97, 1.0))} if draw.random() < 0.7 else {}
+        if self.probes and draw.random() < 0.8:
+            return c.ProbeReport(self.probes.pop(0), verdict, 1000, load)
+        return c.ProbeReport(draw.choice(sorted(self.endpoints)), verdict, 1000, load, draw.randrange(SECOND))
+
+    def full_list(self) -> c.Roster:
+        caches = self.random.sample(range(1, 11), 7)
+        members = [self.member(ident, CACHE, 6.0, c.Standing.READY) for ident in caches]
+        members += [self.member(ident, PARENT, 30.0, c.Standing.READY) for ident in (11, 12, 13)]
+        members.append(self.member(21, ORIGIN, 20.0, c.Standing.READY))
+        self.endpoints = {member.cache: member for member in members}
+        self.version += 1
+        listing = self.random.choice((c.Listing.FULL, c.Listing.CACHED))
+        return c.Roster(listing, self.version, tuple(members))
+
+    def update(self) -> c.Roster:
+        draw = self.random
+        self.version += 1
+        if draw.random() < 0.1:
+            return c.Roster(c.Listing.UNAVAILABLE, self.version, ())
+        ident = draw.choice((*range(1, 11), 11, 12, 13, 21))
+        kind = CACHE if ident < 11 else PARENT if ident < 21 else ORIGIN
+        standing = draw.choices((c.Standing.READY, c.Standing.DRAINING, c.Standing.GONE), (6, 1, 1))[0]
+        if kind == ORIGIN:
+            standing = c.Standing.READY
+        started = self.now if draw.random() < 0.4 else 0
+        changed = self.member(ident, kind, draw.choice((0.5, 6.0, 30.0)), standing, started)
+        self.endpoints[ident] = changed
+        return c.Roster(c.Listing.DELTA, self.version, (changed,))
+
+    def member(
+        self, ident: int, kind: int, weight: float, standing: c.Standing, started: int = 0
+    ) -> c.Member:
+        zone = 0 if kind == CACHE and ident != 10 else 1
+        return c.Member(standing, ident, started, ident % 2, zone, kind, weight)
+
+    def purge(self) -> c.Purge:
+        draw = self.random
+        obj = draw.randrange(40) if draw.random() < 0.5 else 0
+        return c.Purge(draw.randrange(40), draw.randrange(300_000), obj)
+
+    def capacity(self) -> c.Room:
+        return c.Room(self.random.choice(sorted(self.endpoints)), self.random.random() < 0.7)
+
+    def stale_list(self) -> c.Stale:
+        return c.Stale(self.random.random() < 0.2)
+
+    def counts_of_others(self) -> c.Learnt:
+        draw = self.random
+        return c.Learnt(tuple((draw.randrange(9000), 0, draw.randrange(1, 9) / 2) for _ in range(20)))
+
+    def counts_asked(self) -> c.AskCounts:
+        return c.AskCounts(self.random.randrange(1, 40), self.random.randrange(100))
+
+    def due(self) -> c.Due:
+        return c.Due(0)
+
+    def shut_down(self) -> c.ShuttingDown:
+        return c.ShuttingDown(self.random.randrange(SECOND // 2, 2 * SECOND))
+
+
+OTHER_VERDICTS = tuple(
+    verdict for verdict in c.Verdict if verdict not in (c.Verdict.RETURNED, c.Verdict.MISS)
+)
+WEIGHTS = {
+    World.request: 100,
+    World.outcome: 120,
+    World.streaming: 3,
+    World.cancel: 3,
+    World.probe_report: 10,
+    World.full_list: 0.2,
+    World.update: 4,
+    World.purge: 2,
+    World.capacity: 5,
+    World.stale_list: 0.5,
+    World.counts_of_others: 0.3,
+    World.counts_asked: 0.3,
+    World.due: 20,
+    World.shut_down: 0.2,
+}
+
+
+def values(value: Any) -> Any:
+    """A command's values without names: enum members as numbers, records as tuples."""
+    if isinstance(value, bool):
+        return int(value)
+    if isinstance(value, int):
+        return int(value)
+    if isinstance(value, tuple):
+        return tuple(values(part) for part in value)
+    return value
+
+
+def trace(seed: int, events: int = EVENTS) -> dict[str, Any]:
+    """The number of commands that `events` random events give, and the digest of all of them."""
+    world = World(seed)
+    world.play(events)
+    return {"commands": world.commands, "digest": world.digest.hexdigest()}
+
+
+def main() -> int:
+    parser = argparse.ArgumentParser(description="Digest of the decisions on seeded events.")
+    parser.add_argument("--seed", type=int)
+    parser.add_argument("--seeds", type=int, default=10)
+    parser.add_argument(
+        "--check", action="store_true", help="compare with the record; status 1 if one differs"
+    )
+    chosen = parser.parse_args()
+    seeds = range(chosen.seeds) if chosen.seed is None else (chosen.seed,)
+    traces = {str(seed): trace(seed) for seed in seeds}
+    if not chosen.check:
+        print(json.dumps(traces, indent=1))
+        return 0
+    record = json.loads(RECORD.read_text(encoding="utf-8"))
+    different = [seed for seed, traced in traces.items() if record.get(seed) != traced]
+    print("the same" if not different else f"different: seeds {', '.join(different)}")
+    return 1 if different else 0
+
+
+if __name__ == "__main__":
+    sys.exit(main())
