--- a/limepath/cli/coldstart.py
+++ b/limepath/cli/coldstart.py
@@ -67,7 +67,7 @@
 @json_option
 def simulate(fronts, zones, kinds, alone, down, loss, saved, seed, as_json):
     """The same logic in virtual time; the same seed gives the same table."""
-    from limepath.listing.simulate import KINDS, simulated
+    from limepath.discovery.simulate import KINDS, simulated
 
     if kinds == "help":
         return click.echo(", ".join(KINDS))
@@ -97,7 +97,7 @@
     """Events to a fleet in trees, in virtual time: what the busiest front sends, how late an event is, under
     faults.
     """
-    from limepath.listing.simulate_tree import FAULTS, Plan, run_tree
+    from limepath.discovery.simulate_tree import FAULTS, Plan, run_tree
 
     if kinds == "help":
         return click.echo(", ".join(FAULTS))
@@ -117,6 +117,6 @@
     """Measure a cold start over sizes, shared and alone; write a page, a chart and the raw figures. Needs the
     extra 'measure'.
     """
-    from limepath.listing.measure import measured
+    from limepath.discovery.measure import measured
 
     click.echo(measured(out, numbers(sizes), numbers(fronts), say=lambda line: click.echo(line, err=True)))
--- a/limepath/cli/listing.py
+++ b/limepath/cli/listing.py
@@ -36,7 +36,7 @@
 @json_option
 def bounds(file, fronts, zones, sites, as_json):
     """What the settings in FILE promise: how late an event may be at any front, calls, streams."""
-    from limepath.listing.bounds import bounds as computed
+    from limepath.discovery.bounds import bounds as computed
     from limepath.verdicts import Row, seconds
 
     terms = opened(file).listing
@@ -64,7 +64,7 @@
 
 def tree_rows(terms, fronts, zones, sites):
     """What the settings promise of the tree that the front stands in."""
-    from limepath.listing.bounds import tree_bounds
+    from limepath.discovery.bounds import tree_bounds
     from limepath.verdicts import Row, seconds
 
     told = tree_bounds(terms, fronts, zones, sites)
--- a/limepath/listing/bounds.py
+++ b/limepath/discovery/bounds.py
@@ -8,8 +8,8 @@
 
 from typing import NamedTuple
 
-from limepath.listing.calls import PART, Budget
-from limepath.listing.topology import longest_path
+from limepath.discovery.calls import PART, Budget
+from limepath.discovery.topology import longest_path
 from limepath.peers.guard import LARGEST
 
 SECOND = 1_000_000
--- a/limepath/listing/calls.py
+++ b/limepath/discovery/calls.py
@@ -38,7 +38,7 @@
     def span_of(self, sharing):
         """The mean time between two calls of one of so many.
 
-        >>> from limepath.listing.interface import Terms
+        >>> from limepath.discovery.interface import Terms
         >>> budget = Budget(Terms(fronts=200, rate=20.0), lambda: 0.5)
         >>> budget.span_of(200), budget.span_of(2)
         (25000000, 300000)
--- a/limepath/listing/catch_up.py
+++ b/limepath/discovery/catch_up.py
@@ -11,10 +11,16 @@
 from hashlib import blake2b
 from typing import NamedTuple
 
-from limepath.listing.integers import CodingError
-from limepath.listing.interface import Place
-from limepath.listing.page_bytes import LONGEST_PAGE, packed_index, packed_page, unpacked_index, unpacked_page
-from limepath.listing.pages import Contents, Digests, PageContents, apply, differing, digests, spread
+from limepath.discovery.integers import CodingError
+from limepath.discovery.interface import Place
+from limepath.discovery.page_bytes import (
+    LONGEST_PAGE,
+    packed_index,
+    packed_page,
+    unpacked_index,
+    unpacked_page,
+)
+from limepath.discovery.pages import Contents, Digests, PageContents, apply, differing, digests, spread
 
 INDEX = -1  # the page that holds the digests
 CHUNK_BYTES = 1000  # of a page in one datagram
--- a/limepath/listing/children.py
+++ b/limepath/discovery/children.py
@@ -7,12 +7,12 @@
 
 import msgspec
 
-from limepath.listing.bounds import FURTHER, PIECES, WAY, children_at_most, watchers_at_most
-from limepath.listing.coding import BATCH_LIMIT, batches
-from limepath.listing.component import Component
-from limepath.listing.integers import Reader
-from limepath.listing.interface import Batch, Reach, Reads
-from limepath.listing.window import NotHeld
+from limepath.discovery.bounds import FURTHER, PIECES, WAY, children_at_most, watchers_at_most
+from limepath.discovery.coding import BATCH_LIMIT, batches
+from limepath.discovery.component import Component
+from limepath.discovery.integers import Reader
+from limepath.discovery.interface import Batch, Reach, Reads
+from limepath.discovery.window import NotHeld
 
 LEASE = 4  # beats for which a subscriber counts as one
 
--- a/limepath/listing/coding.py
+++ b/limepath/discovery/coding.py
@@ -27,9 +27,9 @@
 from enum import IntEnum
 from typing import NamedTuple
 
-from limepath.listing.events import BadList, parsed
-from limepath.listing.integers import CodingError, Damaged, Reader, integer, unzigzag, zigzag
-from limepath.listing.purge_fields import PurgeFields, fits, purge_of
+from limepath.discovery.events import BadList, parsed
+from limepath.discovery.integers import CodingError, Damaged, Reader, integer, unzigzag, zigzag
+from limepath.discovery.purge_fields import PurgeFields, fits, purge_of
 
 LONGEST_TEXT = 65_536  # bytes of one event's JSON text; what is longer comes by pages of the list
 BATCH_LIMIT = 1000  # bytes of a batch: with envelope and seal it stays under `peers.guard.LARGEST`
--- a/limepath/listing/followers.py
+++ b/limepath/discovery/followers.py
@@ -3,10 +3,10 @@
 Free of I/O.
 """
 
-from limepath.listing.coding import decode
-from limepath.listing.component import Component
-from limepath.listing.interface import Beat, Events, Reach, Reads
-from limepath.listing.window import NotHeld
+from limepath.discovery.coding import decode
+from limepath.discovery.component import Component
+from limepath.discovery.interface import Beat, Events, Reach, Reads
+from limepath.discovery.window import NotHeld
 
 CARRIED = 1000  # bytes of events in one datagram
 WINDOW = 4  # datagrams of events in answer to one Follow
--- a/limepath/listing/heard.py
+++ b/limepath/discovery/heard.py
@@ -3,11 +3,11 @@
 Free of I/O.
 """
 
-from limepath.listing.coding import CodingError, events_of
-from limepath.listing.component import Component
-from limepath.listing.events import BadList, parsed
-from limepath.listing.interface import Place, Reach, Reads, Say
-from limepath.listing.upstream import BAD
+from limepath.discovery.coding import CodingError, events_of
+from limepath.discovery.component import Component
+from limepath.discovery.events import BadList, parsed
+from limepath.discovery.interface import Place, Reach, Reads, Say
+from limepath.discovery.upstream import BAD
 
 IN_FLIGHT = 5_000  # microseconds added to an age for the way, where no stamp measures it
 KEPT = 512  # events that one keeps at the least who does not tell how far it reaches
--- a/limepath/listing/held.py
+++ b/limepath/discovery/held.py
@@ -3,14 +3,14 @@
 A saved list is not used before a relay or the service has confirmed where it stands. Free of I/O.
 """
 
-from limepath.listing import bounds
-from limepath.listing.bounds import BATCH
-from limepath.listing.coding import BATCH_LIMIT, CodingError, encode
-from limepath.listing.component import Component
-from limepath.listing.events import BadList, summary
-from limepath.listing.interface import Confirmed, Ready, Save, Say, Stale, Take
-from limepath.listing.state import List, unpacked
-from limepath.listing.window import Window
+from limepath.discovery import bounds
+from limepath.discovery.bounds import BATCH
+from limepath.discovery.coding import BATCH_LIMIT, CodingError, encode
+from limepath.discovery.component import Component
+from limepath.discovery.events import BadList, summary
+from limepath.discovery.interface import Confirmed, Ready, Save, Say, Stale, Take
+from limepath.discovery.state import List, unpacked
+from limepath.discovery.window import Window
 
 SAVES_IN_WINDOW = 10  # of a list that changes all the time
 BATCH_HEAD = 32  # bytes of a batch beside its events, at the most
--- a/limepath/listing/host.py
+++ b/limepath/discovery/host.py
@@ -7,9 +7,7 @@
 from twisted.internet.protocol import Factory
 
 from limepath import contract as c
-from limepath.duties.host import clock
-from limepath.front.changelog import BadEvent, ChangeLog, Stream
-from limepath.listing.interface import (
+from limepath.discovery.interface import (
     MESSAGES,
     Call,
     Confirmed,
@@ -27,7 +25,9 @@
     StreamUp,
     Take,
 )
-from limepath.listing.relay import Listing
+from limepath.discovery.relay import Listing
+from limepath.duties.host import clock
+from limepath.front.changelog import BadEvent, ChangeLog, Stream
 from limepath.logic_host import LogicHost
 from limepath.tallies.host import Tallies
 
--- a/limepath/listing/page_bytes.py
+++ b/limepath/discovery/page_bytes.py
@@ -7,11 +7,11 @@
 import json
 import zlib
 
-from limepath.listing.coding import Oversized, batches, encode, events_of, inflated
-from limepath.listing.events import BadList, check_member
-from limepath.listing.integers import Damaged, Reader, integer, unzigzag, zigzag
-from limepath.listing.interface import Place
-from limepath.listing.pages import (
+from limepath.discovery.coding import Oversized, batches, encode, events_of, inflated
+from limepath.discovery.events import BadList, check_member
+from limepath.discovery.integers import Damaged, Reader, integer, unzigzag, zigzag
+from limepath.discovery.interface import Place
+from limepath.discovery.pages import (
     DIGEST_BYTES,
     PURGE_NUMBERS,
     Digests,
@@ -20,8 +20,8 @@
     digest_of,
     name_of,
 )
-from limepath.listing.purge_fields import fits
-from limepath.listing.window import KeptPurge
+from limepath.discovery.purge_fields import fits
+from limepath.discovery.window import KeptPurge
 
 LONGEST_PAGE = 262_144  # bytes, unpacked
 
--- a/limepath/listing/page_transfer.py
+++ b/limepath/discovery/page_transfer.py
@@ -5,12 +5,12 @@
 Free of I/O.
 """
 
-from limepath.listing.catch_up import CatchUp, Chunk, ChunkName, DamagedPage, NoSuchChunk, OtherSnapshot
-from limepath.listing.catch_up import Snapshot as Standing
-from limepath.listing.component import Component
-from limepath.listing.integers import CodingError
-from limepath.listing.interface import AskChunk, PageChunk, Place, Reach
-from limepath.listing.pages import Contents
+from limepath.discovery.catch_up import CatchUp, Chunk, ChunkName, DamagedPage, NoSuchChunk, OtherSnapshot
+from limepath.discovery.catch_up import Snapshot as Standing
+from limepath.discovery.component import Component
+from limepath.discovery.integers import CodingError
+from limepath.discovery.interface import AskChunk, PageChunk, Place, Reach
+from limepath.discovery.pages import Contents
 
 AT_ONCE, RETRY, STALLS = 4, 250_000, 16  # chunks asked for at once; until asked again; and until given up
 SNAPSHOT_KEPT = 5_000_000  # for which a snapshot is told to those that begin, with the events since
--- a/limepath/listing/pages.py
+++ b/limepath/discovery/pages.py
@@ -18,11 +18,11 @@
 from operator import xor
 from typing import NamedTuple
 
-from limepath.listing.coding import TEXT_KINDS, decode
-from limepath.listing.events import summary
-from limepath.listing.integers import Damaged
-from limepath.listing.interface import Place
-from limepath.listing.window import KeptPurge
+from limepath.discovery.coding import TEXT_KINDS, decode
+from limepath.discovery.events import summary
+from limepath.discovery.integers import Damaged
+from limepath.discovery.interface import Place
+from limepath.discovery.window import KeptPurge
 
 MEMBERS_A_PAGE = 32  # in the mean
 PURGE_NUMBERS = 128  # numbers of events that share a page of purges, at the least
--- a/limepath/listing/relay.py
+++ b/limepath/discovery/relay.py
@@ -14,11 +14,11 @@
 """
 
 from limepath.agenda import Agenda
-from limepath.listing.children import Children
-from limepath.listing.followers import Followers
-from limepath.listing.heard import Heard
-from limepath.listing.held import Held
-from limepath.listing.interface import (
+from limepath.discovery.children import Children
+from limepath.discovery.followers import Followers
+from limepath.discovery.heard import Heard
+from limepath.discovery.held import Held
+from limepath.discovery.interface import (
     AskChunk,
     AskPiece,
     AskScopes,
@@ -38,13 +38,13 @@
     StreamUp,
     Where,
 )
-from limepath.listing.page_transfer import Pages
-from limepath.listing.roles import Roles
-from limepath.listing.scopes import KnownScopes
-from limepath.listing.snapshot import Snapshot
-from limepath.listing.stream import Stream
-from limepath.listing.tree import Tree
-from limepath.listing.upstream import Upstream
+from limepath.discovery.page_transfer import Pages
+from limepath.discovery.roles import Roles
+from limepath.discovery.scopes import KnownScopes
+from limepath.discovery.snapshot import Snapshot
+from limepath.discovery.stream import Stream
+from limepath.discovery.tree import Tree
+from limepath.discovery.upstream import Upstream
 
 COUNTED = (
     "calls",
--- a/limepath/listing/roles.py
+++ b/limepath/discovery/roles.py
@@ -3,12 +3,12 @@
 Free of I/O.
 """
 
-from limepath.listing.bounds import TURN
-from limepath.listing.calls import Budget
-from limepath.listing.component import Component
-from limepath.listing.interface import Follow, Reach, Role, Say
-from limepath.listing.scopes import ASKED
-from limepath.listing.upstream import Source
+from limepath.discovery.bounds import TURN
+from limepath.discovery.calls import Budget
+from limepath.discovery.component import Component
+from limepath.discovery.interface import Follow, Reach, Role, Say
+from limepath.discovery.scopes import ASKED
+from limepath.discovery.upstream import Source
 
 HOLD = 2  # patiences for which a relay that is none any more keeps its stream
 
--- a/limepath/listing/scopes.py
+++ b/limepath/discovery/scopes.py
@@ -7,9 +7,9 @@
 """
 
 from limepath.agenda import mixed
-from limepath.listing.component import Component
-from limepath.listing.interface import AskScopes, Reach, Scopes, Where
-from limepath.listing.topology import Scope, salt
+from limepath.discovery.component import Component
+from limepath.discovery.interface import AskScopes, Reach, Scopes, Where
+from limepath.discovery.topology import Scope, salt
 
 ASKED = 8  # of unknown scope, in one beat; with a site, of the whole fleet at one newcomer
 PAGE_BYTES = 1000  # of entries in one datagram
--- a/limepath/listing/simulate.py
+++ b/limepath/discovery/simulate.py
@@ -11,9 +11,8 @@
 from random import Random
 from typing import NamedTuple
 
-from limepath.duties.world import Network
-from limepath.listing.bounds import bounds
-from limepath.listing.interface import (
+from limepath.discovery.bounds import bounds
+from limepath.discovery.interface import (
     MESSAGES,
     Call,
     Confirmed,
@@ -29,7 +28,8 @@
     Take,
     Terms,
 )
-from limepath.listing.relay import Listing
+from limepath.discovery.relay import Listing
+from limepath.duties.world import Network
 from limepath.peers.interface import REFUTALS, Heard, News, Passed, Send, Spans
 from limepath.peers.members import Members
 from limepath.verdicts import Row, at_most, seconds
@@ -385,8 +385,8 @@
 
 def _save_lists(world, share):
     """Some fronts hold lists of another day, at different numbers."""
-    from limepath.listing.events import parsed
-    from limepath.listing.state import List
+    from limepath.discovery.events import parsed
+    from limepath.discovery.state import List
 
     for _ in range(8):
         world.service.add({"fleet": {"revision": 2, "members": [member(f"s-{world.chance.randrange(40)}")]}})
--- a/limepath/listing/simulate_tree.py
+++ b/limepath/discovery/simulate_tree.py
@@ -14,9 +14,8 @@
 
 import msgspec
 
-from limepath.duties.world import Network
-from limepath.listing.bounds import HELPERS, tree_bounds
-from limepath.listing.interface import (
+from limepath.discovery.bounds import HELPERS, tree_bounds
+from limepath.discovery.interface import (
     AskChunk,
     AskScopes,
     Batch,
@@ -37,8 +36,9 @@
     Terms,
     Where,
 )
-from limepath.listing.relay import Listing
-from limepath.listing.simulate import member, most_in
+from limepath.discovery.relay import Listing
+from limepath.discovery.simulate import member, most_in
+from limepath.duties.world import Network
 from limepath.peers.guard import HEAD, SEAL
 from limepath.peers.interface import REFUTALS, News
 from limepath.verdicts import Row, at_most, seconds
--- a/limepath/listing/snapshot.py
+++ b/limepath/discovery/snapshot.py
@@ -5,11 +5,11 @@
 
 from collections import OrderedDict
 
-from limepath.listing.component import Component
-from limepath.listing.events import BadList
-from limepath.listing.heard import IN_FLIGHT
-from limepath.listing.interface import AskPiece, Piece, Place, Reach
-from limepath.listing.state import DATA, mark_of, packed_size
+from limepath.discovery.component import Component
+from limepath.discovery.events import BadList
+from limepath.discovery.heard import IN_FLIGHT
+from limepath.discovery.interface import AskPiece, Piece, Place, Reach
+from limepath.discovery.state import DATA, mark_of, packed_size
 
 WINDOW, RETRY, STALLS = 4, 250_000, 8  # pieces asked for at once; until asked for again; and until given up
 PACK_KEPT = 5_000_000  # for which a packed list is told, with the events since
--- a/limepath/listing/state.py
+++ b/limepath/discovery/state.py
@@ -9,11 +9,11 @@
 from hashlib import blake2b
 
 from limepath.agenda import MIX
-from limepath.listing.coding import decode
-from limepath.listing.events import BadList, parsed, summary
-from limepath.listing.integers import CodingError
-from limepath.listing.interface import Place
-from limepath.listing.window import RecentPurges
+from limepath.discovery.coding import decode
+from limepath.discovery.events import BadList, parsed, summary
+from limepath.discovery.integers import CodingError
+from limepath.discovery.interface import Place
+from limepath.discovery.window import RecentPurges
 
 FORM = b"LPL1"
 PURGES_KEPT = 600_000_000  # microseconds for which a purge is kept, where nothing else is told
@@ -84,7 +84,7 @@
         cut or damaged
         >>> unpacked(one.packed(), 100)
         Traceback (most recent call last):
-        limepath.listing.events.BadList: over 100 bytes
+        limepath.discovery.events.BadList: over 100 bytes
         """
         kept = self.purges.kept(now)
         purges, ages = [decode(one.encoded).told for one in kept], [one.age for one in kept]
--- a/limepath/listing/stream.py
+++ b/limepath/discovery/stream.py
@@ -5,11 +5,11 @@
 
 from zlib import crc32
 
-from limepath.listing.bounds import QUIET
-from limepath.listing.component import Component
-from limepath.listing.events import BadList, parsed, summary
-from limepath.listing.interface import Call, HangUp, Place, Role, Say
-from limepath.listing.replay import EventTimes
+from limepath.discovery.bounds import QUIET
+from limepath.discovery.component import Component
+from limepath.discovery.events import BadList, parsed, summary
+from limepath.discovery.interface import Call, HangUp, Place, Role, Say
+from limepath.discovery.replay import EventTimes
 
 CALLING, UP = "calling", "up"
 LIVE = 1_000_000  # for which events come as they happen, until a stream has told all that it had
--- a/limepath/listing/tree.py
+++ b/limepath/discovery/tree.py
@@ -5,10 +5,10 @@
 would be next watch each other as in the star. Free of I/O.
 """
 
-from limepath.listing import bounds
-from limepath.listing.component import Component
-from limepath.listing.interface import Reads
-from limepath.listing.topology import Zone, by_hash, longest_path
+from limepath.discovery import bounds
+from limepath.discovery.component import Component
+from limepath.discovery.interface import Reads
+from limepath.discovery.topology import Zone, by_hash, longest_path
 
 REFUSED = 10_000_000  # until one that refused is asked again
 STANDBYS = 1 + bounds.HELPERS  # times the relays: those next by hash that watch the roots
--- a/limepath/listing/upstream.py
+++ b/limepath/discovery/upstream.py
@@ -7,10 +7,10 @@
 from zlib import crc32
 
 from limepath.agenda import mixed
-from limepath.listing import bounds
-from limepath.listing.bounds import TURN
-from limepath.listing.component import Component
-from limepath.listing.interface import Reads
+from limepath.discovery import bounds
+from limepath.discovery.bounds import TURN
+from limepath.discovery.component import Component
+from limepath.discovery.interface import Reads
 
 BAD = 30_000_000  # for which one that told nonsense is passed over
 UNASKED = 10_000_000  # for which one that is not asked any more counts as silent still
--- a/limepath/listing/window.py
+++ b/limepath/discovery/window.py
@@ -9,9 +9,9 @@
 from collections.abc import Iterator
 from typing import NamedTuple
 
-from limepath.listing.coding import decode, encode
-from limepath.listing.integers import CodingError, Damaged, Reader, integer, unzigzag, zigzag
-from limepath.listing.purge_fields import object_value
+from limepath.discovery.coding import decode, encode
+from limepath.discovery.integers import CodingError, Damaged, Reader, integer, unzigzag, zigzag
+from limepath.discovery.purge_fields import object_value
 
 
 class NotHeld(Exception):
--- a/limepath/duties/host.py
+++ b/limepath/duties/host.py
@@ -42,7 +42,7 @@
             self.store = Store(told.store)
             types = MESSAGES + DUTY_MESSAGES
             if told.listing:
-                from limepath.listing.interface import MESSAGES as LISTING_MESSAGES
+                from limepath.discovery.interface import MESSAGES as LISTING_MESSAGES
                 from limepath.tallies.interface import MESSAGES as TALLY_MESSAGES
 
                 types += LISTING_MESSAGES + TALLY_MESSAGES
--- a/limepath/front/start.py
+++ b/limepath/front/start.py
@@ -77,7 +77,7 @@
         except Unopened as flaw:
             raise BadSetting(f"{shared.file}: {flaw}") from None
     if cooperation and shared.listing:
-        from limepath.listing.host import (
+        from limepath.discovery.host import (
             guided,  # nothing of it is loaded where each front follows the log by itself
         )
 
--- a/limepath/opening/peers.py
+++ b/limepath/opening/peers.py
@@ -3,8 +3,8 @@
 import os
 from typing import NamedTuple
 
+from limepath.discovery.interface import Terms
 from limepath.duties.interface import Leasing, Mode, Plan
-from limepath.listing.interface import Terms
 from limepath.log import FORMS
 from limepath.opening import ini
 from limepath.opening.ini import BadSetting, Key, Section
--- a/limepath/scale/accounting.py
+++ b/limepath/scale/accounting.py
@@ -12,7 +12,7 @@
 SUBSYSTEM_OF_PACKAGE = {
     "limepath.peers": Subsystem.MEMBERSHIP,
     "limepath.duties": Subsystem.DUTIES,
-    "limepath.listing": Subsystem.LIST,
+    "limepath.discovery": Subsystem.LIST,
     "limepath.tallies": Subsystem.COUNTS,
     "limepath.limits": Subsystem.LIMITS,
 }
--- a/limepath/scale/bounds.py
+++ b/limepath/scale/bounds.py
@@ -8,8 +8,8 @@
 from math import ceil, log
 from typing import NamedTuple
 
-from limepath.listing import bounds as listing
-from limepath.listing.bounds import bounds as listing_bounds
+from limepath.discovery import bounds as listing
+from limepath.discovery.bounds import bounds as listing_bounds
 from limepath.peers.members import detection, spread
 from limepath.scale.faults import LOSS, Kind
 
--- a/limepath/scale/capacity_front.py
+++ b/limepath/scale/capacity_front.py
@@ -130,9 +130,9 @@
     sharing = code_of_sharing(figures)
     added = [
         (f"resident, idle, a list of {SIZE.caches:,}", resident, "front/, choice.py"),
-        ("the sharing's code and store", sharing, "peers/, duties/, listing/, tallies/, limits/"),
+        ("the sharing's code and store", sharing, "peers/, duties/, discovery/, tallies/, limits/"),
         (f"a view of {SIZE.fronts:,}", view, SWIM),
-        ("the list kept for sharing", shared, "listing/state.py"),
+        ("the list kept for sharing", shared, "discovery/state.py"),
         ("these together", total([resident, sharing, view, shared], "MB"), ""),
     ]
     for what, figure, mechanism in added:
@@ -153,7 +153,7 @@
     added = [
         ("membership, sent", swim, SWIM),
         (f"check results of {SIZE.caches:,} targets, sent", results, RESULTS),
-        ("the list, sent by the median front", median, "subscriptions, listing/"),
+        ("the list, sent by the median front", median, "subscriptions, discovery/"),
         ("these together", total([swim, results, median], "KB/s"), ""),
         ("request counts, connection limits", missing("not measured"), "tallies/, limits/"),
     ]
--- a/limepath/scale/capacity_hours.py
+++ b/limepath/scale/capacity_hours.py
@@ -2,8 +2,8 @@
 
 from math import ceil, log, log2
 
-from limepath.listing.bounds import bounds
-from limepath.listing.interface import Terms
+from limepath.discovery.bounds import bounds
+from limepath.discovery.interface import Terms
 from limepath.peers import gossip, members
 from limepath.peers.interface import Spans
 from limepath.scale.capacity_lines import Hour, Kind, Lines
@@ -76,14 +76,14 @@
         packed = packed.times(followers / 1e3, "MB", f"{followers} followers of one front ask for all of it")
     if text.value is not None:
         text = text.times(STREAMS / 1e3, "MB", f"{STREAMS} streams at once")
-    relay.add(Kind.MESSAGES, "whole lists sent, where events kept are outrun", packed, "listing/")
+    relay.add(Kind.MESSAGES, "whole lists sent, where events kept are outrun", packed, "discovery/")
     service.add(Kind.MESSAGES, "whole lists told anew", text, "the service is not ours")
     promised = bounds(Terms(fronts=SIZE.fronts), SIZE.fronts, SIZE.zones)
     for what, value in (
         ("until every front has the list", promised.ready),
         ("until a front that hears of nobody has it", promised.alone),
     ):
-        service.add(Kind.STATE, what, assumed(value / 1e6, "s", BY_CODE), "listing/bounds.py")
+        service.add(Kind.STATE, what, assumed(value / 1e6, "s", BY_CODE), "discovery/bounds.py")
     return relay.lines + service.lines
 
 
--- a/limepath/scale/capacity_roles.py
+++ b/limepath/scale/capacity_roles.py
@@ -1,7 +1,7 @@
 """The capacity of all roles beside a plain front's, in a calm hour. Free of I/O."""
 
-from limepath.listing.bounds import bounds
-from limepath.listing.interface import Terms
+from limepath.discovery.bounds import bounds
+from limepath.discovery.interface import Terms
 from limepath.opening.limits import Limits
 from limepath.scale.capacity_lines import Kind, Lines
 from limepath.scale.capacity_size import BUDGET, SIZE
@@ -11,8 +11,8 @@
 STREAMS = RELAYS * SIZE.zones
 INTERVAL = 5.0  # seconds between checks of a target: the shipped default
 SLOTS, RENEWAL = 32, 0.75  # of a duty with one owner; seconds between renewals (a quarter of 3 s)
-PUSHES = "pushes to followers, listing/"
-BY_CODE = "computed by listing/bounds.py from the default settings"
+PUSHES = "pushes to followers, discovery/"
+BY_CODE = "computed by discovery/bounds.py from the default settings"
 
 
 def relay(figures):
@@ -31,7 +31,7 @@
     add(Kind.MESSAGES, what, at("bytes"), PUSHES, BUDGET.bytes)
     add(Kind.MESSAGES, "the same, datagrams", datagrams, PUSHES)
     what = "list traffic received by the one that receives most"
-    add(Kind.MESSAGES, what, at("received"), "subscriptions, listing/", BUDGET.bytes)
+    add(Kind.MESSAGES, what, at("received"), "subscriptions, discovery/", BUDGET.bytes)
     add(Kind.PROCESSOR, "list logic and sealing", logic, PUSHES, BUDGET.cpu)
     add(Kind.PROCESSOR, "the system's work for datagrams", system, "peers/host.py", BUDGET.cpu)
     add(Kind.PROCESSOR, "these together", total([logic, system], "% of a core"), "", BUDGET.cpu)
@@ -40,8 +40,8 @@
     settling = figures.fact("relay", "settling")
     if settling.value is not None:
         add(Kind.STATE, "the same, told just after all started", settling, PUSHES, SIZE.everywhere)
-    add(Kind.STATE, "span of the events kept for those behind", window(figures), "listing/")
-    add(Kind.STATE, "span of the purges kept in a list", purge_span(figures), "listing/state.py")
+    add(Kind.STATE, "span of the events kept for those behind", window(figures), "discovery/")
+    add(Kind.STATE, "span of the purges kept in a list", purge_span(figures), "discovery/state.py")
     return lines.lines
 
 
@@ -69,10 +69,10 @@
         event = event.times(SIZE.purges * STREAMS / 1e3, "KB/s", f"{STREAMS} streams")
     promised = bounds(Terms(fronts=SIZE.fronts), SIZE.fronts, SIZE.zones)
     streams = assumed(float(STREAMS), "streams", f"{RELAYS} relays a zone")
-    lines.add(Kind.STATE, "streams held", streams, "listing/")
+    lines.add(Kind.STATE, "streams held", streams, "discovery/")
     lines.add(Kind.MESSAGES, "purges told, text alone", event, "the service is not ours")
     calls = assumed(promised.calls, "a second", BY_CODE)
-    lines.add(Kind.MESSAGES, "calls of the whole fleet, at most", calls, "listing/calls.py")
+    lines.add(Kind.MESSAGES, "calls of the whole fleet, at most", calls, "discovery/calls.py")
     for kind in (Kind.PROCESSOR, Kind.MEMORY):
         lines.add(kind, "of the service itself", missing("not ours, a stand-in in our runs"), "not ours")
     return lines.lines
--- a/limepath/scale/hollow.py
+++ b/limepath/scale/hollow.py
@@ -10,9 +10,9 @@
 from hashlib import blake2b
 
 from limepath import contract as c
+from limepath.discovery.host import guided
+from limepath.discovery.interface import Events
 from limepath.duties.host import Cooperation, clock
-from limepath.listing.host import guided
-from limepath.listing.interface import Events
 from limepath.opening import peers as peers_opening
 from limepath.opening import platform
 from limepath.opening.ini import BadSetting
--- a/limepath/scale/hollow_process.py
+++ b/limepath/scale/hollow_process.py
@@ -17,7 +17,7 @@
 from twisted.internet import reactor
 from twisted.logger import globalLogBeginner
 
-from limepath.listing.state import List
+from limepath.discovery.state import List
 from limepath.opening.addresses import address_of
 from limepath.opening.ini import BadSetting
 from limepath.opening.platform import BadConfiguration
--- a/limepath/scale/roles_relay.py
+++ b/limepath/scale/roles_relay.py
@@ -14,10 +14,10 @@
 from importlib.util import find_spec
 from typing import NamedTuple
 
+from limepath.discovery.interface import MESSAGES as LIST_MESSAGES
+from limepath.discovery.interface import Terms
+from limepath.discovery.simulate import World
 from limepath.duties.interface import MESSAGES as DUTY_MESSAGES
-from limepath.listing.interface import MESSAGES as LIST_MESSAGES
-from limepath.listing.interface import Terms
-from limepath.listing.simulate import World
 from limepath.peers.guard import Guard, Key
 from limepath.peers.interface import MESSAGES, Spans
 from limepath.scale.measured import Fact, Found, Series
@@ -27,7 +27,7 @@
 CACHES = 40
 EVENTS = 36  # a second
 SECOND = 1_000_000
-TREE, TREE_ROLE = "limepath.listing.simulate_tree", "limepath.scale.roles_tree"  # where fronts have sites
+TREE, TREE_ROLE = "limepath.discovery.simulate_tree", "limepath.scale.roles_tree"  # where fronts have sites
 SETTLED, SPAN, REACH, ARRIVE = 5 * SECOND, 5 * SECOND, 2 * SECOND, 7_300_000
 LIMIT = 120 * SECOND
 ROUNDS, ROUND, DATAGRAM = 400, 50, 200  # datagrams and their bytes, for the socket's cost
@@ -152,7 +152,7 @@
 
 def window():
     """Events that a front keeps for those behind, and how: a count, or a span in seconds."""
-    from limepath.listing import relay, state
+    from limepath.discovery import relay, state
 
     if span := getattr(Terms(), "window", None):
         yield Fact("window", "span of events kept for those behind", "s", span / 1e6)
--- a/limepath/scale/roles_tree.py
+++ b/limepath/scale/roles_tree.py
@@ -1,14 +1,14 @@
 """Events at the fronts of one zone whose fronts have sites, in virtual time: trees in place of stars.
 
-The fleet is that of `limepath.listing.simulate_tree`, with one view on which all agree. Every datagram is
+The fleet is that of `limepath.discovery.simulate_tree`, with one view on which all agree. Every datagram is
 sealed here as on the socket, and what a front's logic and its seals cost is timed.
 """
 
 import os
 import time
 
+from limepath.discovery.interface import MESSAGES as LIST_MESSAGES
 from limepath.duties.interface import MESSAGES as DUTY_MESSAGES
-from limepath.listing.interface import MESSAGES as LIST_MESSAGES
 from limepath.peers.guard import Guard, Key
 from limepath.peers.interface import MESSAGES
 from limepath.scale.roles_relay import ARRIVE, EVENTS, LIMIT, SECOND, SPAN, Played, Traffic
@@ -36,7 +36,7 @@
 
 def zone(fronts):
     """The world of one zone, its fronts at as many sites as they fill, all of them with the list."""
-    from limepath.listing.simulate_tree import Plan, World
+    from limepath.discovery.simulate_tree import Plan, World
 
     sites = max(1, round(fronts / SITE))
     world = World(Plan(fronts=fronts, regions=1, zones=1, sites=sites, rate=EVENTS), 1)
@@ -50,7 +50,7 @@
 
 def played(fronts):
     """A zone with EVENTS purges a second; give what was Played after SPAN of them."""
-    from limepath.listing.simulate_tree import lateness, purge_every
+    from limepath.discovery.simulate_tree import lateness, purge_every
 
     world = zone(fronts)
     counted, began = Counted(world), world.now
--- a/tests/test_event_coding.py
+++ b/tests/test_event_coding.py
@@ -1,4 +1,4 @@
-"""Tests of limepath/listing/coding.py: events of the list service as compact bytes, several in a datagram."""
+"""Tests of limepath/discovery/coding.py: list events as compact bytes, several in a datagram."""
 
 import json
 import tracemalloc
@@ -9,8 +9,8 @@
 from hypothesis import example, given, settings
 from hypothesis import strategies as st
 
-from limepath.listing import coding
-from limepath.listing.coding import (
+from limepath.discovery import coding
+from limepath.discovery.coding import (
     BATCH_LIMIT,
     LONGEST_TEXT,
     RESERVED_KINDS,
@@ -22,8 +22,8 @@
     encode,
     events_of,
 )
-from limepath.listing.events import parsed, summary
-from limepath.listing.integers import CodingError, Damaged, Reader, integer, unzigzag, zigzag
+from limepath.discovery.events import parsed, summary
+from limepath.discovery.integers import CodingError, Damaged, Reader, integer, unzigzag, zigzag
 from limepath.peers.guard import HEAD, LARGEST, SEAL
 from limepath.peers.interface import News
 
--- a/tests/test_event_tree.py
+++ b/tests/test_event_tree.py
@@ -6,10 +6,10 @@
 import pytest
 
 from limepath import contract as c
-from limepath.listing.bounds import children_at_most, fresh, tree_bounds
-from limepath.listing.calls import Budget
-from limepath.listing.coding import batches, encode
-from limepath.listing.interface import (
+from limepath.discovery.bounds import children_at_most, fresh, tree_bounds
+from limepath.discovery.calls import Budget
+from limepath.discovery.coding import batches, encode
+from limepath.discovery.interface import (
     AskChunk,
     AskScopes,
     Batch,
@@ -28,11 +28,11 @@
     Terms,
     Where,
 )
-from limepath.listing.replay import EventTimes
-from limepath.listing.simulate import member
-from limepath.listing.simulate_tree import Plan, run_tree
-from limepath.listing.state import List
-from limepath.listing.topology import Scope, Zone
+from limepath.discovery.replay import EventTimes
+from limepath.discovery.simulate import member
+from limepath.discovery.simulate_tree import Plan, run_tree
+from limepath.discovery.state import List
+from limepath.discovery.topology import Scope, Zone
 from limepath.opening import peers as peers_opening
 from limepath.opening.ini import BadSetting
 from limepath.verdicts import hold
--- a/tests/test_event_window.py
+++ b/tests/test_event_window.py
@@ -1,4 +1,4 @@
-"""Tests of limepath/listing/window.py: what is kept of the events for fronts that are behind."""
+"""Tests of limepath/discovery/window.py: what is kept of the events for fronts that are behind."""
 
 import json
 from collections import OrderedDict
@@ -8,10 +8,10 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from limepath.listing.coding import decode, encode
-from limepath.listing.events import summary
-from limepath.listing.integers import CodingError, integer, zigzag
-from limepath.listing.window import (
+from limepath.discovery.coding import decode, encode
+from limepath.discovery.events import summary
+from limepath.discovery.integers import CodingError, integer, zigzag
+from limepath.discovery.window import (
     KeptPurge,
     NotHeld,
     RecentPurges,
--- a/tests/test_hollow_fronts.py
+++ b/tests/test_hollow_fronts.py
@@ -7,10 +7,10 @@
 import pytest
 from twisted.internet.task import Clock
 
+from limepath.discovery.interface import Follow
+from limepath.discovery.simulate import member
+from limepath.discovery.state import List
 from limepath.duties.host import clock
-from limepath.listing.interface import Follow
-from limepath.listing.simulate import member
-from limepath.listing.state import List
 from limepath.opening.limits import planned
 from limepath.peers.control import ask
 from limepath.peers.interface import Hello
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -7,8 +7,8 @@
 from hypothesis import strategies as st
 
 from limepath import contract as c
+from limepath.discovery.simulate import most_in
 from limepath.limits.connections import Connections, rush
-from limepath.listing.simulate import most_in
 from limepath.opening import peers as peers_opening
 from limepath.opening.ini import BadSetting
 from limepath.tallies.interface import CARRIED, MOST, Ask, AskTally, Counted, FromPeer, Learn, Reach, Tally
--- a/tests/test_list_pages.py
+++ b/tests/test_list_pages.py
@@ -1,4 +1,4 @@
-"""Tests of limepath/listing/pages.py, page_bytes.py and catch_up.py: what differs of a whole list is told."""
+"""Tests of limepath/discovery/pages.py, page_bytes.py and catch_up.py: only pages that differ are sent."""
 
 import json
 import zlib
@@ -12,7 +12,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from limepath.listing.catch_up import (
+from limepath.discovery.catch_up import (
     CHUNK_BYTES,
     INDEX,
     MOST_CHUNKS,
@@ -25,17 +25,17 @@
     OtherSnapshot,
     Snapshot,
 )
-from limepath.listing.coding import Oversized, encode
-from limepath.listing.integers import CodingError, Damaged, integer
-from limepath.listing.interface import Place
-from limepath.listing.page_bytes import (
+from limepath.discovery.coding import Oversized, encode
+from limepath.discovery.integers import CodingError, Damaged, integer
+from limepath.discovery.interface import Place
+from limepath.discovery.page_bytes import (
     LONGEST_PAGE,
     packed_index,
     packed_page,
     unpacked_index,
     unpacked_page,
 )
-from limepath.listing.pages import (
+from limepath.discovery.pages import (
     MEMBERS_A_PAGE,
     PURGE_NUMBERS,
     PURGE_PAGES,
@@ -48,8 +48,8 @@
     layout_of,
     spread,
 )
-from limepath.listing.state import List
-from limepath.listing.window import KeptPurge
+from limepath.discovery.state import List
+from limepath.discovery.window import KeptPurge
 from limepath.peers.guard import HEAD, LARGEST, SEAL
 from limepath.peers.interface import News
 
--- a/tests/test_listing.py
+++ b/tests/test_listing.py
@@ -8,11 +8,9 @@
 
 import pytest
 
-from limepath.duties.interface import Leasing, Mode, Plan
-from limepath.duties.world import World
-from limepath.listing.bounds import QUIET, bounds, fresh
-from limepath.listing.calls import Budget
-from limepath.listing.interface import (
+from limepath.discovery.bounds import QUIET, bounds, fresh
+from limepath.discovery.calls import Budget
+from limepath.discovery.interface import (
     AskPiece,
     Beat,
     Call,
@@ -34,10 +32,12 @@
     Take,
     Terms,
 )
-from limepath.listing.relay import Listing
-from limepath.listing.simulate import KINDS, member, simulated
-from limepath.listing.state import DATA, List, mark_of
-from limepath.listing.upstream import BAD
+from limepath.discovery.relay import Listing
+from limepath.discovery.simulate import KINDS, member, simulated
+from limepath.discovery.state import DATA, List, mark_of
+from limepath.discovery.upstream import BAD
+from limepath.duties.interface import Leasing, Mode, Plan
+from limepath.duties.world import World
 from limepath.opening import peers as peers_opening
 from limepath.opening.ini import BadSetting
 from limepath.peers.interface import Spans
--- a/tests/test_scale_faults.py
+++ b/tests/test_scale_faults.py
@@ -7,7 +7,7 @@
 import pytest
 from twisted.internet.testing import MemoryReactorClock, StringTransport
 
-from limepath.listing.interface import Terms
+from limepath.discovery.interface import Terms
 from limepath.peers.interface import Spans
 from limepath.scale import bounds, faults, plan
 from limepath.scale.control import Arrival, FrontReport, Subsystem, Traffic
--- a/tests/test_terms_folder.py
+++ b/tests/test_terms_folder.py
@@ -10,10 +10,10 @@
 from collections import Counter
 from types import SimpleNamespace
 
+from limepath.discovery.host import GuidedChangeLog
+from limepath.discovery.interface import Save
 from limepath.duties.host import Cooperation
 from limepath.duties.interface import Keep, Vote
-from limepath.listing.host import GuidedChangeLog
-from limepath.listing.interface import Save
 from limepath.log import Log
 from limepath.peers.interface import Send
 from limepath.store import PendingWrites, Store
--- a/tests/test_topology.py
+++ b/tests/test_topology.py
@@ -1,4 +1,4 @@
-"""Tests of limepath/listing/topology.py: the trees over the fronts of a zone."""
+"""Tests of limepath/discovery/topology.py: the trees over the fronts of a zone."""
 
 from collections import Counter
 from random import Random
@@ -7,9 +7,9 @@
 from hypothesis import example, given, settings
 from hypothesis import strategies as st
 
-from limepath.listing.interface import Terms
-from limepath.listing.relay import Listing
-from limepath.listing.topology import Scope, Zone, longest_path, position
+from limepath.discovery.interface import Terms
+from limepath.discovery.relay import Listing
+from limepath.discovery.topology import Scope, Zone, longest_path, position
 
 FRONTS, SITES = 260, 12  # of a zone: 5,200 fronts at 240 sites in 20 zones
 RELAYS, FAN_OUT = 2, 4
