--- /dev/null
+++ b/tests/byte_records.py
@@ -0,0 +1,292 @@
+"""The values of the byte records in `tests/data` and how the program codes each of them.
+
+The data files keep the bytes that fronts send to each other and hold in their stores. `write_byte_records`
+writes the files, `test_stored_bytes` compares the program with them. Labels are those of the files and do
+not depend on names in the program. Fields are given by name, so that a change of their order is seen.
+"""
+
+import json
+import sqlite3
+from collections.abc import Callable
+from contextlib import closing
+from pathlib import Path
+from typing import Any, NamedTuple
+
+import msgspec
+
+from limepath.contract import Verdict
+from limepath.duties import interface as leases
+from limepath.duties.ring import Ring, key_of
+from limepath.listing import coding, page_bytes, pages, scopes, state
+from limepath.listing import interface as endpoints
+from limepath.listing.catch_up import Snapshot
+from limepath.listing.events import summary
+from limepath.listing.host import ROW
+from limepath.listing.topology import Scope, by_hash
+from limepath.listing.window import KeptPurge
+from limepath.peers import interface as membership
+from limepath.peers.digests import Digests
+from limepath.peers.guard import Guard, keys_of
+from limepath.peers.identity import identity_of, kept_ceiling
+from limepath.store import Store
+from limepath.tallies import interface as request_counts
+
+DATA = Path(__file__).parent / "data"
+WIRE, STORE, ENDPOINT_LIST, AGREED = "wire.json", "store.json", "endpoint_list.json", "agreed.json"
+KEY = "00112233445566778899aabbccddeeff"
+RECEIVER, COUNTER = 0x0123456789ABCDEF, 70_001
+TOKENS = (0x1111111111111111, 0x2222222222222222, 0x3333333333333333, 0x7444444444444444)
+NOW, LONGEST_LIST = 10_000_000, 1_000_000
+
+UNIONS = (membership.MESSAGES, endpoints.MESSAGES, leases.MESSAGES, request_counts.MESSAGES)
+MESSAGE_TYPES = tuple(message_type for union in UNIONS for message_type in union)
+
+LIVES = {"incarnation": (5 << membership.REFUTALS) + 2, "birth": 1_796_000_000_000_001}
+SUSPICION = {"state": membership.State.SUSPECT, "by": TOKENS[1]}
+MEMBER = membership.News(token=TOKENS[0], name="front-1", host="192.0.2.1", port=7401, **LIVES, **SUSPICION)
+OTHER_MEMBER = membership.News(token=TOKENS[2], name="front-2", host="192.0.2.2", port=7402, **LIVES)
+
+
+class CodedRecord(NamedTuple):
+    """A value of the endpoint list with its encoder and decoder; `packed_from` is where zlib data begins."""
+
+    value: Any
+    encode: Callable[[], bytes]
+    decode: Callable[[bytes], Any]
+    packed_from: int | None = None
+
+
+# Messages
+PROBE_RESULTS = (
+    leases.Result(duty=77, target=78, prober=76, serial=79, age=80, verdict=81, took=82, load={"x": 0.5}),
+    leases.Result(duty=83, target=84, prober=TOKENS[1], serial=85, age=86, verdict=87, took=88),
+)
+CONFIRMED = {"generation": 28, "number": 29, "digest": (1 << 64) - 1, "age": -1, "reaches": 33, "stamp": 34}
+HEARTBEAT = endpoints.Beat(zone="zone-1", site="site-1", tries=31, followers=32, refused=True, **CONFIRMED)
+FULL_MESSAGES = {
+    "membership/hello": membership.Hello(),
+    "membership/welcome": membership.Welcome(news=(MEMBER, OTHER_MEMBER)),
+    "membership/ping": membership.Ping(seq=11, news=(MEMBER,), digest=12),
+    "membership/ack": membership.Ack(seq=14, news=(OTHER_MEMBER,), digest=15),
+    "membership/ping-request": membership.PingFor(seq=17, about=OTHER_MEMBER, news=(MEMBER,)),
+    "membership/pull": membership.Pull(after=19, buckets=(20, 1 << 63)),
+    "membership/page": membership.Page(news=(OTHER_MEMBER, MEMBER), last=True),
+    "endpoint-list/scope": endpoints.Where(zone="zone-1", asks=True, site="site-1"),
+    "endpoint-list/subscribe": endpoints.Follow(
+        zone="zone-1", generation=21, number=22, reads=2, site="site-1", lacks=True, stamp=23
+    ),
+    "endpoint-list/heartbeat": HEARTBEAT,
+    "endpoint-list/event-texts": endpoints.Events(generation=38, first=39, texts=("one", "two"), age=41),
+    "endpoint-list/events": endpoints.Batch(
+        generation=42, first=43, data=b"\xff", age=44, stamp=45, since=46
+    ),
+    "endpoint-list/scopes-request": endpoints.AskScopes(zone="zone-1", site="site-1", digest=50, after=51),
+    "endpoint-list/scopes": endpoints.Scopes(
+        zone="z", sites=("a", "b"), fronts=((1 << 62, 1), (9, 0)), last=False
+    ),
+    "endpoint-list/chunk-request": endpoints.AskChunk(generation=53, number=54, mark=55, page=-1, chunk=57),
+    "endpoint-list/chunk": endpoints.PageChunk(
+        generation=58, number=59, mark=60, page=61, chunk=62, count=63, data=b"\x00chunk\xff"
+    ),
+    "endpoint-list/part-request": endpoints.AskPiece(generation=68, number=-1, piece=69),
+    "endpoint-list/part": endpoints.Piece(generation=70, number=71, piece=72, of=73, mark=b"mark", data=b"p"),
+    "probe/results": leases.Results(results=PROBE_RESULTS),
+    "lease/request": leases.Claim(duty=89, round=90, slots=((91, 92), (93, 94))),
+    "lease/vote": leases.Vote(duty=95, round=96, granted=(97, 98), denied=((99, 100, 101), (102, 103, 104))),
+    "lease/release": leases.Release(duty=108, slots=((109, 110),)),
+    "lease/epochs-request": leases.AskEpochs(round=111),
+    "lease/epochs": leases.Epochs(round=112, ceiling=113, sure=True),
+    "request-counts/request": request_counts.AskTally(),
+    "request-counts/counts": request_counts.Tally(age=114, counts=((115, 116, 117.5),), at=121, of=122),
+}
+
+
+def with_defaults(message: membership.Message) -> membership.Message:
+    """The message with the default of each field that has one."""
+    fields = msgspec.structs.fields(message)
+    return type(message)(**{field.name: getattr(message, field.name) for field in fields if field.required})
+
+
+DEFAULT_MESSAGES = {
+    f"{label}/defaults": with_defaults(message)
+    for label, message in FULL_MESSAGES.items()
+    if with_defaults(message) != message
+}
+MESSAGES = FULL_MESSAGES | DEFAULT_MESSAGES
+
+
+def new_guard() -> Guard:
+    """A guard with the fixed key and counter that takes all messages, as a front has it."""
+    guard = Guard(keys_of(KEY), MESSAGE_TYPES)
+    guard.counter = COUNTER
+    return guard
+
+
+def encoded(message: membership.Message) -> bytes:
+    """The bytes of a message alone, by the guard's own encoder."""
+    return new_guard().encoder.encode(message)
+
+
+def shortened(message: membership.Message) -> bytes:
+    """The bytes of a message as a sender has them that knows none of its optional fields."""
+    required = sum(field.required for field in msgspec.structs.fields(message))
+    return msgspec.msgpack.encode(msgspec.msgpack.decode(encoded(message))[: required + 1])
+
+
+def sealed(message: membership.Message) -> bytes:
+    """The datagram of a message."""
+    return new_guard().seal(MEMBER, RECEIVER, message)
+
+
+# The endpoint list
+
+
+def endpoint(number: int) -> dict[str, Any]:
+    """One member of the list, as the list service words it."""
+    host_port, up_since_ms = f"192.0.2.{number}:8080", 1_796_000_000_000 + number
+    told = {"id": f"cache-{number}", "host_port": host_port, "locality": "south", "flavor": "disk"}
+    return told | {"phase": "in_service", "up_since_ms": up_since_ms}
+
+
+def event(**told: Any) -> coding.Event:
+    """An event whose text is the plain JSON of its object."""
+    return coding.Event(told, json.dumps(told))
+
+
+OBJECT_PURGE = event(seq=1001, invalidate={"object": "00000000deadbeef", "time": 1_796_000_000_123})
+BUCKET_PURGE = event(seq=1002, invalidate={"bucket": 17, "time": 1_796_000_000_100})
+TEXT_EVENT = event(seq=1003, other=5)
+LONG_EVENT = event(seq=1004, fleet={"revision": 9, "members": [endpoint(1), endpoint(2)]})
+LATE_PURGE = event(seq=1200, invalidate={"bucket": 18, "time": 1_796_000_000_200})
+EVENTS = (OBJECT_PURGE, BUCKET_PURGE, TEXT_EVENT, LONG_EVENT)
+ENCODED_EVENTS = [coding.encode(*one) for one in EVENTS]
+PURGES = ((OBJECT_PURGE, 8_000_000), (BUCKET_PURGE, 9_000_000), (LATE_PURGE, 2_000_000))
+CONTENTS = pages.Contents(
+    place=endpoints.Place(generation=3, number=1201),
+    revision=-7,
+    members={f"cache-{number}": endpoint(number) for number in range(1, 41)},
+    purges=tuple(KeptPurge(one.told["seq"], age, coding.encode(*one)) for one, age in PURGES),
+)
+
+
+def full_list() -> state.List:
+    """A list with members and with purges of different ages."""
+    held, members = state.List(), [endpoint(number) for number in (1, 2, 3)]
+    held.take({"seq": 1000, "fleet": {"revision": 8, "complete": True, "members": members}})
+    held.take(OBJECT_PURGE.told, now=2_000_000, age=1_000_000)
+    held.take(BUCKET_PURGE.told, now=4_000_000, age=0)
+    held.place = endpoints.Place(generation=2, number=1002)
+    return held
+
+
+def list_state(held: state.List) -> tuple[Any, ...]:
+    """All that makes up a list at `NOW`, to be compared."""
+    return held.place, held.revision, held.members, held.digest, held.purges.kept(NOW)
+
+
+def event_record(one: coding.Event, packed_from: int | None = None) -> CodedRecord:
+    """One event's bytes."""
+    return CodedRecord(one, lambda: coding.encode(*one), coding.decode, packed_from)
+
+
+def list_record(held: state.List) -> CodedRecord:
+    """A whole list, as it is saved and as it is sent in parts."""
+    return CodedRecord(
+        list_state(held),
+        lambda: held.packed(NOW),
+        lambda data: list_state(state.unpacked(data, LONGEST_LIST, NOW)),
+        packed_from=len(state.FORM),
+    )
+
+
+def index_record(contents: pages.Contents) -> CodedRecord:
+    """The index of a list's pages."""
+    told = pages.digests(contents)
+    return CodedRecord(told, lambda: page_bytes.packed_index(told), page_bytes.unpacked_index)
+
+
+def page_record(number: int) -> CodedRecord:
+    """One page of `CONTENTS`."""
+    told = pages.digests(CONTENTS)
+    page = pages.spread(CONTENTS, told.layout)[number]
+
+    def decode(data: bytes) -> pages.PageContents:
+        return page_bytes.unpacked_page(data, number, told)
+
+    return CodedRecord(page, lambda: page_bytes.packed_page(page), decode, packed_from=0)
+
+
+SAVED_LIST = "saved-list/full"
+CODED_RECORDS = {
+    "event/purge-object": event_record(OBJECT_PURGE),
+    "event/purge-bucket": event_record(BUCKET_PURGE),
+    "event/text": event_record(TEXT_EVENT),
+    "event/compressed-text": event_record(LONG_EVENT, packed_from=1),
+    "event-batch": CodedRecord(EVENTS, lambda: coding.batches(ENCODED_EVENTS)[0], coding.events_of),
+    SAVED_LIST: list_record(full_list()),
+    "saved-list/empty": list_record(state.List()),
+    "page-index/full": index_record(CONTENTS),
+    "page-index/empty": index_record(pages.Contents(endpoints.Place(), 0, {}, ())),
+    "page/members-1": page_record(0),
+    "page/members-2": page_record(1),
+    "page/purges-1": page_record(2),
+    "page/purges-2": page_record(4),
+}
+
+# The store
+STORE_LABELS = ("identity/token", "identity/life", "lease/epoch-ceiling", "endpoint-list/saved")
+LIFE, CEILING = 3, 70_002
+
+
+def store_rows(saved_list: bytes) -> dict[str, bytes]:
+    """The rows of a front's store after some starts, with these bytes of the saved list."""
+    rows = {}
+    for _ in range(LIFE):
+        _, rows = identity_of(rows, lambda: TOKENS[3])
+    return rows | kept_ceiling(CEILING) | {ROW: saved_list}
+
+
+def written_store(path: Path, rows: dict[str, bytes]) -> dict[str, Any]:
+    """Write rows by the program's store to a new file; give its schema and its raw columns."""
+    with closing(Store(str(path))) as store:
+        store.put(rows)
+    with closing(sqlite3.connect(path)) as base:
+        ((schema,),) = base.execute("SELECT sql FROM sqlite_master WHERE type = 'table'")
+        columns = base.execute("SELECT name, value, sum FROM state ORDER BY rowid").fetchall()
+    told = [
+        {"label": label, "name": name, "value": value.hex(), "sum": total}
+        for label, (name, value, total) in zip(STORE_LABELS, columns, strict=True)
+    ]
+    return {"schema": schema, "rows": told}
+
+
+# Digests, which fronts compare, and codes, which messages hold as numbers
+
+
+def agreed_values() -> dict[str, Any]:
+    """What fronts work out alike from what they know, and the numbers of enumerations, by label."""
+    view = Digests()
+    for news in (MEMBER, OTHER_MEMBER):
+        view.toggle(news)
+    ring, states, reads = Ring.of(TOKENS), membership.State, endpoints.Reads
+    return {
+        "membership/view": view.whole,
+        "membership/view-buckets": view.buckets,
+        "membership/receiver": MEMBER.door,
+        "membership/states": [states.ALIVE, states.SUSPECT, states.DEAD, states.LEFT],
+        "endpoint-list/event": summary(OBJECT_PURGE.told),
+        "endpoint-list/members": full_list().digest,
+        "endpoint-list/snapshot": state.mark_of(b"snapshot").hex(),
+        "endpoint-list/page-index": Snapshot(CONTENTS).mark,
+        "endpoint-list/scope": scopes.digest_of(TOKENS[0], Scope("zone-1", "site-1")),
+        "endpoint-list/relay-order": by_hash(TOKENS, "zone-1"),
+        "endpoint-list/subscriptions": [reads.TEXTS, reads.BATCHES, reads.HEARTBEATS],
+        "probe/outcomes": [Verdict.RETURNED, Verdict.TIMED_OUT, Verdict.ERRORED, Verdict.CONNECT_FAILED],
+        "probe/aborts": [Verdict.CANCELLED, Verdict.MISS, Verdict.FULL, Verdict.MOOT, Verdict.RESET],
+        "hash-ring/owners": [ring.owner(key_of(target)) for target in range(32)],
+    }
+
+
+def recorded(name: str) -> Any:
+    """The contents of a data file."""
+    return json.loads((DATA / name).read_text(encoding="utf-8"))
