--- a/tests/byte_records.py
+++ b/tests/byte_records.py
@@ -15,15 +15,15 @@
 import msgspec
 
 from limepath.contract import Verdict
+from limepath.discovery import coding, page_bytes, pages, scopes, state
+from limepath.discovery import interface as endpoints
+from limepath.discovery.catch_up import Snapshot
+from limepath.discovery.events import summary
+from limepath.discovery.host import ROW
+from limepath.discovery.topology import Scope, by_hash
+from limepath.discovery.window import KeptPurge
 from limepath.duties import interface as leases
 from limepath.duties.ring import Ring, key_of
-from limepath.listing import coding, page_bytes, pages, scopes, state
-from limepath.listing import interface as endpoints
-from limepath.listing.catch_up import Snapshot
-from limepath.listing.events import summary
-from limepath.listing.host import ROW
-from limepath.listing.topology import Scope, by_hash
-from limepath.listing.window import KeptPurge
 from limepath.peers import interface as membership
 from limepath.peers.digests import Digests
 from limepath.peers.guard import Guard, keys_of
