--- a/limepath/cli/listing.py
+++ b/limepath/cli/listing.py
@@ -6,9 +6,9 @@
 import click
 
 from limepath.cli.duties import conclude, json_option
+from limepath.membership.control import Unanswered, ask
 from limepath.opening import peers as peers_opening
 from limepath.opening.ini import BadSetting
-from limepath.peers.control import Unanswered, ask
 
 
 @click.group("listing")
--- a/limepath/cli/peers.py
+++ b/limepath/cli/peers.py
@@ -5,9 +5,9 @@
 
 import click
 
+from limepath.membership.control import Unanswered, ask
 from limepath.opening import peers as peers_opening
 from limepath.opening.ini import BadSetting
-from limepath.peers.control import Unanswered, ask
 
 
 @click.group("peers")
--- a/limepath/discovery/bounds.py
+++ b/limepath/discovery/bounds.py
@@ -10,7 +10,7 @@
 
 from limepath.discovery.calls import PART, Budget
 from limepath.discovery.topology import longest_path
-from limepath.peers.guard import LARGEST
+from limepath.membership.guard import LARGEST
 
 SECOND = 1_000_000
 HEADER = 190  # bytes of a datagram beside events: sender, seal, positions, digests
--- a/limepath/discovery/coding.py
+++ b/limepath/discovery/coding.py
@@ -17,8 +17,8 @@
 Numbers in a batch follow each other. Kinds from 16 on are reserved for changes of configuration; in a batch
 each of them is to carry its length. A reader that meets a kind that it does not know refuses the whole.
 
-Nothing here tells that bytes were changed into those of another valid event: the seal of `peers/guard` does.
-Free of I/O.
+Nothing here detects bytes that were changed into those of another valid event; the seal of
+`membership/guard` does. Free of I/O.
 """
 
 import json
--- a/limepath/discovery/interface.py
+++ b/limepath/discovery/interface.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from limepath.peers.interface import Message
+from limepath.membership.interface import Message
 
 
 class Place(NamedTuple):
--- a/limepath/discovery/simulate.py
+++ b/limepath/discovery/simulate.py
@@ -30,8 +30,8 @@
 )
 from limepath.discovery.relay import Listing
 from limepath.duties.world import Network
-from limepath.peers.interface import REFUTALS, Heard, News, Passed, Send, Spans
-from limepath.peers.members import Members
+from limepath.membership.interface import REFUTALS, Heard, News, Passed, Send, Spans
+from limepath.membership.members import Members
 from limepath.verdicts import Row, at_most, seconds
 
 SECOND, MS = 1_000_000, 1000
--- a/limepath/discovery/simulate_tree.py
+++ b/limepath/discovery/simulate_tree.py
@@ -39,8 +39,8 @@
 from limepath.discovery.relay import Listing
 from limepath.discovery.simulate import member, most_in
 from limepath.duties.world import Network
-from limepath.peers.guard import HEAD, SEAL
-from limepath.peers.interface import REFUTALS, News
+from limepath.membership.guard import HEAD, SEAL
+from limepath.membership.interface import REFUTALS, News
 from limepath.verdicts import Row, at_most, seconds
 
 SECOND, MS = 1_000_000, 1000
--- a/limepath/duties/bounds.py
+++ b/limepath/duties/bounds.py
@@ -9,7 +9,7 @@
 
 from limepath.duties.interface import Mode
 from limepath.duties.leases import claim_every, silence
-from limepath.peers.members import detection, spread
+from limepath.membership.members import detection, spread
 
 
 class Bounds(NamedTuple):
--- a/limepath/duties/host.py
+++ b/limepath/duties/host.py
@@ -11,10 +11,20 @@
 from limepath.duties.interface import MESSAGES as DUTY_MESSAGES
 from limepath.duties.interface import Epochs, Keep, Serve, Served, Shared, Targets, Vote
 from limepath.logic_host import LogicHost
-from limepath.peers import control
-from limepath.peers.host import Line, Unopened
-from limepath.peers.identity import CEILING, identity_of, kept_ceiling
-from limepath.peers.interface import MESSAGES, REFUTALS, Depart, Departed, GiveWay, News, Passed, Say, Send
+from limepath.membership import control
+from limepath.membership.host import Line, Unopened
+from limepath.membership.identity import CEILING, identity_of, kept_ceiling
+from limepath.membership.interface import (
+    MESSAGES,
+    REFUTALS,
+    Depart,
+    Departed,
+    GiveWay,
+    News,
+    Passed,
+    Say,
+    Send,
+)
 from limepath.store import DAMAGED, NEW, Held, PendingWrites, Store, Unusable
 
 REPORT = 10_000_000  # between lines on what was dropped
--- a/limepath/duties/instance.py
+++ b/limepath/duties/instance.py
@@ -24,8 +24,8 @@
 from limepath.duties.leases import Leases
 from limepath.duties.ring import Ring, key_of
 from limepath.duties.rounds import Rounds
-from limepath.peers.interface import NEWEST, Depart, Departed, GiveWay, Heard, Joined, Parted, Passed
-from limepath.peers.members import Members
+from limepath.membership.interface import NEWEST, Depart, Departed, GiveWay, Heard, Joined, Parted, Passed
+from limepath.membership.members import Members
 
 FEW = 3  # changes of the view that are taken in at once; for more it waits, as far as GATHERED goes
 REBUILD = 16  # changes cost less than a ring built anew up to this part of its members
--- a/limepath/duties/interface.py
+++ b/limepath/duties/interface.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from limepath.peers.interface import Message
+from limepath.membership.interface import Message
 
 
 class Mode(IntEnum):
--- a/limepath/duties/saving.py
+++ b/limepath/duties/saving.py
@@ -12,7 +12,7 @@
 from limepath.choice import Front
 from limepath.duties.interface import Leasing, Mode, Plan, Served
 from limepath.duties.world import World
-from limepath.peers.interface import Spans
+from limepath.membership.interface import Spans
 
 SECOND = 1_000_000
 ALONE, EACH, SHARED = "on suspicion alone", "each for itself", "shared"
--- a/limepath/duties/simulate.py
+++ b/limepath/duties/simulate.py
@@ -10,8 +10,8 @@
 from limepath.duties.bounds import bounds, doubles
 from limepath.duties.interface import Leasing, Mode, Plan
 from limepath.duties.world import World
-from limepath.peers.interface import Depart, Spans
-from limepath.peers.members import spread
+from limepath.membership.interface import Depart, Spans
+from limepath.membership.members import spread
 from limepath.verdicts import Row, at_most, seconds
 
 SECOND = 1_000_000
--- a/limepath/duties/world.py
+++ b/limepath/duties/world.py
@@ -13,8 +13,8 @@
 
 from limepath.duties.instance import Instance
 from limepath.duties.interface import Keep, Mode, Serve, Served, Shared, Targets
-from limepath.peers.guard import HEAD, SEAL
-from limepath.peers.interface import REFUTALS, Departed, GiveWay, Heard, News, Say, Send
+from limepath.membership.guard import HEAD, SEAL
+from limepath.membership.interface import REFUTALS, Departed, GiveWay, Heard, News, Say, Send
 
 SAMPLED = 64  # one message in so many is encoded, for the bytes
 PORT = 7946
--- a/limepath/front/start.py
+++ b/limepath/front/start.py
@@ -70,7 +70,7 @@
             raise BadSetting(f"{secured.file}: {flaw}") from None
     if shared:
         from limepath.duties.host import Cooperation  # nothing of it is loaded where nothing is shared
-        from limepath.peers.host import Unopened
+        from limepath.membership.host import Unopened
 
         try:
             cooperation = Cooperation(reactor, turn, caches, log, shared, told)
--- a/limepath/peers/anti_entropy.py
+++ b/limepath/membership/anti_entropy.py
@@ -6,8 +6,8 @@
 
 from bisect import bisect_left
 
-from limepath.peers.digests import BUCKETS, bucket_of, first_of
-from limepath.peers.interface import Page, Pull
+from limepath.membership.digests import BUCKETS, bucket_of, first_of
+from limepath.membership.interface import Page, Pull
 
 PAGE, PAGES = 12, 8  # news on a page; pages in a row that bring no member
 DIFFERING = 1  # looks at another digest in a row before a page is pulled
--- a/limepath/peers/checks.py
+++ b/limepath/membership/checks.py
@@ -9,8 +9,8 @@
 from bisect import bisect_left
 from collections.abc import Sequence
 
-from limepath.peers.bounds import MOST_MISSED
-from limepath.peers.interface import Ack, PingFor, State
+from limepath.membership.bounds import MOST_MISSED
+from limepath.membership.interface import Ack, PingFor, State
 
 
 class Without(Sequence):
--- a/limepath/peers/gossip.py
+++ b/limepath/membership/gossip.py
@@ -4,7 +4,7 @@
 from itertools import islice
 from math import ceil, log2
 
-from limepath.peers.interface import State
+from limepath.membership.interface import State
 
 CARRIED = 8  # news on one message
 COPIES = 3  # times log2 of the view, that a piece of news is passed on
--- a/limepath/peers/guard.py
+++ b/limepath/membership/guard.py
@@ -16,7 +16,7 @@
 
 import msgspec
 
-from limepath.peers.interface import GENERATION, MESSAGES, NEWEST, News
+from limepath.membership.interface import GENERATION, MESSAGES, NEWEST, News
 
 LARGEST = 1400  # bytes of a datagram: no fragments on an Ethernet
 SEAL, HEAD, WINDOW, SENDERS = 16, 7, 256, 4096
--- a/limepath/peers/host.py
+++ b/limepath/membership/host.py
@@ -6,8 +6,8 @@
 from twisted.internet.error import MessageLengthError
 from twisted.internet.protocol import DatagramProtocol
 
-from limepath.peers.guard import BadKeys, Dropped, Guard, keys_of
-from limepath.peers.interface import Heard
+from limepath.membership.guard import BadKeys, Dropped, Guard, keys_of
+from limepath.membership.interface import Heard
 
 SLICE, TAKEN = (
     50_000,
--- a/limepath/peers/joining.py
+++ b/limepath/membership/joining.py
@@ -4,7 +4,7 @@
 nothing.
 """
 
-from limepath.peers.interface import Hello, Send, State, Welcome
+from limepath.membership.interface import Hello, Send, State, Welcome
 
 MOST_SEEDS = 3  # that are greeted at the start
 GREETINGS = 8  # Hellos by period to those that are out of date
--- a/limepath/peers/leaving.py
+++ b/limepath/membership/leaving.py
@@ -2,7 +2,7 @@
 
 from math import ceil, log2
 
-from limepath.peers.interface import Departed, GiveWay, Ping, State
+from limepath.membership.interface import Departed, GiveWay, Ping, State
 
 FAREWELLS, FAREWELL_ROUNDS = 4, 3  # told at least in one round; rounds, a `direct` span apart
 
--- a/limepath/peers/members.py
+++ b/limepath/membership/members.py
@@ -9,11 +9,11 @@
 """
 
 from limepath.agenda import Agenda
-from limepath.peers.anti_entropy import AntiEntropy
-from limepath.peers.bounds import detection, shortest, spread
-from limepath.peers.checks import Checks
-from limepath.peers.gossip import Gossip
-from limepath.peers.interface import (
+from limepath.membership.anti_entropy import AntiEntropy
+from limepath.membership.bounds import detection, shortest, spread
+from limepath.membership.checks import Checks
+from limepath.membership.gossip import Gossip
+from limepath.membership.interface import (
     NEWEST,
     REFUTALS,
     Ack,
@@ -29,10 +29,10 @@
     State,
     Welcome,
 )
-from limepath.peers.joining import Joining
-from limepath.peers.leaving import Leaving
-from limepath.peers.suspicion import Suspicions
-from limepath.peers.view import View
+from limepath.membership.joining import Joining
+from limepath.membership.leaving import Leaving
+from limepath.membership.suspicion import Suspicions
+from limepath.membership.view import View
 
 __all__ = ["DOUBLED", "REPLACED", "Members", "detection", "shortest", "spread"]
 
--- a/limepath/peers/suspicion.py
+++ b/limepath/membership/suspicion.py
@@ -7,8 +7,8 @@
 
 from math import log
 
-from limepath.peers.bounds import LONGEST_SUSPICION, shortest, spread
-from limepath.peers.interface import Say, State
+from limepath.membership.bounds import LONGEST_SUSPICION, shortest, spread
+from limepath.membership.interface import Say, State
 
 CONFIRMED = 3  # others that suspect the same, at which the shortest suspicion holds
 
--- a/limepath/peers/view.py
+++ b/limepath/membership/view.py
@@ -2,8 +2,8 @@
 
 from bisect import bisect_left, insort
 
-from limepath.peers.digests import Digests
-from limepath.peers.interface import Joined, Parted, State
+from limepath.membership.digests import Digests
+from limepath.membership.interface import Joined, Parted, State
 
 MOST_BURIED = 4096  # dead and left that are remembered at most
 
--- a/limepath/scale/accounting.py
+++ b/limepath/scale/accounting.py
@@ -10,7 +10,7 @@
 from limepath.scale.control import Subsystem, Traffic
 
 SUBSYSTEM_OF_PACKAGE = {
-    "limepath.peers": Subsystem.MEMBERSHIP,
+    "limepath.membership": Subsystem.MEMBERSHIP,
     "limepath.duties": Subsystem.DUTIES,
     "limepath.discovery": Subsystem.LIST,
     "limepath.tallies": Subsystem.COUNTS,
--- a/limepath/scale/bounds.py
+++ b/limepath/scale/bounds.py
@@ -10,7 +10,7 @@
 
 from limepath.discovery import bounds as listing
 from limepath.discovery.bounds import bounds as listing_bounds
-from limepath.peers.members import detection, spread
+from limepath.membership.members import detection, spread
 from limepath.scale.faults import LOSS, Kind
 
 tree_bounds = getattr(listing, "tree_bounds", None)  # a text before the tree has none
--- a/limepath/scale/capacity_front.py
+++ b/limepath/scale/capacity_front.py
@@ -12,7 +12,7 @@
 THREAD = 100.0  # % of a core, the most of a process
 CLIENTS = "front/clients.py, front/caches.py"
 RESULTS = "results told to all, duties/learnt.py"
-SWIM = "SWIM with suspicion, peers/members.py"
+SWIM = "SWIM with suspicion, membership/members.py"
 
 
 # The data path
@@ -130,7 +130,7 @@
     sharing = code_of_sharing(figures)
     added = [
         (f"resident, idle, a list of {SIZE.caches:,}", resident, "front/, choice.py"),
-        ("the sharing's code and store", sharing, "peers/, duties/, discovery/, tallies/, limits/"),
+        ("the sharing's code and store", sharing, "membership/, duties/, discovery/, tallies/, limits/"),
         (f"a view of {SIZE.fronts:,}", view, SWIM),
         ("the list kept for sharing", shared, "discovery/state.py"),
         ("these together", total([resident, sharing, view, shared], "MB"), ""),
--- a/limepath/scale/capacity_hours.py
+++ b/limepath/scale/capacity_hours.py
@@ -4,8 +4,8 @@
 
 from limepath.discovery.bounds import bounds
 from limepath.discovery.interface import Terms
-from limepath.peers import gossip, members
-from limepath.peers.interface import Spans
+from limepath.membership import gossip, members
+from limepath.membership.interface import Spans
 from limepath.scale.capacity_lines import Hour, Kind, Lines
 from limepath.scale.capacity_roles import BY_CODE, RELAYS, STREAMS
 from limepath.scale.capacity_size import BUDGET, SIZE
@@ -14,7 +14,7 @@
 CHECKS = 4  # messages a second and front that can carry news: checks and their answers
 NEWS_OF_RESTART = 2  # it left, it is there again
 CONTROL, RELAY, SERVICE = "a front's control", "a relay or inner node", "the list service"
-NEWS, PAGES = "news on checks, peers/gossip.py", "pages of what differs, peers/anti_entropy.py"
+NEWS, PAGES = "news on checks, membership/gossip.py", "pages of what differs, membership/anti_entropy.py"
 
 
 def together(lost):
@@ -44,12 +44,14 @@
     worst = figures.at("membership", "cut worst", SIZE.fronts)
     worst = worst.times(1, worst.unit, "measured with a tenth cut off, a zone is a twentieth")
     what = "membership sent, worst front in its worst second"
-    lines.add(Kind.MESSAGES, what, worst, "suspicions and news, peers/members.py", BUDGET.bytes)
+    lines.add(Kind.MESSAGES, what, worst, "suspicions and news, membership/members.py", BUDGET.bytes)
     run = together(SIZE.zone_fronts)
     until = members.detection(Spans(), SIZE.fronts, run) / 1e6
-    found = assumed(until, "s", f"computed by peers/members.py; {run} neighbours on the ring lost together")
+    found = assumed(
+        until, "s", f"computed by membership/members.py; {run} neighbours on the ring lost together"
+    )
     what = f"until all know of {SIZE.zone_fronts} lost, at most"
-    lines.add(Kind.STATE, what, found, "detection, peers/members.py")
+    lines.add(Kind.STATE, what, found, "detection, membership/members.py")
     return lines.lines
 
 
--- a/limepath/scale/capacity_roles.py
+++ b/limepath/scale/capacity_roles.py
@@ -33,7 +33,7 @@
     what = "list traffic received by the one that receives most"
     add(Kind.MESSAGES, what, at("received"), "subscriptions, discovery/", BUDGET.bytes)
     add(Kind.PROCESSOR, "list logic and sealing", logic, PUSHES, BUDGET.cpu)
-    add(Kind.PROCESSOR, "the system's work for datagrams", system, "peers/host.py", BUDGET.cpu)
+    add(Kind.PROCESSOR, "the system's work for datagrams", system, "membership/host.py", BUDGET.cpu)
     add(Kind.PROCESSOR, "these together", total([logic, system], "% of a core"), "", BUDGET.cpu)
     what = f"until an event is at the last of {SIZE.zone_fronts}, calm"
     add(Kind.STATE, what, figures.fact("relay", "reach worst"), PUSHES, SIZE.everywhere)
@@ -124,7 +124,7 @@
     """The lines of an operator's console."""
     lines = Lines("an operator's console")
     text, cpu = figures.at("console", "shown", SIZE.fronts), figures.at("console", "cpu", SIZE.fronts)
-    shown = "cli/peers.py, peers/control.py"
+    shown = "cli/peers.py, membership/control.py"
     lines.add(Kind.MESSAGES, "one front's view shown", text, shown)
     lines.add(Kind.PROCESSOR, "the same, at the front, which stands meanwhile", cpu, shown)
     if text.value is not None:
--- a/limepath/scale/hollow.py
+++ b/limepath/scale/hollow.py
@@ -13,10 +13,10 @@
 from limepath.discovery.host import guided
 from limepath.discovery.interface import Events
 from limepath.duties.host import Cooperation, clock
+from limepath.membership.host import Unopened
 from limepath.opening import peers as peers_opening
 from limepath.opening import platform
 from limepath.opening.ini import BadSetting
-from limepath.peers.host import Unopened
 from limepath.scale.accounting import Account
 from limepath.scale.arrivals import Arrivals
 from limepath.scale.control import FrontReport, Subsystem
--- a/limepath/scale/processes.py
+++ b/limepath/scale/processes.py
@@ -11,7 +11,7 @@
 
 import psutil
 
-from limepath.peers.control import Unanswered, ask
+from limepath.membership.control import Unanswered, ask
 from limepath.scale.control import BadLine, End, Report, decode_reply, encode
 from limepath.scale.pace import boottime_us
 from limepath.testbed.process import Process
--- a/limepath/scale/roles_console.py
+++ b/limepath/scale/roles_console.py
@@ -5,7 +5,7 @@
 
 from limepath.duties.instance import Instance
 from limepath.duties.interface import Leasing, Mode, Plan
-from limepath.peers.interface import Spans
+from limepath.membership.interface import Spans
 from limepath.scale.measured import Found, Series
 from limepath.scale.roles import least_cpu
 from limepath.scale.roles_view import SIZES, fleet
--- a/limepath/scale/roles_membership.py
+++ b/limepath/scale/roles_membership.py
@@ -17,8 +17,8 @@
 
 from limepath.duties.interface import Leasing, Mode, Plan
 from limepath.duties.world import Node, World
-from limepath.peers.guard import HEAD, SEAL
-from limepath.peers.interface import Spans
+from limepath.membership.guard import HEAD, SEAL
+from limepath.membership.interface import Spans
 from limepath.scale.measured import Found, Series
 
 SECOND = 1_000_000
--- a/limepath/scale/roles_relay.py
+++ b/limepath/scale/roles_relay.py
@@ -18,8 +18,8 @@
 from limepath.discovery.interface import Terms
 from limepath.discovery.simulate import World
 from limepath.duties.interface import MESSAGES as DUTY_MESSAGES
-from limepath.peers.guard import Guard, Key
-from limepath.peers.interface import MESSAGES, Spans
+from limepath.membership.guard import Guard, Key
+from limepath.membership.interface import MESSAGES, Spans
 from limepath.scale.measured import Fact, Found, Series
 from limepath.scale.roles_listing import purge
 
--- a/limepath/scale/roles_tree.py
+++ b/limepath/scale/roles_tree.py
@@ -9,8 +9,8 @@
 
 from limepath.discovery.interface import MESSAGES as LIST_MESSAGES
 from limepath.duties.interface import MESSAGES as DUTY_MESSAGES
-from limepath.peers.guard import Guard, Key
-from limepath.peers.interface import MESSAGES
+from limepath.membership.guard import Guard, Key
+from limepath.membership.interface import MESSAGES
 from limepath.scale.roles_relay import ARRIVE, EVENTS, LIMIT, SECOND, SPAN, Played, Traffic
 
 SITE = 21.7  # fronts of a site at 5,200 fronts and 240 sites
--- a/limepath/scale/roles_view.py
+++ b/limepath/scale/roles_view.py
@@ -14,9 +14,9 @@
 
 import msgspec
 
-from limepath.peers.guard import Guard, Key
-from limepath.peers.interface import REFUTALS, Ack, Heard, News, Ping, Send, Spans
-from limepath.peers.members import Members
+from limepath.membership.guard import Guard, Key
+from limepath.membership.interface import REFUTALS, Ack, Heard, News, Ping, Send, Spans
+from limepath.membership.members import Members
 from limepath.scale.measured import Found, Series
 from limepath.scale.roles import profile_facts
 
--- a/limepath/scale/roles_voter.py
+++ b/limepath/scale/roles_voter.py
@@ -7,8 +7,8 @@
 from limepath.duties.interface import MESSAGES as DUTY_MESSAGES
 from limepath.duties.interface import Claim, Leasing
 from limepath.duties.leases import Voter
-from limepath.peers.guard import Guard, Key
-from limepath.peers.interface import MESSAGES, REFUTALS, News
+from limepath.membership.guard import Guard, Key
+from limepath.membership.interface import MESSAGES, REFUTALS, News
 from limepath.scale.measured import Found, Series
 from limepath.scale.roles import least_cpu
 
--- a/limepath/tallies/interface.py
+++ b/limepath/tallies/interface.py
@@ -4,7 +4,7 @@
 
 from typing import NamedTuple
 
-from limepath.peers.interface import Message
+from limepath.membership.interface import Message
 
 MOST = 256  # counts in a summary
 CARRIED = 48  # in one datagram
--- a/limepath/testbed/coldstart.py
+++ b/limepath/testbed/coldstart.py
@@ -26,7 +26,7 @@
 from limepath.discovery.simulate import most_in
 from limepath.discovery.state import List
 from limepath.limits.connections import rush
-from limepath.peers.control import Unanswered, ask
+from limepath.membership.control import Unanswered, ask
 from limepath.testbed.duties import SETTINGS
 from limepath.testbed.faults import Fault as Way
 from limepath.testbed.faults import Faults, Kind, both_ways
--- a/limepath/testbed/duties.py
+++ b/limepath/testbed/duties.py
@@ -21,8 +21,8 @@
 from limepath.duties.bounds import bounds
 from limepath.duties.interface import Leasing, Mode, Plan
 from limepath.duties.simulate import Fault, findings
-from limepath.peers.control import Unanswered, ask
-from limepath.peers.interface import Spans
+from limepath.membership.control import Unanswered, ask
+from limepath.membership.interface import Spans
 from limepath.testbed.faults import Fault as Way
 from limepath.testbed.faults import Faults, Kind, both_ways
 from limepath.testbed.process import HOST, NotStarted, Process, free_ports, raise_descriptors
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -33,7 +33,7 @@
 from limepath.duties.rounds import Rounds
 from limepath.duties.simulate import Day, Fault, findings, simulated
 from limepath.duties.world import World
-from limepath.peers.interface import Spans
+from limepath.membership.interface import Spans
 from limepath.verdicts import hold
 from tests.fake_host import FakeHost
 
--- a/tests/test_event_coding.py
+++ b/tests/test_event_coding.py
@@ -24,8 +24,8 @@
 )
 from limepath.discovery.events import parsed, summary
 from limepath.discovery.integers import CodingError, Damaged, Reader, integer, unzigzag, zigzag
-from limepath.peers.guard import HEAD, LARGEST, SEAL
-from limepath.peers.interface import News
+from limepath.membership.guard import HEAD, LARGEST, SEAL
+from limepath.membership.interface import News
 
 NOW_MS = 1_796_000_000_000  # December 2026
 HUGE = (1 << 64) - 1
--- a/tests/test_list_pages.py
+++ b/tests/test_list_pages.py
@@ -50,8 +50,8 @@
 )
 from limepath.discovery.state import List
 from limepath.discovery.window import KeptPurge
-from limepath.peers.guard import HEAD, LARGEST, SEAL
-from limepath.peers.interface import News
+from limepath.membership.guard import HEAD, LARGEST, SEAL
+from limepath.membership.interface import News
 
 CACHES, RATE, KEPT_SECONDS = 1400, 36, 307.3
 NOW_MS = 1_796_000_000_000
--- a/tests/test_listing.py
+++ b/tests/test_listing.py
@@ -38,10 +38,10 @@
 from limepath.discovery.upstream import BAD
 from limepath.duties.interface import Leasing, Mode, Plan
 from limepath.duties.world import World
+from limepath.membership.interface import Spans
+from limepath.membership.members import spread
 from limepath.opening import peers as peers_opening
 from limepath.opening.ini import BadSetting
-from limepath.peers.interface import Spans
-from limepath.peers.members import spread
 from limepath.verdicts import hold
 
 SECOND, MS = 1_000_000, 1000
--- a/tests/test_opening.py
+++ b/tests/test_opening.py
@@ -13,12 +13,12 @@
 from twisted.internet.testing import StringTransport
 
 from limepath.cli import root
+from limepath.membership.control import Caller
+from limepath.membership.guard import BadKeys, keys_of
+from limepath.membership.host import Unopened, read_keys
+from limepath.membership.identity import identity_of, kept_ceiling
 from limepath.opening import ini, peers
 from limepath.opening.ini import BadSetting
-from limepath.peers.control import Caller
-from limepath.peers.guard import BadKeys, keys_of
-from limepath.peers.host import Unopened, read_keys
-from limepath.peers.identity import identity_of, kept_ceiling
 from limepath.store import DAMAGED, GOOD, NEW, Held, Store, Unusable
 from tests.stand_ins import configuration, free_address
 
@@ -300,7 +300,7 @@
 def test_where_nothing_is_shared_nothing_of_it_is_loaded():
     script = (
         "import sys, limepath.front.start; "
-        "print([name for name in sys.modules if name.startswith(('limepath.peers',"
+        "print([name for name in sys.modules if name.startswith(('limepath.membership',"
         " 'limepath.duties', 'click', 'msgspec', 'sqlite3'))])"
     )
     done = subprocess.run([sys.executable, "-c", script], capture_output=True, text=True, timeout=60)
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -13,13 +13,13 @@
 from limepath.duties.interface import Leasing, Mode, Plan
 from limepath.duties.world import World
 from limepath.log import Log
-from limepath.peers.anti_entropy import PAGE
-from limepath.peers.checks import Without
-from limepath.peers.digests import BUCKETS, bucket_of
-from limepath.peers.guard import LARGEST, BadKeys, Dropped, Guard, Window, keys_of
-from limepath.peers.host import SLICE, TAKEN, Line
-from limepath.peers.identity import Identity, identity_of, kept_ceiling
-from limepath.peers.interface import (
+from limepath.membership.anti_entropy import PAGE
+from limepath.membership.checks import Without
+from limepath.membership.digests import BUCKETS, bucket_of
+from limepath.membership.guard import LARGEST, BadKeys, Dropped, Guard, Window, keys_of
+from limepath.membership.host import SLICE, TAKEN, Line
+from limepath.membership.identity import Identity, identity_of, kept_ceiling
+from limepath.membership.interface import (
     MESSAGES,
     REFUTALS,
     Ack,
@@ -36,8 +36,8 @@
     State,
     Welcome,
 )
-from limepath.peers.members import DOUBLED, REPLACED, Members, detection, shortest, spread
-from limepath.peers.view import MOST_BURIED, View
+from limepath.membership.members import DOUBLED, REPLACED, Members, detection, shortest, spread
+from limepath.membership.view import MOST_BURIED, View
 
 SECOND = 1_000_000
 OLD, NEW = "ab" * 32, "cd" * 32
--- a/tests/test_ring.py
+++ b/tests/test_ring.py
@@ -5,7 +5,7 @@
 from limepath.duties.instance import FEW, REBUILD, Instance
 from limepath.duties.interface import Leasing
 from limepath.duties.ring import EMPTY, KEPT, KEPT_PLACES, POINTS, Ring, key_of
-from limepath.peers.interface import REFUTALS, News, Spans, State
+from limepath.membership.interface import REFUTALS, News, Spans, State
 
 
 @pytest.fixture(autouse=True)
--- a/tests/test_scale_faults.py
+++ b/tests/test_scale_faults.py
@@ -8,7 +8,7 @@
 from twisted.internet.testing import MemoryReactorClock, StringTransport
 
 from limepath.discovery.interface import Terms
-from limepath.peers.interface import Spans
+from limepath.membership.interface import Spans
 from limepath.scale import bounds, faults, plan
 from limepath.scale.control import Arrival, FrontReport, Subsystem, Traffic
 from limepath.scale.faults import Kind, UnknownFault
--- a/tests/test_stored_bytes.py
+++ b/tests/test_stored_bytes.py
@@ -8,7 +8,7 @@
 import msgspec
 import pytest
 
-from limepath.peers.identity import identity_of
+from limepath.membership.identity import identity_of
 from limepath.store import GOOD, Store
 from tests import byte_records as records
 
--- a/tests/test_terms_folder.py
+++ b/tests/test_terms_folder.py
@@ -15,7 +15,7 @@
 from limepath.duties.host import Cooperation
 from limepath.duties.interface import Keep, Vote
 from limepath.log import Log
-from limepath.peers.interface import Send
+from limepath.membership.interface import Send
 from limepath.store import PendingWrites, Store
 
 FAILING = """
