--- a/limepath/discovery/host.py
+++ b/limepath/discovery/host.py
@@ -27,9 +27,9 @@
 )
 from limepath.discovery.relay import Listing
 from limepath.duties.host import clock
+from limepath.frequency_exchange.host import Tallies
 from limepath.front.changelog import BadEvent, ChangeLog, Stream
 from limepath.logic_host import LogicHost
-from limepath.tallies.host import Tallies
 
 ROW = "list"  # of the store
 
--- a/limepath/duties/host.py
+++ b/limepath/duties/host.py
@@ -53,7 +53,7 @@
             types = MESSAGES + DUTY_MESSAGES
             if told.listing:
                 from limepath.discovery.interface import MESSAGES as LISTING_MESSAGES
-                from limepath.tallies.interface import MESSAGES as TALLY_MESSAGES
+                from limepath.frequency_exchange.interface import MESSAGES as TALLY_MESSAGES
 
                 types += LISTING_MESSAGES + TALLY_MESSAGES
             self.line = Line(reactor, told.listen, told.keys, types, log, self.gather)
--- a/limepath/tallies/host.py
+++ b/limepath/frequency_exchange/host.py
@@ -2,9 +2,9 @@
 
 from limepath import contract as c
 from limepath.duties.host import clock
+from limepath.frequency_exchange.interface import MESSAGES, Ask, Counted, FromPeer, Learn, Reach
+from limepath.frequency_exchange.newcomer import Newcomer
 from limepath.logic_host import LogicHost
-from limepath.tallies.interface import MESSAGES, Ask, Counted, FromPeer, Learn, Reach
-from limepath.tallies.newcomer import Newcomer
 
 
 class Tallies:
--- a/limepath/tallies/newcomer.py
+++ b/limepath/frequency_exchange/newcomer.py
@@ -1,7 +1,7 @@
 """Whom a newcomer asks for counts, what it takes, and what it tells others. Free of I/O."""
 
 from limepath.agenda import Agenda
-from limepath.tallies.interface import (
+from limepath.frequency_exchange.interface import (
     CARRIED,
     LARGEST,
     MOST,
--- a/limepath/scale/accounting.py
+++ b/limepath/scale/accounting.py
@@ -13,7 +13,7 @@
     "limepath.membership": Subsystem.MEMBERSHIP,
     "limepath.duties": Subsystem.DUTIES,
     "limepath.discovery": Subsystem.LIST,
-    "limepath.tallies": Subsystem.COUNTS,
+    "limepath.frequency_exchange": Subsystem.COUNTS,
     "limepath.limits": Subsystem.LIMITS,
 }
 
--- a/limepath/scale/capacity_front.py
+++ b/limepath/scale/capacity_front.py
@@ -130,7 +130,11 @@
     sharing = code_of_sharing(figures)
     added = [
         (f"resident, idle, a list of {SIZE.caches:,}", resident, "front/, choice.py"),
-        ("the sharing's code and store", sharing, "membership/, duties/, discovery/, tallies/, limits/"),
+        (
+            "the sharing's code and store",
+            sharing,
+            "membership/, duties/, discovery/, frequency_exchange/, limits/",
+        ),
         (f"a view of {SIZE.fronts:,}", view, SWIM),
         ("the list kept for sharing", shared, "discovery/state.py"),
         ("these together", total([resident, sharing, view, shared], "MB"), ""),
@@ -155,7 +159,7 @@
         (f"check results of {SIZE.caches:,} targets, sent", results, RESULTS),
         ("the list, sent by the median front", median, "subscriptions, discovery/"),
         ("these together", total([swim, results, median], "KB/s"), ""),
-        ("request counts, connection limits", missing("not measured"), "tallies/, limits/"),
+        ("request counts, connection limits", missing("not measured"), "frequency_exchange/, limits/"),
     ]
     for what, figure, mechanism in added:
         lines.add(Kind.MESSAGES, what, figure, mechanism, BUDGET.bytes)
--- a/tests/byte_records.py
+++ b/tests/byte_records.py
@@ -24,12 +24,12 @@
 from limepath.discovery.window import KeptPurge
 from limepath.duties import interface as leases
 from limepath.duties.ring import Ring, key_of
+from limepath.frequency_exchange import interface as request_counts
 from limepath.membership import interface as membership
 from limepath.membership.digests import Digests
 from limepath.membership.guard import Guard, keys_of
 from limepath.membership.identity import identity_of, kept_ceiling
 from limepath.store import Store
-from limepath.tallies import interface as request_counts
 
 DATA = Path(__file__).parent / "data"
 WIRE, STORE, ENDPOINT_LIST, AGREED = "wire.json", "store.json", "endpoint_list.json", "agreed.json"
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -8,11 +8,21 @@
 
 from limepath import contract as c
 from limepath.discovery.simulate import most_in
+from limepath.frequency_exchange.interface import (
+    CARRIED,
+    MOST,
+    Ask,
+    AskTally,
+    Counted,
+    FromPeer,
+    Learn,
+    Reach,
+    Tally,
+)
+from limepath.frequency_exchange.newcomer import ANSWER_TIMEOUT, ASKED, HALF, TRIES, Newcomer
 from limepath.limits.connections import Connections, rush
 from limepath.opening import peers as peers_opening
 from limepath.opening.ini import BadSetting
-from limepath.tallies.interface import CARRIED, MOST, Ask, AskTally, Counted, FromPeer, Learn, Reach, Tally
-from limepath.tallies.newcomer import ANSWER_TIMEOUT, ASKED, HALF, TRIES, Newcomer
 from tests.fake_host import PARENT, SECOND, FakeHost
 from tests.test_listing import PEERS
 
