--- a/limepath/limits/host.py
+++ b/limepath/connection_pacing/host.py
@@ -3,8 +3,8 @@
 """
 
 from limepath import contract as c
+from limepath.connection_pacing.connections import Connections
 from limepath.front.turn import clock
-from limepath.limits.connections import Connections
 
 
 class Paced:
--- a/limepath/discovery/host.py
+++ b/limepath/discovery/host.py
@@ -185,7 +185,7 @@
     changes.tallies = Tallies(reactor, turn, cooperation, front.seed ^ 0x7A11)
     cooperation.hearers.append(changes.tallies)
     if cooperation.told.connections:
-        from limepath.limits.host import Paced
+        from limepath.connection_pacing.host import Paced
 
         members = cooperation.instance.members
         changes.paced = Paced(
--- a/limepath/scale/accounting.py
+++ b/limepath/scale/accounting.py
@@ -14,7 +14,7 @@
     "limepath.duties": Subsystem.DUTIES,
     "limepath.discovery": Subsystem.LIST,
     "limepath.frequency_exchange": Subsystem.COUNTS,
-    "limepath.limits": Subsystem.LIMITS,
+    "limepath.connection_pacing": Subsystem.LIMITS,
 }
 
 
--- a/limepath/scale/capacity_front.py
+++ b/limepath/scale/capacity_front.py
@@ -133,7 +133,7 @@
         (
             "the sharing's code and store",
             sharing,
-            "membership/, duties/, discovery/, frequency_exchange/, limits/",
+            "membership/, duties/, discovery/, frequency_exchange/, connection_pacing/",
         ),
         (f"a view of {SIZE.fronts:,}", view, SWIM),
         ("the list kept for sharing", shared, "discovery/state.py"),
@@ -159,7 +159,11 @@
         (f"check results of {SIZE.caches:,} targets, sent", results, RESULTS),
         ("the list, sent by the median front", median, "subscriptions, discovery/"),
         ("these together", total([swim, results, median], "KB/s"), ""),
-        ("request counts, connection limits", missing("not measured"), "frequency_exchange/, limits/"),
+        (
+            "request counts, connection limits",
+            missing("not measured"),
+            "frequency_exchange/, connection_pacing/",
+        ),
     ]
     for what, figure, mechanism in added:
         lines.add(Kind.MESSAGES, what, figure, mechanism, BUDGET.bytes)
--- a/limepath/testbed/coldstart.py
+++ b/limepath/testbed/coldstart.py
@@ -21,11 +21,11 @@
 from twisted.internet.protocol import Factory, Protocol
 from twisted.internet.task import LoopingCall
 
+from limepath.connection_pacing.connections import rush
 from limepath.discovery.bounds import bounds, tree_bounds
 from limepath.discovery.interface import Terms
 from limepath.discovery.simulate import most_in
 from limepath.discovery.state import List
-from limepath.limits.connections import rush
 from limepath.membership.control import Unanswered, ask
 from limepath.testbed.duties import SETTINGS
 from limepath.testbed.faults import Fault as Way
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -7,6 +7,7 @@
 from hypothesis import strategies as st
 
 from limepath import contract as c
+from limepath.connection_pacing.connections import Connections, rush
 from limepath.discovery.simulate import most_in
 from limepath.frequency_exchange.interface import (
     CARRIED,
@@ -20,7 +21,6 @@
     Tally,
 )
 from limepath.frequency_exchange.newcomer import ANSWER_TIMEOUT, ASKED, HALF, TRIES, Newcomer
-from limepath.limits.connections import Connections, rush
 from limepath.opening import peers as peers_opening
 from limepath.opening.ini import BadSetting
 from tests.fake_host import PARENT, SECOND, FakeHost
