--- a/limepath/wirehost/__main__.py
+++ b/limepath/simulator_host/__main__.py
@@ -2,12 +2,12 @@
 
 import sys
 
-from limepath.wirehost.frames import WireError
-from limepath.wirehost.host import serve
+from limepath.simulator_host.frames import WireError
+from limepath.simulator_host.host import serve
 
 if __name__ == "__main__":
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except WireError as flaw:
-        print(f"limepath.wirehost: {flaw}", file=sys.stderr)
+        print(f"limepath.simulator_host: {flaw}", file=sys.stderr)
         sys.exit(2)
--- a/limepath/wirehost/dialect.py
+++ b/limepath/simulator_host/dialect.py
@@ -4,7 +4,7 @@
 
 from limepath import contract as c
 from limepath.opening_values import us
-from limepath.wirehost.frames import HEADER, WireError
+from limepath.simulator_host.frames import HEADER, WireError
 
 STOP = "stop"
 START = "start"
--- a/limepath/wirehost/host.py
+++ b/limepath/simulator_host/host.py
@@ -4,8 +4,8 @@
 
 from limepath import opening_values
 from limepath.choice import Front
-from limepath.wirehost import dialect
-from limepath.wirehost.frames import Cursor, WireError, read_frame, write_frame
+from limepath.simulator_host import dialect
+from limepath.simulator_host.frames import Cursor, WireError, read_frame, write_frame
 
 
 class Host:
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -4,8 +4,8 @@
 import json
 import struct
 
-from limepath.wirehost.frames import WireError
-from limepath.wirehost.host import serve
+from limepath.simulator_host.frames import WireError
+from limepath.simulator_host.host import serve
 
 SETTINGS = {
     "az": 0,
