--- a/limepath/cli/duties.py
+++ b/limepath/cli/duties.py
@@ -5,9 +5,9 @@
 
 import click
 
+from limepath.configuration import ini
+from limepath.configuration.peers_file import MODES
 from limepath.duties.interface import Mode
-from limepath.opening import ini
-from limepath.opening.peers import MODES
 from limepath.verdicts import hold, plain, table
 
 
@@ -196,12 +196,12 @@
 @json_option
 def bounds(file, instances, together, as_json):
     """What the settings in FILE promise: gaps, take-over, disagreement of views."""
+    from limepath.configuration import peers_file
     from limepath.duties.bounds import bounds as computed
-    from limepath.opening import peers as peers_opening
     from limepath.verdicts import Row, seconds
 
     try:
-        read = peers_opening.read(file)
+        read = peers_file.read(file)
     except ini.BadSetting as flaw:
         print(f"limepath: configuration: {flaw}", file=sys.stderr)
         sys.exit(2)
--- a/limepath/cli/keys.py
+++ b/limepath/cli/keys.py
@@ -7,8 +7,7 @@
 
 import click
 
-from limepath.opening import ini
-from limepath.opening import tls as tls_opening
+from limepath.configuration import ini, tls_file
 from limepath.tls import making
 from limepath.tls.files import key_set, read, write
 from limepath.tls.making import Made
@@ -109,7 +108,7 @@
     """
     now = wall()
     try:
-        read_in = tls_opening.read(file)
+        read_in = tls_file.read(file)
         found = key_set(read_in, now)
     except (ini.BadSetting, BadMaterial) as flaw:
         fail(flaw if isinstance(flaw, ini.BadSetting) else f"{file}: {flaw}")
--- a/limepath/cli/listing.py
+++ b/limepath/cli/listing.py
@@ -6,9 +6,9 @@
 import click
 
 from limepath.cli.duties import conclude, json_option
+from limepath.configuration import peers_file
+from limepath.configuration.ini import BadSetting
 from limepath.membership.control import Unanswered, ask
-from limepath.opening import peers as peers_opening
-from limepath.opening.ini import BadSetting
 
 
 @click.group("listing")
@@ -19,7 +19,7 @@
 def opened(file):
     """The peers file with its [listing]; ends with status 2 where there is none."""
     try:
-        read = peers_opening.read(file)
+        read = peers_file.read(file)
         if not read.listing:
             raise BadSetting(f"{file}: [listing]: missing; each front follows the change log by itself")
         return read
--- a/limepath/cli/opening.py
+++ b/limepath/cli/opening.py
@@ -6,9 +6,8 @@
 
 import click
 
-from limepath.opening import peers as peers_opening
-from limepath.opening import platform
-from limepath.opening.ini import BadSetting
+from limepath.configuration import peers_file, platform
+from limepath.configuration.ini import BadSetting
 
 
 @click.group("opening")
@@ -33,7 +32,7 @@
                 "services": [name.decode() for name in read.services],
             }
         else:
-            read = peers_opening.read(file)
+            read = peers_file.read(file)
             told = read._asdict() | {
                 "spans": read.spans._asdict(),
                 "leasing": read.leasing._asdict(),
--- a/limepath/cli/peers.py
+++ b/limepath/cli/peers.py
@@ -5,9 +5,9 @@
 
 import click
 
+from limepath.configuration import peers_file
+from limepath.configuration.ini import BadSetting
 from limepath.membership.control import Unanswered, ask
-from limepath.opening import peers as peers_opening
-from limepath.opening.ini import BadSetting
 
 
 @click.group("peers")
@@ -34,7 +34,7 @@
     """
     try:
         if where.endswith(".ini"):
-            read = peers_opening.read(where)
+            read = peers_file.read(where)
             if not read.control:
                 raise BadSetting(f"{where}: [instance] control: missing; this instance has no control socket")
             where = read.control
--- a/limepath/opening/peers.py
+++ b/limepath/configuration/peers_file.py
@@ -3,12 +3,12 @@
 import os
 from typing import NamedTuple
 
+from limepath.configuration import ini
+from limepath.configuration.ini import BadSetting, Key, Section
 from limepath.discovery.interface import Terms
 from limepath.duties.interface import Leasing, Mode, Plan
 from limepath.log import FORMS
 from limepath.membership.interface import Spans
-from limepath.opening import ini
-from limepath.opening.ini import BadSetting, Key, Section
 
 MODES = {"at-least-once": Mode.AT_LEAST_ONCE, "one-owner": Mode.ONE_OWNER}
 KINDS = ("caches", "parents", "origin")
--- a/limepath/opening/platform.py
+++ b/limepath/configuration/platform.py
@@ -5,8 +5,8 @@
 from typing import NamedTuple
 
 from limepath import opening_values
-from limepath.opening.addresses import address_of
-from limepath.opening.limits import Limits, available, planned
+from limepath.configuration.addresses import address_of
+from limepath.configuration.process_limits import Limits, available, planned
 from limepath.opening_values import LATERAL, REPEATS, SCOPES
 
 NAME, LISTEN, CONFIGURATION = "ROUTER_NAME", "ROUTER_LISTEN", "ROUTER_CONFIG"
--- a/limepath/opening/tls.py
+++ b/limepath/configuration/tls_file.py
@@ -5,8 +5,8 @@
 import os
 from typing import NamedTuple
 
-from limepath.opening import ini
-from limepath.opening.ini import BadSetting, Key, Section
+from limepath.configuration import ini
+from limepath.configuration.ini import BadSetting, Key, Section
 from limepath.tls.interface import Pace, RetryDelays
 
 SECOND = 1_000_000
--- a/limepath/front/caches.py
+++ b/limepath/front/caches.py
@@ -3,13 +3,13 @@
 from itertools import count
 
 from limepath import contract as c
+from limepath.configuration.process_limits import CROSSING_CLOSES
 from limepath.front.attempt import Attempt, Probing
 from limepath.front.cache_connection import State
 from limepath.front.cache_peer import Peer
 from limepath.front.cache_protocol import read_load
 from limepath.front.reference_clock import ReferenceClock
 from limepath.front.turn import clock
-from limepath.opening.limits import CROSSING_CLOSES
 
 
 class Caches:
--- a/limepath/front/changelog.py
+++ b/limepath/front/changelog.py
@@ -9,8 +9,8 @@
 from twisted.internet.protocol import Factory, Protocol
 
 from limepath import contract as c
+from limepath.configuration.addresses import address_of
 from limepath.front.turn import clock
-from limepath.opening.addresses import address_of
 
 STANDINGS = {
     "in_service": c.Standing.READY,
--- a/limepath/front/clients.py
+++ b/limepath/front/clients.py
@@ -9,12 +9,12 @@
 from twisted.internet.protocol import Factory
 
 from limepath import contract as c
+from limepath.configuration.process_limits import ACCEPTED_AT_ONCE
 from limepath.front.client_connection import YOUNG, ClientConnection, State
 from limepath.front.client_request import Flaw, Request
 from limepath.front.departures import Departures
 from limepath.front.descriptors import descriptor_use
 from limepath.front.turn import clock
-from limepath.opening.limits import ACCEPTED_AT_ONCE
 
 
 def with_unread(connections):
--- a/limepath/front/start.py
+++ b/limepath/front/start.py
@@ -14,14 +14,14 @@
 
 from limepath import early
 from limepath.choice import Front
+from limepath.configuration import platform as opening
+from limepath.configuration.ini import BadSetting
 from limepath.front.caches import Caches
 from limepath.front.changelog import BadEvent, ChangeLog
 from limepath.front.clients import Clients
 from limepath.front.poll_times import lateness_of
 from limepath.front.turn import Turn
 from limepath.log import Log
-from limepath.opening import platform as opening
-from limepath.opening.ini import BadSetting
 
 # Twisted takes its timers from the wall clock, which may be stepped; deadlines are spans of real time.
 reactor.seconds = time.monotonic
@@ -159,13 +159,13 @@
     try:
         shared = secured = None
         if tls:
-            from limepath.opening import tls as tls_opening
+            from limepath.configuration import tls_file
 
-            secured = tls_opening.read(tls)
+            secured = tls_file.read(tls)
         if peers:
-            from limepath.opening import peers as peers_opening
+            from limepath.configuration import peers_file
 
-            shared = peers_opening.read(peers)
+            shared = peers_file.read(peers)
         build(
             opening.read(os.environ), shared, form or (shared.form if shared else "person"), secured
         ).addErrback(fail)
--- a/limepath/scale/capacity_roles.py
+++ b/limepath/scale/capacity_roles.py
@@ -1,8 +1,8 @@
 """The capacity of all roles beside a plain front's, in a calm hour. Free of I/O."""
 
+from limepath.configuration.process_limits import Limits
 from limepath.discovery.bounds import bounds
 from limepath.discovery.interface import Terms
-from limepath.opening.limits import Limits
 from limepath.scale.capacity_lines import Kind, Lines
 from limepath.scale.capacity_size import BUDGET, SIZE
 from limepath.scale.estimates import assumed, missing, total
@@ -89,7 +89,7 @@
         each = each.times(claims.value / 1e4, "% of a core by duty", f"{claims.value:.1f} claims a second")
     lines.add(Kind.PROCESSOR, "claims answered", each, "duties/leases.py", BUDGET.cpu)
     fixed = missing("a fixed list of names; a change wants a restart of every front")
-    lines.add(Kind.STATE, "a voter's machine replaced", fixed, "opening/peers.py")
+    lines.add(Kind.STATE, "a voter's machine replaced", fixed, "configuration/peers.py")
     return lines.lines
 
 
--- a/limepath/scale/faults.py
+++ b/limepath/scale/faults.py
@@ -8,7 +8,7 @@
 from random import Random
 from typing import NamedTuple
 
-from limepath.opening.ini import near
+from limepath.configuration.ini import near
 
 SECOND = 1_000_000
 DAY = 86_400 * SECOND
--- a/limepath/scale/hollow.py
+++ b/limepath/scale/hollow.py
@@ -10,13 +10,12 @@
 from hashlib import blake2b
 
 from limepath import contract as c
+from limepath.configuration import peers_file, platform
+from limepath.configuration.ini import BadSetting
 from limepath.discovery.host import guided
 from limepath.discovery.interface import Events
 from limepath.duties.host import Cooperation, clock
 from limepath.membership.host import Unopened
-from limepath.opening import peers as peers_opening
-from limepath.opening import platform
-from limepath.opening.ini import BadSetting
 from limepath.scale.accounting import Account
 from limepath.scale.arrivals import Arrivals
 from limepath.scale.control import FrontReport, Subsystem
@@ -189,7 +188,7 @@
 
 def settings_of(config):
     """(PeersOpening, Opening) of a FrontConfig; BadSetting or BadConfiguration."""
-    shared = peers_opening.read(config.peers)
+    shared = peers_file.read(config.peers)
     if not shared.listing:
         raise BadSetting(f"{config.peers}: [listing]: missing; a hollow front takes the list from others")
     return shared, platform.read(environment(config))
--- a/limepath/scale/hollow_process.py
+++ b/limepath/scale/hollow_process.py
@@ -17,10 +17,10 @@
 from twisted.internet import reactor
 from twisted.logger import globalLogBeginner
 
+from limepath.configuration.addresses import address_of
+from limepath.configuration.ini import BadSetting
+from limepath.configuration.platform import BadConfiguration
 from limepath.discovery.state import List
-from limepath.opening.addresses import address_of
-from limepath.opening.ini import BadSetting
-from limepath.opening.platform import BadConfiguration
 from limepath.scale import control
 from limepath.scale.accounting import Meter
 from limepath.scale.hollow import HollowFront, NotDone, settings_of
--- a/limepath/scale/run.py
+++ b/limepath/scale/run.py
@@ -13,7 +13,7 @@
 from twisted.internet.defer import Deferred, inlineCallbacks
 from twisted.python.failure import Failure
 
-from limepath.opening import peers as peers_opening
+from limepath.configuration import peers_file
 from limepath.scale import settings
 from limepath.scale.bounds import SAMPLE, Shape, promised
 from limepath.scale.faults import Kind
@@ -101,7 +101,7 @@
         settings.write_fronts(self.folder, self.plan, addresses, self.options.seed, broken, stretch)
         stated = os.path.join(self.folder, "stated.ini")
         settings.write_private(stated, settings.peers_text(self.plan, addresses, 0, "peers.keys"))
-        self.stated = peers_opening.read(stated)
+        self.stated = peers_file.read(stated)
 
     def promise(self, **budget):
         """The Promise of this run, by its settings as stated."""
--- a/limepath/scale/settings.py
+++ b/limepath/scale/settings.py
@@ -10,7 +10,7 @@
 from random import Random
 from typing import NamedTuple
 
-from limepath.opening.peers import FORM
+from limepath.configuration.peers_file import FORM
 from limepath.scale.control import FrontConfig, Place, ProcessConfig, encode
 from limepath.store import Store
 from limepath.testbed.duties import SETTINGS
--- a/tests/test_departed_clients.py
+++ b/tests/test_departed_clients.py
@@ -15,12 +15,12 @@
 from twisted.python.failure import Failure
 
 from limepath import contract as c
+from limepath.configuration.process_limits import planned
 from limepath.front import departures
 from limepath.front.client_connection import ClientConnection
 from limepath.front.clients import Clients
 from limepath.front.turn import clock
 from limepath.log import Log
-from limepath.opening.limits import planned
 from tests.stand_ins import BOUND, Site, Viewer, connections, listening, until
 from tests.test_endings import (
     LONG_WAIT,
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -7,7 +7,13 @@
 
 import pytest
 
-from limepath.opening.limits import ACCEPTED_AT_ONCE, CROSSING_CLOSES, KEPT_BACK, available, planned
+from limepath.configuration.process_limits import (
+    ACCEPTED_AT_ONCE,
+    CROSSING_CLOSES,
+    KEPT_BACK,
+    available,
+    planned,
+)
 from tests.stand_ins import BOUND, Site, StandInCache, accepting, until
 from tests.test_departed_clients import driven  # noqa: F401 (a fixture)
 from tests.test_endings import NOW, going_on, stopped
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -16,6 +16,8 @@
 from twisted.internet.testing import MemoryReactorClock, StringTransport
 
 from limepath import contract as c
+from limepath.configuration.platform import opening_of
+from limepath.configuration.process_limits import planned
 from limepath.front import cache_peer
 from limepath.front.cache_connection import CacheConnection
 from limepath.front.caches import Caches
@@ -23,8 +25,6 @@
 from limepath.front.clients import Clients
 from limepath.front.turn import Turn
 from limepath.log import Log
-from limepath.opening.limits import planned
-from limepath.opening.platform import opening_of
 from tests.stand_ins import (
     BOUND,
     MS,
--- a/tests/test_event_tree.py
+++ b/tests/test_event_tree.py
@@ -6,6 +6,8 @@
 import pytest
 
 from limepath import contract as c
+from limepath.configuration import peers_file
+from limepath.configuration.ini import BadSetting
 from limepath.discovery.bounds import children_at_most, fresh, tree_bounds
 from limepath.discovery.calls import Budget
 from limepath.discovery.coding import batches, encode
@@ -33,8 +35,6 @@
 from limepath.discovery.simulate_tree import Plan, run_tree
 from limepath.discovery.state import List
 from limepath.discovery.topology import Scope, Zone
-from limepath.opening import peers as peers_opening
-from limepath.opening.ini import BadSetting
 from limepath.verdicts import hold
 from tests.fake_host import FakeHost
 from tests.test_listing import PEERS, Fronting, command, drill, event, held, of, whole
@@ -590,14 +590,14 @@
     file = tmp_path / "peers.ini"
     file.write_text(f"{PEERS}[listing]\nfronts = 5\n{lines}\n")
     with pytest.raises(BadSetting, match=r"\[listing\]") as error:
-        peers_opening.read(file)
+        peers_file.read(file)
     assert says in str(error.value)
 
 
 def test_the_settings_of_the_tree_reach_the_logic(tmp_path):
     file = tmp_path / "peers.ini"
     file.write_text(f"{PEERS}[listing]\nfronts = 5\nsite = a\nregion = r\nfan-out = 3\nwindow = 2m\n")
-    terms = peers_opening.read(file).listing
+    terms = peers_file.read(file).listing
     assert (terms.site, terms.region, terms.fan_out, terms.window) == ("a", "r", 3, 120 * SECOND)
 
 
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -12,6 +12,8 @@
 from twisted.internet.testing import MemoryReactorClock, StringTransport
 
 from limepath import contract as c
+from limepath.configuration.platform import opening_of
+from limepath.configuration.process_limits import planned
 from limepath.front.attempt import Probing
 from limepath.front.cache_connection import CacheConnection
 from limepath.front.cache_protocol import Unreadable, read_answer, read_load
@@ -23,8 +25,6 @@
 from limepath.front.reference_clock import ReferenceClock
 from limepath.front.turn import Turn
 from limepath.log import Log
-from limepath.opening.limits import planned
-from limepath.opening.platform import opening_of
 from tests.fake_host import FakeHost
 from tests.stand_ins import (
     BOUND,
--- a/tests/test_hollow_fronts.py
+++ b/tests/test_hollow_fronts.py
@@ -7,13 +7,13 @@
 import pytest
 from twisted.internet.task import Clock
 
+from limepath.configuration.process_limits import planned
 from limepath.discovery.interface import Follow
 from limepath.discovery.simulate import member
 from limepath.discovery.state import List
 from limepath.duties.host import clock
 from limepath.membership.control import ask
 from limepath.membership.interface import Hello
-from limepath.opening.limits import planned
 from limepath.scale import control, hollow_process
 from limepath.scale.accounting import Account, Meter
 from limepath.scale.arrivals import Arrivals
--- a/tests/test_ini.py
+++ b/tests/test_ini.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from limepath.opening.ini import address, share, span, yes
+from limepath.configuration.ini import address, share, span, yes
 
 
 def test_a_duration_has_its_unit():
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -7,6 +7,8 @@
 from hypothesis import strategies as st
 
 from limepath import contract as c
+from limepath.configuration import peers_file
+from limepath.configuration.ini import BadSetting
 from limepath.connection_pacing.connections import Connections, rush
 from limepath.discovery.simulate import most_in
 from limepath.frequency_exchange.interface import (
@@ -21,8 +23,6 @@
     Tally,
 )
 from limepath.frequency_exchange.newcomer import ANSWER_TIMEOUT, ASKED, HALF, TRIES, Newcomer
-from limepath.opening import peers as peers_opening
-from limepath.opening.ini import BadSetting
 from tests.fake_host import PARENT, SECOND, FakeHost
 from tests.test_listing import PEERS
 
@@ -192,9 +192,9 @@
     file = tmp_path / "peers.ini"
     file.write_text(PEERS + "[caches]\nconnections = 100\n")
     with pytest.raises(BadSetting, match=r"\[caches\]: wants \[listing\]"):
-        peers_opening.read(file)
+        peers_file.read(file)
     file.write_text(PEERS + "[listing]\nfronts = 9\n[caches]\nconnections = 100\nready = 50\n")
-    read = peers_opening.read(file)
+    read = peers_file.read(file)
     assert read.connections == 100 and read.listing.ready == 50.0
 
 
--- a/tests/test_listing.py
+++ b/tests/test_listing.py
@@ -8,6 +8,8 @@
 
 import pytest
 
+from limepath.configuration import peers_file
+from limepath.configuration.ini import BadSetting
 from limepath.discovery.bounds import QUIET, bounds, fresh
 from limepath.discovery.calls import Budget
 from limepath.discovery.interface import (
@@ -40,8 +42,6 @@
 from limepath.duties.world import World
 from limepath.membership.interface import Spans
 from limepath.membership.members import spread
-from limepath.opening import peers as peers_opening
-from limepath.opening.ini import BadSetting
 from limepath.verdicts import hold
 
 SECOND, MS = 1_000_000, 1000
@@ -405,16 +405,16 @@
     file = tmp_path / "peers.ini"
     file.write_text(f"{PEERS}[listing]\n{lines}\n")
     with pytest.raises(BadSetting, match=r"\[listing\]") as flaw:
-        peers_opening.read(file)
+        peers_file.read(file)
     assert says in str(flaw.value)
 
 
 def test_without_its_section_each_front_follows_the_log_by_itself(tmp_path):
     file = tmp_path / "peers.ini"
     file.write_text(PEERS)
-    assert peers_opening.read(file).listing is None
+    assert peers_file.read(file).listing is None
     file.write_text(PEERS + "[listing]\nfronts = 200\n")
-    assert peers_opening.read(file).listing == Terms(fronts=200)
+    assert peers_file.read(file).listing == Terms(fronts=200)
 
 
 def command(*words):
--- a/tests/test_opening.py
+++ b/tests/test_opening.py
@@ -13,12 +13,12 @@
 from twisted.internet.testing import StringTransport
 
 from limepath.cli import root
+from limepath.configuration import ini, peers_file
+from limepath.configuration.ini import BadSetting
 from limepath.membership.control import Caller
 from limepath.membership.guard import BadKeys, keys_of
 from limepath.membership.host import Unopened, read_keys
 from limepath.membership.identity import identity_of, kept_ceiling
-from limepath.opening import ini, peers
-from limepath.opening.ini import BadSetting
 from limepath.store import DAMAGED, GOOD, NEW, Held, Store, Unusable
 from tests.stand_ins import configuration, free_address
 
@@ -38,7 +38,7 @@
 def read(tmp_path, text=WHOLE):
     file = tmp_path / "peers.ini"
     file.write_text(text)
-    return peers.read(str(file))
+    return peers_file.read(str(file))
 
 
 def flaw(tmp_path, old, new):
@@ -56,7 +56,7 @@
     )
     assert told.spans.period == 1_000_000 and told.leasing.voters == ("n1", "n2", "n3")
     assert [(plan.name, plan.interval) for plan in told.plans] == [("probe", 5_000_000)]
-    assert peers.read("deploy/peers.ini").kinds == {"probe": ("caches", "parents", "origin")}
+    assert peers_file.read("deploy/peers.ini").kinds == {"probe": ("caches", "parents", "origin")}
 
 
 @pytest.mark.parametrize(
@@ -95,16 +95,16 @@
 
 def test_a_file_that_is_not_there_or_no_text_is_told(tmp_path):
     with pytest.raises(BadSetting, match="No such file"):
-        peers.read(str(tmp_path / "none.ini"))
+        peers_file.read(str(tmp_path / "none.ini"))
     (tmp_path / "b.ini").write_bytes(b"\xff\xfe")
     with pytest.raises(BadSetting, match="no UTF-8"):
-        peers.read(str(tmp_path / "b.ini"))
+        peers_file.read(str(tmp_path / "b.ini"))
 
 
 @given(st.text(max_size=300))
 def test_whatever_the_text_it_is_read_or_told(text):
     try:
-        ini.check(text, "x", peers.FORM)
+        ini.check(text, "x", peers_file.FORM)
     except BadSetting as flaw:
         assert str(flaw).startswith("x: ")
 
--- a/tests/test_scale_plan.py
+++ b/tests/test_scale_plan.py
@@ -4,10 +4,9 @@
 
 import pytest
 
-from limepath.opening import ini
-from limepath.opening import peers as peers_opening
-from limepath.opening.ini import Key
-from limepath.opening.peers import FORM
+from limepath.configuration import ini, peers_file
+from limepath.configuration.ini import Key
+from limepath.configuration.peers_file import FORM
 from limepath.scale import plan, settings
 from limepath.scale.plan import BadSize, Machine, Sizes
 
@@ -117,7 +116,7 @@
 def test_settings_are_what_the_program_reads(tmp_path):
     made = plan.plan_of(Sizes(fronts=6, real=1, regions=2, zones=2, sites=4), LARGE)
     paths = settings.write_fronts(str(tmp_path), made, addresses_of(made), seed=3)
-    read = [peers_opening.read(path) for path in paths]
+    read = [peers_file.read(path) for path in paths]
     assert [one.name for one in read] == [place.name for place in made.fronts]
     assert {one.listing.fronts for one in read} == {6}
     assert [bool(one.control) for one in read] == [who in made.real for who in range(6)]
@@ -160,7 +159,7 @@
     for stretch in (1, 10, 20):
         path = tmp_path / f"{stretch}.ini"
         path.write_text(settings.peers_text(made, addresses_of(made), 0, "peers.keys", stretch=stretch))
-        read.append(peers_opening.read(str(path)))
+        read.append(peers_file.read(str(path)))
     plain, slow, slowest = read
     assert slow.spans.period == 10 * plain.spans.period and slow.spans.direct == 10 * plain.spans.direct
     assert (
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -8,8 +8,8 @@
 import pytest
 
 from limepath import contract as c
-from limepath.opening.addresses import address_of
-from limepath.opening.platform import BadConfiguration, opening_of
+from limepath.configuration.addresses import address_of
+from limepath.configuration.platform import BadConfiguration, opening_of
 from tests.stand_ins import MS, SETTINGS, Site, configuration, free_address
 
 NAN, INFINITE = float("nan"), float("inf")
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -9,11 +9,11 @@
 from twisted.internet.task import Clock
 
 from limepath import contract as c
+from limepath.configuration.platform import opening_of
 from limepath.front.caches import Caches
 from limepath.front.changelog import ChangeLog
 from limepath.front.turn import Turn
 from limepath.log import Log
-from limepath.opening.platform import opening_of
 from limepath.testbed.process import free_ports
 from tests.fake_host import FakeHost
 from tests.stand_ins import BOUND, SETTINGS, StandInChangeLog, address, configuration, started
--- a/tests/test_terms_shutdown.py
+++ b/tests/test_terms_shutdown.py
@@ -5,7 +5,7 @@
 import select
 import time
 
-from limepath.opening.platform import opening_of
+from limepath.configuration.platform import opening_of
 from tests.stand_ins import BOUND, MS, SETTINGS, Site, configuration, until
 from tests.test_endings import NOW
 
