--- a/limepath/configuration/platform.py
+++ b/limepath/configuration/platform.py
@@ -4,10 +4,10 @@
 import math
 from typing import NamedTuple
 
-from limepath import opening_values
+from limepath.configuration import decision_settings as opening_values
 from limepath.configuration.addresses import address_of
+from limepath.configuration.decision_settings import LATERAL, REPEATS, SCOPES
 from limepath.configuration.process_limits import Limits, available, planned
-from limepath.opening_values import LATERAL, REPEATS, SCOPES
 
 NAME, LISTEN, CONFIGURATION = "ROUTER_NAME", "ROUTER_LISTEN", "ROUTER_CONFIG"
 FIXED = ("name", "listen", "seed", "settings", "limits")  # `known` is of the start, the log tells more
--- a/limepath/front/cache_protocol.py
+++ b/limepath/front/cache_protocol.py
@@ -1,8 +1,8 @@
 """The protocol of caches, parents and the origin: answers and load reports, read and checked."""
 
 from limepath import contract as c
+from limepath.configuration.decision_settings import LOAD_NAMES
 from limepath.front.turn import clock
-from limepath.opening_values import LOAD_NAMES
 
 VERDICTS = {
     b"DONE": c.Verdict.RETURNED,
--- a/limepath/scale/data_path.py
+++ b/limepath/scale/data_path.py
@@ -8,9 +8,9 @@
 from zlib import crc32
 
 from limepath import contract as c
+from limepath.configuration.decision_settings import LOAD_NAMES
 from limepath.front.reference_clock import ReferenceClock
 from limepath.front.turn import clock
-from limepath.opening_values import LOAD_NAMES
 
 PROBE_US = 1_000  # until a probe is answered
 LOAD = {LOAD_NAMES["rif"]: 1.0, LOAD_NAMES["busy"]: 0.1}  # as the caches of the testbed tell
--- a/limepath/scale/roles_decision.py
+++ b/limepath/scale/roles_decision.py
@@ -8,7 +8,7 @@
 
 from limepath import contract
 from limepath.choice import Front
-from limepath.opening_values import start_of
+from limepath.configuration.decision_settings import start_of
 from limepath.scale.measured import Found, Series
 from limepath.scale.roles import least_cpu, settings
 
--- a/limepath/scale/roles_listing.py
+++ b/limepath/scale/roles_listing.py
@@ -10,11 +10,11 @@
 
 from limepath import contract
 from limepath.choice import Front
+from limepath.configuration.decision_settings import start_of
 from limepath.discovery import state
 from limepath.discovery.state import List, parsed, unpacked
 from limepath.front.changelog import Entry
 from limepath.front.reference_clock import ReferenceClock
-from limepath.opening_values import start_of
 from limepath.scale.measured import Fact, Found, Series
 from limepath.scale.roles import least_cpu, listed, settings
 
--- a/limepath/simulator_host/dialect.py
+++ b/limepath/simulator_host/dialect.py
@@ -3,7 +3,7 @@
 import struct
 
 from limepath import contract as c
-from limepath.opening_values import us
+from limepath.configuration.decision_settings import us
 from limepath.simulator_host.frames import HEADER, WireError
 
 STOP = "stop"
--- a/limepath/simulator_host/host.py
+++ b/limepath/simulator_host/host.py
@@ -2,8 +2,8 @@
 
 import json
 
-from limepath import opening_values
 from limepath.choice import Front
+from limepath.configuration import decision_settings as opening_values
 from limepath.simulator_host import dialect
 from limepath.simulator_host.frames import Cursor, WireError, read_frame, write_frame
 
