--- a/limepath/__main__.py
+++ b/limepath/__main__.py
@@ -6,7 +6,7 @@
     if len(sys.argv) > 1:
         from limepath.cli import main
     else:
-        from limepath.early import hold
+        from limepath.early_signals import hold
 
         hold()
         from limepath.front.start import main
--- a/limepath/cli/duties.py
+++ b/limepath/cli/duties.py
@@ -8,7 +8,7 @@
 from limepath.configuration import ini
 from limepath.configuration.peers_file import MODES
 from limepath.duties.interface import Mode
-from limepath.verdicts import hold, plain, table
+from limepath.report_table import hold, plain, table
 
 
 class Span(click.ParamType):
@@ -198,7 +198,7 @@
     """What the settings in FILE promise: gaps, take-over, disagreement of views."""
     from limepath.configuration import peers_file
     from limepath.duties.bounds import bounds as computed
-    from limepath.verdicts import Row, seconds
+    from limepath.report_table import Row, seconds
 
     try:
         read = peers_file.read(file)
--- a/limepath/cli/listing.py
+++ b/limepath/cli/listing.py
@@ -37,7 +37,7 @@
 def bounds(file, fronts, zones, sites, as_json):
     """What the settings in FILE promise: how late an event may be at any front, calls, streams."""
     from limepath.discovery.bounds import bounds as computed
-    from limepath.verdicts import Row, seconds
+    from limepath.report_table import Row, seconds
 
     terms = opened(file).listing
     told = computed(terms, fronts or terms.fronts, zones, sites)
@@ -65,7 +65,7 @@
 def tree_rows(terms, fronts, zones, sites):
     """What the settings promise of the tree that the front stands in."""
     from limepath.discovery.bounds import tree_bounds
-    from limepath.verdicts import Row, seconds
+    from limepath.report_table import Row, seconds
 
     told = tree_bounds(terms, fronts, zones, sites)
     return [
--- a/limepath/cli/scale_run.py
+++ b/limepath/cli/scale_run.py
@@ -90,12 +90,12 @@
 
 def played_and_told(layout, schedule, options, budget_bytes, as_json, keep):
     """Play, print, end with the status."""
+    from limepath.report_table import hold
     from limepath.scale import report
     from limepath.scale.bounds import Budget
     from limepath.scale.processes import HollowFailed
     from limepath.scale.run import Stopped, played
     from limepath.testbed.process import NotStarted
-    from limepath.verdicts import hold
 
     budget = Budget() if budget_bytes is None else Budget(bytes_sent=budget_bytes)
     parent = MEMORY_FOLDER if os.path.isdir(MEMORY_FOLDER) else None
--- a/limepath/discovery/simulate.py
+++ b/limepath/discovery/simulate.py
@@ -32,7 +32,7 @@
 from limepath.duties.world import Network
 from limepath.membership.interface import REFUTALS, Heard, News, Passed, Send, Spans
 from limepath.membership.members import Members
-from limepath.verdicts import Row, at_most, seconds
+from limepath.report_table import Row, at_most, seconds
 
 SECOND, MS = 1_000_000, 1000
 PORT = 7946
--- a/limepath/discovery/simulate_tree.py
+++ b/limepath/discovery/simulate_tree.py
@@ -41,7 +41,7 @@
 from limepath.duties.world import Network
 from limepath.membership.guard import HEAD, SEAL
 from limepath.membership.interface import REFUTALS, News
-from limepath.verdicts import Row, at_most, seconds
+from limepath.report_table import Row, at_most, seconds
 
 SECOND, MS = 1_000_000, 1000
 DETECTED = 6 * SECOND  # until a front that is killed or stopped is in no live view
--- a/limepath/duties/check.py
+++ b/limepath/duties/check.py
@@ -15,7 +15,7 @@
 from limepath.agenda import Agenda
 from limepath.duties.interface import Keep, Leasing
 from limepath.duties.leases import Leases, Voter
-from limepath.verdicts import Row, at_most
+from limepath.report_table import Row, at_most
 
 SPAN, DRIFT = 1_000_000, 0.01
 DOUBLED, CRASHED = 1, 1  # how often in one history
--- a/limepath/duties/simulate.py
+++ b/limepath/duties/simulate.py
@@ -12,7 +12,7 @@
 from limepath.duties.world import World
 from limepath.membership.interface import Depart, Spans
 from limepath.membership.members import spread
-from limepath.verdicts import Row, at_most, seconds
+from limepath.report_table import Row, at_most, seconds
 
 SECOND = 1_000_000
 KINDS = (
--- a/limepath/front/start.py
+++ b/limepath/front/start.py
@@ -12,7 +12,7 @@
 from twisted.internet.task import LoopingCall
 from twisted.logger import globalLogBeginner
 
-from limepath import early
+from limepath import early_signals as early
 from limepath.choice import Front
 from limepath.configuration import platform as opening
 from limepath.configuration.ini import BadSetting
--- a/limepath/scale/delivery.py
+++ b/limepath/scale/delivery.py
@@ -3,9 +3,9 @@
 import numpy
 from hdrh.histogram import HdrHistogram
 
+from limepath.report_table import Row, at_most, seconds
 from limepath.scale.bounds import REQUIRED, SAMPLE
 from limepath.scale.service import LIST, PURGE
-from limepath.verdicts import Row, at_most, seconds
 
 SHARES = {"50%": 0.5, "99%": 0.99, "all": 1.0}  # of the fronts that an event has reached
 LONGEST = 600_000_000  # microseconds that a histogram holds
--- a/limepath/scale/report.py
+++ b/limepath/scale/report.py
@@ -8,10 +8,10 @@
 import psutil
 
 from limepath.duties.measure import machine
+from limepath.report_table import Row, at_most, hold, plain, seconds, table
 from limepath.scale.delivery import Delivery, delivery_table
 from limepath.scale.faults import Kind
 from limepath.scale.use import memory_by_role, statistics, use_by_role, use_table
-from limepath.verdicts import Row, at_most, hold, plain, seconds, table
 
 
 class Result(NamedTuple):
--- a/limepath/scale/use.py
+++ b/limepath/scale/use.py
@@ -2,7 +2,7 @@
 
 import numpy
 
-from limepath.verdicts import shown
+from limepath.report_table import shown
 
 STATISTICS = ("median", "99%", "worst")
 MEASURES = {
--- a/limepath/testbed/coldstart.py
+++ b/limepath/testbed/coldstart.py
@@ -27,13 +27,13 @@
 from limepath.discovery.simulate import most_in
 from limepath.discovery.state import List
 from limepath.membership.control import Unanswered, ask
+from limepath.report_table import Row, at_most, seconds
 from limepath.testbed.duties import SETTINGS
 from limepath.testbed.faults import Fault as Way
 from limepath.testbed.faults import Faults, Kind, both_ways
 from limepath.testbed.process import HOST, NotStarted, Process, free_ports, raise_descriptors
 from limepath.testbed.stand_ins import StandInCache, StandInListService
 from limepath.testbed.ways import Connections, Datagrams
-from limepath.verdicts import Row, at_most, seconds
 
 MS, SECOND = 1000, 1_000_000
 SERVICE = "service"  # a party of the ways
--- a/limepath/testbed/duties.py
+++ b/limepath/testbed/duties.py
@@ -23,12 +23,12 @@
 from limepath.duties.simulate import Fault, findings
 from limepath.membership.control import Unanswered, ask
 from limepath.membership.interface import Spans
+from limepath.report_table import Row
 from limepath.testbed.faults import Fault as Way
 from limepath.testbed.faults import Faults, Kind, both_ways
 from limepath.testbed.process import HOST, NotStarted, Process, free_ports, raise_descriptors
 from limepath.testbed.stand_ins import StandInCaches, StandInChangeLog
 from limepath.testbed.ways import Connections, Datagrams
-from limepath.verdicts import Row
 
 MS, SECOND = 1000, 1_000_000
 SPANS = Spans(period=250 * MS, direct=80 * MS, indirect=3, suspicion=3)
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -34,7 +34,7 @@
 from limepath.duties.simulate import Day, Fault, findings, simulated
 from limepath.duties.world import World
 from limepath.membership.interface import Spans
-from limepath.verdicts import hold
+from limepath.report_table import hold
 from tests.fake_host import FakeHost
 
 SECOND = 1_000_000
--- a/tests/test_event_tree.py
+++ b/tests/test_event_tree.py
@@ -35,7 +35,7 @@
 from limepath.discovery.simulate_tree import Plan, run_tree
 from limepath.discovery.state import List
 from limepath.discovery.topology import Scope, Zone
-from limepath.verdicts import hold
+from limepath.report_table import hold
 from tests.fake_host import FakeHost
 from tests.test_listing import PEERS, Fronting, command, drill, event, held, of, whole
 
--- a/tests/test_listing.py
+++ b/tests/test_listing.py
@@ -42,7 +42,7 @@
 from limepath.duties.world import World
 from limepath.membership.interface import Spans
 from limepath.membership.members import spread
-from limepath.verdicts import hold
+from limepath.report_table import hold
 
 SECOND, MS = 1_000_000, 1000
 TERMS = Terms(zone="sur", fronts=2)
--- a/tests/test_verdicts.py
+++ b/tests/test_verdicts.py
@@ -1,4 +1,4 @@
-from limepath.verdicts import Row, seconds, table
+from limepath.report_table import Row, seconds, table
 
 
 def test_microseconds_are_shown_in_seconds():
