--- a/limepath/choice.py
+++ b/limepath/choice.py
@@ -40,6 +40,7 @@
     Wake,
     Withdraw,
 )
+from limepath.hashing import MASK_64, mix64
 
 TABLE = 1024  # entries of the table (the design starts at 4096): 512 to 4096 score alike, fewer lose hits
 THIRDS = (1 / 3, 2 / 3)  # of the table by key, above which copies ask for ranks 2 and 3
@@ -63,20 +64,12 @@
 TICK, COME_BACK = 50_000, 0.1  # of the longest wait, give or take half: a repeat is in time; 0.75 far worse
 BROKEN = (Verdict.RESET, Verdict.CONNECT_FAILED)
 STUCK = (Verdict.RETURNED, Verdict.TIMED_OUT, Verdict.ERRORED, Verdict.FULL)
-MIX = (1 << 64) - 1
-
-
-def mixed(x):
-    """Spread 64 bits: crc32 alone is linear, and would order the caches alike for related objects."""
-    x = (x ^ x >> 33) * 0xFF51AFD7ED558CCD & MIX
-    x = (x ^ x >> 33) * 0xC4CEB9FE1A85EC53 & MIX
-    return x ^ x >> 33
 
 
 def hash_order(name, members):
     """Weighted rendezvous: the members by falling score for `name`, the same at every front."""
-    key = mixed(name[0] * 64 + name[1] + 1)
-    return sorted(members, key=lambda m: (m.share / log((mixed(key ^ m.salt) + 1.5) / (MIX + 2.0)), m.id))
+    key = mix64(name[0] * 64 + name[1] + 1)
+    return sorted(members, key=lambda m: (m.share / log((mix64(key ^ m.salt) + 1.5) / (MASK_64 + 2.0)), m.id))
 
 
 class Loop:
@@ -181,7 +174,7 @@
     def __init__(self, loop, door, gate, ident, probing, upper, warming):
         super().__init__(loop)
         self.upper, self.warming, self.warm_at, self.ease = upper, warming, 0, 1.0
-        self.door, self.gate, self.id, self.salt, self.probing = door, gate, ident, mixed(ident), probing
+        self.door, self.gate, self.id, self.salt, self.probing = door, gate, ident, mix64(ident), probing
         self.out, self.heard, self.probe_at, self.asked, self.suspect = {}, 0, None, 0, False
         self.member, self.missed, self.strikes, self.struck, self.unsure = None, 0, 0, None, None
         self.doubted, self.way = 0, True
@@ -342,7 +335,9 @@
         whole = MARGIN * warmup.factor * able * warmup.window
         while ledger and ledger[0][0] <= self.loop.now - warmup.window:
             ledger.popleft()
-        place = mixed(self.loop.seed ^ mixed(ident)) / MIX * sharing  # for good: a new one is a second turn
+        place = (
+            mix64(self.loop.seed ^ mix64(ident)) / MASK_64 * sharing
+        )  # for good: a new one is a second turn
         return self.part(whole, sharing, place) - sum(spent for _, spent in ledger) >= work
 
     def part(self, whole, sharing, place):
--- a/limepath/configuration/platform.py
+++ b/limepath/configuration/platform.py
@@ -4,7 +4,7 @@
 import math
 from typing import NamedTuple
 
-from limepath.configuration import decision_settings as opening_values
+from limepath.configuration import decision_settings
 from limepath.configuration.addresses import address_of
 from limepath.configuration.decision_settings import LATERAL, REPEATS, SCOPES
 from limepath.configuration.process_limits import Limits, available, planned
@@ -236,7 +236,7 @@
     part(known, "results", list, where="known.")
     check_settings(settings)
     try:
-        arguments = opening_values.start_of(settings)
+        arguments = decision_settings.start_of(settings)
         services = {
             entry["name"].encode(): (
                 i,
@@ -258,7 +258,7 @@
     taken = min(TAKEN_AT_MOST, max(REQUESTS_COME, int(told_last) * 1000 - CLOSED_BEFORE_LAST_ANSWER))
     leaving = int(part(machine, "leaving_ms", Number(whole=True), taken // 1000, "limits.")) * 1000
     allowed = settings.get("limits", {})
-    us = opening_values.us
+    us = decision_settings.us
     connect, grace = us(allowed.get("connect-timeout", 400_000_000)), arguments["grace"]
     limits = planned(
         sockets,
@@ -282,6 +282,6 @@
         settings,
         arguments,
         services,
-        bool(opening_values.load_fields(settings)),
+        bool(decision_settings.load_fields(settings)),
         limits,
     )
--- a/limepath/discovery/children.py
+++ b/limepath/discovery/children.py
@@ -65,16 +65,16 @@
 
     def subscribed(self, token, message):
         """Answer with where the list stands; note what the child has."""
-        now, place = self.agenda.now, self.held.list.place
+        now, place = self.timers.now, self.held.list.place
         if not self.may_join(token, message.reads):
             self.counts["turned away"] += 1
             self.known.pop(token, None)
             beat = self.followers.my_beat()
-            return self.agenda.order(Reach(token, answering(beat, message.stamp, refused=True)))
+            return self.timers.emit(Reach(token, answering(beat, message.stamp, refused=True)))
         child = self.known.setdefault(token, Child())
         child.until, child.reads = now + LEASE * self.terms.beat, message.reads
         child.stamp, child.stamp_at = message.stamp, now
-        self.agenda.order(Reach(token, answering(self.followers.my_beat(), message.stamp)))
+        self.timers.emit(Reach(token, answering(self.followers.my_beat(), message.stamp)))
         if message.reads != Reads.BATCHES:
             child.sent = None
         elif message.generation != place.generation or not self.held.window.covers(message.number):
@@ -86,7 +86,7 @@
 
     def acknowledged(self, child, message):
         """Send again from where the child stands, if something that was sent is not there."""
-        overdue = child.overdue(self.agenda.now)
+        overdue = child.overdue(self.timers.now)
         lost = overdue is not None and message.number < overdue
         if child.sent is None or message.lacks or lost or message.number > child.sent:
             self.counts["sent again"] += child.sent is not None and child.sent > message.number
@@ -97,7 +97,7 @@
     def tick_soon(self):
         if not self.ticking and self.known:
             self.ticking = True
-            self.agenda.at(self.agenda.now + self.terms.gather, self.tick)
+            self.timers.schedule(self.timers.now + self.terms.gather, self.tick)
 
     def tick(self):
         """Send each child the next datagram, and those behind more of them in turn, as far as that goes."""
@@ -129,14 +129,14 @@
         if not data:  # the window has moved on: the child asks for the whole list
             child.sent = None
             return False
-        now, held = self.agenda.now, self.held
+        now, held = self.timers.now, self.held
         age = held.age() if held.confirmed_at is not None and last == held.list.place.number else -1
         since = now - child.stamp_at if child.stamp else 0
         message = Batch(held.list.place.generation, child.sent + 1, data, age, child.stamp, since)
         child.sent = last
         child.unanswered.append((now, last))
         self.counts["pushed"] += 1
-        self.agenda.order(Reach(token, message))
+        self.timers.emit(Reach(token, message))
         return True
 
     def next_batch(self, sent):
@@ -150,7 +150,7 @@
 
     def tell(self):
         for token in self.known:
-            self.agenda.order(Reach(token, self.followers.my_beat()))
+            self.timers.emit(Reach(token, self.followers.my_beat()))
 
     def may_serve_piece(self, token):
         """Whether one more datagram of a list may go out before the next tick, to one of those that share
@@ -165,8 +165,8 @@
 
     def refill(self):
         """So many further datagrams of events and so many of lists in each span of a tick."""
-        if self.agenda.now - self.refilled >= self.terms.gather:
-            self.further, self.refilled = FURTHER, self.agenda.now
+        if self.timers.now - self.refilled >= self.terms.gather:
+            self.further, self.refilled = FURTHER, self.timers.now
             self.pieces, self.askers = {}, len(self.pieces)
 
 
--- a/limepath/discovery/component.py
+++ b/limepath/discovery/component.py
@@ -7,7 +7,7 @@
     def __init__(self, listing):
         self.listing = listing
         self.me, self.terms, self.live = listing.me, listing.terms, listing.live
-        self.agenda, self.counts = listing.agenda, listing.counts
+        self.timers, self.counts = listing.timers, listing.counts
 
     @property
     def held(self):
--- a/limepath/discovery/followers.py
+++ b/limepath/discovery/followers.py
@@ -21,7 +21,7 @@
         self.known, self.to_push = {}, []
 
     def my_beat(self):
-        now, place, held = self.agenda.now, self.held.list.place, self.held
+        now, place, held = self.timers.now, self.held.list.place, self.held
         age = -1 if held.confirmed_at is None else now - held.confirmed_at
         return Beat(
             self.terms.zone,
@@ -38,13 +38,13 @@
         """How long this front, or the one that it hears the list from, has been calling in vain."""
         roles, stream = self.roles, self.stream
         if roles.tries_since is not None and not (stream.caught_up and stream.state):
-            return max(1, self.agenda.now - roles.tries_since)
+            return max(1, self.timers.now - roles.tries_since)
         source = self.upstream.sources.get(self.tree.parent)
         return source.beat.tries if source and source.beat and self.held.late() else 0
 
     def tell(self):
         for token in self.known:
-            self.agenda.order(Reach(token, self.my_beat()))
+            self.timers.emit(Reach(token, self.my_beat()))
 
     def push(self):
         numbers, self.to_push = self.to_push, []
@@ -53,7 +53,7 @@
             for token in self.known:
                 for message in messages or (self.my_beat(),):
                     self.counts["pushed"] += 1
-                    self.agenda.order(Reach(token, message))
+                    self.timers.emit(Reach(token, message))
 
     def events_from(self, first):
         """The first WINDOW messages of the events from this number on; none where one is not kept or does not
@@ -77,7 +77,7 @@
 
     def events(self, first, texts):
         held = self.held
-        age = -1 if held.confirmed_at is None else self.agenda.now - held.confirmed_at
+        age = -1 if held.confirmed_at is None else self.timers.now - held.confirmed_at
         return Events(held.list.place.generation, first, texts, age)
 
     def subscribed(self, token, message):
@@ -85,8 +85,8 @@
         self.scopes.learn(token, message.zone, message.site)
         if self.tree.on and message.reads != Reads.TEXTS:
             return self.children.subscribed(token, message)
-        self.known[token] = self.agenda.now + LEASE * self.terms.beat
-        self.agenda.order(Reach(token, self.my_beat()))
+        self.known[token] = self.timers.now + LEASE * self.terms.beat
+        self.timers.emit(Reach(token, self.my_beat()))
         if message.generation == place.generation and message.number < place.number:
             for one in self.events_from(message.number + 1):
-                self.agenda.order(Reach(token, one))
+                self.timers.emit(Reach(token, one))
--- a/limepath/discovery/heard.py
+++ b/limepath/discovery/heard.py
@@ -25,7 +25,7 @@
         self.early, self.waits = {}, False  # batches that came before those before them, by first event
 
     def beat(self, token, message):
-        now, place = self.agenda.now, self.held.list.place
+        now, place = self.timers.now, self.held.list.place
         self.scopes.learn(token, message.zone, message.site)
         source = self.upstream.sources.get(token)
         if source is None:
@@ -79,7 +79,7 @@
         """When the service stood where a message says: `age` before it was sent, which was `since` after our
         Follow of that stamp had come, so not before that.
         """
-        now = self.agenda.now
+        now = self.timers.now
         if 0 < stamp and 0 <= now - stamp - since < STAMP_KEPT:
             return stamp + since - age
         return now - age - IN_FLIGHT
@@ -87,8 +87,8 @@
     def behind_for(self, theirs):
         """How long we have lacked what another has."""
         if self.behind_since is None or self.behind_since[0] != self.held.list.place:
-            self.behind_since = self.held.list.place, self.agenda.now
-        return self.agenda.now - self.behind_since[1]
+            self.behind_since = self.held.list.place, self.timers.now
+        return self.timers.now - self.behind_since[1]
 
     def contradicted(self, token, why):
         """Two that should agree do not: it is passed over, and the service asked, for it may be us who are
@@ -96,18 +96,18 @@
         """
         source = self.upstream.sources.get(token)
         if source:
-            source.bad_until, source.behind = self.agenda.now + BAD, None
+            source.bad_until, source.behind = self.timers.now + BAD, None
         self.counts["contradictions"] += 1
-        self.agenda.order(Say("list-contradiction", {"peer": f"{token:016x}", "why": why}))
+        self.timers.emit(Say("list-contradiction", {"peer": f"{token:016x}", "why": why}))
         self.roles.suspicious = self.stream.whole = True
         if self.stream.state and self.stream.caught_up:  # we hold the service's own word
             self.roles.suspicious = self.stream.whole = False
 
     def nonsense(self, token, why):
         if token in self.upstream.sources:
-            self.upstream.sources[token].bad_until = self.agenda.now + BAD
+            self.upstream.sources[token].bad_until = self.timers.now + BAD
         self.counts["nonsense"] += 1
-        self.agenda.order(Say("list-nonsense", {"peer": f"{token:016x}", "why": str(why)[:120]}))
+        self.timers.emit(Say("list-nonsense", {"peer": f"{token:016x}", "why": str(why)[:120]}))
 
     def events(self, token, message):
         if (
@@ -128,7 +128,7 @@
             elif self.held.contradicts(told):
                 return self.contradicted(token, f"another event {at}")
         if message.first + len(message.texts) - 1 == self.held.list.place.number and message.age >= 0:
-            self.held.confirm(self.agenda.now - message.age - IN_FLIGHT)
+            self.held.confirm(self.timers.now - message.age - IN_FLIGHT)
 
     def batch(self, token, message):
         """Events from the parent, or from the backup that was asked for them."""
@@ -166,7 +166,7 @@
             self.early[message.first] = token, message
         if not self.waits:
             self.waits = True
-            self.agenda.at(self.agenda.now + REORDERED, self.ask_again, token)
+            self.timers.schedule(self.timers.now + REORDERED, self.ask_again, token)
 
     def ask_again(self, token):
         """Unless what was overtaken has come, it was lost: ask for it."""
@@ -176,4 +176,4 @@
         if self.early:
             self.counts["gaps"] += 1
             self.early.clear()
-            self.agenda.order(Reach(token, self.roles.subscription(Reads.BATCHES, lacks=True)))
+            self.timers.emit(Reach(token, self.roles.subscription(Reads.BATCHES, lacks=True)))
--- a/limepath/discovery/held.py
+++ b/limepath/discovery/held.py
@@ -37,11 +37,11 @@
             self.list = self.unpacked(saved)
             self.window.restart(self.list.place.number)
         except BadList as flaw:
-            self.agenda.order(Say("saved-list", {"flaw": f"{flaw}; begins without"}))
+            self.timers.emit(Say("saved-list", {"flaw": f"{flaw}; begins without"}))
 
     def unpacked(self, data):
         """The list of packed bytes; raise BadList."""
-        return unpacked(data, self.terms.longest, self.agenda.now, self.terms.gone + self.terms.window)
+        return unpacked(data, self.terms.longest, self.timers.now, self.terms.gone + self.terms.window)
 
     def save_soon(self):
         if not self.saving:
@@ -49,18 +49,18 @@
             wait = self.terms.save
             if self.tree.on:  # events never cease; a restarted front is told those since by the window
                 wait = max(wait, self.terms.window // SAVES_IN_WINDOW)
-            self.agenda.at(self.agenda.now + wait, self.save)
+            self.timers.schedule(self.timers.now + wait, self.save)
 
     def save(self):
         self.saving = False
-        self.agenda.order(Save(self.list.packed(self.agenda.now)))
+        self.timers.emit(Save(self.list.packed(self.timers.now)))
 
     def age(self):
         """How long ago the service confirmed this list, or None."""
-        return None if self.confirmed_at is None else self.agenda.now - self.confirmed_at
+        return None if self.confirmed_at is None else self.timers.now - self.confirmed_at
 
     def late(self):
-        return self.confirmed_at is None or self.agenda.now - self.confirmed_at > self.fresh()
+        return self.confirmed_at is None or self.timers.now - self.confirmed_at > self.fresh()
 
     def fresh(self):
         """How old the last confirmation may be."""
@@ -69,11 +69,11 @@
     def watch(self):
         """Tell the front when its list becomes late."""
         due = self.confirmed_at + self.fresh() + 1
-        if self.agenda.now < due:
-            self.agenda.at(due, self.watch)
+        if self.timers.now < due:
+            self.timers.schedule(due, self.watch)
         else:
             self.stale = True
-            self.agenda.order(Stale(True))
+            self.timers.emit(Stale(True))
 
     def adopt(self, new):
         """Put another list in the place of ours."""
@@ -88,19 +88,19 @@
     def give(self):
         """Hand the whole list to the front. How old its purges are only the clocks tell."""
         self.given = True
-        self.agenda.order(Take(self.list.whole()))
+        self.timers.emit(Take(self.list.whole()))
         for told in self.list.purges.values():
-            self.agenda.order(Take(told))
+            self.timers.emit(Take(told))
 
     def advance(self, told, text):
         """The next event. It was not yet told when our list was last confirmed: so old it can be at most."""
-        oldest = -1 if self.confirmed_at is None else self.agenda.now - self.confirmed_at
-        self.list.take(told, self.agenda.now)
+        oldest = -1 if self.confirmed_at is None else self.timers.now - self.confirmed_at
+        self.list.take(told, self.timers.now)
         self.keep(told, text)
         if self.given:
-            self.agenda.order(Take(told, oldest))
+            self.timers.emit(Take(told, oldest))
         if not self.followers.to_push:
-            self.agenda.at(self.agenda.now + BATCH, self.followers.push)
+            self.timers.schedule(self.timers.now + BATCH, self.followers.push)
         self.followers.to_push.append(told["seq"])
         self.children.tick_soon()
         self.save_soon()
@@ -114,7 +114,7 @@
         if coded is None or len(coded) > BATCH_LIMIT - BATCH_HEAD:
             self.window.restart(told["seq"])
         else:
-            self.window.add(self.agenda.now, told["seq"], coded, summary(told))
+            self.window.add(self.timers.now, told["seq"], coded, summary(told))
 
     def reaches(self):
         """The oldest event that can be sent to others."""
@@ -135,13 +135,17 @@
             self.give()
         if self.stale and not self.late():
             self.stale = False
-            self.agenda.order(Stale(False))
+            self.timers.emit(Stale(False))
             self.watch()
         if first:
             self.watch()
-            self.agenda.order(Confirmed(self.list.place, self.agenda.now - at))
+            self.timers.emit(Confirmed(self.list.place, self.timers.now - at))
             sharing = max(self.terms.fronts, len(self.live()) + 1)
-            wait = int(self.agenda.chance() * sharing / self.terms.ready * 1e6) if self.terms.ready else 0
-            self.agenda.at(self.agenda.now + wait, self.agenda.order, Ready())
+            wait = (
+                int(self.timers.random_fraction() * sharing / self.terms.ready * 1e6)
+                if self.terms.ready
+                else 0
+            )
+            self.timers.schedule(self.timers.now + wait, self.timers.emit, Ready())
             self.followers.tell()
             self.children.tell()
--- a/limepath/discovery/host.py
+++ b/limepath/discovery/host.py
@@ -167,7 +167,7 @@
         """Silence is the logic's to judge."""
 
     def shown(self):
-        self.logic.agenda.now = clock()
+        self.logic.timers.now = clock()
         return self.logic.shown()
 
 
@@ -194,7 +194,7 @@
             caches,
             float(cooperation.told.connections),
             lambda: max(terms.fronts, len(members.ring) + 1),
-            changes.logic.agenda.chance,
+            changes.logic.timers.random_fraction,
         )
     cooperation.views["listing"] = changes.shown
     return changes
--- a/limepath/discovery/page_transfer.py
+++ b/limepath/discovery/page_transfer.py
@@ -35,7 +35,7 @@
     def contents(self):
         """The list as it stands."""
         held = self.held.list
-        purges = held.purges.kept(self.agenda.now)
+        purges = held.purges.kept(self.timers.now)
         return Contents(held.place, held.revision, dict(held.members), purges)
 
     # At the one that has it
@@ -46,18 +46,18 @@
         if held.confirmed_at is None or not held.list.place.number:
             return None
         last = next(reversed(self.snapshots.values()), None)
-        young = self.agenda.now - self.made_at <= SNAPSHOT_KEPT
+        young = self.timers.now - self.made_at <= SNAPSHOT_KEPT
         if last and young and last.place.generation == held.list.place.generation:
             if held.window.covers(last.place.number):
                 return last
         self.drop()
         made = Standing(self.contents())
-        self.snapshots[made.place, made.mark], self.made_at = made, self.agenda.now
+        self.snapshots[made.place, made.mark], self.made_at = made, self.timers.now
         return made
 
     def drop(self):
         """Forget snapshots that nobody asks for any more, and more of them to have room for another."""
-        now = self.agenda.now
+        now = self.timers.now
         unasked = [key for key in self.snapshots if now - self.asked_at.get(key, 0) > UNASKED]
         longest = sorted(set(self.snapshots) - set(unasked), key=lambda key: self.asked_at.get(key, 0))
         for key in unasked + longest[: max(0, len(longest) - SNAPSHOTS + 1)]:
@@ -74,11 +74,11 @@
             if snapshot is None:
                 raise NoSuchChunk("not held any more")
             chunk = snapshot.chunk(ChunkName(message.page, message.chunk))
-            self.asked_at[snapshot.place, snapshot.mark] = self.agenda.now
+            self.asked_at[snapshot.place, snapshot.mark] = self.timers.now
             answer = PageChunk(*chunk.place, *chunk[1:])
         except NoSuchChunk:
             answer = PageChunk(*place, message.mark, message.page, message.chunk, 0)
-        self.agenda.order(Reach(token, answer))
+        self.timers.emit(Reach(token, answer))
 
     # At the one that wants it
 
@@ -97,7 +97,7 @@
             return  # it serves others; the next heartbeat leads to another try
         transfer.asked = set()
         self.ask(transfer)
-        self.agenda.at(self.agenda.now + RETRY, self.proceed, transfer)
+        self.timers.schedule(self.timers.now + RETRY, self.proceed, transfer)
 
     def ask(self, transfer):
         place, mark = transfer.catch_up.place or Place(0, -1), transfer.catch_up.mark or 0
@@ -106,7 +106,7 @@
                 return
             if name not in transfer.asked:
                 transfer.asked.add(name)
-                self.agenda.order(Reach(transfer.token, AskChunk(*place, mark, *name)))
+                self.timers.emit(Reach(transfer.token, AskChunk(*place, mark, *name)))
 
     def arrived(self, token, message):
         transfer = self.transfer
@@ -149,6 +149,6 @@
         for member in contents.members.values():
             new.put(member)
         for kept in contents.purges:
-            new.purges.add_kept(self.agenda.now, kept)
+            new.purges.add_kept(self.timers.now, kept)
         new.place, new.revision = contents.place, contents.revision
         return new
--- a/limepath/discovery/relay.py
+++ b/limepath/discovery/relay.py
@@ -13,7 +13,6 @@
 zone.
 """
 
-from limepath.agenda import Agenda
 from limepath.discovery.children import Children
 from limepath.discovery.followers import Followers
 from limepath.discovery.heard import Heard
@@ -45,6 +44,7 @@
 from limepath.discovery.stream import Stream
 from limepath.discovery.tree import Tree
 from limepath.discovery.upstream import Upstream
+from limepath.timer_queue import TimerQueue
 
 COUNTED = (
     "calls",
@@ -68,7 +68,7 @@
 
     def __init__(self, me, terms, seed, live, saved=None):
         self.me, self.terms, self.live = me, terms, live
-        self.agenda, self.counts = Agenda(seed), dict.fromkeys(COUNTED, 0)
+        self.timers, self.counts = TimerQueue(seed), dict.fromkeys(COUNTED, 0)
         self.scopes, self.tree = KnownScopes(self), Tree(self)
         self.held, self.upstream, self.roles = Held(self), Upstream(self), Roles(self)
         self.stream, self.heard = Stream(self), Heard(self)
@@ -98,32 +98,34 @@
             self.held.read(saved)
 
     def start(self, now):
-        self.agenda.now = now
-        self.agenda.at(now + int(self.agenda.chance() * min(self.terms.beat, 100_000)), self.roles.look)
-        return self.agenda.taken()
+        self.timers.now = now
+        self.timers.schedule(
+            now + int(self.timers.random_fraction() * min(self.terms.beat, 100_000)), self.roles.look
+        )
+        return self.timers.take_commands()
 
     def handle(self, now, notes=()):
         """Take notes in at `now`, do what is due, give the orders."""
-        self.agenda.run(now)
+        self.timers.run_due(now)
         for note in notes:
             if isinstance(note, FromPeer):
                 if desk := self.from_peers.get(type(note.message)):
                     desk(note.token, note.message)
             else:
                 self.desks[type(note)](note)
-        return self.agenda.taken()
+        return self.timers.take_commands()
 
     def next(self):
-        return self.agenda.next()
+        return self.timers.next_due()
 
     def where(self, token, message):
         self.scopes.learn(token, message.zone, message.site)
         if message.asks:
-            self.agenda.order(Reach(token, Where(self.terms.zone, site=self.terms.site)))
+            self.timers.emit(Reach(token, Where(self.terms.zone, site=self.terms.site)))
 
     def shown(self):
         """What `limepath listing show` prints, as plain values."""
-        now, held = self.agenda.now, self.held
+        now, held = self.timers.now, self.held
         return {
             "generation": held.list.place.generation,
             "number": held.list.place.number,
--- a/limepath/discovery/roles.py
+++ b/limepath/discovery/roles.py
@@ -18,13 +18,13 @@
 
     def __init__(self, listing):
         super().__init__(listing)
-        self.budget = Budget(self.terms, self.agenda.chance)
+        self.budget = Budget(self.terms, self.timers.random_fraction)
         self.role, self.unneeded, self.unheard, self.looking = Role.FOLLOWS, None, None, 0
         self.tries_since, self.suspicious = None, False
 
     def look(self):
         """Every beat: who is to be followed, who is passed over, whether to call."""
-        now, terms = self.agenda.now, self.terms
+        now, terms = self.timers.now, self.terms
         live = set(self.live())
         self.scopes.keep(live)
         for known in (self.upstream.sources, self.followers.known):
@@ -41,16 +41,16 @@
         self.subscribe(wanted)
         self.looking = now + terms.beat
         self.decide()
-        self.agenda.at(self.looking, self.look)
+        self.timers.schedule(self.looking, self.look)
 
     def subscribe(self, wanted):
         """Tell each that is followed where our list stands."""
-        now, sources = self.agenda.now, self.upstream.sources
+        now, sources = self.timers.now, self.upstream.sources
         for token, reads in wanted.items():
             if token != self.me:
                 source = sources.setdefault(token, Source())
                 source.owes = source.owes or now
-                self.agenda.order(Reach(token, self.subscription(reads)))
+                self.timers.emit(Reach(token, self.subscription(reads)))
         if self.tree.on:
             self.upstream.forget_but(wanted)
 
@@ -58,11 +58,11 @@
         terms, place = self.terms, self.held.list.place
         if not self.tree.on:
             return Follow(terms.zone, *place)
-        return Follow(terms.zone, *place, reads, terms.site, lacks, max(1, self.agenda.now))
+        return Follow(terms.zone, *place, reads, terms.site, lacks, max(1, self.timers.now))
 
     def decide(self):
         """Whether to hold a stream; all calls go out here."""
-        now = self.agenda.now
+        now = self.timers.now
         unheard = self.held.late() and not self.upstream.told_by_others()
         relay = (
             self.me in self.upstream.first
@@ -73,7 +73,7 @@
         needy = self.suspicious or unheard and now - self.unheard >= TURN  # the next by hash are to act first
         role = Role.RELAYS if relay else Role.ALONE if needy else Role.FOLLOWS
         if role != self.role:
-            self.agenda.order(Say("list-role", {"role": role.name.lower(), "live": len(self.live()) + 1}))
+            self.timers.emit(Say("list-role", {"role": role.name.lower(), "live": len(self.live()) + 1}))
             self.role = role
         if role == Role.FOLLOWS:
             self.unneeded = self.unneeded or now
@@ -97,4 +97,4 @@
         if self.budget.may_call(now, len(self.upstream.chosen) * zones if relay and plausible else 0):
             self.stream.call()
         elif self.budget.due < self.looking:
-            self.agenda.at(self.budget.due, self.decide)
+            self.timers.schedule(self.budget.due, self.decide)
--- a/limepath/discovery/scopes.py
+++ b/limepath/discovery/scopes.py
@@ -6,10 +6,10 @@
 differ. Free of I/O.
 """
 
-from limepath.agenda import mixed
 from limepath.discovery.component import Component
 from limepath.discovery.interface import AskScopes, Reach, Scopes, Where
 from limepath.discovery.topology import Scope, salt
+from limepath.hashing import mix64
 
 ASKED = 8  # of unknown scope, in one beat; with a site, of the whole fleet at one newcomer
 PAGE_BYTES = 1000  # of entries in one datagram
@@ -52,7 +52,7 @@
 
     def change(self, token, scope):
         self.version += 1
-        self.changed_at = self.agenda.now
+        self.changed_at = self.timers.now
         self.digest ^= digest_of(token, scope)
 
     def keep(self, live):
@@ -65,7 +65,7 @@
         know how many zones there are, and another of the zone knows the same, or there is no other.
         """
         known, zones, live = len(self.known), self.zones(), len(self.live())
-        if self.agenda.now - self.changed_at < SETTLED or known < min(live, SAMPLES * zones):
+        if self.timers.now - self.changed_at < SETTLED or known < min(live, SAMPLES * zones):
             return False
         alone = len(self.mates) == 1 and known >= 2 * SAMPLES * zones
         return self.same or alone or known >= live
@@ -80,18 +80,18 @@
         """The star: ask the first few of those `ranked` whose zone is not known."""
         unknown = [token for token in ranked if token != self.me and token not in self.known]
         for token in unknown[:ASKED]:
-            self.agenda.order(Reach(token, Where(self.terms.zone, True)))
+            self.timers.emit(Reach(token, Where(self.terms.zone, True)))
 
     def ask(self, live):
         """The tree, every beat: a few of unknown scope, and one of the zone for what differs."""
         self.beats, self.served = self.beats + 1, 0
         unknown = [token for token in live if token not in self.known]
-        for token in self.agenda.some(unknown, self.how_many(len(unknown), len(live))):
-            self.agenda.order(Reach(token, Where(self.terms.zone, True, self.terms.site)))
+        for token in self.timers.sample(unknown, self.how_many(len(unknown), len(live))):
+            self.timers.emit(Reach(token, Where(self.terms.zone, True, self.terms.site)))
         if self.same and self.beats % COMPARED:
             return
         mates = [token for token, scope in self.mates.items() if scope.site and token != self.me]
-        for token in self.agenda.some(mates, 1):
+        for token in self.timers.sample(mates, 1):
             self.ask_page(token)
 
     def how_many(self, unknown, live):
@@ -99,10 +99,10 @@
         wanted = unknown * ASKED / live if live else 0.0
         if self.settled() and unknown < live:
             wanted /= ASKED  # the zone is known; the others are of use to the budget of calls only
-        return min(unknown, int(wanted + self.agenda.chance()))
+        return min(unknown, int(wanted + self.timers.random_fraction()))
 
     def ask_page(self, token):
-        self.agenda.order(Reach(token, AskScopes(*self.mine, self.digest, self.after)))
+        self.timers.emit(Reach(token, AskScopes(*self.mine, self.digest, self.after)))
 
     def asked_page(self, token, message):
         self.learn(token, message.zone, message.site)
@@ -110,8 +110,8 @@
             return
         self.served += 1
         if message.digest == self.digest:
-            return self.agenda.order(Reach(token, Scopes(message.zone)))
-        self.agenda.order(Reach(token, self.page(message.after)))
+            return self.timers.emit(Reach(token, Scopes(message.zone)))
+        self.timers.emit(Reach(token, self.page(message.after)))
 
     def page(self, after):
         """The next of the zone's fronts that go into one datagram."""
@@ -139,4 +139,4 @@
 
 
 def digest_of(token, scope):
-    return mixed(token ^ salt(f"{scope.zone}\n{scope.site}"))
+    return mix64(token ^ salt(f"{scope.zone}\n{scope.site}"))
--- a/limepath/discovery/simulate.py
+++ b/limepath/discovery/simulate.py
@@ -188,8 +188,8 @@
                 self.saved = order.data
         if not self.members:
             return
-        if self.members.agenda.orders:
-            return self.carry(self.members.agenda.taken())
+        if self.members.timers.commands:
+            return self.carry(self.members.timers.take_commands())
         dues = [due for due in (self.members.next(), self.logic.next()) if due is not None]
         if dues and (self.wake_at is None or min(dues) < self.wake_at or self.wake_at <= world.now):
             self.wake_at = max(world.now + 1, min(dues))
--- a/limepath/discovery/simulate_tree.py
+++ b/limepath/discovery/simulate_tree.py
@@ -218,7 +218,7 @@
     """The fleet, its network and its clock."""
 
     def __init__(self, plan, seed, terms=None):
-        self.plan, self.chance, self.now, self.order, self.agenda = plan, Random(seed), 0, 0, []
+        self.plan, self.chance, self.now, self.order, self.timers = plan, Random(seed), 0, 0, []
         self.terms = (terms or Terms())._replace(fronts=plan.fronts)
         if plan.broken == "window":
             self.terms = self.terms._replace(window=10 * SECOND, window_bytes=10_000)
@@ -231,11 +231,11 @@
 
     def at(self, when, call, *said):
         self.order += 1
-        heappush(self.agenda, (when, self.order, call, said))
+        heappush(self.timers, (when, self.order, call, said))
 
     def run(self, until):
-        while self.agenda and self.agenda[0][0] <= until:
-            self.now, _, call, said = heappop(self.agenda)
+        while self.timers and self.timers[0][0] <= until:
+            self.now, _, call, said = heappop(self.timers)
             call(*said)
         self.now = until
 
--- a/limepath/discovery/snapshot.py
+++ b/limepath/discovery/snapshot.py
@@ -36,7 +36,7 @@
         if place.number < 0 and self.held.list.place.number and self.held.confirmed_at is not None:
             place = self.recent() or self.held.list.place
             if place not in self.packs:
-                self.packs[place], self.packed_at = self.held.list.packed(self.agenda.now), self.agenda.now
+                self.packs[place], self.packed_at = self.held.list.packed(self.timers.now), self.timers.now
                 while len(self.packs) > 2:
                     self.packs.popitem(last=False)
         return place, self.packs.get(place)
@@ -48,7 +48,7 @@
         if not self.tree.on or not self.packs:
             return None
         place = next(reversed(self.packs))
-        young = self.agenda.now - self.packed_at <= PACK_KEPT
+        young = self.timers.now - self.packed_at <= PACK_KEPT
         same = place.generation == self.held.list.place.generation
         return place if young and same and self.held.window.covers(place.number) else None
 
@@ -62,13 +62,13 @@
             answer = Piece(*place, message.piece, of, mark_of(data), data[at : at + DATA])
         else:
             answer = Piece(*place, message.piece, 0)
-        self.agenda.order(Reach(token, answer))
+        self.timers.emit(Reach(token, answer))
 
     def begin(self, token, followers):
         """Each in its turn, since all that follow one lack the same."""
         self.fetch = Fetch(token)
-        wait = int(self.agenda.chance() * followers * SPREAD)
-        self.agenda.at(self.agenda.now + wait, self.proceed, self.fetch)
+        wait = int(self.timers.random_fraction() * followers * SPREAD)
+        self.timers.schedule(self.timers.now + wait, self.proceed, self.fetch)
 
     def proceed(self, fetch):
         """Ask for what is missing, again after RETRY."""
@@ -82,7 +82,7 @@
             return self.heard.nonsense(fetch.token, "the whole list never came")
         fetch.asked = set()
         self.ask(fetch)
-        self.agenda.at(self.agenda.now + RETRY, self.proceed, fetch)
+        self.timers.schedule(self.timers.now + RETRY, self.proceed, fetch)
 
     def ask(self, fetch):
         place = fetch.place or Place(0, -1)
@@ -91,7 +91,7 @@
                 return
             if piece not in fetch.pieces and piece not in fetch.asked:
                 fetch.asked.add(piece)
-                self.agenda.order(Reach(fetch.token, AskPiece(*place, piece)))
+                self.timers.emit(Reach(fetch.token, AskPiece(*place, piece)))
 
     def arrived(self, token, message):
         fetch, place = self.fetch, Place(message.generation, message.number)
--- a/limepath/discovery/state.py
+++ b/limepath/discovery/state.py
@@ -8,12 +8,12 @@
 import zlib
 from hashlib import blake2b
 
-from limepath.agenda import MIX
 from limepath.discovery.coding import decode
 from limepath.discovery.events import BadList, parsed, summary
 from limepath.discovery.integers import CodingError
 from limepath.discovery.interface import Place
 from limepath.discovery.window import RecentPurges
+from limepath.hashing import MASK_64
 
 FORM = b"LPL1"
 PURGES_KEPT = 600_000_000  # microseconds for which a purge is kept, where nothing else is told
@@ -52,7 +52,7 @@
         if member["phase"] != "terminated":
             self.members[member["id"]] = member
             self.digest ^= summary(member)
-        self.digest &= MIX
+        self.digest &= MASK_64
 
     def whole(self):
         """The list as one event that tells all its members."""
--- a/limepath/discovery/stream.py
+++ b/limepath/discovery/stream.py
@@ -32,36 +32,36 @@
         self.serial += 1
         self.state, self.heard_at, self.event_at, self.caught_up = (
             CALLING,
-            self.agenda.now,
-            self.agenda.now,
+            self.timers.now,
+            self.timers.now,
             False,
         )
         number = self.held.list.place.number
         self.whole |= number not in self.held.window
         self.incoming, self.overlapped = self.held.empty() if self.whole else None, False
-        self.agenda.order(
+        self.timers.emit(
             Call(0 if self.whole else number - 1)
         )  # one that we hold: a service restored from an older
         # state, which would say nothing until its numbers pass ours, does not tell it again
         self.times.clear()
         self.meets, self.differs, self.tail = False, False, []
-        self.agenda.at(self.agenda.now + self.terms.silence, self.still_silent, self.serial)
+        self.timers.schedule(self.timers.now + self.terms.silence, self.still_silent, self.serial)
 
     def still_silent(self, serial):
         if serial != self.serial or not self.state:
             return
-        if self.agenda.now - self.heard_at >= self.terms.silence:
+        if self.timers.now - self.heard_at >= self.terms.silence:
             self.hang_up("silent")
         else:
-            self.agenda.at(self.heard_at + self.terms.silence, self.still_silent, serial)
+            self.timers.schedule(self.heard_at + self.terms.silence, self.still_silent, serial)
 
     def hang_up(self, why):
-        self.agenda.order(HangUp(why))
+        self.timers.emit(HangUp(why))
         self.ended(why)
 
     def ended(self, why):
-        now = self.agenda.now
-        self.agenda.order(Say("list-stream", {"ended": why, "after": self.held.list.place.number}))
+        now = self.timers.now
+        self.timers.emit(Say("list-stream", {"ended": why, "after": self.held.list.place.number}))
         self.whole |= (
             not self.caught_up or now - self.heard_at >= self.terms.silence
         )  # it may have been restored meanwhile
@@ -72,11 +72,11 @@
             self.roles.decide()
 
     def up(self, note):
-        self.state, self.heard_at = UP, self.agenda.now
-        self.agenda.at(self.agenda.now + QUIET, self.told_all, self.serial)
+        self.state, self.heard_at = UP, self.timers.now
+        self.timers.schedule(self.timers.now + QUIET, self.told_all, self.serial)
 
     def says(self, note):
-        self.heard_at = self.agenda.now
+        self.heard_at = self.timers.now
         self.told_all(self.serial)
 
     def lost(self, note):
@@ -89,7 +89,7 @@
             self.hang_up("another address")
 
     def event(self, note):
-        now = self.agenda.now
+        now = self.timers.now
         self.heard_at = self.event_at = now
         if not self.state:
             return
@@ -106,12 +106,12 @@
             if self.doubted != mark:  # it may have been damaged on the way: once more from the start
                 self.doubted, self.whole = mark, True
                 return self.hang_up(f"event: {flaw}"[:120])
-            self.agenda.order(Say("list-event", {"skipped": str(flaw)[:120], "number": note.number}))
+            self.timers.emit(Say("list-event", {"skipped": str(flaw)[:120], "number": note.number}))
             self.counts["nonsense"] += 1
         if self.caught_up:
             self.held.confirm(now)
         else:
-            self.agenda.at(now + QUIET, self.told_all, self.serial)
+            self.timers.schedule(now + QUIET, self.told_all, self.serial)
 
     def replayed(self, told, text):
         """Of a stream that tells all from the start: the first event holds the whole list, no number is left
@@ -125,7 +125,7 @@
             return
         elif number != incoming.place.number + 1 and self.doubted is None:
             raise BadList(f"{number} comes after {incoming.place.number}")
-        incoming.take(told, self.agenda.now)
+        incoming.take(told, self.timers.now)
         held = self.held.list
         self.differs |= self.held.contradicts(told)
         if self.meets and number > held.place.number:
@@ -153,14 +153,14 @@
         for a while, a longer one before we believe that its numbers ran backwards; it may be telling all
         slowly.
         """
-        now, incoming = self.agenda.now, self.incoming
+        now, incoming = self.timers.now, self.incoming
         if serial != self.serial or self.state != UP or incoming is not None and not incoming.place.number:
             return
         if not self.caught_up:
             behind = incoming is not None and incoming.place.number < self.held.list.place.number
             due = self.event_at + (self.terms.silence if behind else QUIET)
             if now < due and not self.times.live(now, self.terms.silence if behind else LIVE):
-                return self.agenda.at(due, self.told_all, serial)
+                return self.timers.schedule(due, self.told_all, serial)
         if self.incoming is not None:
             incoming, self.incoming = self.incoming, None
             self.replaced(incoming)
@@ -187,7 +187,7 @@
             and incoming.digest != self.held.list.digest
         ):
             generation += 1
-            self.agenda.order(
+            self.timers.emit(
                 Say("list-backwards", {"was": old.number, "is": place.number, "generation": generation})
             )
         incoming.place = Place(generation, place.number)
--- a/limepath/discovery/topology.py
+++ b/limepath/discovery/topology.py
@@ -16,7 +16,7 @@
 from typing import NamedTuple
 from zlib import crc32
 
-from limepath.agenda import mixed
+from limepath.hashing import mix64
 
 LEAST_FAN_OUT = 2  # a chain has no bounded depth
 
@@ -48,13 +48,13 @@
 
 def salt(text: str) -> int:
     """64 bits to hash tokens with, told by a name."""
-    return mixed(crc32(text.encode()))
+    return mix64(crc32(text.encode()))
 
 
 def by_hash(tokens, text: str) -> list[int]:
     """The tokens in the order of their hash, salted by a text."""
     salted = salt(text)
-    return sorted(tokens, key=lambda token: mixed(token ^ salted))
+    return sorted(tokens, key=lambda token: mix64(token ^ salted))
 
 
 def parent_rank(rank: int, fan_out: int) -> int:
@@ -102,7 +102,7 @@
             others = tuple(token for token in self.roots if token != me)
             return Position(True, others, others)
         if me not in self.places:
-            roots = self.roots_from(mixed(me))
+            roots = self.roots_from(mix64(me))
             return Position(False, roots, roots[1:])
         candidates = self.path(me, first_tree=True)
         backups = [token for token in self.path(me, first_tree=False) if token != candidates[0]]
--- a/limepath/discovery/tree.py
+++ b/limepath/discovery/tree.py
@@ -88,12 +88,12 @@
         return next(iter(tokens), None)
 
     def flaw_of(self, token):
-        if self.refused.get(token, 0) > self.agenda.now:
+        if self.refused.get(token, 0) > self.timers.now:
             return "refused"
         return self.upstream.flaw_of(self.upstream.sources.get(token))
 
     def turned_away(self, token):
-        self.refused[token] = self.agenda.now + REFUSED
+        self.refused[token] = self.timers.now + REFUSED
         self.counts["refused"] += 1
 
     # Behind
@@ -101,13 +101,13 @@
     def heard_of(self, number):
         """Another has this event; this front is to have it within the bound."""
         if self.wanted is None or self.held.list.place.number >= self.wanted[0]:
-            self.wanted = number, self.agenda.now
+            self.wanted = number, self.timers.now
 
     def lacks(self):
         """Whether an event that another has is late here: the parent did not bring it."""
         if self.wanted is None or self.held.list.place.number >= self.wanted[0]:
             return False
-        late = self.agenda.now - self.wanted[1] - bounds.brought(self.terms, self.hops)
+        late = self.timers.now - self.wanted[1] - bounds.brought(self.terms, self.hops)
         source = self.upstream.sources.get(self.parent)
         if late <= 0 or source and source.beat and source.beat.number >= self.wanted[0]:
             return False  # the parent has it, and sends as fast as its pace allows
@@ -118,7 +118,7 @@
     def slow(self, token):
         """Pass a parent over that answers and does not bring what another has."""
         if source := self.upstream.sources.get(token):
-            source.bad_until = self.agenda.now + bounds.SLOW
+            source.bad_until = self.timers.now + bounds.SLOW
         self.counts["slow"] += 1
         self.wanted = None
 
--- a/limepath/discovery/upstream.py
+++ b/limepath/discovery/upstream.py
@@ -6,11 +6,11 @@
 from heapq import nsmallest
 from zlib import crc32
 
-from limepath.agenda import mixed
 from limepath.discovery import bounds
 from limepath.discovery.bounds import TURN
 from limepath.discovery.component import Component
 from limepath.discovery.interface import Reads
+from limepath.hashing import mix64
 
 BAD = 30_000_000  # for which one that told nonsense is passed over
 UNASKED = 10_000_000  # for which one that is not asked any more counts as silent still
@@ -31,7 +31,7 @@
 
     def __init__(self, listing):
         super().__init__(listing)
-        self.salt = mixed(crc32(self.terms.zone.encode()))
+        self.salt = mix64(crc32(self.terms.zone.encode()))
         self.sources, self.first, self.chosen, self.helps = {}, [], [], 0
 
     def ranked(self, count):
@@ -42,7 +42,7 @@
             known, mine = self.scopes.known, self.scopes.mine
             those = [token for token in self.live() if known.get(token, mine).zone == mine.zone]
             those.append(self.me)
-        return nsmallest(count, those, key=lambda token: mixed(token ^ self.salt))
+        return nsmallest(count, those, key=lambda token: mix64(token ^ self.salt))
 
     def subscriptions(self):
         """Whom to follow this beat, and what for: {token: Reads}."""
@@ -81,25 +81,25 @@
 
     def forget_but(self, wanted):
         """Drop those that are not followed any more, once their flaw is of no use."""
-        now = self.agenda.now
+        now = self.timers.now
         for token, source in list(self.sources.items()):
             asked = source.owes or source.at or 0
             if token not in wanted and source.bad_until <= now and now - asked > UNASKED:
                 del self.sources[token]
 
     def in_vain(self):
-        return self.roles.tries_since is not None and self.agenda.now - self.roles.tries_since > TURN
+        return self.roles.tries_since is not None and self.timers.now - self.roles.tries_since > TURN
 
     def first_gone(self):
         """Whether one of the first by hash has been silent for so long that it is not a few lost
         datagrams.
         """
         silent = [self.sources[token].owes for token in self.first if token in self.sources]
-        return any(since and self.agenda.now - since > TURN for since in silent)
+        return any(since and self.timers.now - since > TURN for since in silent)
 
     def flaw_of(self, source):
         """Why one is not to be relied on, or None."""
-        now, terms = self.agenda.now, self.terms
+        now, terms = self.timers.now, self.terms
         if source is None:
             return None
         if source.bad_until > now:
@@ -114,7 +114,7 @@
 
     def told_by_others(self):
         """Whether one that is followed is at work: it is up to date, or calls for the whole zone."""
-        now, terms = self.agenda.now, self.terms
+        now, terms = self.timers.now, self.terms
         for token in self.chosen:
             source = self.sources.get(token)
             if (
--- a/limepath/duties/check.py
+++ b/limepath/duties/check.py
@@ -12,20 +12,20 @@
 import time
 from typing import NamedTuple
 
-from limepath.agenda import Agenda
 from limepath.duties.interface import Keep, Leasing
 from limepath.duties.leases import Leases, Voter
 from limepath.report_table import Row, at_most
+from limepath.timer_queue import TimerQueue
 
 SPAN, DRIFT = 1_000_000, 0.01
 DOUBLED, CRASHED = 1, 1  # how often in one history
 SLOT = (0, 0)
 
 
-class Even(Agenda):
+class Even(TimerQueue):
     """Chance is of no interest here: half, always."""
 
-    def chance(self):
+    def random_fraction(self):
         return 0.5
 
 
@@ -47,10 +47,10 @@
 
     def begin(self, now, restarted):
         self.life += 1
-        self.agenda = Even(0)
-        self.agenda.now = self.clock(now)
+        self.timers = Even(0)
+        self.timers.now = self.clock(now)
         self.leases = Leases(
-            self.agenda,
+            self.timers,
             self.names[self.index],
             self.index * 100 + self.life,
             Leasing(tuple(self.names), SPAN, DRIFT, 1),
@@ -86,7 +86,7 @@
             self.out = [one for one in self.out if one[1] != self.index]
             for _, _, door, message in own:
                 self.leases.heard(self.names[self.index], door, message)
-        for order in self.agenda.taken():
+        for order in self.timers.take_commands():
             if isinstance(order, Keep):
                 self.ceiling = order.ceiling
         sent, self.out = self.out, []
@@ -94,19 +94,19 @@
 
     def due(self):
         """When it has something to do next, in the time that all share."""
-        return int(self.agenda.next() / self.rate) + 1
+        return int(self.timers.next_due() / self.rate) + 1
 
     def turn(self, now):
-        self.agenda.run(self.clock(now))
+        self.timers.run_due(self.clock(now))
         return self.settle()
 
     def hear(self, now, source, door, message):
-        self.agenda.now = self.clock(now)
+        self.timers.now = self.clock(now)
         self.leases.heard(self.names[source], door, message)
         return self.settle()
 
     def holds(self, now):
-        self.agenda.now = self.clock(now)
+        self.timers.now = self.clock(now)
         return self.leases.may(*SLOT) is not None
 
     def mark(self, now):
@@ -140,7 +140,7 @@
                         call.__name__,
                         str([number - one if isinstance(one, int) else 0 for one in said]),
                     )
-                    for when, _, call, said in self.agenda.due
+                    for when, call, said in self.timers.pending()
                 )
             ),
         )
--- a/limepath/duties/host.py
+++ b/limepath/duties/host.py
@@ -174,9 +174,9 @@
     def reach(self, token, message):
         """Send a message of another logic to one that lives."""
         members = self.instance.members
-        members.agenda.now = clock()
+        members.timers.now = clock()
         members.reach(token, message)
-        for order in members.agenda.taken():
+        for order in members.timers.take_commands():
             self.line.send(members.me, order)
 
     # Between the instance and the front
@@ -230,7 +230,7 @@
     def probe(self, order):
         """The module asks for a probe: what is learnt already serves, as far as the module takes it."""
         self.counts["probes_asked"] += 1
-        self.instance.agenda.now = clock()
+        self.instance.timers.now = clock()
         if shared := self.instance.answer(order.cache, order.oldest):
             self.counts["probes_shared"] += 1
             self.turn.gather(self.report_of(shared))
@@ -286,7 +286,7 @@
 
     def shown(self):
         """What `limepath peers show` asks for."""
-        self.instance.agenda.now = clock()
+        self.instance.timers.now = clock()
         view = self.instance.view()._asdict()
         view["counts"] |= (
             self.counts
--- a/limepath/duties/instance.py
+++ b/limepath/duties/instance.py
@@ -7,7 +7,6 @@
 from collections import Counter
 from typing import NamedTuple
 
-from limepath.agenda import Agenda
 from limepath.duties.interface import (
     AskEpochs,
     Claim,
@@ -26,6 +25,7 @@
 from limepath.duties.rounds import Rounds
 from limepath.membership.interface import NEWEST, Depart, Departed, GiveWay, Heard, Joined, Parted, Passed
 from limepath.membership.members import Members
+from limepath.timer_queue import TimerQueue
 
 FEW = 3  # changes of the view that are taken in at once; for more it waits, as far as GATHERED goes
 REBUILD = 16  # changes cost less than a ring built anew up to this part of its members
@@ -45,10 +45,10 @@
 class Shares:
     """One duty's share: the targets, whose they are, the rounds."""
 
-    def __init__(self, agenda, duty, plan, slots, leases):
+    def __init__(self, timers, duty, plan, slots, leases):
         self.duty, self.plan, self.slots, self.leases = duty, plan, slots, leases
         self.keyed, self.stale = [], True
-        self.rounds = Rounds(agenda, duty, plan, self.allowed)
+        self.rounds = Rounds(timers, duty, plan, self.allowed)
 
     def allowed(self, target):
         if self.plan.mode == Mode.AT_LEAST_ONCE:
@@ -79,14 +79,19 @@
 
     def __init__(self, me, seeds, spans, plans, leasing, seed, ceiling=0, sure=True, speaks=NEWEST):
         self.members = Members(me, seeds, spans, seed, speaks)
-        self.agenda, self.plans, self.leasing, self.token = Agenda(seed ^ 0x5EED), plans, leasing, me.token
+        self.timers, self.plans, self.leasing, self.token = (
+            TimerQueue(seed ^ 0x5EED),
+            plans,
+            leasing,
+            me.token,
+        )
         self.whole, self.names, self.over, self.leaving = Ring.of([me.token]), {}, False, False
         self.came, self.went, self.divided = [], [], None
         leased = [duty for duty, plan in enumerate(plans) if plan.mode == Mode.ONE_OWNER]
         self.slot_keys = [(key_of(slot + 1), slot) for slot in range(leasing.slots)]
         self.leases = (
             Leases(
-                self.agenda,
+                self.timers,
                 me.name,
                 me.door,
                 leasing,
@@ -101,10 +106,10 @@
             else None
         )
         self.shares = [
-            Shares(self.agenda, duty, plan, leasing.slots, self.leases) for duty, plan in enumerate(plans)
+            Shares(self.timers, duty, plan, leasing.slots, self.leases) for duty, plan in enumerate(plans)
         ]
         self.learnt = Learnt(
-            self.agenda,
+            self.timers,
             me.token,
             [plan.interval for plan in plans],
             leasing,
@@ -116,7 +121,7 @@
     # The host's side
 
     def start(self, now):
-        self.agenda.now = now
+        self.timers.now = now
         if self.leases:
             self.leases.start()
         return self.settle(now, self.members.start(now))
@@ -129,7 +134,7 @@
         orders = self.settle(now, self.members.handle(now, peers))
         if len(peers) == len(notes):
             return orders
-        self.agenda.now = now
+        self.timers.now = now
         for note in notes:
             if isinstance(note, Served):
                 self.served(note)
@@ -139,7 +144,7 @@
 
     def next(self):
         """When to call `handle` again at the latest, or None."""
-        dues = [due for due in (self.members.next(), self.agenda.next()) if due is not None]
+        dues = [due for due in (self.members.next(), self.timers.next_due()) if due is not None]
         return min(dues) if dues and not self.over else None
 
     def answer(self, target, oldest):
@@ -149,7 +154,7 @@
     def set_out(self, others):
         """Know these from the start, without joining by messages."""
         self.members.known(others)
-        for one in self.members.agenda.taken():
+        for one in self.members.timers.take_commands():
             if isinstance(one, Joined):
                 self.joined(one.news)
 
@@ -160,7 +165,7 @@
         left.
         """
         out = []
-        self.agenda.now = now
+        self.timers.now = now
         while True:
             for order in orders:
                 if isinstance(order, Passed) and self.passed(order.sender, order.message):
@@ -178,25 +183,25 @@
             while self.looped:
                 message = self.looped.pop(0)
                 self.leases.heard(self.members.me.name, self.members.me.door, message)
-            self.agenda.run(now)
+            self.timers.run_due(now)
             for share in self.shares:
                 if share.stale and not self.leaving and self.may_divide():
                     share.divide(self.ring, self.token)
-            self.agenda.run(now)
-            for order in self.agenda.taken():
+            self.timers.run_due(now)
+            for order in self.timers.take_commands():
                 if isinstance(order, Reach):
                     self.members.reach(order.token, order.message)
                 else:
                     out.append(order)
-            orders = self.members.agenda.taken()
+            orders = self.members.timers.take_commands()
             if not orders and not self.looped:
                 return out
 
     def may_divide(self):
-        now = self.agenda.now
+        now = self.timers.now
         if len(self.came) + len(self.went) > FEW:
             if self.divided is not None and now < self.divided + GATHERED:
-                self.agenda.at(self.divided + GATHERED, int)  # looked at again then
+                self.timers.schedule(self.divided + GATHERED, int)  # looked at again then
                 return False
             self.divided = now
         return True
@@ -259,7 +264,7 @@
     def served(self, note):
         """This instance's own result, of a round or because the decision module asked."""
         self.learnt.own(note.duty, note.target, note.verdict, note.took, note.load)
-        self.shares[note.duty].rounds.served(note.target, self.agenda.now - note.took)
+        self.shares[note.duty].rounds.served(note.target, self.timers.now - note.took)
 
     def leave(self):
         """Hand over before going: leases back, no more rounds."""
@@ -271,7 +276,7 @@
 
     def view(self):
         """The instance's view as plain values, for the control socket."""
-        members, now = self.members, self.agenda.now
+        members, now = self.members, self.timers.now
         duties = []
         for share in self.shares:
             told = {
--- a/limepath/duties/learnt.py
+++ b/limepath/duties/learnt.py
@@ -20,8 +20,8 @@
 class Learnt:
     """All that one instance knows of results; `intervals` are those of the duties, by index."""
 
-    def __init__(self, agenda, me, intervals, leasing, live, is_live):
-        self.agenda, self.me, self.intervals, self.leasing = agenda, me, intervals, leasing
+    def __init__(self, timers, me, intervals, leasing, live, is_live):
+        self.timers, self.me, self.intervals, self.leasing = timers, me, intervals, leasing
         self.live, self.is_live, self.serial = live, is_live, 0
         self.known, self.rumours, self.counts = {}, {}, Counter()
         self.going = False
@@ -30,7 +30,7 @@
         """Keep a result of this instance's own and begin to spread it."""
         self.serial += 1
         result = Result(duty, target, self.me, self.serial, 0, verdict, took, load)
-        self.keep(result, self.agenda.now)
+        self.keep(result, self.timers.now)
         self.spread(result)
 
     def keep(self, result, at):
@@ -51,10 +51,10 @@
             self.rumours[result.duty, result.target] = rounds
             if not self.going:
                 self.going = True
-                self.agenda.at(self.agenda.now + self.leasing.batch, self.flush)
+                self.timers.schedule(self.timers.now + self.leasing.batch, self.flush)
 
     def flush(self):
-        live, now = self.live(), self.agenda.now
+        live, now = self.live(), self.timers.now
         self.going = bool(self.rumours)
         if not self.rumours:
             return
@@ -67,16 +67,18 @@
                 del self.rumours[key]
             if held:
                 said.append(held[0][0]._replace(age=now - held[0][1]))
-        others = live if len(live) <= NEARBY else self.agenda.some(live, min(self.leasing.copies, len(live)))
+        others = (
+            live if len(live) <= NEARBY else self.timers.sample(live, min(self.leasing.copies, len(live)))
+        )
         for at in range(0, len(said), CARRIED):
             message = Results(tuple(said[at : at + CARRIED]))
             for token in others:
-                self.agenda.order(Reach(token, message))
-        self.agenda.at(now + self.leasing.batch, self.flush)
+                self.timers.emit(Reach(token, message))
+        self.timers.schedule(now + self.leasing.batch, self.flush)
 
     def heard(self, results):
         """Take others' results in; give those that are new."""
-        new, known, now, counts = [], self.known, self.agenda.now - IN_FLIGHT, self.counts
+        new, known, now, counts = [], self.known, self.timers.now - IN_FLIGHT, self.counts
         for result in results:
             duty, target, prober, serial, age, *_ = result
             held = known.get((duty, target))
@@ -99,7 +101,7 @@
                 if self.known[result.duty, result.target][0][0] is result:
                     self.spread(result)
                 counts["new"] += 1
-                self.agenda.order(Shared(result))
+                self.timers.emit(Shared(result))
                 new.append((result, at))
         return new
 
@@ -117,7 +119,7 @@
 
         A failure that one prober alone has met may be of its own way there; it does not serve.
         """
-        now, fresh = self.agenda.now, []
+        now, fresh = self.timers.now, []
         for duty, interval in enumerate(self.intervals):
             fresh += [
                 (result, at)
--- a/limepath/duties/leases.py
+++ b/limepath/duties/leases.py
@@ -38,28 +38,28 @@
 class Voter:
     """Grants and denies. `ceiling` and `sure` come from the store; `holder` names one life of an instance."""
 
-    def __init__(self, agenda, leasing, others, ceiling, sure):
-        self.agenda, self.leasing, self.others, self.sure = agenda, leasing, others, sure
+    def __init__(self, timers, leasing, others, ceiling, sure):
+        self.timers, self.leasing, self.others, self.sure = timers, leasing, others, sure
         self.floor = self.ceiling = ceiling
         self.grants, self.mute_until = {}, None
         self.asked, self.told = 0, {}
 
     def begin(self, reach):
         """A lease that was granted before this start may hold: grant nothing for as long."""
-        self.mute_until = self.agenda.now + silence(self.leasing)
+        self.mute_until = self.timers.now + silence(self.leasing)
         self.ask(reach)
 
     def votes(self):
-        return self.sure and self.agenda.now >= self.mute_until
+        return self.sure and self.timers.now >= self.mute_until
 
     def stands(self, grant):
-        return self.agenda.now < grant.until
+        return self.timers.now < grant.until
 
     def claimed(self, holder, claim):
         """Give the Vote on a claim, or None while this voter grants nothing."""
         if not self.votes():
             return None
-        now, granted, denied = self.agenda.now, [], []
+        now, granted, denied = self.timers.now, [], []
         for slot, epoch in claim.slots:
             key = claim.duty, slot
             grant = self.grants.get(key)
@@ -72,7 +72,7 @@
             elif epoch > highest:
                 if epoch > self.ceiling:
                     self.ceiling = epoch + BLOCK
-                    self.agenda.order(Keep(self.ceiling))
+                    self.timers.emit(Keep(self.ceiling))
                 self.grants[key] = Grant(holder, epoch, now + self.leasing.span)
                 granted.append(slot)
             else:
@@ -83,7 +83,7 @@
         for slot, epoch in message.slots:
             grant = self.grants.get((message.duty, slot))
             if grant and (grant.holder, grant.epoch) == (holder, epoch):
-                grant.until = self.agenda.now
+                grant.until = self.timers.now
 
     def highest(self):
         return max([self.ceiling, *(grant.epoch for grant in self.grants.values())])
@@ -97,7 +97,7 @@
         self.asked += 1
         for name in self.others:
             reach(name, AskEpochs(self.asked))
-        self.agenda.at(self.agenda.now + claim_every(self.leasing), self.ask, reach)
+        self.timers.schedule(self.timers.now + claim_every(self.leasing), self.ask, reach)
 
     def answered(self, name, message):
         """Enough: so many sure ones that each majority holds one of them, or all there are (a new fleet)."""
@@ -112,7 +112,7 @@
     def learn(self):
         self.ceiling = max([self.ceiling, *(one.ceiling for one in self.told.values())])
         self.floor, self.sure = self.ceiling, True
-        self.agenda.order(Keep(self.ceiling))
+        self.timers.emit(Keep(self.ceiling))
 
 
 class Lease:
@@ -137,9 +137,9 @@
     voter.
     """
 
-    def __init__(self, agenda, name, door, leasing, duties, wanted, changed, reach, ceiling=0, sure=True):
-        self.agenda, self.name, self.door, self.leasing, self.duties = (
-            agenda,
+    def __init__(self, timers, name, door, leasing, duties, wanted, changed, reach, ceiling=0, sure=True):
+        self.timers, self.name, self.door, self.leasing, self.duties = (
+            timers,
             name,
             door,
             leasing,
@@ -147,7 +147,7 @@
         )
         self.wanted, self.changed, self.reach = wanted, changed, reach
         others = [voter for voter in leasing.voters if voter != name]
-        self.voter = Voter(agenda, leasing, others, ceiling, sure) if name in leasing.voters else None
+        self.voter = Voter(timers, leasing, others, ceiling, sure) if name in leasing.voters else None
         self.majority = len(leasing.voters) // 2 + 1
         self.held, self.claims, self.seen, self.blocked, self.round = {}, {}, {}, {}, 0
         self.leaving = False
@@ -155,16 +155,16 @@
     def start(self):
         if self.voter:
             self.voter.begin(self.reach)
-        first = int(self.agenda.chance() * claim_every(self.leasing))
-        self.agenda.at(self.agenda.now + first, self.claim)
+        first = int(self.timers.random_fraction() * claim_every(self.leasing))
+        self.timers.schedule(self.timers.now + first, self.claim)
 
     def may(self, duty, slot):
         """(epoch, until) of the lease that holds now, else None."""
         lease = self.held.get((duty, slot))
-        return (lease.epoch, lease.until) if lease and self.agenda.now < lease.until else None
+        return (lease.epoch, lease.until) if lease and self.timers.now < lease.until else None
 
     def slots_held(self, duty):
-        now = self.agenda.now
+        now = self.timers.now
         return {slot for (of, slot), lease in self.held.items() if of == duty and now < lease.until}
 
     def claim(self):
@@ -173,8 +173,8 @@
         """
         if self.leaving:
             return
-        now = self.agenda.now
-        self.agenda.at(now + claim_every(self.leasing), self.claim)
+        now = self.timers.now
+        self.timers.schedule(now + claim_every(self.leasing), self.claim)
         self.lapse()
         for duty in self.duties:
             wanted, slots = set(self.wanted(duty)), []
@@ -192,11 +192,11 @@
 
     def ask(self, duty, slots):
         self.round += 1
-        self.claims[self.round] = Claiming(self.agenda.now, duty, slots)
+        self.claims[self.round] = Claiming(self.timers.now, duty, slots)
         message = Claim(duty, self.round, tuple(slots))
         for voter in self.leasing.voters:
             self.reach(voter, message)
-        self.agenda.at(self.agenda.now + claim_every(self.leasing) - 1, self.closed, self.round)
+        self.timers.schedule(self.timers.now + claim_every(self.leasing) - 1, self.closed, self.round)
 
     def closed(self, number):
         """What no majority has granted by now is given back, so that a split vote does not block the slot."""
@@ -206,8 +206,8 @@
         lost = [(slot, epoch) for slot, epoch in one.slots.items() if (one.duty, slot) not in self.held]
         for slot, epoch in lost:
             self.seen[one.duty, slot] = max(epoch, self.seen.get((one.duty, slot), 0))
-            wait = int(self.agenda.chance() * claim_every(self.leasing))
-            self.blocked[one.duty, slot] = max(self.blocked.get((one.duty, slot), 0), self.agenda.now + wait)
+            wait = int(self.timers.random_fraction() * claim_every(self.leasing))
+            self.blocked[one.duty, slot] = max(self.blocked.get((one.duty, slot), 0), self.timers.now + wait)
         self.release(one.duty, lost)
 
     def release(self, duty, slots):
@@ -232,7 +232,7 @@
                 key = vote.duty, slot
                 self.seen[key] = max(epoch, self.seen.get(key, 0))
                 self.blocked[key] = max(
-                    self.blocked.get(key, 0), self.agenda.now + min(left, self.leasing.span)
+                    self.blocked.get(key, 0), self.timers.now + min(left, self.leasing.span)
                 )
         fresh, until = False, one.sent + held_for(self.leasing)
         for slot in vote.granted:
@@ -240,7 +240,7 @@
                 continue
             voters = one.votes.setdefault(slot, set())
             voters.add(name)
-            if len(voters) < self.majority or until <= self.agenda.now or self.leaving:
+            if len(voters) < self.majority or until <= self.timers.now or self.leaving:
                 continue
             key, epoch = (vote.duty, slot), one.slots[slot]
             lease = self.held.get(key)
@@ -258,7 +258,7 @@
 
     def lapse(self):
         """Leases that have run out are gone, and with them their epochs."""
-        over = [key for key, lease in self.held.items() if lease.until <= self.agenda.now]
+        over = [key for key, lease in self.held.items() if lease.until <= self.timers.now]
         for key in over:
             self.seen[key] = max(self.held.pop(key).epoch, self.seen.get(key, 0))
         for duty in sorted({duty for duty, _ in over}):
--- a/limepath/duties/ring.py
+++ b/limepath/duties/ring.py
@@ -9,7 +9,7 @@
 from collections import OrderedDict
 from functools import lru_cache
 
-from limepath.agenda import MIX, mixed
+from limepath.hashing import MASK_64, mix64
 
 POINTS = 32
 KEPT, KEPT_PLACES = 64, 400_000  # rings of other views that are kept at most, and their places in all
@@ -18,11 +18,11 @@
 
 @lru_cache(CACHED)
 def places(token):
-    return tuple(sorted(mixed(token ^ mixed(i + 1)) for i in range(POINTS)))
+    return tuple(sorted(mix64(token ^ mix64(i + 1)) for i in range(POINTS)))
 
 
 def key_of(target):
-    return mixed(target ^ 0xD1B54A32D192ED03)
+    return mix64(target ^ 0xD1B54A32D192ED03)
 
 
 class Ring:
@@ -36,7 +36,7 @@
 
     def changed(self, went, came):
         """The ring without those that went and with those that came."""
-        digest = self.digest - sum(map(mixed, went)) + sum(map(mixed, came)) & MIX
+        digest = self.digest - sum(map(mix64, went)) + sum(map(mix64, came)) & MASK_64
         key = digest, self.members - len(went) + len(came)
         if key in Ring.kept:
             Ring.kept.move_to_end(key)
@@ -69,7 +69,7 @@
     @staticmethod
     def of(tokens):
         """The ring of all these, built at once."""
-        key = sum(map(mixed, tokens)) & MIX, len(tokens)
+        key = sum(map(mix64, tokens)) & MASK_64, len(tokens)
         if key not in Ring.kept:
             both = sorted((place, token) for token in tokens for place in places(token))
             return Ring.keep(key, Ring([place for place, _ in both], [token for _, token in both], *key))
@@ -93,10 +93,11 @@
                 return found  # it is not on this ring
             below = self.places[at - 1] if at else self.places[-1]
             if at:
-                found += keyed[bisect_right(keyed, (below, MIX)) : bisect_right(keyed, (place, MIX))]
+                found += keyed[bisect_right(keyed, (below, MASK_64)) : bisect_right(keyed, (place, MASK_64))]
             else:
                 found += (
-                    keyed[bisect_right(keyed, (below, MIX)) :] + keyed[: bisect_right(keyed, (place, MIX))]
+                    keyed[bisect_right(keyed, (below, MASK_64)) :]
+                    + keyed[: bisect_right(keyed, (place, MASK_64))]
                 )
         return [target for _, target in found]
 
--- a/limepath/duties/rounds.py
+++ b/limepath/duties/rounds.py
@@ -4,8 +4,8 @@
 or after this instance stood still, is due within half an interval, at a place of its own.
 """
 
-from limepath.agenda import mixed
 from limepath.duties.interface import Serve
+from limepath.hashing import mix64
 
 LATE = 4  # a part of the interval by which a round may be late before it counts as missed
 CATCH_UP = 2  # a part of the interval over which missed rounds are spread
@@ -17,15 +17,15 @@
 class Rounds:
     """One duty at one instance. `allowed(target)` gives (epoch, until) while it may be served, else None."""
 
-    def __init__(self, agenda, duty, plan, allowed):
-        self.agenda, self.duty, self.plan, self.allowed = agenda, duty, plan, allowed
+    def __init__(self, timers, duty, plan, allowed):
+        self.timers, self.duty, self.plan, self.allowed = timers, duty, plan, allowed
         self.owned, self.due, self.last, self.version = set(), {}, {}, 0
-        self.salt = mixed(agenda.seed + duty)
+        self.salt = mix64(timers.seed + duty)
         self.missed = 0
 
     def place(self, target, span):
         """A place of its own in a span, other for each instance."""
-        return mixed(target ^ self.salt) * span >> 64
+        return mix64(target ^ self.salt) * span >> 64
 
     def own(self, targets):
         """These are this instance's from now on, and no others."""
@@ -43,7 +43,7 @@
                 del known[target]
 
     def take(self, target):
-        now, interval = self.agenda.now, self.plan.interval
+        now, interval = self.timers.now, self.plan.interval
         due = self.due.get(target)
         if (last := self.last.get(target)) is not None:
             due = max(last + interval, due or 0) if due is None or last + interval > due else due
@@ -56,19 +56,19 @@
 
     def plan_at(self, target, due):
         self.due[target] = due
-        self.agenda.at(due, self.fire, target, due)
+        self.timers.schedule(due, self.fire, target, due)
 
     def fire(self, target, due):
         if self.due.get(target) != due or target not in self.owned:
             return
-        now, interval = self.agenda.now, self.plan.interval
+        now, interval = self.timers.now, self.plan.interval
         if now - due > interval // LATE:  # this instance stood still
             self.missed += 1
             return self.plan_at(target, now + self.place(target, interval // CATCH_UP))
         if (leave := self.allowed(target)) is None:
             return self.plan_at(target, now + interval // PRESSED)
         self.last[target] = now
-        self.agenda.order(Serve(self.duty, target, *leave))
+        self.timers.emit(Serve(self.duty, target, *leave))
         self.plan_at(target, due + interval)
 
     def served(self, target, at):
--- a/limepath/duties/saving.py
+++ b/limepath/duties/saving.py
@@ -142,7 +142,7 @@
     def probe(self, index, order):
         node = self.nodes[index]
         if self.way == SHARED:
-            node.instance.agenda.now = node.clock()
+            node.instance.timers.now = node.clock()
             if shared := node.instance.answer(order.cache, order.oldest):
                 return self.at(self.now + 1, self.tell, index, self.report_of(shared))
         self.asked[index].add(order.cache)
--- a/limepath/frequency_exchange/newcomer.py
+++ b/limepath/frequency_exchange/newcomer.py
@@ -1,6 +1,5 @@
 """Whom a newcomer asks for counts, what it takes, and what it tells others. Free of I/O."""
 
-from limepath.agenda import Agenda
 from limepath.frequency_exchange.interface import (
     CARRIED,
     LARGEST,
@@ -13,6 +12,7 @@
     Reach,
     Tally,
 )
+from limepath.timer_queue import TimerQueue
 
 FIRST, ANSWER_TIMEOUT = 500_000, 1_000_000  # microseconds until it asks; for an answer
 TRIES = 4  # fronts that are asked in all
@@ -25,17 +25,17 @@
     """`live()` are the others that live."""
 
     def __init__(self, seed, live):
-        self.agenda, self.live = Agenda(seed), live
+        self.timers, self.live = TimerQueue(seed), live
         self.asked, self.tries, self.parts, self.done = None, 0, {}, False
         self.counted_at, self.answers, self.second = None, 0, 0
         self.counts = {"asked": 0, "learnt": 0, "told": 0, "refused": 0}
 
     def start(self, now):
-        self.agenda.now = now
-        self.agenda.at(now + int(FIRST * (1 + self.agenda.chance())), self.ask)
+        self.timers.now = now
+        self.timers.schedule(now + int(FIRST * (1 + self.timers.random_fraction())), self.ask)
 
     def handle(self, now, notes=()):
-        self.agenda.run(now)
+        self.timers.run_due(now)
         for note in notes:
             if isinstance(note, Counted):
                 self.tell(note)
@@ -43,10 +43,10 @@
                 self.asked_by(note.token)
             elif isinstance(note, FromPeer):
                 self.take(note.token, note.message)
-        return self.agenda.taken()
+        return self.timers.take_commands()
 
     def next(self):
-        return self.agenda.next()
+        return self.timers.next_due()
 
     def saw_get(self, now):
         """A GET was counted."""
@@ -61,10 +61,10 @@
         live = self.live()
         if live:
             self.tries += 1
-            self.asked, self.parts = self.agenda.some(live, 1)[0], {}
+            self.asked, self.parts = self.timers.sample(live, 1)[0], {}
             self.counts["asked"] += 1
-            self.agenda.order(Reach(self.asked, AskTally()))
-        self.agenda.at(self.agenda.now + ANSWER_TIMEOUT, self.ask)
+            self.timers.emit(Reach(self.asked, AskTally()))
+        self.timers.schedule(self.timers.now + ANSWER_TIMEOUT, self.ask)
 
     def take(self, token, message):
         """A part of the summary asked for; what is out of bounds is refused whole, what is missing is done
@@ -90,23 +90,23 @@
         self.done = len(self.parts) == message.of
         worth = 0.5 ** (message.age / HALF)
         self.counts["learnt"] += len(message.counts)
-        self.agenda.order(Learn(tuple((obj, part, count * worth) for obj, part, count in message.counts)))
+        self.timers.emit(Learn(tuple((obj, part, count * worth) for obj, part, count in message.counts)))
 
     # Telling
 
     def asked_by(self, token):
         """At most ASKED a second, whatever a fleet that starts at once asks of one."""
-        second = self.agenda.now // 1_000_000
+        second = self.timers.now // 1_000_000
         if second != self.second:
             self.second, self.answers = second, 0
         self.answers += 1
         if self.answers <= ASKED:
-            self.agenda.order(Ask(token, MOST))
+            self.timers.emit(Ask(token, MOST))
 
     def tell(self, note):
         counts = note.counts[:MOST] if self.counted_at is not None else ()
-        age = 0 if self.counted_at is None else self.agenda.now - self.counted_at
+        age = 0 if self.counted_at is None else self.timers.now - self.counted_at
         parts = [counts[at : at + CARRIED] for at in range(0, len(counts), CARRIED)] or [()]
         for at, part in enumerate(parts):
             self.counts["told"] += len(part)
-            self.agenda.order(Reach(note.token, Tally(age, tuple(part), at, len(parts))))
+            self.timers.emit(Reach(note.token, Tally(age, tuple(part), at, len(parts))))
--- a/limepath/front/start.py
+++ b/limepath/front/start.py
@@ -12,7 +12,7 @@
 from twisted.internet.task import LoopingCall
 from twisted.logger import globalLogBeginner
 
-from limepath import early_signals as early
+from limepath import early_signals
 from limepath.choice import Front
 from limepath.configuration import platform as opening
 from limepath.configuration.ini import BadSetting
@@ -31,7 +31,7 @@
     """Act on these signals from now on, and on those that came during the start."""
     for number in numbers:
         signal.signal(number, lambda *_: reactor.callFromThread(act))
-    if not early.held.isdisjoint(numbers):
+    if not early_signals.held.isdisjoint(numbers):
         reactor.callFromThread(act)
 
 
@@ -155,7 +155,7 @@
         flawed.append(f"listen: {failure.value.socketError}")
         reactor.callWhenRunning(reactor.stop)
 
-    early.hold()
+    early_signals.hold()
     try:
         shared = secured = None
         if tls:
--- a/limepath/logic_host.py
+++ b/limepath/logic_host.py
@@ -1,6 +1,6 @@
 """Runs a logic without I/O on a reactor: events gathered for one pass, commands carried out, one timer.
 
-A logic is handed the time and events and answers with commands (see `limepath.agenda`). Hosts that own
+A logic is handed the time and events and answers with commands (see `limepath.timer_queue`). Hosts that own
 sockets and files keep a LogicHost beside them: gathering, failures and the timer are handled in one place.
 """
 
--- a/limepath/membership/checks.py
+++ b/limepath/membership/checks.py
@@ -32,7 +32,7 @@
     """`members` sends, knows the view, and has the suspicions to which one that missed its check goes."""
 
     def __init__(self, members):
-        self.members, self.view, self.agenda = members, members.view, members.agenda
+        self.members, self.view, self.timers = members, members.view, members.timers
         self.spans = members.spans
         self.pending, self.relayed = {}, {}
         self.round, self.sequence, self.missed = [], 0, 0
@@ -54,7 +54,7 @@
             while self.round and not self.view.is_live(self.round[-1]):
                 self.round.pop()
             if not self.round:
-                self.round = self.agenda.some(ring, len(ring))
+                self.round = self.timers.sample(ring, len(ring))
             second = self.round.pop()
         return dict.fromkeys((first, second))
 
@@ -62,14 +62,14 @@
         """Ping one; ask others, then suspect it, as its answer stays out."""
         stretch = 1 + self.missed
         sequence = self.ping(news)
-        self.agenda.at(self.agenda.now + self.spans.direct * stretch, self.unanswered, sequence)
-        self.agenda.at(self.agenda.now + self.spans.period * stretch, self.failed, sequence)
+        self.timers.schedule(self.timers.now + self.spans.direct * stretch, self.unanswered, sequence)
+        self.timers.schedule(self.timers.now + self.spans.period * stretch, self.failed, sequence)
 
     def check_last(self, news, over, *said):
         """Ping a suspect that is about to be declared dead; `over(*said)` is called a period later."""
         sequence = self.ping(news)  # the news on it bears the suspicion: it can refute
-        self.agenda.at(self.agenda.now + self.spans.direct, self.unanswered, sequence)
-        self.agenda.at(self.agenda.now + self.spans.period, self.checked_last, sequence, over, said)
+        self.timers.schedule(self.timers.now + self.spans.direct, self.unanswered, sequence)
+        self.timers.schedule(self.timers.now + self.spans.period, self.checked_last, sequence, over, said)
 
     def checked_last(self, sequence, over, said):
         self.pending.pop(sequence, None)
@@ -86,7 +86,7 @@
         if (news := self.pending.get(sequence)) is None or not self.view.is_live(news.token):
             return
         others = Without(self.view.ring, bisect_left(self.view.ring, news.token))
-        for token in self.agenda.some(others, min(self.spans.indirect, len(others))):
+        for token in self.timers.sample(others, min(self.spans.indirect, len(others))):
             self.members.send(self.view.table[token], PingFor(sequence, news, self.members.told(token)))
 
     def failed(self, sequence):
@@ -128,6 +128,6 @@
             return
         self.sequence += 1
         self.relayed[self.sequence] = sender, message.seq
-        until = self.agenda.now + self.spans.period * (1 + MOST_MISSED)
-        self.agenda.at(until, self.relayed.pop, self.sequence, None)
+        until = self.timers.now + self.spans.period * (1 + MOST_MISSED)
+        self.timers.schedule(until, self.relayed.pop, self.sequence, None)
         self.members.ping(about, self.sequence)
--- a/limepath/membership/digests.py
+++ b/limepath/membership/digests.py
@@ -1,6 +1,6 @@
 """Digests of a view: one of the whole and one for each range of tokens, kept up with each change."""
 
-from limepath.agenda import MIX, mixed
+from limepath.hashing import MASK_64, mix64
 
 BUCKETS = 32  # ranges of tokens, each with a digest, so that of two views only what differs is pulled
 TOKEN_BITS = 63
@@ -9,7 +9,7 @@
 
 def digest_of(news):
     """64 bits that stand for one instance at one incarnation."""
-    return mixed(news.token ^ news.incarnation * INCARNATION_SPREAD & MIX)
+    return mix64(news.token ^ news.incarnation * INCARNATION_SPREAD & MASK_64)
 
 
 def bucket_of(token):
--- a/limepath/membership/interface.py
+++ b/limepath/membership/interface.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from limepath.agenda import MIX, mixed
+from limepath.hashing import MASK_64, mix64
 
 REFUTALS = 20  # bits
 GENERATION, NEWEST = 1, 3  # of what is spoken; version 2 brought the digest of the view, 3 digests by range
@@ -42,7 +42,7 @@
     @property
     def door(self):
         """Names this life of this instance: what is meant for another is told from what is meant for it."""
-        return mixed(self.token ^ self.life * 0x9E3779B97F4A7C15 & MIX) or 1
+        return mix64(self.token ^ self.life * 0x9E3779B97F4A7C15 & MASK_64) or 1
 
 
 class Spans(NamedTuple):
--- a/limepath/membership/joining.py
+++ b/limepath/membership/joining.py
@@ -15,17 +15,17 @@
     """`seeds` are addresses."""
 
     def __init__(self, members, seeds):
-        self.members, self.view, self.agenda = members, members.view, members.agenda
+        self.members, self.view, self.timers = members, members.view, members.timers
         self.direct, self.period = members.spans.direct, members.spans.period
         self.seeds, self.greeted = tuple(seeds), {}
 
     def start(self):
-        for address in self.agenda.some(self.seeds, min(MOST_SEEDS, len(self.seeds))):
+        for address in self.timers.sample(self.seeds, min(MOST_SEEDS, len(self.seeds))):
             self.greet(*address)
 
     def greet(self, host, port):
         """Hello, once a `direct` span to one address and so many a period in all."""
-        me, now, last = self.view.me, self.agenda.now, self.greeted.get((host, port))
+        me, now, last = self.view.me, self.timers.now, self.greeted.get((host, port))
         if (host, port) == (me.host, me.port) or self.members.over:
             return
         if last is None:
@@ -35,24 +35,24 @@
         if refused:
             return
         self.greeted[host, port] = now
-        self.agenda.order(Send(host, port, 0, Hello()))
+        self.timers.emit(Send(host, port, 0, Hello()))
 
     def period_over(self):
         """Forget to whom Hello was said longer than a period ago."""
-        now = self.agenda.now
+        now = self.timers.now
         self.greeted = {address: at for address, at in self.greeted.items() if now - at < self.period}
 
     def seek(self):
         """Hello to a seed or to one declared dead: two halves that lost each other find together again."""
         lost = [(news.host, news.port) for news in self.view.buried.values() if news.state == State.DEAD]
         lost += [address for address in self.seeds if not self.view.at_seeds[address]]
-        for address in self.agenda.some(lost, min(SOUGHT, len(lost))):
+        for address in self.timers.sample(lost, min(SOUGHT, len(lost))):
             self.greet(*address)
 
     def greeted_by(self, sender, message):
         """Nothing is believed of one that does not know this life: its Hello may be an old one."""
         welcome = Welcome(self.members.told(sender.token))
-        self.agenda.order(Send(sender.host, sender.port, sender.door, welcome))
+        self.timers.emit(Send(sender.host, sender.port, sender.door, welcome))
 
     def welcomed(self, sender, message):
         """The sender meant this life, so it lives; its view is pulled while ours is new, else as digests
--- a/limepath/membership/leaving.py
+++ b/limepath/membership/leaving.py
@@ -11,7 +11,7 @@
     """Of one instance; `begun` once it departs."""
 
     def __init__(self, members):
-        self.members, self.view, self.agenda = members, members.view, members.agenda
+        self.members, self.view, self.timers = members, members.view, members.timers
         self.begun = False
 
     def depart(self):
@@ -26,9 +26,9 @@
         others = len(self.view.ring)
         if not rounds or not others:
             self.members.over = True
-            return self.agenda.order(Departed())
+            return self.timers.emit(Departed())
         self.tell(self.view.me, FAREWELLS + ceil(log2(others + 1)))
-        self.agenda.at(self.agenda.now + self.members.spans.direct, self.farewell, rounds - 1)
+        self.timers.schedule(self.timers.now + self.members.spans.direct, self.farewell, rounds - 1)
 
     def give_way(self, other, why):
         """Another goes on in this one's stead; a token of its own is not needed any more."""
@@ -37,9 +37,9 @@
         self.members.over = True
         if other.token != self.view.me.token:
             self.tell(self.view.me._replace(state=State.LEFT), FAREWELLS)
-        self.agenda.order(GiveWay(other, why))
+        self.timers.emit(GiveWay(other, why))
 
     def tell(self, gone, most):
         ring = self.view.ring
-        for token in self.agenda.some(ring, min(len(ring), most)):
+        for token in self.timers.sample(ring, min(len(ring), most)):
             self.members.send(self.view.table[token], Ping(0, (gone,), 0))
--- a/limepath/membership/members.py
+++ b/limepath/membership/members.py
@@ -8,7 +8,6 @@
 Free of I/O; docs/duties.md has the options weighed.
 """
 
-from limepath.agenda import Agenda
 from limepath.membership.anti_entropy import AntiEntropy
 from limepath.membership.bounds import detection, shortest, spread
 from limepath.membership.checks import Checks
@@ -33,6 +32,7 @@
 from limepath.membership.leaving import Leaving
 from limepath.membership.suspicion import Suspicions
 from limepath.membership.view import View
+from limepath.timer_queue import TimerQueue
 
 __all__ = ["DOUBLED", "REPLACED", "Members", "detection", "shortest", "spread"]
 
@@ -47,8 +47,8 @@
 
     def __init__(self, me, seeds, spans, seed, speaks=NEWEST):
         self.spans, self.speaks = spans, speaks
-        self.agenda = Agenda(seed)
-        self.view, self.gossip = View(me, self.agenda, seeds), Gossip()
+        self.timers = TimerQueue(seed)
+        self.view, self.gossip = View(me, self.timers, seeds), Gossip()
         self.table, self.ring = self.view.table, self.view.ring
         self.periods, self.over = 0, False
         self.counts = {"misaddressed": 0, "former": 0, "refuted": 0, "suspected": 0, "declared": 0}
@@ -70,20 +70,20 @@
 
     def handle(self, now, notes):
         """Take notes in at `now`, do what is due, give the orders."""
-        self.agenda.run(now)
+        self.timers.run_due(now)
         for note in notes:
             if isinstance(note, Heard):
                 self.heard(note)
             elif isinstance(note, Depart) and not self.leaving:
                 self.leaves.depart()
-        return self.agenda.taken()
+        return self.timers.take_commands()
 
     def start(self, now):
         """Greet seeds and begin the periods at a random time in the first."""
-        self.agenda.now = now
+        self.timers.now = now
         self.joins.start()
-        self.agenda.at(now + int(self.agenda.chance() * self.spans.period), self.period)
-        return self.agenda.taken()
+        self.timers.schedule(now + int(self.timers.random_fraction() * self.spans.period), self.period)
+        return self.timers.take_commands()
 
     def known(self, news):
         """Take in what is known from elsewhere (a fleet set up by hand, in virtual time)."""
@@ -94,7 +94,7 @@
 
     def next(self):
         """When something is due next, or None."""
-        return self.agenda.next()
+        return self.timers.next_due()
 
     def reach(self, token, message):
         """Send a message of another logic to a member that counts as alive."""
@@ -124,7 +124,7 @@
     # Sending
 
     def send(self, news, message):
-        self.agenda.order(Send(news.host, news.port, news.door, message))
+        self.timers.emit(Send(news.host, news.port, news.door, message))
 
     def ping(self, news, sequence):
         """A check, or with 0 a message that asks for no answer to one; news goes with it."""
@@ -147,7 +147,7 @@
         if self.over:
             return
         self.periods += 1
-        self.agenda.at(self.agenda.now + self.spans.period, self.period)
+        self.timers.schedule(self.timers.now + self.spans.period, self.period)
         self.joins.period_over()
         self.checks.run(self.periods)
         if self.periods % SEEK == 0 or not self.ring:
@@ -248,4 +248,4 @@
         if receive is not None:
             receive(sender, note.message)
         else:
-            self.agenda.order(Passed(sender, note.message))
+            self.timers.emit(Passed(sender, note.message))
--- a/limepath/membership/suspicion.py
+++ b/limepath/membership/suspicion.py
@@ -26,7 +26,7 @@
     """Of one instance. `members` writes news, and has the checks that make the last one."""
 
     def __init__(self, members):
-        self.members, self.view, self.agenda = members, members.view, members.agenda
+        self.members, self.view, self.timers = members, members.view, members.timers
         self.spans, self.open = members.spans, {}
 
     def suspect(self, news, by):
@@ -34,7 +34,7 @@
         mine = self.view.me.token
         doubt = self.open.get(news.token)
         if doubt is None or doubt.incarnation < news.incarnation:
-            doubt = self.open[news.token] = Suspicion(news.incarnation, self.agenda.now, by)
+            doubt = self.open[news.token] = Suspicion(news.incarnation, self.timers.now, by)
             self.members.counts["suspected"] += by == mine
             self.members.put(news._replace(state=State.SUSPECT, by=by))
         elif by not in doubt.by and (len(doubt.by) <= CONFIRMED or by == mine):
@@ -42,8 +42,8 @@
             self.members.pass_on(news._replace(state=State.SUSPECT, by=by))
         else:
             return
-        at = max(self.agenda.now, self.deadline(doubt))
-        self.agenda.at(at, self.expired, news.token, news.incarnation, len(doubt.by))
+        at = max(self.timers.now, self.deadline(doubt))
+        self.timers.schedule(at, self.expired, news.token, news.incarnation, len(doubt.by))
 
     def deadline(self, doubt):
         """When it may be declared dead, unless it refutes or more confirm."""
@@ -73,7 +73,7 @@
             return
         news = self.view.table[token]
         self.members.counts["declared"] += 1
-        self.agenda.order(
+        self.timers.emit(
             Say("peer-dead", {"peer": news.name, "incarnation": incarnation, "suspected_by": len(doubt.by)})
         )
         self.members.put(news._replace(state=State.DEAD, by=self.view.me.token))
--- a/limepath/membership/view.py
+++ b/limepath/membership/view.py
@@ -16,8 +16,8 @@
     many living are there. Changes of the living go out as Joined and Parted.
     """
 
-    def __init__(self, me, agenda, seeds=()):
-        self.me, self.agenda = me, agenda
+    def __init__(self, me, timers, seeds=()):
+        self.me, self.timers = me, timers
         self.table, self.ring, self.names = {}, [], {}
         self.buried, self.buried_since = {}, {}
         self.at_seeds = dict.fromkeys(seeds, 0)
@@ -43,19 +43,19 @@
             self.joined(news)
         elif was and not now_live:
             del self.ring[bisect_left(self.ring, token)]
-            self.agenda.order(Parted(news))
+            self.timers.emit(Parted(news))
         elif was and old.life != news.life:  # it started anew before we missed it
-            self.agenda.order(Parted(old))
-            self.agenda.order(Joined(news))
+            self.timers.emit(Parted(old))
+            self.timers.emit(Joined(news))
         if not now_live:
             self.buried[token] = news
-            self.buried_since.setdefault(token, self.agenda.now)
+            self.buried_since.setdefault(token, self.timers.now)
 
     def joined(self, news):
         insort(self.ring, news.token)
         self.buried.pop(news.token, None)
         self.buried_since.pop(news.token, None)
-        self.agenda.order(Joined(news))
+        self.timers.emit(Joined(news))
 
     def count_at_seed(self, news, change):
         address = news.host, news.port
@@ -70,7 +70,7 @@
 
     def forget(self, after):
         """Drop those buried for longer than `after` microseconds, and the oldest beyond MOST_BURIED."""
-        oldest, excess, over = self.agenda.now - after, len(self.buried) - MOST_BURIED, []
+        oldest, excess, over = self.timers.now - after, len(self.buried) - MOST_BURIED, []
         for token, since in self.buried_since.items():
             if since >= oldest and len(over) >= excess:
                 break
--- a/limepath/scale/roles_voter.py
+++ b/limepath/scale/roles_voter.py
@@ -3,7 +3,6 @@
 import os
 from functools import partial
 
-from limepath.agenda import Agenda
 from limepath.duties.interface import MESSAGES as DUTY_MESSAGES
 from limepath.duties.interface import Claim, Leasing
 from limepath.duties.leases import Voter
@@ -11,6 +10,7 @@
 from limepath.membership.interface import MESSAGES, REFUTALS, News
 from limepath.scale.measured import Found, Series
 from limepath.scale.roles import least_cpu
+from limepath.timer_queue import TimerQueue
 
 SLOTS = (1, 2, 4, 8, 16, 32)
 CLAIMS, WARM, ROUNDS = 2000, 10, 15  # of a run; before it; runs
@@ -23,7 +23,7 @@
     def __init__(self, slots):
         types, key = (*MESSAGES, *DUTY_MESSAGES), (Key(b"abcd", os.urandom(32)),)
         self.mine, self.theirs = Guard(key, types), Guard(key, types)
-        self.voter = Voter(Agenda(1), Leasing(), (), 0, True)
+        self.voter = Voter(TimerQueue(1), Leasing(), (), 0, True)
         self.voter.mute_until = 0
         self.news = News(7, HOLDER, "127.0.0.1", 7946, 1 << REFUTALS, 1)
         self.claim, self.granted = Claim(0, 1, tuple((slot, 1) for slot in range(slots))), 0
--- a/limepath/simulator_host/host.py
+++ b/limepath/simulator_host/host.py
@@ -3,7 +3,7 @@
 import json
 
 from limepath.choice import Front
-from limepath.configuration import decision_settings as opening_values
+from limepath.configuration import decision_settings
 from limepath.simulator_host import dialect
 from limepath.simulator_host.frames import Cursor, WireError, read_frame, write_frame
 
@@ -19,8 +19,8 @@
     def start(self, instance, seed, raw):
         try:
             settings = json.loads(raw)
-            arguments = opening_values.start_of(settings)
-            self.fields[instance] = opening_values.load_fields(settings)
+            arguments = decision_settings.start_of(settings)
+            self.fields[instance] = decision_settings.load_fields(settings)
         except (ValueError, KeyError, TypeError, AttributeError, IndexError) as flaw:
             raise WireError(f"settings of instance {instance}: {type(flaw).__name__}: {flaw}") from None
         self.fronts[instance] = Front(seed=seed, **arguments)
@@ -45,7 +45,7 @@
             if front is None:
                 continue
             try:
-                orders = front.handle(opening_values.us(clock), heard)
+                orders = front.handle(decision_settings.us(clock), heard)
                 records += [dialect.write_order(instance, order) for order in orders]
             except Exception as flaw:  # the wire wants any fault of the decisions named, whatever it is
                 faults.append(dialect.write_fault(instance, f"{type(flaw).__name__}: {flaw}"))
--- a/limepath/tls/admission.py
+++ b/limepath/tls/admission.py
@@ -1,4 +1,4 @@
-"""Who may shake hands when, and which server is left alone. Free of I/O: notes in, orders out, one agenda.
+"""Who may shake hands when, and which server is left alone. Free of I/O: notes in, orders out, one timers.
 
 A full handshake costs both sides much more than a GET. So they pass a budget, by server and in all: a bucket
 of `burst` that fills at `rate`, and so many under way at once. An offered session may be turned down by the
@@ -15,7 +15,7 @@
 
 from sortedcontainers import SortedList
 
-from limepath.agenda import Agenda
+from limepath.timer_queue import TimerQueue
 from limepath.tls.interface import (
     PASSING,
     Begin,
@@ -74,7 +74,7 @@
 
 class Admission:
     def __init__(self, seed, pace=Pace(), retry_delays=RetryDelays()):
-        self.agenda, self.pace, self.retry_delays = Agenda(seed), pace, retry_delays
+        self.timers, self.pace, self.retry_delays = TimerQueue(seed), pace, retry_delays
         self.bucket, self.servers, self.wants, self.under_way = None, {}, {}, {}
         self.looks_at = None
         self.counts = {"full": 0, "resumed": 0, "failed": 0, "refused": 0}
@@ -88,20 +88,20 @@
 
     def handle(self, now, notes):
         """Take notes in at `now`; give the orders that follow."""
-        self.agenda.run(now)
+        self.timers.run_due(now)
         if self.bucket is None:
             self.bucket = Bucket(self.pace.all_rate, self.pace.all_burst, now)
         for note in notes:
             self.desks[type(note)](note)
         self.admit()
-        return self.agenda.taken()
+        return self.timers.take_commands()
 
     def next(self):
-        return self.agenda.next()
+        return self.timers.next_due()
 
     def server(self, ident):
         if ident not in self.servers:
-            self.servers[ident] = Server(self.pace, self.agenda.now)
+            self.servers[ident] = Server(self.pace, self.timers.now)
         return self.servers[ident]
 
     # Notes
@@ -110,17 +110,17 @@
         server = self.server(note.server)
         if note.id in self.wants or note.id in self.under_way:
             return
-        if note.until <= self.agenda.now:
+        if note.until <= self.timers.now:
             return self.refuse(note.id, "too late")
         if (
             server.left_until is not None
-            and self.agenda.now < server.left_until
+            and self.timers.now < server.left_until
             and server.left_until >= note.until
         ):
             return self.refuse(note.id, "left alone")
         self.wants[note.id] = note
         server.line.add(self.place(note))
-        self.agenda.at(note.until, self.overdue, note.id)
+        self.timers.schedule(note.until, self.overdue, note.id)
 
     @staticmethod
     def place(note):
@@ -133,7 +133,7 @@
 
     def refuse(self, ident, why):
         self.counts["refused"] += 1
-        self.agenda.order(Refuse(ident, why))
+        self.timers.emit(Refuse(ident, why))
 
     def shaken(self, note):
         if (ident := self.under_way.pop(note.id, None)) is None:
@@ -143,10 +143,10 @@
         self.counts["resumed" if note.resumed else "full"] += 1
         if note.resumed:
             for bucket in (server.bucket, self.bucket):
-                bucket.fill(self.agenda.now)
+                bucket.fill(self.timers.now)
                 bucket.give_back(1 - self.pace.resumed_share)
         if server.failures:
-            self.agenda.order(Told(ident, "shakes hands again", None, 0))
+            self.timers.emit(Told(ident, "shakes hands again", None, 0))
         server.failures, server.left_until = 0, None
         server.limit = min(self.pace.at_once, server.limit + 1)
 
@@ -156,7 +156,7 @@
         server = self.servers[ident]
         server.under_way.discard(note.id)
         self.counts["failed"] += 1
-        now = self.agenda.now
+        now = self.timers.now
         if server.left_until is not None and now < server.left_until:
             return  # one of several that were under way: told already
         passing = note.failure in PASSING
@@ -166,10 +166,10 @@
             else (self.retry_delays.lasting, self.retry_delays.lasting_most)
         )
         span = min(most, first << min(20, server.failures))
-        span = int(span * (0.75 + self.agenda.chance() / 2))
+        span = int(span * (0.75 + self.timers.random_fraction() / 2))
         server.failures, server.limit, server.left_until = server.failures + 1, 1, now + span
         self.look_at(server.left_until)
-        self.agenda.order(Told(ident, "left alone", note.failure, span))
+        self.timers.emit(Told(ident, "left alone", note.failure, span))
         for _, waiting in list(server.line):  # whom it would come too late for
             if self.wants[waiting].until <= server.left_until:
                 lost = self.wants.pop(waiting)
@@ -192,7 +192,7 @@
         """Look again then, if not sooner."""
         if self.looks_at is None or when < self.looks_at:
             self.looks_at = when
-            self.agenda.at(when, self.look, when)
+            self.timers.schedule(when, self.look, when)
 
     def look(self, when):
         if self.looks_at == when:
@@ -201,7 +201,7 @@
 
     def admit(self):
         """Begin what the budget allows, the nearest objective of all servers first."""
-        now = self.agenda.now
+        now = self.timers.now
         while len(self.under_way) < self.pace.all_at_once:
             able = [
                 (server.line[0], ident)
@@ -220,10 +220,10 @@
             self.bucket.take()
             server.under_way.add(want)
             self.under_way[want] = ident
-            self.agenda.order(Begin(want))
+            self.timers.emit(Begin(want))
 
     def ready(self, server):
-        now = self.agenda.now
+        now = self.timers.now
         if server.left_until is not None and now < server.left_until:
             self.look_at(server.left_until)
             return False
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -1,7 +1,7 @@
 """Short scenarios, one for each rule and each failure met."""
 
 from limepath import contract as c
-from limepath.choice import mixed
+from limepath.hashing import mix64
 from tests.fake_host import FLEET, ORIGIN, PARENT, SECOND, FakeHost, member, service
 
 V = c.Verdict
@@ -335,7 +335,7 @@
 
 def test_many_fronts_spend_a_cold_budget_together_and_each_does_its_part():
     def sent(seed):
-        host = FakeHost(seed=mixed(seed), fronts=40, nearby=20, fleet=FLEET[1:])
+        host = FakeHost(seed=mix64(seed), fronts=40, nearby=20, fleet=FLEET[1:])
         host.roster(member(1, started=host.now))
         times = []
         for obj in range(400):
--- a/tests/test_cold_ramp.py
+++ b/tests/test_cold_ramp.py
@@ -7,7 +7,8 @@
 import pytest
 
 from limepath import contract as c
-from limepath.choice import LANES, mixed
+from limepath.choice import LANES
+from limepath.hashing import mix64
 from limepath.testbed.process import free_ports
 from tests.cold_ramp import CASES, TWO, OfferedFront, Ramp, sent_in, spent_at_most, worst
 from tests.fake_host import SECOND, FakeHost, member, service
@@ -61,7 +62,7 @@
 def test_a_member_told_anew_while_it_warms_gives_no_front_a_second_turn():
     """From a probe, then from the list: fronts that were not in turn are not drawn again."""
     ramp, now, began = Ramp(100), 1000 * SECOND, 1000 * SECOND - 1
-    fronts = [OfferedFront(ramp, number, seed=mixed(number)) for number in range(ramp.fronts)]
+    fronts = [OfferedFront(ramp, number, seed=mix64(number)) for number in range(ramp.fronts)]
     sent = []
     for moment in range(8):
         for one in fronts:
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -11,7 +11,6 @@
 import pytest
 
 from limepath import contract as c
-from limepath.agenda import Agenda
 from limepath.duties import simulate
 from limepath.duties.bounds import bounds, doubles
 from limepath.duties.check import explored
@@ -35,6 +34,7 @@
 from limepath.duties.world import World
 from limepath.membership.interface import Spans
 from limepath.report_table import hold
+from limepath.timer_queue import TimerQueue
 from tests.fake_host import FakeHost
 
 SECOND = 1_000_000
@@ -178,9 +178,9 @@
     def __init__(self, names=("a", "b", "c"), sure=True, leasing=LEASING):
         self.now, self.out, self.all, self.wants = 0, [], {}, {name: set() for name in names}
         for name in names:
-            agenda = Agenda(ord(name))
+            timers = TimerQueue(ord(name))
             one = self.all[name] = Leases(
-                agenda,
+                timers,
                 name,
                 ord(name),
                 leasing,
@@ -198,7 +198,7 @@
         while self.now < end:
             self.now += 10_000
             for one in self.all.values():
-                one.agenda.run(self.now)
+                one.timers.run_due(self.now)
             while self.out:
                 source, to, message = self.out.pop(0)
                 if not lost(source, to) and to in self.all:
@@ -256,20 +256,20 @@
 
 
 def test_the_ceiling_is_kept_before_an_epoch_above_it_is_granted():
-    agenda = Agenda(1)
-    voter = Voter(agenda, LEASING, ("b", "c"), 500, True)
+    timers = TimerQueue(1)
+    voter = Voter(timers, LEASING, ("b", "c"), 500, True)
     voter.mute_until = 0
     low = voter.claimed(1, Claim(0, 1, ((0, 500),)))
-    assert low.denied == ((0, 500, 0),) and not agenda.taken()
+    assert low.denied == ((0, 500, 0),) and not timers.take_commands()
     assert voter.claimed(1, Claim(0, 1, ((0, 501),))).granted == (0,)
-    (keep,) = agenda.taken()
+    (keep,) = timers.take_commands()
     assert isinstance(keep, Keep) and keep.ceiling > 501
-    assert voter.claimed(1, Claim(0, 2, ((1, 502),))).granted == (1,) and not agenda.taken()
+    assert voter.claimed(1, Claim(0, 2, ((1, 502),))).granted == (1,) and not timers.take_commands()
 
 
 def test_a_voter_that_lost_its_store_asks_so_many_that_every_majority_is_among_them():
-    agenda, asked = Agenda(1), []
-    voter = Voter(agenda, LEASING._replace(voters=tuple("abcde")), tuple("bcde"), 0, False)
+    timers, asked = TimerQueue(1), []
+    voter = Voter(timers, LEASING._replace(voters=tuple("abcde")), tuple("bcde"), 0, False)
     voter.begin(lambda name, message: asked.append(name))
     assert asked == list("bcde") and not voter.votes()
     voter.answered("b", Epochs(1, 7000, True))
@@ -279,7 +279,7 @@
     assert not voter.sure
     voter.answered("e", Epochs(1, 300, True))
     assert voter.sure and voter.floor == 7000
-    agenda.run(silence(LEASING) + 1)
+    timers.run_due(silence(LEASING) + 1)
     assert voter.claimed(1, Claim(0, 1, ((0, 7000),))).denied == ((0, 7000, 0),)
 
 
@@ -291,8 +291,8 @@
 
 
 def test_a_split_vote_frees_the_slot_again():
-    agenda = Agenda(1)
-    voter = Voter(agenda, LEASING, (), 0, True)
+    timers = TimerQueue(1)
+    voter = Voter(timers, LEASING, (), 0, True)
     voter.mute_until = 0
     assert voter.claimed(1, Claim(0, 1, ((0, 1),))).granted
     assert voter.claimed(2, Claim(0, 1, ((0, 2),))).denied[0][2] == LEASING.span
@@ -316,54 +316,54 @@
 
 
 def rounds_of(seed=1, interval=4 * SECOND):
-    agenda = Agenda(seed)
-    return agenda, Rounds(agenda, 0, Plan("probe", Mode.AT_LEAST_ONCE, interval), lambda target: (0, 0))
+    timers = TimerQueue(seed)
+    return timers, Rounds(timers, 0, Plan("probe", Mode.AT_LEAST_ONCE, interval), lambda target: (0, 0))
 
 
-def served(agenda, span, step=10_000):
-    out, end = [], agenda.now + span
-    while agenda.now < end:
-        agenda.run(agenda.now + step)
-        out += [(agenda.now, order.target) for order in agenda.taken() if isinstance(order, Serve)]
+def served(timers, span, step=10_000):
+    out, end = [], timers.now + span
+    while timers.now < end:
+        timers.run_due(timers.now + step)
+        out += [(timers.now, order.target) for order in timers.take_commands() if isinstance(order, Serve)]
     return out
 
 
 def test_one_interval_s_rounds_are_spread_and_missed_ones_not_made_up_at_once():
-    agenda, rounds = rounds_of()
+    timers, rounds = rounds_of()
     rounds.own(range(200))
-    first = served(agenda, 4 * SECOND)
+    first = served(timers, 4 * SECOND)
     assert sorted(target for _, target in first) == list(range(200))
     halves = [sum(at <= 2 * SECOND for at, _ in first), sum(at > 2 * SECOND for at, _ in first)]
     assert min(halves) > 60
-    agenda.run(agenda.now + 30 * SECOND)  # it stood still
-    assert agenda.taken() == []
-    after = served(agenda, 2 * SECOND)
-    assert len(after) == 200 and len([at for at, _ in after if at < agenda.now - 1.9 * SECOND]) < 40
+    timers.run_due(timers.now + 30 * SECOND)  # it stood still
+    assert timers.take_commands() == []
+    after = served(timers, 2 * SECOND)
+    assert len(after) == 200 and len([at for at, _ in after if at < timers.now - 1.9 * SECOND]) < 40
 
 
 def test_what_another_has_served_is_due_an_interval_later_and_what_goes_to_and_fro_is_served():
-    agenda, rounds = rounds_of()
-    agenda.run(10 * SECOND)
+    timers, rounds = rounds_of()
+    timers.run_due(10 * SECOND)
     rounds.served(7, 9 * SECOND)
     rounds.own([7])
-    assert served(agenda, 6 * SECOND)[0][0] == 13 * SECOND
-    agenda, rounds = rounds_of()
+    assert served(timers, 6 * SECOND)[0][0] == 13 * SECOND
+    timers, rounds = rounds_of()
     rounds.own([7])
     told = []
     for _ in range(40):  # owned for half a second at a time
-        told += served(agenda, SECOND // 2)
+        told += served(timers, SECOND // 2)
         rounds.own([])
-        agenda.run(agenda.now + SECOND // 2)
+        timers.run_due(timers.now + SECOND // 2)
         rounds.own([7])
     times = [at for at, _ in told]
     assert len(times) >= 4 and max(b - a for a, b in pairwise(times)) <= 10 * SECOND
 
 
 def learnt(live=(2, 3), interval=4 * SECOND):
-    agenda = Agenda(1)
-    agenda.now = 100 * SECOND
-    return agenda, Learnt(
-        agenda, 1, [interval], LEASING, lambda: list(live), lambda token: token in (1, *live)
+    timers = TimerQueue(1)
+    timers.now = 100 * SECOND
+    return timers, Learnt(
+        timers, 1, [interval], LEASING, lambda: list(live), lambda token: token in (1, *live)
     )
 
 
@@ -372,24 +372,24 @@
 
 
 def test_old_results_and_those_of_the_dead_are_dropped():
-    agenda, known = learnt()
+    timers, known = learnt()
     known.heard((result(), result(prober=9), result(target=6, age=5 * SECOND), result(), result(serial=0)))
     assert dict(known.counts) == {"new": 1, "dead prober": 1, "too old": 1, "known": 2}
-    (shared,) = [o for o in agenda.taken() if isinstance(o, Shared)]
+    (shared,) = [o for o in timers.take_commands() if isinstance(o, Shared)]
     assert shared.result.target == 5 and shared.result.age == SECOND + IN_FLIGHT
 
 
 def test_an_answer_serves_who_asks_as_long_as_it_is_new_enough():
-    agenda, known = learnt()
+    timers, known = learnt()
     known.heard((result(),))
     assert known.answer(5, 3 * SECOND).age == SECOND + IN_FLIGHT
     assert known.answer(5, SECOND) is None and known.answer(6, 3 * SECOND) is None
-    agenda.now += 4 * SECOND
+    timers.now += 4 * SECOND
     assert known.answer(5, 60 * SECOND) is None  # older than the interval
 
 
 def test_one_prober_s_failure_does_not_serve_but_two_agreeing_do():
-    agenda, known = learnt()
+    timers, known = learnt()
     known.heard((result(verdict=int(c.Verdict.TIMED_OUT)),))
     assert known.answer(5, 3 * SECOND) is None
     known.heard((result(prober=3, verdict=int(c.Verdict.TIMED_OUT), age=SECOND // 2),))
@@ -397,15 +397,15 @@
 
 
 def test_a_result_goes_to_all_nearby_with_its_age_and_is_passed_on_in_large_fleets():
-    agenda, known = learnt()
+    timers, known = learnt()
     known.own(0, 5, 0, 900, {})
-    agenda.run(agenda.now + LEASING.batch)
-    sent = [o for o in agenda.taken() if isinstance(o, Reach)]
+    timers.run_due(timers.now + LEASING.batch)
+    sent = [o for o in timers.take_commands() if isinstance(o, Reach)]
     assert {o.token for o in sent} == {2, 3} and sent[0].message.results[0].age == LEASING.batch
-    agenda, known = learnt(live=tuple(range(2, 60)))
+    timers, known = learnt(live=tuple(range(2, 60)))
     known.heard(tuple(result(target=target) for target in range(40)))
-    agenda.run(agenda.now + LEASING.batch)
-    sent = [o for o in agenda.taken() if isinstance(o, Reach)]
+    timers.run_due(timers.now + LEASING.batch)
+    sent = [o for o in timers.take_commands() if isinstance(o, Reach)]
     assert len({o.token for o in sent}) == LEASING.copies
     assert all(len(o.message.results) <= CARRIED for o in sent)
 
--- a/tests/test_event_tree.py
+++ b/tests/test_event_tree.py
@@ -304,7 +304,7 @@
     children = Member(held(3).packed()).logic.children
     served = dict.fromkeys(range(8), 0)
     for _ in range(10):
-        children.agenda.now += TERMS.gather
+        children.timers.now += TERMS.gather
         for token in served:
             served[token] += sum(children.may_serve_piece(token) for _ in range(4))
     assert min(served.values()) >= 9 and sum(served.values()) <= 10 * 8
@@ -473,7 +473,7 @@
     learning = Fronting([7, *tokens], terms=TERMS, me=8)
     learning.hear(FromPeer(7, Where("sur", False, "a")))
     learning.logic.scopes.ask_page(7)
-    asks = [order.message for order in learning.logic.agenda.taken()]
+    asks = [order.message for order in learning.logic.timers.take_commands()]
     for _ in range(10):
         if not asks:
             break
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -8,7 +8,6 @@
 from hypothesis import strategies as st
 from twisted.internet.task import Clock
 
-from limepath.agenda import Agenda
 from limepath.duties.interface import MESSAGES as DUTY_MESSAGES
 from limepath.duties.interface import Leasing, Mode, Plan
 from limepath.duties.world import World
@@ -38,6 +37,7 @@
 )
 from limepath.membership.members import DOUBLED, REPLACED, Members, detection, shortest, spread
 from limepath.membership.view import MOST_BURIED, View
+from limepath.timer_queue import TimerQueue
 
 SECOND = 1_000_000
 OLD, NEW = "ab" * 32, "cd" * 32
@@ -60,7 +60,7 @@
     members = Members(news(token, **changes), (), SPANS, token)
     members.start(0)
     members.known([news(other) for other in others])
-    members.agenda.taken()
+    members.timers.take_commands()
     return members
 
 
@@ -425,13 +425,13 @@
 
 
 def test_the_dead_are_forgotten_after_their_time_and_the_oldest_beyond_a_number():
-    view = View(news(1), Agenda(1))
+    view = View(news(1), TimerQueue(1))
     for token in (2, 3, 4):
         view.put(news(token))
     for now, token in enumerate((3, 2)):
-        view.agenda.now = now
+        view.timers.now = now
         view.put(news(token, state=State.DEAD))
-    view.agenda.now = 10
+    view.timers.now = 10
     view.forget(10)
     assert list(view.buried) == [3, 2]
     view.forget(9)
