--- a/tests/faulty_system.py
+++ b/tests/faulty_system.py
@@ -13,11 +13,24 @@
 import socket
 import sys
 import time
+from contextlib import contextmanager
 
 REAL_TIME, REAL_TIME_NS = time.time, time.time_ns
 CALLS = ("accept", "connect_ex", "recv", "send")
 
 
+@contextmanager
+def signal_held_back():
+    """Let a SIGUSR1 that comes within take effect right after it. One that came before does so first. The
+    program must have one thread only: the system gives the signal to any that does not hold it back.
+    """
+    signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGUSR1})
+    try:
+        yield
+    finally:
+        signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGUSR1})
+
+
 class Faults:
     """What fails now: `wall_step` seconds are added to the wall clock; `fail` maps a call of a socket (one of
     CALLS, or `socket` for its making) to [name of the error, how many more times]; `ports` limits connect_ex
@@ -42,13 +55,21 @@
 
     def happens(self, call):
         """Fail this call, if it is to fail now."""
-        name, left = self.fail.get(call, ("", 0))
-        if left:
-            self.fail[call] = [name, left - 1]
-            self.done[call] = self.done.get(call, 0) + 1
-            self.report()
+        with signal_held_back():  # else `read` would come between, and be undone by what is written after it
+            name = self.use_up(call)
+        if name:
             raise OSError(getattr(errno, name), os.strerror(getattr(errno, name)))
 
+    def use_up(self, call):
+        """Count one failure of this call; give the name of its error, or "" if it is not to fail now."""
+        name, left = self.fail.get(call, ("", 0))
+        if not left:
+            return ""
+        self.fail[call] = [name, left - 1]
+        self.done[call] = self.done.get(call, 0) + 1
+        self.report()
+        return name
+
     def most(self, size):
         return min(size, self.short) if self.short else size
 
