--- a/limepath/choice.py
+++ b/limepath/choice.py
@@ -1,6 +1,7 @@
 """All decisions of a limepath front: Greedy-Dual-Size-Frequency (docs/design.md) and the guards around it.
 
-A host makes one `Front` per instance; `handle(now, notes)` gives the orders to carry out (see contract.py).
+A host makes one `Front` per instance; `handle(now, notes)` gives the orders to carry out
+(see limepath.interface).
 Times are whole microseconds. Inside, actors with inboxes, which `Loop` empties in the order of the notes put.
 A GET goes Door -> Shelf (rank) -> Door -> Cache (has it room?) -> Gate (the five rules) -> order.
 """
@@ -11,36 +12,37 @@
 
 from sortedcontainers import SortedList
 
-from limepath.contract import (
-    NEVER_RAN,
-    AskCounts,
-    Counts,
-    Due,
-    Errored,
-    Forward,
-    Get,
-    Learnt,
-    Left,
-    Listing,
-    Outcome,
-    Probe,
-    ProbeReport,
-    Purge,
-    Repeats,
-    Room,
-    Roster,
-    Scope,
-    Shed,
-    ShuttingDown,
-    Stale,
-    Standing,
-    Streaming,
-    Subscribe,
-    Verdict,
-    Wake,
-    Withdraw,
-)
 from limepath.hashing import MASK_64, mix64
+from limepath.interface.commands import (
+    CancelAttempt,
+    FailRequest,
+    ForwardRequest,
+    RejectRequest,
+    ReportRequestCounts,
+    ScheduleWakeup,
+    SendProbe,
+    SetSubscription,
+)
+from limepath.interface.events import (
+    NEVER_EXECUTED,
+    AttemptEnded,
+    AttemptOutcome,
+    ClientDisconnected,
+    ConnectionAvailabilityChanged,
+    EndpointListFreshnessChanged,
+    EndpointListUpdated,
+    EndpointState,
+    ProbeEnded,
+    PurgeAnnounced,
+    RequestArrived,
+    RequestCountsReceived,
+    RequestCountsWanted,
+    ResponseStarted,
+    ShutdownStarted,
+    TimerFired,
+    UpdateKind,
+)
+from limepath.interface.settings import Idempotency, KeyScope
 
 TABLE = 1024  # entries of the table (the design starts at 4096): 512 to 4096 score alike, fewer lose hits
 THIRDS = (1 / 3, 2 / 3)  # of the table by key, above which copies ask for ranks 2 and 3
@@ -62,8 +64,8 @@
 MARGIN, SPREAD = 0.8, 5  # share of the cold budget spent; deviations kept to what topples a member
 DEARER = 0.75  # share of a cold budget and of its variance that a dearer class may take before cheaper ones
 TICK, COME_BACK = 50_000, 0.1  # of the longest wait, give or take half: a repeat is in time; 0.75 far worse
-BROKEN = (Verdict.RESET, Verdict.CONNECT_FAILED)
-STUCK = (Verdict.RETURNED, Verdict.TIMED_OUT, Verdict.ERRORED, Verdict.FULL)
+BROKEN = (AttemptOutcome.RESET, AttemptOutcome.CONNECT_FAILED)
+STUCK = (AttemptOutcome.SUCCEEDED, AttemptOutcome.TIMED_OUT, AttemptOutcome.FAILED, AttemptOutcome.FULL)
 
 
 def hash_order(name, members):
@@ -110,14 +112,15 @@
     """One GET that is owed a final answer."""
 
     def __init__(self, get, ds, due, own):
-        self.id, self.dsi, self.ds, self.due, self.own = get.id, get.ds, ds, due, own
-        self.name, self.group, self.size_kb = (get.obj, get.part), get.group, get.size_kb
+        self.id, self.dsi, self.ds, self.due, self.own = get.id, get.service, ds, due, own
+        self.name, self.group, self.size_kb = (get.object, get.part), get.group, get.size_kb
         self.rank, self.sent, self.out, self.at, self.passed = 0, 0, None, None, set()
         self.closed = self.filling = self.direct = self.stale = self.held = False
         self.ran_at = self.ran_by = self.ran_in = None  # first forward that may have run: when, which, where
-        known = get.keyed or ds.repeats != Repeats.TOKENED  # without a token nobody can tell a repeat
-        self.repeats = ds.repeats if known else Repeats.NON_IDEMPOTENT
-        self.claim = LIGHT if own < ds.objective / 2 else HEAVY if get.size_kb and own > ds.objective else 1
+        known = get.has_key or ds.idempotency != Idempotency.KEYED  # without a token nobody can tell a repeat
+        self.repeats = ds.idempotency if known else Idempotency.NON_IDEMPOTENT
+        large = get.size_kb and own > ds.latency_objective
+        self.claim = LIGHT if own < ds.latency_objective / 2 else HEAVY if large else 1
 
 
 class Shelf(Actor):
@@ -164,8 +167,10 @@
             self.side.popitem(last=False)
 
     def tell(self, note):
-        top = (name for _, name in self.keys.islice(max(0, len(self.keys) - note.most), reverse=True))
-        self.loop.orders.append(Counts(note.cookie, tuple((*name, self.entries[name][0]) for name in top)))
+        top = (name for _, name in self.keys.islice(max(0, len(self.keys) - note.limit), reverse=True))
+        self.loop.orders.append(
+            ReportRequestCounts(note.cookie, tuple((*name, self.entries[name][0]) for name in top))
+        )
 
 
 class Cache(Actor):
@@ -180,9 +185,9 @@
         self.doubted, self.way = 0, True
 
     def listed(self, member, sharing, lanes, weighted):
-        if member.started:
-            self.warm_at = max(self.warm_at, member.started + self.warming)
-        if self.member is None or member.started > self.member.started:
+        if member.started_at:
+            self.warm_at = max(self.warm_at, member.started_at + self.warming)
+        if self.member is None or member.started_at > self.member.started_at:
             self.missed, self.strikes, self.struck, self.unsure, self.heard = 0, 0, None, None, self.loop.now
         self.member, self.sharing, self.lanes, self.share = member, sharing, lanes, lanes if weighted else 1.0
 
@@ -205,7 +210,7 @@
         """Whether this GET goes to a doubted member in a probe's place, where there are none: now and then
         one that may run again, more seldom the longer it is away. Nothing else would bring it back."""
         due = max(self.asked, self.doubted) + (PACE << min(3, max(0, self.missed - 1)))
-        if self.probing or get.repeats != Repeats.IDEMPOTENT or self.loop.now < due:
+        if self.probing or get.repeats != Idempotency.IDEMPOTENT or self.loop.now < due:
             return False
         self.asked = self.loop.now
         return True
@@ -218,16 +223,22 @@
         self.out.pop(flight, None)
         if strained is not None:
             self.eased(strained)
-        self.suspect |= verdict == Verdict.FULL and not mine  # down, sated, or its own fetches stick: ask
-        if verdict in BROKEN if mine else verdict == Verdict.TIMED_OUT:
+        self.suspect |= (
+            verdict == AttemptOutcome.FULL and not mine
+        )  # down, sated, or its own fetches stick: ask
+        if verdict in BROKEN if mine else verdict == AttemptOutcome.TIMED_OUT:
             self.broke(verdict)
-        elif verdict == Verdict.RETURNED or mine and verdict in (Verdict.MISS, Verdict.FULL):
+        elif (
+            verdict == AttemptOutcome.SUCCEEDED
+            or mine
+            and verdict in (AttemptOutcome.MISS, AttemptOutcome.FULL)
+        ):
             self.alive(self.loop.now)
 
     def broke(self, verdict):
         self.strikes += self.struck != self.loop.now  # what breaks at one moment may be one connection
         self.struck = self.loop.now
-        if verdict == Verdict.CONNECT_FAILED:  # ask until it answers, to know how long it was away
+        if verdict == AttemptOutcome.CONNECT_FAILED:  # ask until it answers, to know how long it was away
             self.suspect, self.unsure = True, self.loop.now if self.unsure is None else self.unsure
         if self.strikes >= STRIKES:
             self.silent(verdict)
@@ -262,29 +273,29 @@
         return max(QUIET, SILENCE * sum(self.out.values()) // len(self.out) ** 2)
 
     def tick(self):
-        now, able = self.loop.now, self.probing and self.member.standing == Standing.READY
+        now, able = self.loop.now, self.probing and self.member.state == EndpointState.READY
         waiting = self.missed or self.suspect or self.out and now - self.heard > self.patience()
         if able and waiting and self.probe_at is None and (self.missed == 1 or now - self.asked > PACE):
             self.probe_at, self.asked, self.suspect = now, now, False
-            self.loop.orders.append(Probe(self.id, now - max(self.heard, self.doubted)))
+            self.loop.orders.append(SendProbe(self.id, now - max(self.heard, self.doubted)))
         elif not self.probing and self.out:  # nothing can be asked: the silence itself has to tell
             if now - max(self.heard, self.doubted) > UNPROBED * self.patience():
-                self.silent(Verdict.TIMED_OUT)
+                self.silent(AttemptOutcome.TIMED_OUT)
 
     def probed(self, report):
         sent, self.probe_at = self.probe_at, None
         at = self.loop.now - report.age
         if report.age and at <= max(self.heard, self.doubted):
             return  # another front's, older than what this one has seen itself
-        if report.verdict == Verdict.RETURNED:
+        if report.outcome == AttemptOutcome.SUCCEEDED:
             self.eased(report.load.get("util", 0) > SATED)
             self.alive(at)
-        elif report.verdict == Verdict.FULL:  # proves neither life nor silence, but strain
+        elif report.outcome == AttemptOutcome.FULL:  # proves neither life nor silence, but strain
             self.eased(True)
         elif sent is None:  # nobody asked: another front's failure may be of its own way there, so see
             self.suspect |= report.age > 0
         elif self.heard <= (at if report.age else sent):
-            (self.broke if report.verdict in BROKEN else self.silent)(report.verdict)
+            (self.broke if report.outcome in BROKEN else self.silent)(report.outcome)
 
 
 class Gate(Actor):
@@ -296,17 +307,17 @@
         self.members, self.purges, self.starts, self.stale = {}, {}, {}, False
 
     def listed(self, member, sharing, lanes, upper):
-        old = self.members.get(member.cache)
-        self.members[member.cache] = (member, sharing, lanes, upper)
-        if member.started and (old is None or member.started > old[0].started):
-            self.started(member.cache, member.started)
+        old = self.members.get(member.id)
+        self.members[member.id] = (member, sharing, lanes, upper)
+        if member.started_at and (old is None or member.started_at > old[0].started_at):
+            self.started(member.id, member.started_at)
 
     def purged(self, purge):
         """Rule 5: remember the latest purge of an object or group until its copies are gone everywhere."""
-        name, when = (purge.obj, 0) if purge.obj else (None, purge.group), self.loop.now - purge.age
+        name, when = (purge.object, 0) if purge.object else (None, purge.group), self.loop.now - purge.age
         if when > self.purges.get(name, when - 1):
             self.purges[name] = when
-            self.loop.put_at(when + self.grace.purge_gone + 1000, self, "forget", name, when)
+            self.loop.put_at(when + self.grace.purge_complete + 1000, self, "forget", name, when)
 
     def forget(self, name, when):
         if self.purges.get(name) == when:
@@ -314,7 +325,7 @@
 
     def oldest(self, get):
         """The oldest copy that will do: the tighter of freshness and purges; 0 (any) where neither is."""
-        limit = get.ds.fresh + (get.ds.grace if get.stale else 0) if get.ds.fresh else 0
+        limit = get.ds.max_age + (get.ds.stale_grace if get.stale else 0) if get.ds.max_age else 0
         for name in ((get.name[0], 0), (None, get.group)):
             if name in self.purges:
                 since = max(1, self.loop.now - self.purges[name] - 2)
@@ -328,12 +339,13 @@
         _, sharing, lanes, upper = self.members[ident]
         (since, ledger), warmup = self.starts[ident], self.warmups[upper]
         age = self.loop.now - since
-        if age > warmup.span:
+        if age > warmup.duration:
             del self.starts[ident]
             return True
-        able = lanes * (warmup.share + (1 - warmup.share) * max(0, age - warmup.window) / warmup.span)
-        whole = MARGIN * warmup.factor * able * warmup.window
-        while ledger and ledger[0][0] <= self.loop.now - warmup.window:
+        risen = max(0, age - warmup.overload_window) / warmup.duration
+        able = lanes * (warmup.initial_share + (1 - warmup.initial_share) * risen)
+        whole = MARGIN * warmup.overload_factor * able * warmup.overload_window
+        while ledger and ledger[0][0] <= self.loop.now - warmup.overload_window:
             ledger.popleft()
         place = (
             mix64(self.loop.seed ^ mix64(ident)) / MASK_64 * sharing
@@ -370,25 +382,25 @@
     def barred(self, get, cache, source):
         """The rule that a forward would break and at which member, or None."""
         now, ds = self.loop.now, get.ds
-        if get.closed or now >= get.due or get.sent >= self.allowance.forwards:
+        if get.closed or now >= get.due or get.sent >= self.allowance.max_attempts:
             return "answer", cache
-        if get.out is not None and not self.allowance.overlap:
+        if get.out is not None and not self.allowance.hedging:
             return "effect", cache
-        if get.ran_at is not None and get.repeats != Repeats.IDEMPOTENT:
-            group = (cache.member.zone, cache.member.cell)[: ds.scope] == get.ran_in[: ds.scope]
-            if get.repeats == Repeats.NON_IDEMPOTENT or not group or now - get.ran_at >= ds.window:
+        if get.ran_at is not None and get.repeats != Idempotency.IDEMPOTENT:
+            group = (cache.member.zone, cache.member.cell)[: ds.key_scope] == get.ran_in[: ds.key_scope]
+            if get.repeats == Idempotency.NON_IDEMPOTENT or not group or now - get.ran_at >= ds.retry_window:
                 return "effect", cache
         for actor in dict.fromkeys((cache, source)):
             if self.stale and actor is not self.door.origin:  # a drain or purge may not be known here
                 return "stale", actor
-            if actor.id not in self.members or self.members[actor.id][0].standing != Standing.READY:
+            if actor.id not in self.members or self.members[actor.id][0].state != EndpointState.READY:
                 return "drain", actor  # the grace is not used: the list is late enough as it is
             if not self.spared(actor.id, self.door.work[get.dsi]):
                 return "cold", actor
         return None
 
     def lateness(self, note):
-        self.stale = note.late
+        self.stale = note.is_stale
 
     def forward(self, get, cache, source):
         if barred := self.barred(get, cache, source):
@@ -396,16 +408,16 @@
         for ident in dict.fromkeys((cache.id, source.id)):
             if ident in self.starts:
                 self.starts[ident][1].append((self.loop.now, self.door.work[get.dsi]))
-        join = self.allowance.joins and source is not cache and not get.direct
+        join = self.allowance.join_fills and source is not cache and not get.direct
         member = self.members[cache.id][0]
         get.out = (get.id, get.sent)
-        tokened = get.ran_at is not None and get.repeats == Repeats.TOKENED
-        within = get.ran_at + get.ds.window - self.loop.now if tokened else 0  # it may wait for a connection
+        tokened = get.ran_at is not None and get.repeats == Idempotency.KEYED
+        within = get.ran_at + get.ds.retry_window - self.loop.now if tokened else 0
         if get.ran_at is None:
             get.ran_at, get.ran_by, get.ran_in = self.loop.now, get.sent, (member.zone, member.cell)
         get.sent += 1
         self.loop.orders.append(
-            Forward(
+            ForwardRequest(
                 get.id,
                 cache.id,
                 0,
@@ -414,7 +426,7 @@
                 self.oldest(get),
                 join,
                 get.held and not get.direct,
-                within=within,
+                send_within=within,
             )
         )
         self.loop.put(self.door, "left_for", get, cache, source)
@@ -426,10 +438,10 @@
         get.closed = True
         harmless = (
             get.ran_at is None
-            or get.repeats == Repeats.IDEMPOTENT
-            or (get.repeats == Repeats.TOKENED and get.ds.scope == Scope.ALL)
+            or get.repeats == Idempotency.IDEMPOTENT
+            or (get.repeats == Idempotency.KEYED and get.ds.key_scope == KeyScope.ALL)
         )
-        self.loop.orders.append(Shed(get.id, come_back) if harmless else Errored(get.id))
+        self.loop.orders.append(RejectRequest(get.id, come_back) if harmless else FailRequest(get.id))
 
 
 class Door(Actor):
@@ -437,25 +449,25 @@
 
     def __init__(self, loop, services, allowance, footprint):
         super().__init__(loop)
-        self.services, self.allowance, self.flow_kb_s = services, allowance, footprint.flow_kb_s
+        self.services, self.allowance, self.flow_kb_s = services, allowance, footprint.transfer_kb_s
         link = footprint.link_kb_s[footprint.zone] if footprint.zone < len(footprint.link_kb_s) else 0
         self.fill_room = max(1, FILLS * link / self.flow_kb_s / footprint.fronts_in_zone) if link else 1e9
         self.least, self.looked, self.fetched = min(1, LEAST_FETCHES / footprint.fronts), 0, 0
         self.window, self.grow = min(FIRST, self.fill_room), GROW * max(1, min(link, self.fill_room) / USUAL)
         self.open, self.flights, self.fills, self.fetches = {}, {}, set(), set()
         self.caches, self.parents, self.origin, self.shelf, self.gate = [], [], None, None, None
-        self.work = [ds.objective for ds in services]  # mean sending time, learned
+        self.work = [ds.latency_objective for ds in services]  # mean sending time, learned
         self.mean = min(self.work, default=0)  # the same over all that go to caches
 
     def members(self, caches, parents, origin):
         self.caches, self.parents, self.origin = caches, parents, origin
 
     def arrived(self, note):
-        ds, work = self.services[note.ds], self.work[note.ds]
+        ds, work = self.services[note.service], self.work[note.service]
         own = int(note.size_kb / self.flow_kb_s * 1_000_000) if note.size_kb and self.flow_kb_s else work
-        self.work[note.ds] += (own - work) // 32
+        self.work[note.service] += (own - work) // 32
         self.mean += 0 if ds.uncacheable else (work - self.mean) / 32
-        get = self.open[note.id] = OpenGet(note, ds, self.loop.now + note.patience, own)
+        get = self.open[note.id] = OpenGet(note, ds, self.loop.now + note.time_left, own)
         self.loop.put(self.shelf, "count", get)
 
     def ranked(self, get, rank):
@@ -489,7 +501,7 @@
 
     def fall_back(self, get):
         """No fill is to be had: an ageing copy will do. No cache has room: to a parent. Else give it up."""
-        if get.filling and get.ds.grace and not get.stale:
+        if get.filling and get.ds.stale_grace and not get.stale:
             get.stale, get.filling, get.passed = True, False, set()
             self.step(get)
         elif self.allowance.direct and self.origin and not (get.filling or get.direct or get.ds.uncacheable):
@@ -531,18 +543,23 @@
                 self.fetches.add(get.out)
 
     def ended(self, note):
-        if (flight := (note.id, note.forward)) not in self.flights:
+        if (flight := (note.request, note.attempt)) not in self.flights:
             return
         get, cache, source = self.flights.pop(flight)
-        if note.verdict == Verdict.TIMED_OUT and note.took < get.ds.objective:
-            note = note._replace(verdict=Verdict.CANCELLED)  # its GET's time was short: nobody is at fault
-        in_time = note.verdict == Verdict.RETURNED and note.took < get.ds.objective + get.ds.stretch * get.own
-        strained = note.verdict == Verdict.FULL or None
-        late = not in_time if note.verdict == Verdict.RETURNED else strained
-        self.loop.put(cache, "ended", flight, note.verdict, True, late if source is cache else None)
+        if note.outcome == AttemptOutcome.TIMED_OUT and note.duration < get.ds.latency_objective:
+            note = note._replace(
+                outcome=AttemptOutcome.CANCELLED
+            )  # its GET's time was short: nobody is at fault
+        in_time = (
+            note.outcome == AttemptOutcome.SUCCEEDED
+            and note.duration < get.ds.latency_objective + get.ds.objective_stretch * get.own
+        )
+        strained = note.outcome == AttemptOutcome.FULL or None
+        late = not in_time if note.outcome == AttemptOutcome.SUCCEEDED else strained
+        self.loop.put(cache, "ended", flight, note.outcome, True, late if source is cache else None)
         if source is not cache:  # a late fill strains its source only once its own report has
             strained = late if get.held and strained or source.ease < 1 and not strained else None
-            self.loop.put(source, "ended", flight, note.verdict, False, strained)
+            self.loop.put(source, "ended", flight, note.outcome, False, strained)
         get.out = None
         self.fills.discard(flight)
         others = self.loop.now - self.fetched < QUIET  # fetches come in time beside this one
@@ -552,55 +569,65 @@
                 self.window = min(self.fill_room, self.window + min(self.window, self.grow / self.window))
                 self.fetched = self.loop.now
             elif (
-                note.verdict in STUCK
+                note.outcome in STUCK
                 and source.ease >= 1
                 and not source.missed
                 and cache.ease > 0.5
-                and not (others and note.verdict == Verdict.ERRORED)
+                and not (others and note.outcome == AttemptOutcome.FAILED)
             ):  # its object errs, or one parent
-                mild = note.verdict == Verdict.RETURNED or others and note.verdict == Verdict.TIMED_OUT
+                mild = (
+                    note.outcome == AttemptOutcome.SUCCEEDED
+                    or others
+                    and note.outcome == AttemptOutcome.TIMED_OUT
+                )
                 self.window = max(self.least, self.window * (YIELD if mild else LOST))
-        if note.verdict == Verdict.RETURNED and source is cache and not get.size_kb:  # it was held there
-            self.work[get.dsi] += (note.took - self.work[get.dsi]) // 32
-        if note.verdict in NEVER_RAN and get.ran_by == note.forward:
+        if (
+            note.outcome == AttemptOutcome.SUCCEEDED and source is cache and not get.size_kb
+        ):  # it was held there
+            self.work[get.dsi] += (note.duration - self.work[get.dsi]) // 32
+        if note.outcome in NEVER_EXECUTED and get.ran_by == note.attempt:
             get.ran_at = None
-        get.closed |= note.closed
+        get.closed |= note.answered
         if get.closed:
             return self.open.pop(get.id, None)
         self.again(get, cache, source, note)
 
     def again(self, get, cache, source, note):
-        if note.verdict == Verdict.MISS and get.held:
+        if note.outcome == AttemptOutcome.MISS and get.held:
             return self.fall_back(get)
-        get.filling = note.verdict == Verdict.MISS and source is cache
-        broken = note.verdict in BROKEN  # says nothing of the source, and once, nothing of the cache
-        moot = note.verdict == Verdict.MOOT  # called off by news before it was sent: nobody is at fault
+        get.filling = note.outcome == AttemptOutcome.MISS and source is cache
+        broken = note.outcome in BROKEN  # says nothing of the source, and once, nothing of the cache
+        moot = (
+            note.outcome == AttemptOutcome.SUPERSEDED
+        )  # called off by news before it was sent: nobody is at fault
         if not get.filling and not moot and not (broken and cache.struck in (None, self.loop.now)):
             get.passed.update((cache,) if broken else (cache, source))
         self.step(get)
 
     def give_up(self, get):
         self.open.pop(get.id, None)  # answered at once, with a time to come back where that is heard
-        wait = int(self.allowance.come_back * COME_BACK * (0.5 + self.loop.chance()))
+        wait = int(self.allowance.max_retry_after * COME_BACK * (0.5 + self.loop.chance()))
         self.loop.put(self.gate, "final", get, wait)
 
     def recall(self, member):
         for get, cache, source in list(self.flights.values()):
-            if member in (cache, source) and get.repeats == Repeats.IDEMPOTENT and not get.closed:
+            if member in (cache, source) and get.repeats == Idempotency.IDEMPOTENT and not get.closed:
                 self.withdraw(get)
 
     def withdraw(self, get):
-        if self.allowance.withdraw and get.out:
-            self.loop.orders.append(Withdraw(*get.out))
+        if self.allowance.cancellation and get.out:
+            self.loop.orders.append(CancelAttempt(*get.out))
 
     def shutting_down(self, note):
         for get in self.open.values():
-            get.due = min(get.due, self.loop.now + note.within)
+            get.due = min(get.due, self.loop.now + note.time_left)
 
     def left(self, note):
-        if get := self.open.pop(note.id, None):
+        if get := self.open.pop(note.request, None):
             get.closed = True
-            if get.repeats == Repeats.IDEMPOTENT and isinstance(note, Left):  # a stream that began goes on
+            if get.repeats == Idempotency.IDEMPOTENT and isinstance(
+                note, ClientDisconnected
+            ):  # a stream that began goes on
                 self.withdraw(get)
 
 
@@ -615,25 +642,25 @@
         self.shelf = self.door.shelf = Shelf(self.loop, self.door)
         self.caches, self.next_tick, self.armed, self.inbox = {}, 0, None, deque()
         self.desks = {
-            Get: (self.door, "arrived"),
-            Outcome: (self.door, "ended"),
-            Left: (self.door, "left"),
-            Streaming: (self.door, "left"),
-            ShuttingDown: (self.door, "shutting_down"),
-            Purge: (self.gate, "purged"),
-            Roster: (self, "roster"),
-            ProbeReport: (self, "probed"),
-            Room: (self, "room"),
-            Stale: (self.gate, "lateness"),
-            Learnt: (self.shelf, "learnt"),
-            AskCounts: (self.shelf, "tell"),
+            RequestArrived: (self.door, "arrived"),
+            AttemptEnded: (self.door, "ended"),
+            ClientDisconnected: (self.door, "left"),
+            ResponseStarted: (self.door, "left"),
+            ShutdownStarted: (self.door, "shutting_down"),
+            PurgeAnnounced: (self.gate, "purged"),
+            EndpointListUpdated: (self, "roster"),
+            ProbeEnded: (self, "probed"),
+            ConnectionAvailabilityChanged: (self, "room"),
+            EndpointListFreshnessChanged: (self.gate, "lateness"),
+            RequestCountsReceived: (self.shelf, "learnt"),
+            RequestCountsWanted: (self.shelf, "tell"),
         }
 
     def handle(self, now, notes):
         """Take in what the host heard at `now`; give the orders that follow."""
         self.loop.now, self.loop.orders = now, []
         for note in notes:
-            if isinstance(note, Due):
+            if isinstance(note, TimerFired):
                 self.armed = None
             elif type(note) in self.desks:
                 self.loop.put(*self.desks[type(note)], note)
@@ -647,38 +674,41 @@
         due = min(self.next_tick, self.loop.calendar[0][0]) if self.loop.calendar else self.next_tick
         if self.armed is None or due < self.armed:
             self.armed = due
-            self.loop.orders.append(Wake(0, max(1, due - now)))
+            self.loop.orders.append(ScheduleWakeup(0, max(1, due - now)))
         return self.loop.orders
 
     def roster(self, note):
-        if self.allowance.subscribe and note.listing in (Listing.CACHED, Listing.UNAVAILABLE):
-            self.loop.orders.append(Subscribe(True))
-        if note.listing == Listing.UNAVAILABLE:
+        if self.allowance.subscribe and note.kind in (UpdateKind.CACHED, UpdateKind.UNAVAILABLE):
+            self.loop.orders.append(SetSubscription(True))
+        if note.kind == UpdateKind.UNAVAILABLE:
             return
         place = self.footprint  # caches elsewhere are none of this front's business
         upper = (place.parent_kind, place.origin_kind)
         gone = (
             {}
-            if note.listing == Listing.DELTA
+            if note.kind == UpdateKind.DELTA
             else {
-                ident: cache.member._replace(standing=Standing.GONE) for ident, cache in self.caches.items()
+                ident: cache.member._replace(state=EndpointState.REMOVED)
+                for ident, cache in self.caches.items()
             }
         )
         members = gone | {
-            m.cache: m
-            for m in note.members
-            if m.cache in self.caches
-            or m.standing != Standing.GONE
+            m.id: m
+            for m in note.endpoints
+            if m.id in self.caches
+            or m.state != EndpointState.REMOVED
             and (m.zone == place.zone or m.kind in upper)
         }
         known = {i: cache.member for i, cache in self.caches.items()} | members
         parents = sum(member.kind == place.parent_kind for member in known.values())
         for member in members.values():
             self.enlist(member, parents)
-        for ident in [i for i, c in self.caches.items() if c.member.standing == Standing.GONE and not c.out]:
+        for ident in [
+            i for i, c in self.caches.items() if c.member.state == EndpointState.REMOVED and not c.out
+        ]:
             del self.caches[ident], self.gate.members[ident]
             self.gate.starts.pop(ident, None)
-        ready = [c for c in self.caches.values() if c.member.standing == Standing.READY]
+        ready = [c for c in self.caches.values() if c.member.state == EndpointState.READY]
         self.loop.put(
             self.door,
             "members",
@@ -690,24 +720,24 @@
     def enlist(self, member, parents):
         place = self.footprint
         upper = member.kind in (place.parent_kind, place.origin_kind)
-        warming = 0 if member.kind == place.origin_kind else self.warmups[upper].span
-        member = member if warming else member._replace(started=0)  # the origin is never cold
+        warming = 0 if member.kind == place.origin_kind else self.warmups[upper].duration
+        member = member if warming else member._replace(started_at=0)  # the origin is never cold
         sharing = place.fronts if upper else place.fronts_in_zone
-        carried = sum(place.link_kb_s) / (parents or 1) if upper and place.flow_kb_s else 0  # by all parents
-        lanes = member.weight if place.weighted else carried / place.flow_kb_s if carried else LANES
-        if member.cache not in self.caches:
-            self.caches[member.cache] = Cache(
-                self.loop, self.door, self.gate, member.cache, self.allowance.probing, upper, warming
+        carried = sum(place.link_kb_s) / (parents or 1) if upper and place.transfer_kb_s else 0
+        lanes = member.weight if place.weighted else carried / place.transfer_kb_s if carried else LANES
+        if member.id not in self.caches:
+            self.caches[member.id] = Cache(
+                self.loop, self.door, self.gate, member.id, self.allowance.probing, upper, warming
             )
-        cache = self.caches[member.cache]
+        cache = self.caches[member.id]
         self.loop.put(cache, "listed", member, sharing, lanes, place.weighted)
         self.loop.put(self.gate, "listed", member, sharing, lanes, upper)
         self.loop.run()
 
     def probed(self, note):
-        if note.cache in self.caches:
-            self.loop.put(self.caches[note.cache], "probed", note)
+        if note.endpoint in self.caches:
+            self.loop.put(self.caches[note.endpoint], "probed", note)
 
     def room(self, note):
-        if note.cache in self.caches:
-            self.caches[note.cache].way = note.way
+        if note.endpoint in self.caches:
+            self.caches[note.endpoint].way = note.available
--- a/limepath/configuration/decision_settings.py
+++ b/limepath/configuration/decision_settings.py
@@ -1,6 +1,14 @@
 """From the settings, as JSON gives them, to the arguments of `limepath.choice.Front`; all hosts use this."""
 
-from limepath import contract as c
+from limepath.interface.settings import (
+    DeliveryService,
+    GracePeriods,
+    Idempotency,
+    KeyScope,
+    Permissions,
+    SlowStart,
+    Topology,
+)
 
 LOAD_NAMES = {
     "rif": "inflight",
@@ -11,11 +19,11 @@
     "fail_rate": "eps",
 }
 REPEATS = {
-    "free": c.Repeats.IDEMPOTENT,
-    "guarded": c.Repeats.TOKENED,
-    "single_shot": c.Repeats.NON_IDEMPOTENT,
+    "free": Idempotency.IDEMPOTENT,
+    "guarded": Idempotency.KEYED,
+    "single_shot": Idempotency.NON_IDEMPOTENT,
 }
-SCOPES = {"all": c.Scope.ALL, "zone": c.Scope.ZONE, "cell": c.Scope.CELL}
+SCOPES = {"all": KeyScope.ALL, "zone": KeyScope.ZONE, "cell": KeyScope.CELL}
 LATERAL = {"none": "none", "location": "zone", "any": "any"}
 
 
@@ -28,18 +36,18 @@
         values = family.get(name) or []
         return values[i] if i < len(values) else absent
 
-    return c.DeliveryService(
-        objective=us(entry["aim"]),
-        stretch=entry.get("aim-stretch", 0.0),
-        viewer_timeout=us(entry["deadline"]),
-        revenue=entry.get("worth", 1.0),
+    return DeliveryService(
+        latency_objective=us(entry["aim"]),
+        objective_stretch=entry.get("aim-stretch", 0.0),
+        deadline=us(entry["deadline"]),
+        priority_weight=entry.get("worth", 1.0),
         late_share=entry.get("late-worth", 0.0),
-        repeats=REPEATS[entry["idempotency"]],
-        scope=SCOPES[entry.get("key-scope", "all")],
-        window=us(entry.get("repeat-window", 0)),
+        idempotency=REPEATS[entry["idempotency"]],
+        key_scope=SCOPES[entry.get("key-scope", "all")],
+        retry_window=us(entry.get("repeat-window", 0)),
         streamed=bool(entry.get("stream", False)),
-        fresh=us(per_class("max-age", 0)),
-        grace=us(per_class("class-grace", 0)),
+        max_age=us(per_class("max-age", 0)),
+        stale_grace=us(per_class("class-grace", 0)),
         stale_share=per_class("class-stale-worth", 0.0),
         uncacheable=bool(per_class("never-kept", False)),
         segmented=bool(per_class("segmented", False)),
@@ -48,7 +56,7 @@
 
 def warmup(share, span, factor, window):
     """A multiple or a time of 0 says that nothing topples: then there is no budget to keep."""
-    return c.Warmup(share, us(span) if factor and window else 0, factor, us(window))
+    return SlowStart(share, us(span) if factor and window else 0, factor, us(window))
 
 
 def start_of(settings):
@@ -57,7 +65,7 @@
     zone, fronts = settings["az"], settings["replicas-of-me"]
     zone_fronts = family.get("zone-balancers") or []
     services = tuple(service_of(entry, i, family) for i, entry in enumerate(settings["classes"]))
-    footprint = c.Footprint(
+    footprint = Topology(
         zone=zone,
         hub_of=tuple(family.get("hub-of", ())),
         link_kb_s=tuple(family.get("pipe-kb-per-s", ())),
@@ -65,18 +73,18 @@
         fronts=fronts,
         parent_kind=family.get("mid-kind", -1),
         origin_kind=family.get("master-kind", -1),
-        flow_kb_s=family.get("one-flow-kb-per-s", 0.0),
+        transfer_kb_s=family.get("one-flow-kb-per-s", 0.0),
         weighted=settings.get("weight-kind") in ("nominal", "rough"),
     )
-    allowance = c.Allowance(
-        forwards=limits.get("max-attempts", 1),
-        overlap=limits.get("second-copies", False),
-        withdraw=limits.get("cancel", False),
+    allowance = Permissions(
+        max_attempts=limits.get("max-attempts", 1),
+        hedging=limits.get("second-copies", False),
+        cancellation=limits.get("cancel", False),
         probing=limits.get("probing", False),
-        peers=limits.get("peers", False),
-        come_back=us(limits.get("max-retry-after", 0)) if limits.get("retry-after", False) else 0,
+        peer_messages=limits.get("peers", False),
+        max_retry_after=us(limits.get("max-retry-after", 0)) if limits.get("retry-after", False) else 0,
         direct=family.get("direct", False),
-        joins=family.get("shares-fills", False),
+        join_fills=family.get("shares-fills", False),
         lateral=LATERAL[family.get("lateral", "none")],
         subscribe=settings.get("membership-mode") == "subscribe",
     )
@@ -89,7 +97,7 @@
         family.get("upper-fall-multiple", safety["overload-factor"]),
         safety["tip-after"],
     )
-    grace = c.Grace(
+    grace = GracePeriods(
         us(safety["answer-slack"]),
         us(safety["drain-grace"]),
         us(family.get("heed-within", 0)),
--- a/limepath/configuration/platform.py
+++ b/limepath/configuration/platform.py
@@ -241,7 +241,7 @@
             entry["name"].encode(): (
                 i,
                 arguments["services"][i].uncacheable,
-                arguments["services"][i].viewer_timeout * 2,
+                arguments["services"][i].deadline * 2,
             )
             for i, entry in enumerate(settings["classes"])
         }
@@ -252,7 +252,7 @@
     machine = part(told, "limits", dict, {})
     sockets = available(int(part(machine, "sockets", COUNT, 1024, "limits.")))
     memory_mb = int(part(machine, "memory_mb", COUNT, 192, "limits."))
-    longest = max(one.viewer_timeout for one in arguments["services"])
+    longest = max(one.deadline for one in arguments["services"])
     last_answer = min(longest, LONGEST_WAITED_FOR) + LAST_ANSWER_AFTER
     told_last = part(machine, "last_answer_ms", Number(whole=True), last_answer // 1000, "limits.")
     taken = min(TAKEN_AT_MOST, max(REQUESTS_COME, int(told_last) * 1000 - CLOSED_BEFORE_LAST_ANSWER))
@@ -269,7 +269,7 @@
         last_answer=int(told_last) * 1000,
         last_call=longest,
         connect=connect,
-        come_back=arguments["allowance"].come_back // 10,
+        come_back=arguments["allowance"].max_retry_after // 10,
         wait=min(connect, grace.drain, grace.purge or connect),
         cache_idle=us(allowed.get("conn-idle", 30_000_000_000)) * 8 // 10,
     )
--- a/limepath/connection_pacing/host.py
+++ b/limepath/connection_pacing/host.py
@@ -2,9 +2,9 @@
 connect.
 """
 
-from limepath import contract as c
 from limepath.connection_pacing.connections import Connections
 from limepath.front.turn import clock
+from limepath.interface.events import ConnectionAvailabilityChanged
 
 
 class Paced:
@@ -24,7 +24,7 @@
         self.pace.listed(now, [ident for ident, peer in peers.items() if peer.gone is None])
         for ident, peer in peers.items():
             self.pace.changed(ident, len(peer.connections) + peer.coming)
-        self.turn.gather(*(c.Room(ident, way) for ident, way in self.pace.rooms(now)))
+        self.turn.gather(*(ConnectionAvailabilityChanged(ident, way) for ident, way in self.pace.rooms(now)))
         if self.timer and self.timer.active():
             self.timer.cancel()
         due = self.pace.next()
--- a/limepath/discovery/host.py
+++ b/limepath/discovery/host.py
@@ -6,7 +6,6 @@
 from twisted.internet.error import ConnectingCancelledError
 from twisted.internet.protocol import Factory
 
-from limepath import contract as c
 from limepath.discovery.interface import (
     MESSAGES,
     Call,
@@ -29,6 +28,7 @@
 from limepath.duties.host import clock
 from limepath.frequency_exchange.host import Tallies
 from limepath.front.changelog import BadEvent, ChangeLog, Stream
+from limepath.interface.events import EndpointListFreshnessChanged, PurgeAnnounced
 from limepath.logic_host import LogicHost
 
 ROW = "list"  # of the store
@@ -110,7 +110,7 @@
             if self.confirmed:
                 self.confirmed()
         elif isinstance(order, Stale):
-            self.turn.gather(c.Stale(order.late))
+            self.turn.gather(EndpointListFreshnessChanged(order.late))
             self.log.say("list-late" if order.late else "list-in-time")
         elif isinstance(order, Say):
             self.log.say(order.event, **order.fields)
@@ -242,7 +242,7 @@
     def gather(self, *notes):
         self.turn.gather(
             *(
-                note._replace(age=min(note.age, self.oldest)) if isinstance(note, c.Purge) else note
+                note._replace(age=min(note.age, self.oldest)) if isinstance(note, PurgeAnnounced) else note
                 for note in notes
             )
         )
--- a/limepath/duties/host.py
+++ b/limepath/duties/host.py
@@ -6,10 +6,17 @@
 import sqlite3
 import time
 
-from limepath import contract as c
 from limepath.duties.instance import Instance
 from limepath.duties.interface import MESSAGES as DUTY_MESSAGES
 from limepath.duties.interface import Epochs, Keep, Serve, Served, Shared, Targets, Vote
+from limepath.interface.commands import SendProbe
+from limepath.interface.events import (
+    AttemptOutcome,
+    EndpointListUpdated,
+    EndpointState,
+    ProbeEnded,
+    UpdateKind,
+)
 from limepath.logic_host import LogicHost
 from limepath.membership import control
 from limepath.membership.host import Line, Unopened
@@ -76,7 +83,7 @@
         self.kinds = self.kinds_of(front)
         self.members, self.over = {}, False
         self.serving, self.asked, self.control, self.looked, self.said = {}, set(), None, clock(), clock()
-        self.plain_probe = turn.carriers[c.Probe]
+        self.plain_probe = turn.carriers[SendProbe]
         self.guests, self.views = (
             [],
             {"peers": self.shown},
@@ -86,7 +93,7 @@
         self.counts = {"probes_asked": 0, "probes_shared": 0, "probes_sent": 0, "rounds": 0, "too_late": 0}
         self.counts["held_back"] = 0
         turn.listener = self.overheard
-        turn.carriers[c.Probe] = self.probe
+        turn.carriers[SendProbe] = self.probe
 
     def kinds_of(self, front):
         """For each duty, the module's kinds of its targets."""
@@ -186,31 +193,31 @@
         for guest in self.hearers:
             guest.saw(notes)
         for note in notes:
-            if isinstance(note, c.Roster):
+            if isinstance(note, EndpointListUpdated):
                 self.roster(note)
-            elif isinstance(note, c.ProbeReport) and not note.age:
-                self.asked.discard(note.cache)
-                duty = self.serving.pop(note.cache, self.duty_of(note.cache))
-                if duty is not None and note.verdict != c.Verdict.MOOT:
+            elif isinstance(note, ProbeEnded) and not note.age:
+                self.asked.discard(note.endpoint)
+                duty = self.serving.pop(note.endpoint, self.duty_of(note.endpoint))
+                if duty is not None and note.outcome != AttemptOutcome.SUPERSEDED:
                     load = {
                         name: float(value) for name, value in list(note.load.items())[:8] if len(name) <= 12
                     }
-                    self.gather(Served(duty, note.cache, int(note.verdict), note.took, load))
+                    self.gather(Served(duty, note.endpoint, int(note.outcome), note.duration, load))
 
     def duty_of(self, cache):
         kind = self.members.get(cache)
         return next((duty for duty, kinds in enumerate(self.kinds) if kind in kinds), None)
 
     def roster(self, note):
-        if note.listing == c.Listing.UNAVAILABLE:
+        if note.kind == UpdateKind.UNAVAILABLE:
             return
-        if note.listing != c.Listing.DELTA:
+        if note.kind != UpdateKind.DELTA:
             self.members = {}
-        for member in note.members:
-            if member.standing == c.Standing.READY:
-                self.members[member.cache] = member.kind
+        for member in note.endpoints:
+            if member.state == EndpointState.READY:
+                self.members[member.id] = member.kind
             else:
-                self.members.pop(member.cache, None)
+                self.members.pop(member.id, None)
         self.gather(*self.all_targets())
 
     def all_targets(self):
@@ -225,13 +232,13 @@
         elif order.target in self.caches.peers:
             self.counts["rounds"] += 1
             self.serving[order.target] = order.duty
-            self.caches.probe(c.Probe(order.target), order.epoch)
+            self.caches.probe(SendProbe(order.target), order.epoch)
 
     def probe(self, order):
         """The module asks for a probe: what is learnt already serves, as far as the module takes it."""
         self.counts["probes_asked"] += 1
         self.instance.timers.now = clock()
-        if shared := self.instance.answer(order.cache, order.oldest):
+        if shared := self.instance.answer(order.endpoint, order.max_age):
             self.counts["probes_shared"] += 1
             self.turn.gather(self.report_of(shared))
         else:
@@ -245,10 +252,10 @@
 
     def report_of(self, result):
         try:
-            verdict = c.Verdict(result.verdict)
+            verdict = AttemptOutcome(result.verdict)
         except ValueError:
-            verdict = c.Verdict.ERRORED
-        return c.ProbeReport(result.target, verdict, result.took, result.load, max(1, result.age))
+            verdict = AttemptOutcome.FAILED
+        return ProbeEnded(result.target, verdict, result.took, result.load, max(1, result.age))
 
     # The front's own calls
 
@@ -274,7 +281,7 @@
     def stop(self):
         """Share nothing any more; the front goes on by itself."""
         self.over = True
-        self.turn.listener, self.turn.carriers[c.Probe] = None, self.plain_probe
+        self.turn.listener, self.turn.carriers[SendProbe] = None, self.plain_probe
         self.line.close()
         self.line.report()
         self.logic_host.close()
--- a/limepath/duties/learnt.py
+++ b/limepath/duties/learnt.py
@@ -8,8 +8,8 @@
 
 from collections import Counter
 
-from limepath.contract import Verdict
 from limepath.duties.interface import Reach, Result, Results, Shared
+from limepath.interface.events import AttemptOutcome
 
 NEARBY, ROUNDS = 8, 2
 CARRIED = 18  # results on one datagram
@@ -130,8 +130,8 @@
             return None
         result, at = max(fresh, key=lambda kept: kept[1])
         if (
-            result.verdict != Verdict.RETURNED
-            and sum(other.verdict != Verdict.RETURNED for other, _ in fresh) < AGREED
+            result.verdict != AttemptOutcome.SUCCEEDED
+            and sum(other.verdict != AttemptOutcome.SUCCEEDED for other, _ in fresh) < AGREED
         ):
             return None
         return result._replace(age=now - at)
--- a/limepath/duties/saving.py
+++ b/limepath/duties/saving.py
@@ -8,10 +8,31 @@
 
 from typing import NamedTuple
 
-from limepath import contract as c
 from limepath.choice import Front
 from limepath.duties.interface import Leasing, Mode, Plan, Served
 from limepath.duties.world import World
+from limepath.interface.commands import CancelAttempt, ForwardRequest, ScheduleWakeup, SendProbe
+from limepath.interface.events import (
+    AttemptEnded,
+    AttemptOutcome,
+    CacheStatus,
+    Endpoint,
+    EndpointListUpdated,
+    EndpointState,
+    ProbeEnded,
+    RequestArrived,
+    TimerFired,
+    UpdateKind,
+)
+from limepath.interface.settings import (
+    DeliveryService,
+    GracePeriods,
+    Idempotency,
+    KeyScope,
+    Permissions,
+    SlowStart,
+    Topology,
+)
 from limepath.membership.interface import Spans
 
 SECOND = 1_000_000
@@ -19,18 +40,18 @@
 WAYS = (ALONE, EACH, SHARED)
 VIEWER_TIMEOUT, PROBE = 2 * SECOND, 250_000
 WORK = 40_000  # of a GET at a cache
-SERVICE = c.DeliveryService(
-    objective=600_000,
-    stretch=1.6,
-    viewer_timeout=VIEWER_TIMEOUT,
-    revenue=1.0,
+SERVICE = DeliveryService(
+    latency_objective=600_000,
+    objective_stretch=1.6,
+    deadline=VIEWER_TIMEOUT,
+    priority_weight=1.0,
     late_share=0.2,
-    repeats=c.Repeats.IDEMPOTENT,
-    scope=c.Scope.ALL,
-    window=SECOND,
+    idempotency=Idempotency.IDEMPOTENT,
+    key_scope=KeyScope.ALL,
+    retry_window=SECOND,
     streamed=False,
-    fresh=0,
-    grace=0,
+    max_age=0,
+    stale_grace=0,
     stale_share=0.0,
     uncacheable=False,
     segmented=False,
@@ -59,11 +80,11 @@
             Front(
                 seed=seed + index,
                 services=(SERVICE,),
-                footprint=c.Footprint(0, (0,), (), fronts, fronts, 2, 3, 0.0, False),
-                allowance=c.Allowance(6, False, True, True, False, SECOND, True, False, "none", False),
-                cache_warmup=c.Warmup(1.0, 1, 2.0, SECOND),
-                parent_warmup=c.Warmup(1.0, 1, 2.0, SECOND),
-                grace=c.Grace(8000, SECOND, 0, 0, 0),
+                footprint=Topology(0, (0,), (), fronts, fronts, 2, 3, 0.0, False),
+                allowance=Permissions(6, False, True, True, False, SECOND, True, False, "none", False),
+                cache_warmup=SlowStart(1.0, 1, 2.0, SECOND),
+                parent_warmup=SlowStart(1.0, 1, 2.0, SECOND),
+                grace=GracePeriods(8000, SECOND, 0, 0, 0),
             )
             for index in range(fronts)
         ]
@@ -77,9 +98,9 @@
                 node.start(())
                 if self.way == EACH:
                     node.begin()
-        members = tuple(c.Member(c.Standing.READY, target, 0, 0, 0, 0, 6.0) for target in self.targets)
+        members = tuple(Endpoint(EndpointState.READY, target, 0, 0, 0, 0, 6.0) for target in self.targets)
         for index in range(len(self.nodes)):
-            self.tell(index, c.Roster(c.Listing.FULL, 1, members))
+            self.tell(index, EndpointListUpdated(UpdateKind.FULL, 1, members))
             self.at(self.chance.randrange(SECOND), self.get, index)
 
     def is_silent(self, cache):
@@ -90,26 +111,26 @@
 
     def carry(self, index, orders):
         for order in orders:
-            if isinstance(order, c.Forward):
-                self.out[index, order.id] = order
-                self.met += self.is_silent(order.cache)
-                if self.is_silent(order.cache):
+            if isinstance(order, ForwardRequest):
+                self.out[index, order.request] = order
+                self.met += self.is_silent(order.endpoint)
+                if self.is_silent(order.endpoint):
                     self.at(
                         self.now + VIEWER_TIMEOUT,
                         self.ended,
                         index,
                         order,
-                        c.Verdict.TIMED_OUT,
+                        AttemptOutcome.TIMED_OUT,
                         VIEWER_TIMEOUT,
                     )
                 else:
-                    self.at(self.now + WORK, self.ended, index, order, c.Verdict.RETURNED, WORK)
-            elif isinstance(order, c.Withdraw):
-                if forward := self.out.get((index, order.id)):
-                    self.ended(index, forward, c.Verdict.CANCELLED, SECOND)
-            elif isinstance(order, c.Probe):
+                    self.at(self.now + WORK, self.ended, index, order, AttemptOutcome.SUCCEEDED, WORK)
+            elif isinstance(order, CancelAttempt):
+                if forward := self.out.get((index, order.request)):
+                    self.ended(index, forward, AttemptOutcome.CANCELLED, SECOND)
+            elif isinstance(order, SendProbe):
                 self.probe(index, order)
-            elif isinstance(order, c.Wake) and (
+            elif isinstance(order, ScheduleWakeup) and (
                 self.wakes[index] is None
                 or self.wakes[index] <= self.now
                 or self.now + order.delay < self.wakes[index]
@@ -120,22 +141,25 @@
     def wake(self, index, due):
         if self.wakes[index] == due:
             self.wakes[index] = None
-            self.tell(index, c.Due(0))
+            self.tell(index, TimerFired(0))
 
     def get(self, index):
         self.gets += 1
         self.tell(
             index,
-            c.Get(
+            RequestArrived(
                 self.gets, 0, 0, 1 + self.chance.randrange(10_000), VIEWER_TIMEOUT, 0.0, 0, 0, False, False
             ),
         )
         self.at(self.now + int(self.chance.expovariate(self.rate) * SECOND) + 1, self.get, index)
 
     def ended(self, index, order, verdict, took):
-        if self.out.pop((index, order.id), None) is order:
-            done = verdict == c.Verdict.RETURNED
-            self.tell(index, c.Outcome(order.id, 0, verdict, order.cache, took, 0, done, c.Hint.NONE, {}))
+        if self.out.pop((index, order.request), None) is order:
+            done = verdict == AttemptOutcome.SUCCEEDED
+            self.tell(
+                index,
+                AttemptEnded(order.request, 0, verdict, order.endpoint, took, 0, done, CacheStatus.NONE, {}),
+            )
 
     # Probes: of rounds, of the module's asking
 
@@ -143,20 +167,20 @@
         node = self.nodes[index]
         if self.way == SHARED:
             node.instance.timers.now = node.clock()
-            if shared := node.instance.answer(order.cache, order.oldest):
+            if shared := node.instance.answer(order.endpoint, order.max_age):
                 return self.at(self.now + 1, self.tell, index, self.report_of(shared))
-        self.asked[index].add(order.cache)
-        self.sent(index, order.cache)
+        self.asked[index].add(order.endpoint)
+        self.sent(index, order.endpoint)
 
     def sent(self, index, cache):
         self.seen.setdefault(cache, []).append(self.now)
         silent = self.is_silent(cache)
-        verdict, took = (c.Verdict.TIMED_OUT, PROBE) if silent else (c.Verdict.RETURNED, 800)
+        verdict, took = (AttemptOutcome.TIMED_OUT, PROBE) if silent else (AttemptOutcome.SUCCEEDED, 800)
         self.at(self.now + took, self.probed, index, cache, verdict, took)
 
     def probed(self, index, cache, verdict, took):
         self.asked[index].discard(cache)
-        self.tell(index, c.ProbeReport(cache, verdict, took, {}))
+        self.tell(index, ProbeEnded(cache, verdict, took, {}))
         if self.way != ALONE:
             self.nodes[index].hear([Served(0, cache, int(verdict), took, {})])
 
@@ -168,7 +192,7 @@
             self.tell(node.index, self.report_of(result))
 
     def report_of(self, result):
-        return c.ProbeReport(result.target, c.Verdict(result.verdict), result.took, {}, max(1, result.age))
+        return ProbeEnded(result.target, AttemptOutcome(result.verdict), result.took, {}, max(1, result.age))
 
 
 def saved(way, fronts, caches=20, interval=2 * SECOND, rate=20.0, seed=1):
--- a/limepath/frequency_exchange/host.py
+++ b/limepath/frequency_exchange/host.py
@@ -1,9 +1,10 @@
 """Beside a front that shares: counts from and to other instances, in and out of the module."""
 
-from limepath import contract as c
 from limepath.duties.host import clock
 from limepath.frequency_exchange.interface import MESSAGES, Ask, Counted, FromPeer, Learn, Reach
 from limepath.frequency_exchange.newcomer import Newcomer
+from limepath.interface.commands import ReportRequestCounts
+from limepath.interface.events import RequestArrived, RequestCountsReceived, RequestCountsWanted
 from limepath.logic_host import LogicHost
 
 
@@ -13,7 +14,7 @@
         members = cooperation.instance.members
         self.logic = Newcomer(seed, lambda: members.ring)
         self.logic_host = LogicHost(reactor, clock, self.logic, self.execute, self.failed)
-        turn.carriers[c.Counts] = self.counted
+        turn.carriers[ReportRequestCounts] = self.counted
         cooperation.guests.append(self)
         cooperation.at_stop.append(self.logic_host.close)
         cooperation.views["tallies"] = lambda: dict(self.logic.counts)
@@ -33,16 +34,16 @@
 
     def saw(self, notes):
         """What the module is told: that GETs come."""
-        if any(isinstance(note, c.Get) for note in notes):
+        if any(isinstance(note, RequestArrived) for note in notes):
             self.logic.saw_get(clock())
 
     def execute(self, order):
         if isinstance(order, Reach):
             self.cooperation.reach(order.token, order.message)
         elif isinstance(order, Ask):
-            self.turn.gather(c.AskCounts(order.most, order.token))
+            self.turn.gather(RequestCountsWanted(order.most, order.token))
         elif isinstance(order, Learn):
-            self.turn.gather(c.Learnt(order.counts))
+            self.turn.gather(RequestCountsReceived(order.counts))
 
     def failed(self, error):
         """The front goes on without what others counted."""
--- a/limepath/front/attempt.py
+++ b/limepath/front/attempt.py
@@ -2,7 +2,12 @@
 
 from limepath.front.turn import clock
 
-HOW = (("join", "join"), ("held", "held_only"), ("nocopy", "no_copy_above"), ("renew", "renew"))
+HOW = (
+    ("join", "join_fill"),
+    ("held", "cached_only"),
+    ("nocopy", "no_copy_above"),
+    ("renew", "revalidate"),
+)
 
 
 class Attempt:
@@ -24,11 +29,11 @@
 
     def __init__(self, get, order, name_of, decided_at, wait):
         self.get, self.order, self.number, self.tag = get, order, get.sent, get.txn
-        self.source = b"" if order.source == order.cache else name_of[order.source]
+        self.source = b"" if order.source == order.endpoint else name_of[order.source]
         self.at, self.connection, self.timer = clock(), None, None
-        may_wait = min(wait, order.within or wait)  # what its rules let it wait, wherever it does
+        may_wait = min(wait, order.send_within or wait)  # what its rules let it wait, wherever it does
         self.send_by = decided_at + may_wait
-        self.limit = min(get.due, self.at + order.limit) if order.limit else get.due
+        self.limit = min(get.due, self.at + order.time_limit) if order.time_limit else get.due
 
     def words(self):
         """The command's first line, written when it is sent, with what is left of its time."""
@@ -39,10 +44,10 @@
         told.append(b"budget=%d" % max(1, (self.limit - clock()) // 1000))
         if self.source:
             told.append(b"up=%b" % self.source)
-        if order.rank:
-            told.append(b"store=%d" % order.rank)
-        if order.oldest:
-            told.append(b"cap=%d" % max(1, order.oldest // 1000))
+        if order.keep_rank:
+            told.append(b"store=%d" % order.keep_rank)
+        if order.max_age:
+            told.append(b"cap=%d" % max(1, order.max_age // 1000))
         if how := "+".join(word for word, flag in HOW if getattr(order, flag)):
             told.append(b"do=%b" % how.encode())
         if get.have:
--- a/limepath/front/cache_peer.py
+++ b/limepath/front/cache_peer.py
@@ -6,10 +6,10 @@
 from twisted.internet.error import ConnectError
 from twisted.internet.protocol import Factory
 
-from limepath import contract as c
 from limepath.front.attempt import Attempt, Probing
 from limepath.front.cache_connection import CacheConnection, State
 from limepath.front.turn import clock
+from limepath.interface.events import AttemptOutcome, EndpointState
 
 
 class Peer:
@@ -26,11 +26,11 @@
         )  # the connections with nothing out, the last used at the end
 
     def listed(self, address, since, standing):
-        if (address, since) != (self.address, self.since) or standing == c.Standing.GONE:
+        if (address, since) != (self.address, self.since) or standing == EndpointState.REMOVED:
             for connection in list(self.connections):  # they lead to what has gone
                 connection.retire()
         self.address, self.since = address, since
-        self.gone = clock() if standing == c.Standing.GONE else None
+        self.gone = clock() if standing == EndpointState.REMOVED else None
 
     def done_with(self, now):
         """Gone, and nothing is out or waits: nobody will speak of it any more."""
@@ -43,7 +43,7 @@
             if self.caches.client_has_gone(attempt):
                 return
             if clock() >= attempt.send_by:  # decided too long ago; nobody else is at fault
-                self.caches.ended(attempt, c.Verdict.MOOT)
+                self.caches.ended(attempt, AttemptOutcome.SUPERSEDED)
                 return
         connection = self.fit_for(attempt)
         if connection is None:
@@ -79,7 +79,7 @@
                 return
             attempt = self.waiting.popleft()
             if clock() >= attempt.send_by:  # its timer is late: the loop was busy, or the process stood still
-                self.caches.ended(attempt, c.Verdict.CONNECT_FAILED)
+                self.caches.ended(attempt, AttemptOutcome.CONNECT_FAILED)
             elif self.fit_for(attempt):
                 self.caches.still(attempt)
                 self.send(attempt)
@@ -138,7 +138,7 @@
         failure.trap(ConnectError)
         for _ in range(len(self.waiting) if not (self.coming or self.connections) else 1):
             if self.waiting:
-                self.caches.ended(self.waiting.popleft(), c.Verdict.CONNECT_FAILED)
+                self.caches.ended(self.waiting.popleft(), AttemptOutcome.CONNECT_FAILED)
 
     def answered_probe(self):
         for connection in self.connections:
@@ -147,7 +147,7 @@
 
     def overdue(self, attempt):
         self.waiting.remove(attempt)
-        self.caches.ended(attempt, c.Verdict.CONNECT_FAILED)
+        self.caches.ended(attempt, AttemptOutcome.CONNECT_FAILED)
 
     def lost(self, connection):
         self.caches.held -= 1
@@ -160,7 +160,8 @@
         out, connection.out = connection.out, {}
         for attempt in out.values():  # what was not written whole has not run
             self.caches.ended(
-                attempt, c.Verdict.RESET if connection.written(attempt) else c.Verdict.CONNECT_FAILED
+                attempt,
+                AttemptOutcome.RESET if connection.written(attempt) else AttemptOutcome.CONNECT_FAILED,
             )
         if self.waiting:
             self.connect()
--- a/limepath/front/cache_protocol.py
+++ b/limepath/front/cache_protocol.py
@@ -1,18 +1,18 @@
 """The protocol of caches, parents and the origin: answers and load reports, read and checked."""
 
-from limepath import contract as c
 from limepath.configuration.decision_settings import LOAD_NAMES
 from limepath.front.turn import clock
+from limepath.interface.events import AttemptOutcome
 
 VERDICTS = {
-    b"DONE": c.Verdict.RETURNED,
-    b"KEEP": c.Verdict.RETURNED,
-    b"LACK": c.Verdict.MISS,
-    b"WAIT": c.Verdict.FULL,
-    b"BROKE": c.Verdict.ERRORED,
-    b"PAST": c.Verdict.MOOT,
-    b"FIT": c.Verdict.RETURNED,
-    b"UNFIT": c.Verdict.FULL,
+    b"DONE": AttemptOutcome.SUCCEEDED,
+    b"KEEP": AttemptOutcome.SUCCEEDED,
+    b"LACK": AttemptOutcome.MISS,
+    b"WAIT": AttemptOutcome.FULL,
+    b"BROKE": AttemptOutcome.FAILED,
+    b"PAST": AttemptOutcome.SUPERSEDED,
+    b"FIT": AttemptOutcome.SUCCEEDED,
+    b"UNFIT": AttemptOutcome.FULL,
 }
 PROBE_WORDS = (b"FIT", b"UNFIT", b"WAIT")  # a probe, too, may find no room
 FORWARD_WORDS = (b"DONE", b"KEEP", b"LACK", b"WAIT", b"BROKE", b"PAST")
@@ -56,11 +56,11 @@
 
 def check_copy(attempt, word, fields, body, reference):
     """What is spoilt must not pass for a whole answer: a copy tells its tag and since when it is out."""
-    get, oldest = attempt.get, attempt.order.oldest
+    get, oldest = attempt.get, attempt.order.max_age
     if word == b"KEEP" and (not get.have or body):
         raise Unreadable("KEEP without a copy to keep, or with one")
     tag, since = fields.get(b"rev"), fields.get(b"since")
-    if get.note.write and tag is since is None:
+    if get.note.is_write and tag is since is None:
         return
     if not tag or not tag.isalnum() or not since or not since.isdigit() or len(since) > 15:
         raise Unreadable("no tag or no time of the copy")
--- a/limepath/front/caches.py
+++ b/limepath/front/caches.py
@@ -2,7 +2,6 @@
 
 from itertools import count
 
-from limepath import contract as c
 from limepath.configuration.process_limits import CROSSING_CLOSES
 from limepath.front.attempt import Attempt, Probing
 from limepath.front.cache_connection import State
@@ -10,6 +9,7 @@
 from limepath.front.cache_protocol import read_load
 from limepath.front.reference_clock import ReferenceClock
 from limepath.front.turn import clock
+from limepath.interface.events import AttemptEnded, AttemptOutcome, CacheStatus, EndpointState, ProbeEnded
 
 
 class Caches:
@@ -55,7 +55,7 @@
             min(self.idle(), key=lambda one: one.heard).retire()
 
     def listed(self, ident, name, address, since, standing, kind=None):
-        if ident not in self.peers and standing == c.Standing.GONE:
+        if ident not in self.peers and standing == EndpointState.REMOVED:
             return
         if ident not in self.peers:
             self.peers[ident], self.names[ident] = Peer(self, ident, name), name.encode()
@@ -71,11 +71,13 @@
             for attempt in [
                 one for one in peer.waiting if isinstance(one, Attempt) and concerned(one.order, one.get)
             ]:
-                self.stop(attempt, c.Verdict.MOOT)
+                self.stop(attempt, AttemptOutcome.SUPERSEDED)
 
     def purged(self, purge):
         self.recall(
-            lambda order, get: get.note.obj == purge.obj if purge.obj else get.note.group == purge.group
+            lambda order, get: (
+                get.note.object == purge.object if purge.object else get.note.group == purge.group
+            )
         )
 
     def forward(self, order, get, decided_at):
@@ -83,37 +85,41 @@
         get.sent += 1
         get.attempts[attempt.number] = attempt
         if get.closed or attempt.limit <= attempt.at:
-            self.ended(attempt, c.Verdict.MOOT)
+            self.ended(attempt, AttemptOutcome.SUPERSEDED)
         else:
-            self.peers[order.cache].send(attempt)
+            self.peers[order.endpoint].send(attempt)
 
     def probe(self, order, epoch=0):
         """A probe under a lease tells its epoch in its tag, so that a member can turn an older one away."""
         tag = b"p%d-e%d" % (next(self.tags), epoch) if epoch else b"p%d" % next(self.tags)
-        self.peers[order.cache].send(Probing(order.cache, tag, self.limits.wait))
+        self.peers[order.endpoint].send(Probing(order.endpoint, tag, self.limits.wait))
 
     def close_idle(self, order):
-        for connection in list(self.peers[order.cache].connections):
+        for connection in list(self.peers[order.endpoint].connections):
             if not connection.out:
                 connection.retire()
 
     def withdraw(self, attempt):
-        self.stop(attempt, c.Verdict.CANCELLED)
+        self.stop(attempt, AttemptOutcome.CANCELLED)
 
     def timed_out(self, attempt):
-        self.stop(attempt, c.Verdict.TIMED_OUT)
+        self.stop(attempt, AttemptOutcome.TIMED_OUT)
 
     def stop(self, attempt, verdict):
         """Give a forward up; one that was never written whole did not run, and a cache that does not even
         read is out of reach.
         """
-        connection, peer = attempt.connection, self.peers[attempt.order.cache]
+        connection, peer = attempt.connection, self.peers[attempt.order.endpoint]
         if connection is None:
             if attempt in peer.waiting:
                 peer.waiting.remove(attempt)
-            verdict = c.Verdict.MOOT
-        elif not connection.give_up(attempt, verdict == c.Verdict.TIMED_OUT):
-            verdict = c.Verdict.CONNECT_FAILED if verdict == c.Verdict.TIMED_OUT else c.Verdict.MOOT
+            verdict = AttemptOutcome.SUPERSEDED
+        elif not connection.give_up(attempt, verdict == AttemptOutcome.TIMED_OUT):
+            verdict = (
+                AttemptOutcome.CONNECT_FAILED
+                if verdict == AttemptOutcome.TIMED_OUT
+                else AttemptOutcome.SUPERSEDED
+            )
         self.ended(attempt, verdict)
 
     def client_has_gone(self, attempt):
@@ -136,11 +142,11 @@
                 or not attempt.connection.written(attempt)
                 and len(attempt.connection.out) == 1
             ):
-                self.stop(attempt, c.Verdict.MOOT)
+                self.stop(attempt, AttemptOutcome.SUPERSEDED)
 
     def unanswered(self, probing):
         probing.connection.give_up(probing, unanswered=True)
-        self.ended(probing, c.Verdict.TIMED_OUT)
+        self.ended(probing, AttemptOutcome.TIMED_OUT)
 
     def ended(self, attempt, verdict, word=b"", fields=None, body=b""):
         """Every forward and probe ends here, once."""
@@ -148,22 +154,22 @@
         fields = fields or {}
         load = read_load(fields[b"use"]) if b"use" in fields else {}
         if isinstance(attempt, Probing):
-            self.turn.gather(c.ProbeReport(attempt.cache, verdict, clock() - attempt.at, load))
+            self.turn.gather(ProbeEnded(attempt.cache, verdict, clock() - attempt.at, load))
             return
         get, order = attempt.get, attempt.order
         get.attempts.pop(attempt.number, None)
-        if verdict == c.Verdict.RETURNED:
+        if verdict == AttemptOutcome.SUCCEEDED:
             self.clients.returned(get, word == b"KEEP", fields.get(b"rev"), body)
         self.turn.gather(
-            c.Outcome(
-                order.id,
+            AttemptEnded(
+                order.request,
                 attempt.number,
                 verdict,
-                order.cache,
+                order.endpoint,
                 clock() - attempt.at,
                 0,
                 get.closed,
-                c.Hint.NONE,
+                CacheStatus.NONE,
                 load,
             )
         )
--- a/limepath/front/changelog.py
+++ b/limepath/front/changelog.py
@@ -8,14 +8,14 @@
 from twisted.internet.error import ConnectingCancelledError
 from twisted.internet.protocol import Factory, Protocol
 
-from limepath import contract as c
 from limepath.configuration.addresses import address_of
 from limepath.front.turn import clock
+from limepath.interface.events import Endpoint, EndpointListUpdated, EndpointState, PurgeAnnounced, UpdateKind
 
 STANDINGS = {
-    "in_service": c.Standing.READY,
-    "terminating": c.Standing.DRAINING,
-    "terminated": c.Standing.GONE,
+    "in_service": EndpointState.READY,
+    "terminating": EndpointState.DRAINING,
+    "terminated": EndpointState.REMOVED,
 }
 
 
@@ -38,10 +38,10 @@
         self.since = int(told.get("up_since_ms") or 0)
         ident, old = ident_of(self.name), known.get(self.name)
         if old and old.since == self.since:
-            started = old.member.started  # on the same clock as before, to the microsecond
+            started = old.member.started_at  # on the same clock as before, to the microsecond
         else:
             started = max(1, clock() - reference.age(self.since * 1000)) if self.since else 0
-        self.member = c.Member(
+        self.member = Endpoint(
             STANDINGS[told["phase"]],
             ident,
             started,
@@ -51,9 +51,9 @@
             float(told.get("size") or 1),
         )
 
-    def turned(self, standing):
+    def turned(self, state):
         """The same member in this state."""
-        self.member = self.member._replace(standing=standing)
+        self.member = self.member._replace(state=state)
         return self
 
 
@@ -251,26 +251,28 @@
         if whole:
             named = {entry.name for entry in entries}
             news = [
-                self.entries[name].turned(c.Standing.GONE) for name in self.entries if name not in named
+                self.entries[name].turned(EndpointState.REMOVED) for name in self.entries if name not in named
             ] + news
         for entry in news:
             self.entries[entry.name] = entry
-            if entry.member.standing == c.Standing.GONE:
+            if entry.member.state == EndpointState.REMOVED:
                 del self.entries[entry.name]
             self.caches.listed(
-                entry.member.cache,
+                entry.member.id,
                 entry.name,
                 entry.address,
                 entry.since,
-                entry.member.standing,
+                entry.member.state,
                 entry.member.kind,
             )
-        out = {entry.member.cache for entry in news if entry.member.standing != c.Standing.READY}
+        out = {entry.member.id for entry in news if entry.member.state != EndpointState.READY}
         if out:  # once for all of them: each asks every member for what waits there
-            self.caches.recall(lambda order, get: not out.isdisjoint((order.cache, order.source)))
-        listing = c.Listing.FULL if whole else c.Listing.DELTA
+            self.caches.recall(lambda order, get: not out.isdisjoint((order.endpoint, order.source)))
+        listing = UpdateKind.FULL if whole else UpdateKind.DELTA
         self.turn.gather(
-            c.Roster(listing, int(told.get("revision", 0)), tuple(entry.member for entry in entries))
+            EndpointListUpdated(
+                listing, int(told.get("revision", 0)), tuple(entry.member for entry in entries)
+            )
         )
         if flaws:
             raise BadEvent("; ".join(flaws[:3]))
@@ -293,9 +295,9 @@
     def invalidated(self, told):
         age = self.caches.reference.age(int(told["time"]) * 1000)
         purge = (
-            c.Purge(0, age, int(told["object"], 16))
+            PurgeAnnounced(0, age, int(told["object"], 16))
             if "object" in told
-            else c.Purge(int(told["bucket"]), age, 0)
+            else PurgeAnnounced(int(told["bucket"]), age, 0)
         )
         self.caches.purged(purge)
         self.turn.gather(purge)
--- a/limepath/front/client_request.py
+++ b/limepath/front/client_request.py
@@ -1,7 +1,7 @@
 """Requests of clients: a head parsed and checked, and what has become of each."""
 
-from limepath import contract as c
 from limepath.front.turn import clock
+from limepath.interface.events import RequestArrived
 
 PATH = b"/invoke/"
 READ = frozenset(
@@ -124,10 +124,10 @@
         self.part, self.have, self.body, self.due = part, have.strip(b'"'), body, due
         self.sent, self.attempts, self.closed, self.timer = 0, {}, False, None
         self.begun = []  # when its attempts were handed to the system
-        self.note = c.Get(
+        self.note = RequestArrived(
             ident, ds, 0, int(obj, 16), patience, 0.0, group, number, False, writes, bool(self.key)
         )
 
     def shorten(self, due):
         """Its time ends at `due`, sooner than its client told."""
-        self.due, self.note = due, self.note._replace(patience=max(1, due - clock()))
+        self.due, self.note = due, self.note._replace(time_left=max(1, due - clock()))
--- a/limepath/front/clients.py
+++ b/limepath/front/clients.py
@@ -8,13 +8,13 @@
 from twisted.internet.defer import Deferred
 from twisted.internet.protocol import Factory
 
-from limepath import contract as c
 from limepath.configuration.process_limits import ACCEPTED_AT_ONCE
 from limepath.front.client_connection import YOUNG, ClientConnection, State
 from limepath.front.client_request import Flaw, Request
 from limepath.front.departures import Departures
 from limepath.front.descriptors import descriptor_use
 from limepath.front.turn import clock
+from limepath.interface.events import ClientDisconnected, ShutdownStarted
 
 
 def with_unread(connections):
@@ -122,7 +122,7 @@
         self.txns.add(get.txn)
         if self.last_answer_at is not None and get.due > self.last_answer_at:
             get.shorten(self.last_answer_at)
-        get.timer = self.reactor.callLater(get.note.patience / 1e6, self.over, get)
+        get.timer = self.reactor.callLater(get.note.time_left / 1e6, self.over, get)
         self.turn.gather(get.note)
 
     def over(self, get):
@@ -136,14 +136,14 @@
     def forgotten(self, get):
         get.timer = None
         self.log.say("backstop", "a GET had no answer in time; errored", ds=get.service)
-        self.turn.gather(c.Left(get.id))
+        self.turn.gather(ClientDisconnected(get.id))
         self.answer(get, 504)
 
     def left(self, get):
         get.closed, get.connection = True, None
         self.txns.discard(get.txn)
         self.caches.abandoned(get)
-        self.turn.gather(c.Left(get.id))
+        self.turn.gather(ClientDisconnected(get.id))
         self.settled(get)
 
     def returned(self, get, same, tag, body):
@@ -151,11 +151,11 @@
         self.answer(get, 304, fields) if same else self.answer(get, 200, fields, body)
 
     def shed(self, order):
-        if get := self.open.get(order.id):
-            self.answer(get, 503, throttle(order.come_back))
+        if get := self.open.get(order.request):
+            self.answer(get, 503, throttle(order.retry_after))
 
     def errored(self, order):
-        if get := self.open.get(order.id):
+        if get := self.open.get(order.request):
             self.answer(get, 502)
 
     def answer(self, get, status, fields=b"", body=b""):
@@ -186,8 +186,8 @@
         self.leave_if_done()
 
     def withdraw(self, order, caches):
-        get = self.open.get(order.id)
-        attempt = get and get.attempts.get(order.forward)
+        get = self.open.get(order.request)
+        attempt = get and get.attempts.get(order.attempt)
         if attempt:
             caches.withdraw(attempt)
 
@@ -229,7 +229,7 @@
         for: what has more time than that gets its answer while there is still one to give.
         """
         self.last_answer_at = clock() + self.limits.last_answer
-        self.turn.gather(c.ShuttingDown(self.limits.last_answer))
+        self.turn.gather(ShutdownStarted(self.limits.last_answer))
         for get in self.open.values():
             if get.timer is not None and not get.closed and get.due > self.last_answer_at:
                 get.shorten(self.last_answer_at)
--- a/limepath/front/turn.py
+++ b/limepath/front/turn.py
@@ -2,9 +2,27 @@
 
 import time
 
-from limepath import contract as c
+from limepath.interface.commands import (
+    CancelAttempt,
+    CloseIdleConnections,
+    FailRequest,
+    ForwardRequest,
+    QueryEndpointList,
+    RejectRequest,
+    ScheduleWakeup,
+    SendProbe,
+    SetSubscription,
+    WriteLog,
+)
+from limepath.interface.events import (
+    AttemptEnded,
+    EndpointListUpdated,
+    PurgeAnnounced,
+    RequestArrived,
+    TimerFired,
+)
 
-NEWS = (c.Roster, c.Purge)
+NEWS = (EndpointListUpdated, PurgeAnnounced)
 
 
 def clock():
@@ -25,21 +43,25 @@
         self.decided_at = 0
         self.listener = None  # hears all notes too, where fronts share what they learn
         self.carriers = {
-            c.Wake: lambda order: reactor.callLater(order.delay / 1e6, self.gather, c.Due(order.cookie)),
-            c.Subscribe: self.followed,
-            c.AskRoster: self.followed,
-            c.Report: lambda order: log.say("module", order.text),
+            ScheduleWakeup: lambda order: reactor.callLater(
+                order.delay / 1e6, self.gather, TimerFired(order.cookie)
+            ),
+            SetSubscription: self.followed,
+            QueryEndpointList: self.followed,
+            WriteLog: lambda order: log.say("module", order.text),
         }
 
     def joined(self, clients, caches):
         self.clients, clients.caches = clients, caches
         self.carriers |= {
-            c.Forward: lambda order: caches.forward(order, clients.open.get(order.id), self.decided_at),
-            c.Withdraw: lambda order: clients.withdraw(order, caches),
-            c.Probe: caches.probe,
-            c.CloseIdle: caches.close_idle,
-            c.Shed: clients.shed,
-            c.Errored: clients.errored,
+            ForwardRequest: lambda order: caches.forward(
+                order, clients.open.get(order.request), self.decided_at
+            ),
+            CancelAttempt: lambda order: clients.withdraw(order, caches),
+            SendProbe: caches.probe,
+            CloseIdleConnections: caches.close_idle,
+            RejectRequest: clients.shed,
+            FailRequest: clients.errored,
         }
 
     def gather(self, *notes):
@@ -73,12 +95,14 @@
         except Exception as flaw:  # whatever it is, the GETs concerned are answered and the front lives on
             self.log.fault("handle", flaw)
             for note in notes:
-                if isinstance(note, (c.Get, c.Outcome)):
-                    self.clients.errored(note)
+                if isinstance(note, RequestArrived):
+                    self.clients.errored(FailRequest(note.id))
+                elif isinstance(note, AttemptEnded):
+                    self.clients.errored(FailRequest(note.request))
             # drains and purges must not be lost with the rest; they are told once more, which is harmless
             told = {note for note in notes if isinstance(note, NEWS)} - self.retold
             self.retold = told
-            again = [note for note in notes if note in told] + [c.Due(0)]
+            again = [note for note in notes if note in told] + [TimerFired(0)]
             self.reactor.callLater(self.limits.fault_pause / 1e6, self.gather, *again)
             return
         for order in orders:
--- a/limepath/scale/data_path.py
+++ b/limepath/scale/data_path.py
@@ -7,15 +7,22 @@
 
 from zlib import crc32
 
-from limepath import contract as c
 from limepath.configuration.decision_settings import LOAD_NAMES
 from limepath.front.reference_clock import ReferenceClock
 from limepath.front.turn import clock
+from limepath.interface.commands import ReportRequestCounts, SendProbe
+from limepath.interface.events import (
+    AttemptOutcome,
+    EndpointState,
+    ProbeEnded,
+    RequestArrived,
+    RequestCountsWanted,
+)
 
 PROBE_US = 1_000  # until a probe is answered
 LOAD = {LOAD_NAMES["rif"]: 1.0, LOAD_NAMES["busy"]: 0.1}  # as the caches of the testbed tell
 COUNTS = 256  # entries in the table of what is asked for most: as many as a newcomer is told
-ONE_GET = c.Get(0, 0, 0, 1, 0, 1.0, 0, 0, False, False)
+ONE_GET = RequestArrived(0, 0, 0, 1, 0, 1.0, 0, 0, False, False)
 
 
 class HollowTurn:
@@ -26,21 +33,21 @@
         self.listener, self.carriers = None, {}
 
     def joined(self, caches):
-        self.carriers[c.Probe] = caches.probe
+        self.carriers[SendProbe] = caches.probe
 
     def gather(self, *notes):
         if self.listener:
             self.listener(notes)
         for note in notes:
-            if isinstance(note, c.AskCounts):
+            if isinstance(note, RequestCountsWanted):
                 self.call_later(0, self.tell_counts, note)
 
     def tell_counts(self, asked):
         counts = tuple(
             (crc32(b"%d:%d" % (self.seed, rank)), 0, float(COUNTS - rank))
-            for rank in range(min(COUNTS, asked.most))
+            for rank in range(min(COUNTS, asked.limit))
         )
-        self.carriers[c.Counts](c.Counts(asked.cookie, counts))
+        self.carriers[ReportRequestCounts](ReportRequestCounts(asked.cookie, counts))
 
 
 class HollowPeer:
@@ -63,20 +70,20 @@
 
     def listed(self, ident, name, address, since, standing, kind=None):
         if ident not in self.peers:
-            if standing == c.Standing.GONE:
+            if standing == EndpointState.REMOVED:
                 return
             self.peers[ident] = HollowPeer()
         peer = self.peers[ident]
-        peer.kind, peer.gone = kind, clock() if standing == c.Standing.GONE else None
+        peer.kind, peer.gone = kind, clock() if standing == EndpointState.REMOVED else None
 
     def purged(self, purge):
         """No request waits that a purge could concern."""
 
     def probe(self, order, epoch=0):
-        self.call_later(PROBE_US / 1e6, self.answered, order.cache, clock())
+        self.call_later(PROBE_US / 1e6, self.answered, order.endpoint, clock())
 
     def answered(self, cache, since):
-        self.turn.gather(c.ProbeReport(cache, c.Verdict.RETURNED, clock() - since, LOAD))
+        self.turn.gather(ProbeEnded(cache, AttemptOutcome.SUCCEEDED, clock() - since, LOAD))
 
     def sweep(self):
         """Forget members that have been gone for long."""
--- a/limepath/scale/hollow.py
+++ b/limepath/scale/hollow.py
@@ -9,12 +9,12 @@
 from enum import Enum
 from hashlib import blake2b
 
-from limepath import contract as c
 from limepath.configuration import peers_file, platform
 from limepath.configuration.ini import BadSetting
 from limepath.discovery.host import guided
 from limepath.discovery.interface import Events
 from limepath.duties.host import Cooperation, clock
+from limepath.interface.commands import ReportRequestCounts
 from limepath.membership.host import Unopened
 from limepath.scale.accounting import Account
 from limepath.scale.arrivals import Arrivals
@@ -77,7 +77,7 @@
         members.handle = account.charged(members.handle, Subsystem.MEMBERSHIP)
         self.turn.listener = account.charged(self.turn.listener, Subsystem.DUTIES)
         tallies.heard = account.charged(tallies.heard, Subsystem.COUNTS)
-        carriers[c.Counts] = account.charged(carriers[c.Counts], Subsystem.COUNTS)
+        carriers[ReportRequestCounts] = account.charged(carriers[ReportRequestCounts], Subsystem.COUNTS)
         self.sweep_sharing = account.charged(cooperation.sweep, Subsystem.MEMBERSHIP)
         if changes.paced:
             changes.paced.look = account.charged(changes.paced.look, Subsystem.LIMITS)
--- a/limepath/scale/roles_decision.py
+++ b/limepath/scale/roles_decision.py
@@ -6,9 +6,19 @@
 
 from random import Random
 
-from limepath import contract
 from limepath.choice import Front
 from limepath.configuration.decision_settings import start_of
+from limepath.interface.commands import ForwardRequest
+from limepath.interface.events import (
+    AttemptEnded,
+    AttemptOutcome,
+    CacheStatus,
+    Endpoint,
+    EndpointListUpdated,
+    EndpointState,
+    RequestArrived,
+    UpdateKind,
+)
 from limepath.scale.measured import Found, Series
 from limepath.scale.roles import least_cpu, settings
 
@@ -26,7 +36,7 @@
 def member(ident, kind):
     zone = 0 if kind == CACHE_KIND else 1
     weight = 6.0 if kind == CACHE_KIND else 30.0
-    return contract.Member(contract.Standing.READY, ident, 0, 0, zone, kind, weight)
+    return Endpoint(EndpointState.READY, ident, 0, 0, zone, kind, weight)
 
 
 def front_of(caches, parents):
@@ -35,7 +45,7 @@
     members = [member(1 + index, CACHE_KIND) for index in range(caches)]
     members += [member(100_000 + index, PARENT_KIND) for index in range(parents)]
     members.append(member(200_000, ORIGIN_KIND))
-    front.handle(1_000_000, (contract.Roster(contract.Listing.FULL, 1, tuple(members)),))
+    front.handle(1_000_000, (EndpointListUpdated(UpdateKind.FULL, 1, tuple(members)),))
     return front
 
 
@@ -48,19 +58,19 @@
     def tell(self, note):
         self.now += 500
         orders = self.front.handle(self.now, (note,))
-        return [order for order in orders if isinstance(order, contract.Forward)]
+        return [order for order in orders if isinstance(order, ForwardRequest)]
 
     def request(self, ident):
         misses = self.chance.random() < MISSES
         obj = 1 + self.chance.randrange(OBJECTS)
-        forwards = self.tell(contract.Get(ident, 0, 0, obj, PATIENCE, 0.0, 0, 0, False, False))
+        forwards = self.tell(RequestArrived(ident, 0, 0, obj, PATIENCE, 0.0, 0, 0, False, False))
         number = 0
         while forwards:
             forward = forwards[0]
-            missed = misses and forward.source == forward.cache
-            verdict = contract.Verdict.MISS if missed else contract.Verdict.RETURNED
-            ended = contract.Outcome(
-                ident, number, verdict, forward.cache, 40_000, 0, not missed, contract.Hint.NONE, {}
+            missed = misses and forward.source == forward.endpoint
+            verdict = AttemptOutcome.MISS if missed else AttemptOutcome.SUCCEEDED
+            ended = AttemptEnded(
+                ident, number, verdict, forward.endpoint, 40_000, 0, not missed, CacheStatus.NONE, {}
             )
             self.served += not missed
             forwards, number = self.tell(ended), number + 1
--- a/limepath/scale/roles_listing.py
+++ b/limepath/scale/roles_listing.py
@@ -8,13 +8,13 @@
 import tracemalloc
 from functools import partial
 
-from limepath import contract
 from limepath.choice import Front
 from limepath.configuration.decision_settings import start_of
 from limepath.discovery import state
 from limepath.discovery.state import List, parsed, unpacked
 from limepath.front.changelog import Entry
 from limepath.front.reference_clock import ReferenceClock
+from limepath.interface.events import EndpointListUpdated, UpdateKind
 from limepath.scale.measured import Fact, Found, Series
 from limepath.scale.roles import least_cpu, listed, settings
 
@@ -49,7 +49,7 @@
     entries = {one["id"]: Entry(one, ZONES, KINDS, {}, reference) for one in told["fleet"]["members"]}
     front = Front(seed=1, **start_of(settings()))
     members = tuple(entry.member for entry in entries.values())
-    front.handle(1_000_000, (contract.Roster(contract.Listing.FULL, 1, members),))
+    front.handle(1_000_000, (EndpointListUpdated(UpdateKind.FULL, 1, members),))
     return entries, front
 
 
--- a/limepath/simulator_host/dialect.py
+++ b/limepath/simulator_host/dialect.py
@@ -2,8 +2,36 @@
 
 import struct
 
-from limepath import contract as c
 from limepath.configuration.decision_settings import us
+from limepath.interface.commands import (
+    CancelAttempt,
+    CloseIdleConnections,
+    FailRequest,
+    ForwardRequest,
+    QueryEndpointList,
+    RejectRequest,
+    ScheduleWakeup,
+    SendPeerMessage,
+    SendProbe,
+    SetSubscription,
+    WriteLog,
+)
+from limepath.interface.events import (
+    AttemptEnded,
+    AttemptOutcome,
+    CacheStatus,
+    ClientDisconnected,
+    Endpoint,
+    EndpointListUpdated,
+    EndpointState,
+    PeerMessageReceived,
+    ProbeEnded,
+    PurgeAnnounced,
+    RequestArrived,
+    ResponseStarted,
+    TimerFired,
+    UpdateKind,
+)
 from limepath.simulator_host.frames import HEADER, WireError
 
 STOP = "stop"
@@ -17,11 +45,11 @@
     return int.from_bytes(raw, "big")
 
 
-def enum_of(kind, value, where):
+def enum_of(kind, value, name, where):
     try:
         return kind(value)
     except ValueError:
-        raise WireError(f"{where}: unknown {kind.__name__.lower()} code {value}") from None
+        raise WireError(f"{where}: unknown {name} code {value}") from None
 
 
 def load_of(cursor, fields):
@@ -42,8 +70,8 @@
     for _entry in range(count):
         standing, raw, started, cell, zone, kind, weight = cursor.take(ENTRY)
         members.append(
-            c.Member(
-                enum_of(c.Standing, standing, where),
+            Endpoint(
+                enum_of(EndpointState, standing, "endpoint state", where),
                 cache_of(raw),
                 -(-started // 1000),
                 cell,
@@ -52,47 +80,47 @@
                 weight,
             )
         )
-    return c.Roster(enum_of(c.Listing, mode, where), version, tuple(members))
+    return EndpointListUpdated(enum_of(UpdateKind, mode, "update kind", where), version, tuple(members))
 
 
 def read_arrival(cursor, _):
     op, ds, org, obj, patience, size, group, part, marks = cursor.take(struct.Struct(">IBIQQfffB"))
-    return c.Get(
+    return RequestArrived(
         op, ds, org, obj, us(patience), size, int(group), int(part), bool(marks & 2), bool(marks & 4)
     )
 
 
 def read_purge(cursor, _):
     group, age, obj = cursor.take(struct.Struct(">HQQ"))
-    return c.Purge(group, us(age), obj)
+    return PurgeAnnounced(group, us(age), obj)
 
 
 def read_outcome(cursor, fields):
     op, number, verdict, raw, took, waited, closed, hint = cursor.take(struct.Struct(">IBH6sQQBB"))
     where = f"batch {cursor.sequence}"
-    return c.Outcome(
+    return AttemptEnded(
         op,
         number,
-        enum_of(c.Verdict, verdict, where),
+        enum_of(AttemptOutcome, verdict, "outcome", where),
         cache_of(raw),
         us(took),
         us(waited),
         bool(closed),
-        enum_of(c.Hint, hint, where),
+        enum_of(CacheStatus, hint, "cache status", where),
         load_of(cursor, fields),
     )
 
 
 def read_under_way(cursor, _):
     op, number, raw, took = cursor.take(struct.Struct(">IB6sQ"))
-    return c.Streaming(op, number, cache_of(raw), us(took))
+    return ResponseStarted(op, number, cache_of(raw), us(took))
 
 
 def read_probe(cursor, fields):
     raw, verdict, took = cursor.take(struct.Struct(">6sHQ"))
-    return c.ProbeReport(
+    return ProbeEnded(
         cache_of(raw),
-        enum_of(c.Verdict, verdict, f"batch {cursor.sequence}"),
+        enum_of(AttemptOutcome, verdict, "outcome", f"batch {cursor.sequence}"),
         us(took),
         load_of(cursor, fields),
     )
@@ -100,18 +128,18 @@
 
 def read_peer(cursor, _):
     sender, size = cursor.take(struct.Struct(">IH"))
-    return c.PeerWord(sender, cursor.bytes(size))
+    return PeerMessageReceived(sender, cursor.bytes(size))
 
 
 READERS = {
     10: read_purge,
-    20: lambda cursor, _: c.Left(*cursor.take(U32)),
+    20: lambda cursor, _: ClientDisconnected(*cursor.take(U32)),
     30: read_peer,
     40: read_announce,
     50: read_outcome,
     60: read_probe,
     70: lambda cursor, _: STOP,
-    80: lambda cursor, _: c.Due(*cursor.take(struct.Struct(">Q"))),
+    80: lambda cursor, _: TimerFired(*cursor.take(struct.Struct(">Q"))),
     90: read_under_way,
     100: read_arrival,
     110: read_up,
@@ -138,9 +166,18 @@
 
 
 def write_forward(head, o):
-    how = o.join + 2 * o.held_only + 4 * o.no_copy_above + 8 * o.renew
+    how = o.join_fill + 2 * o.cached_only + 4 * o.no_copy_above + 8 * o.revalidate
     return struct.pack(
-        ">BII6sQ6sBQB", 60, head, o.id, addr(o.cache), ns(o.limit), addr(o.source), o.rank, ns(o.oldest), how
+        ">BII6sQ6sBQB",
+        60,
+        head,
+        o.request,
+        addr(o.endpoint),
+        ns(o.time_limit),
+        addr(o.source),
+        o.keep_rank,
+        ns(o.max_age),
+        how,
     )
 
 
@@ -155,17 +192,17 @@
 
 
 WRITERS = {
-    c.Forward: write_forward,
-    c.Shed: lambda head, o: struct.pack(">BIIQ", 50, head, o.id, ns(o.come_back)),
-    c.Errored: lambda head, o: struct.pack(">BII", 80, head, o.id),
-    c.Withdraw: lambda head, o: struct.pack(">BIIB", 70, head, o.id, o.forward),
-    c.Probe: lambda head, o: struct.pack(">BI6s", 90, head, addr(o.cache)),
-    c.Wake: lambda head, o: struct.pack(">BIQQ", 30, head, o.cookie, ns(o.delay)),
-    c.Subscribe: lambda head, o: struct.pack(">BIB", 130, head, o.on),
-    c.AskRoster: lambda head, o: struct.pack(">BI", 120, head),
-    c.CloseIdle: lambda head, o: struct.pack(">BI6s", 20, head, addr(o.cache)),
-    c.Tell: write_tell,
-    c.Report: lambda head, o: write_text(100, head, o.text),
+    ForwardRequest: write_forward,
+    RejectRequest: lambda head, o: struct.pack(">BIIQ", 50, head, o.request, ns(o.retry_after)),
+    FailRequest: lambda head, o: struct.pack(">BII", 80, head, o.request),
+    CancelAttempt: lambda head, o: struct.pack(">BIIB", 70, head, o.request, o.attempt),
+    SendProbe: lambda head, o: struct.pack(">BI6s", 90, head, addr(o.endpoint)),
+    ScheduleWakeup: lambda head, o: struct.pack(">BIQQ", 30, head, o.cookie, ns(o.delay)),
+    SetSubscription: lambda head, o: struct.pack(">BIB", 130, head, o.enabled),
+    QueryEndpointList: lambda head, o: struct.pack(">BI", 120, head),
+    CloseIdleConnections: lambda head, o: struct.pack(">BI6s", 20, head, addr(o.endpoint)),
+    SendPeerMessage: write_tell,
+    WriteLog: lambda head, o: write_text(100, head, o.text),
 }
 
 
--- a/tests/byte_records.py
+++ b/tests/byte_records.py
@@ -14,7 +14,6 @@
 
 import msgspec
 
-from limepath.contract import Verdict
 from limepath.discovery import coding, page_bytes, pages, scopes, state
 from limepath.discovery import interface as endpoints
 from limepath.discovery.catch_up import Snapshot
@@ -25,6 +24,7 @@
 from limepath.duties import interface as leases
 from limepath.duties.ring import Ring, key_of
 from limepath.frequency_exchange import interface as request_counts
+from limepath.interface.events import AttemptOutcome
 from limepath.membership import interface as membership
 from limepath.membership.digests import Digests
 from limepath.membership.guard import Guard, keys_of
@@ -281,8 +281,19 @@
         "endpoint-list/scope": scopes.digest_of(TOKENS[0], Scope("zone-1", "site-1")),
         "endpoint-list/relay-order": by_hash(TOKENS, "zone-1"),
         "endpoint-list/subscriptions": [reads.TEXTS, reads.BATCHES, reads.HEARTBEATS],
-        "probe/outcomes": [Verdict.RETURNED, Verdict.TIMED_OUT, Verdict.ERRORED, Verdict.CONNECT_FAILED],
-        "probe/aborts": [Verdict.CANCELLED, Verdict.MISS, Verdict.FULL, Verdict.MOOT, Verdict.RESET],
+        "probe/outcomes": [
+            AttemptOutcome.SUCCEEDED,
+            AttemptOutcome.TIMED_OUT,
+            AttemptOutcome.FAILED,
+            AttemptOutcome.CONNECT_FAILED,
+        ],
+        "probe/aborts": [
+            AttemptOutcome.CANCELLED,
+            AttemptOutcome.MISS,
+            AttemptOutcome.FULL,
+            AttemptOutcome.SUPERSEDED,
+            AttemptOutcome.RESET,
+        ],
         "hash-ring/owners": [ring.owner(key_of(target)) for target in range(32)],
     }
 
--- a/tests/cold_ramp.py
+++ b/tests/cold_ramp.py
@@ -13,8 +13,17 @@
 from random import Random
 from typing import NamedTuple
 
-from limepath import contract as c
 from limepath.choice import MARGIN, Front
+from limepath.interface.commands import ForwardRequest
+from limepath.interface.events import (
+    AttemptEnded,
+    AttemptOutcome,
+    CacheStatus,
+    EndpointListUpdated,
+    RequestArrived,
+    UpdateKind,
+)
+from limepath.interface.settings import GracePeriods, Permissions, SlowStart, Topology
 from tests.fake_host import ORIGIN, PARENT, SECOND, member, service
 
 COLD, WARM, COLD_PARENT, WARM_PARENT = 1, 2, 11, 12
@@ -35,7 +44,7 @@
     fronts: int
     works: tuple[int, ...] = (VIDEO,)
     shares: tuple[float, ...] = (1.0,)
-    warmup: c.Warmup = c.Warmup(0.18, 12 * SECOND, 2.5, 3 * SECOND // 2)
+    warmup: SlowStart = SlowStart(0.18, 12 * SECOND, 2.5, 3 * SECOND // 2)
     lanes: float = 20.0
     moments: tuple[tuple[float, float], ...] = ((0.0, 1.0),)
     told: int = 0
@@ -52,8 +61,10 @@
     def allowed(self, age):
         """N: requests of mean work in a window that begins `age` after the start, by the settings."""
         warmup = self.warmup
-        able = self.lanes * (warmup.share + (1 - warmup.share) * min(1, max(0, age) / warmup.span))
-        return warmup.factor * able * warmup.window / self.mean
+        able = self.lanes * (
+            warmup.initial_share + (1 - warmup.initial_share) * min(1, max(0, age) / warmup.duration)
+        )
+        return warmup.overload_factor * able * warmup.overload_window / self.mean
 
 
 class Sent(NamedTuple):
@@ -65,8 +76,8 @@
 def front_of(ramp, seed):
     return Front(
         seed=seed,
-        services=tuple(service(objective=work) for work in ramp.works),
-        footprint=c.Footprint(
+        services=tuple(service(latency_objective=work) for work in ramp.works),
+        footprint=Topology(
             zone=0,
             hub_of=(0, 0),
             link_kb_s=(ramp.lanes * 1000.0, 0.0),
@@ -74,13 +85,13 @@
             fronts=ramp.fronts,
             parent_kind=PARENT,
             origin_kind=ORIGIN,
-            flow_kb_s=1000.0,
+            transfer_kb_s=1000.0,
             weighted=True,
         ),
-        allowance=c.Allowance(6, False, True, True, False, SECOND, False, False, "none", False),
+        allowance=Permissions(6, False, True, True, False, SECOND, False, False, "none", False),
         cache_warmup=ramp.warmup,
         parent_warmup=ramp.warmup,
-        grace=c.Grace(8000, SECOND, 300_000, 6 * SECOND, 10 * SECOND),
+        grace=GracePeriods(8000, SECOND, 300_000, 6 * SECOND, 10 * SECOND),
     )
 
 
@@ -100,7 +111,7 @@
                 member(WARM, weight=self.ramp.lanes),
                 member(COLD_PARENT, PARENT, started=started, weight=self.ramp.lanes),
             ]
-        self.front.handle(now, (c.Roster(c.Listing.FULL, 1, tuple(members)),))
+        self.front.handle(now, (EndpointListUpdated(UpdateKind.FULL, 1, tuple(members)),))
 
     def offered(self, now, chance, most):
         """Offer requests of all classes, drawn by their shares, until one is turned away, `most` at most."""
@@ -117,22 +128,24 @@
 
     def request(self, now, ds, obj):
         self.ids += 1
-        orders = self.front.handle(now, (c.Get(self.ids, ds, 0, obj, SECOND, 0.0, 0, 0, False, False),))
+        orders = self.front.handle(
+            now, (RequestArrived(self.ids, ds, 0, obj, SECOND, 0.0, 0, 0, False, False),)
+        )
         number = 0
-        while forward := next((o for o in orders if isinstance(o, c.Forward)), None):
-            missed = self.ramp.parent and forward.source == forward.cache
-            verdict = c.Verdict.MISS if missed else c.Verdict.RETURNED
-            if COLD in (forward.cache, forward.source) or forward.source == COLD_PARENT:
+        while forward := next((o for o in orders if isinstance(o, ForwardRequest)), None):
+            missed = self.ramp.parent and forward.source == forward.endpoint
+            verdict = AttemptOutcome.MISS if missed else AttemptOutcome.SUCCEEDED
+            if COLD in (forward.endpoint, forward.source) or forward.source == COLD_PARENT:
                 self.sent.append(Sent(now, self.number, self.ramp.works[ds]))
-            outcome = c.Outcome(
-                forward.id,
+            outcome = AttemptEnded(
+                forward.request,
                 number,
                 verdict,
-                forward.cache,
+                forward.endpoint,
                 self.ramp.works[ds],
                 0,
                 not missed,
-                c.Hint.NONE,
+                CacheStatus.NONE,
                 {},
             )
             number += 1
@@ -145,7 +158,7 @@
 def sent_in(ramp, seed):
     """All that the fronts send to the cold member in one draw, by time, with the times of its starts."""
     chance, began = Random(seed), 1000 * SECOND
-    window, span = ramp.warmup.window, ramp.warmup.span
+    window, span = ramp.warmup.overload_window, ramp.warmup.duration
     starts = [began] + [began + int(span * ramp.restart)] * (ramp.restart > 0)
     moments = ramp.moments or ((at := chance.uniform(0, 0.8), at + 1.5 * window / span),)
     fronts = []
@@ -174,9 +187,9 @@
         some = [one for one in sent if start <= one.at < end]
         times, sums = [one.at for one in some], [0, *accumulate(one.work for one in some)]
         for last, at in enumerate(times):
-            first = bisect_right(times, at - ramp.warmup.window)
+            first = bisect_right(times, at - ramp.warmup.overload_window)
             took = (sums[last + 1] - sums[first]) / ramp.mean
-            allowed = ramp.allowed(at - ramp.warmup.window - start)
+            allowed = ramp.allowed(at - ramp.warmup.overload_window - start)
             of_limit = max(of_limit, took / (allowed + 2 * sqrt(allowed) + 2))
             of_budget = max(of_budget, took / allowed)
     return of_limit, of_budget
@@ -189,7 +202,7 @@
     gate, chance, worst_of = front_of(ramp, 1).gate, Random(seed), [0.0] * draws
     gate.door.mean = ramp.mean
     parts, limits, warmup = [], [], ramp.warmup
-    for age in (warmup.span * number / ages for number in range(ages)):
+    for age in (warmup.duration * number / ages for number in range(ages)):
         allowed = ramp.allowed(age)
         whole = MARGIN * allowed * ramp.mean
         told = [gate.part(whole, ramp.fronts, (at + 0.5) / places * ramp.fronts) for at in range(places)]
--- a/tests/decision_trace.py
+++ b/tests/decision_trace.py
@@ -18,14 +18,61 @@
 from pathlib import Path
 from typing import Any
 
-from limepath import contract as c
 from limepath.choice import Front
+from limepath.interface.commands import (
+    CancelAttempt,
+    FailRequest,
+    ForwardRequest,
+    RejectRequest,
+    ReportRequestCounts,
+    ScheduleWakeup,
+    SendProbe,
+    SetSubscription,
+)
+from limepath.interface.events import (
+    AttemptEnded,
+    AttemptOutcome,
+    CacheStatus,
+    ClientDisconnected,
+    ConnectionAvailabilityChanged,
+    Endpoint,
+    EndpointListFreshnessChanged,
+    EndpointListUpdated,
+    EndpointState,
+    ProbeEnded,
+    PurgeAnnounced,
+    RequestArrived,
+    RequestCountsReceived,
+    RequestCountsWanted,
+    ResponseStarted,
+    ShutdownStarted,
+    TimerFired,
+    UpdateKind,
+)
+from limepath.interface.settings import (
+    DeliveryService,
+    GracePeriods,
+    Idempotency,
+    KeyScope,
+    Permissions,
+    SlowStart,
+    Topology,
+)
 
 EVENTS = 20_000
 RECORD = Path(__file__).parent / "data" / "decision_trace.json"
 SECOND = 1_000_000
 CACHE, PARENT, ORIGIN = 0, 2, 3
-COMMANDS = (c.Forward, c.Shed, c.Errored, c.Withdraw, c.Probe, c.Wake, c.Subscribe, c.Counts)
+COMMANDS = (
+    ForwardRequest,
+    RejectRequest,
+    FailRequest,
+    CancelAttempt,
+    SendProbe,
+    ScheduleWakeup,
+    SetSubscription,
+    ReportRequestCounts,
+)
 
 
 class World:
@@ -42,24 +89,24 @@
         self.open: dict[int, int] = {}  # request id to number of its latest attempt
         self.attempts: dict[tuple[int, int], int] = {}  # (request, attempt) to the cache asked
         self.probes: list[int] = []
-        self.endpoints: dict[int, c.Member] = {}
+        self.endpoints: dict[int, Endpoint] = {}
         self.version = 1
 
-    def service(self, number: int) -> c.DeliveryService:
+    def service(self, number: int) -> DeliveryService:
         """A delivery service of random terms; the last one passes through uncached."""
         draw = self.random
-        return c.DeliveryService(
-            objective=draw.choice((300_000, 600_000)),
-            stretch=draw.choice((0.0, 1.6)),
-            viewer_timeout=draw.choice((2, 5)) * SECOND,
-            revenue=1.0,
+        return DeliveryService(
+            latency_objective=draw.choice((300_000, 600_000)),
+            objective_stretch=draw.choice((0.0, 1.6)),
+            deadline=draw.choice((2, 5)) * SECOND,
+            priority_weight=1.0,
             late_share=0.2,
-            repeats=c.Repeats(draw.randrange(3)) if number else c.Repeats.IDEMPOTENT,
-            scope=c.Scope(draw.randrange(3)),
-            window=draw.choice((SECOND // 2, 2 * SECOND)),
+            idempotency=Idempotency(draw.randrange(3)) if number else Idempotency.IDEMPOTENT,
+            key_scope=KeyScope(draw.randrange(3)),
+            retry_window=draw.choice((SECOND // 2, 2 * SECOND)),
             streamed=False,
-            fresh=draw.choice((0, 8 * SECOND)),
-            grace=draw.choice((0, 30 * SECOND)),
+            max_age=draw.choice((0, 8 * SECOND)),
+            stale_grace=draw.choice((0, 30 * SECOND)),
             stale_share=0.5,
             uncacheable=number == 3,
             segmented=False,
@@ -71,7 +118,7 @@
         return Front(
             seed=seed * 7919 + 17,
             services=self.services,
-            footprint=c.Footprint(
+            footprint=Topology(
                 zone=0,
                 hub_of=(0, 0),
                 link_kb_s=(draw.choice((9000.0, 40000.0)), 0.0),
@@ -79,24 +126,24 @@
                 fronts=draw.choice((60, 200)),
                 parent_kind=PARENT,
                 origin_kind=ORIGIN,
-                flow_kb_s=1000.0,
+                transfer_kb_s=1000.0,
                 weighted=draw.random() < 0.5,
             ),
-            allowance=c.Allowance(
-                forwards=draw.choice((3, 6)),
-                overlap=draw.random() < 0.2,
-                withdraw=draw.random() < 0.8,
+            allowance=Permissions(
+                max_attempts=draw.choice((3, 6)),
+                hedging=draw.random() < 0.2,
+                cancellation=draw.random() < 0.8,
                 probing=draw.random() < 0.7,
-                peers=False,
-                come_back=SECOND,
+                peer_messages=False,
+                max_retry_after=SECOND,
                 direct=draw.random() < 0.7,
-                joins=draw.random() < 0.5,
+                join_fills=draw.random() < 0.5,
                 lateral="none",
                 subscribe=draw.random() < 0.5,
             ),
-            cache_warmup=c.Warmup(0.2, 10 * SECOND, 2.0, SECOND),
-            parent_warmup=c.Warmup(0.1, 20 * SECOND, 2.0, SECOND),
-            grace=c.Grace(8000, SECOND, 300_000, 6 * SECOND, 10 * SECOND),
+            cache_warmup=SlowStart(0.2, 10 * SECOND, 2.0, SECOND),
+            parent_warmup=SlowStart(0.1, 20 * SECOND, 2.0, SECOND),
+            grace=GracePeriods(8000, SECOND, 300_000, 6 * SECOND, 10 * SECOND),
         )
 
     def play(self, events: int) -> None:
@@ -127,23 +174,23 @@
             self.carry_out(command)
 
     def carry_out(self, command: Any) -> None:
-        if isinstance(command, c.Forward):
-            number = self.open.get(command.id, -1) + 1
-            self.open[command.id] = number
-            self.attempts[command.id, number] = command.cache
-        elif isinstance(command, c.Shed | c.Errored):
-            self.open.pop(command.id, None)
-        elif isinstance(command, c.Probe):
-            self.probes.append(command.cache)
+        if isinstance(command, ForwardRequest):
+            number = self.open.get(command.request, -1) + 1
+            self.open[command.request] = number
+            self.attempts[command.request, number] = command.endpoint
+        elif isinstance(command, RejectRequest | FailRequest):
+            self.open.pop(command.request, None)
+        elif isinstance(command, SendProbe):
+            self.probes.append(command.endpoint)
 
     # What may happen next; None where nothing like it can.
 
-    def request(self) -> c.Get:
+    def request(self) -> RequestArrived:
         self.requests += 1
         draw = self.random
         self.open[self.requests] = -1
         obj = int(draw.paretovariate(0.7)) % 5000
-        return c.Get(
+        return RequestArrived(
             self.requests,
             draw.choices((0, 1, 2, 3), (6, 2, 1, 2))[0],
             0,
@@ -157,100 +204,107 @@
             draw.random() < 0.8,
         )
 
-    def outcome(self) -> c.Outcome | None:
+    def outcome(self) -> AttemptEnded | None:
         if not self.attempts:
             return None
         draw = self.random
         request, number = draw.choice(sorted(self.attempts))
         cache = self.attempts.pop((request, number))
         verdict = draw.choices(
-            (c.Verdict.RETURNED, c.Verdict.MISS, *OTHER_VERDICTS), (60, 40, *[3] * len(OTHER_VERDICTS))
+            (AttemptOutcome.SUCCEEDED, AttemptOutcome.MISS, *OTHER_VERDICTS),
+            (60, 40, *[3] * len(OTHER_VERDICTS)),
         )[0]
-        closed = verdict == c.Verdict.RETURNED
+        closed = verdict == AttemptOutcome.SUCCEEDED
         if closed:
             self.open.pop(request, None)
         took = int(draw.expovariate(1 / 250_000))
-        return c.Outcome(request, number, verdict, cache, took, 0, closed, c.Hint.NONE, {})
+        return AttemptEnded(request, number, verdict, cache, took, 0, closed, CacheStatus.NONE, {})
 
-    def streaming(self) -> c.Streaming | None:
+    def streaming(self) -> ResponseStarted | None:
         if not self.attempts:
             return None
         request, number = self.random.choice(sorted(self.attempts))
-        return c.Streaming(request, number, self.attempts[request, number], 1000)
+        return ResponseStarted(request, number, self.attempts[request, number], 1000)
 
-    def cancel(self) -> c.Left | None:
+    def cancel(self) -> ClientDisconnected | None:
         if not self.open:
             return None
         request = self.random.choice(sorted(self.open))
         del self.open[request]
-        return c.Left(request)
+        return ClientDisconnected(request)
 
-    def probe_report(self) -> c.ProbeReport | None:
+    def probe_report(self) -> ProbeEnded | None:
         draw = self.random
-        verdict = draw.choice((c.Verdict.RETURNED, *OTHER_VERDICTS))
+        verdict = draw.choice((AttemptOutcome.SUCCEEDED, *OTHER_VERDICTS))
         load = {"util": draw.choice((0.2, 0.97, 1.0))} if draw.random() < 0.7 else {}
         if self.probes and draw.random() < 0.8:
-            return c.ProbeReport(self.probes.pop(0), verdict, 1000, load)
-        return c.ProbeReport(draw.choice(sorted(self.endpoints)), verdict, 1000, load, draw.randrange(SECOND))
+            return ProbeEnded(self.probes.pop(0), verdict, 1000, load)
+        return ProbeEnded(draw.choice(sorted(self.endpoints)), verdict, 1000, load, draw.randrange(SECOND))
 
-    def full_list(self) -> c.Roster:
+    def full_list(self) -> EndpointListUpdated:
         caches = self.random.sample(range(1, 11), 7)
-        members = [self.member(ident, CACHE, 6.0, c.Standing.READY) for ident in caches]
-        members += [self.member(ident, PARENT, 30.0, c.Standing.READY) for ident in (11, 12, 13)]
-        members.append(self.member(21, ORIGIN, 20.0, c.Standing.READY))
-        self.endpoints = {member.cache: member for member in members}
+        members = [self.member(ident, CACHE, 6.0, EndpointState.READY) for ident in caches]
+        members += [self.member(ident, PARENT, 30.0, EndpointState.READY) for ident in (11, 12, 13)]
+        members.append(self.member(21, ORIGIN, 20.0, EndpointState.READY))
+        self.endpoints = {member.id: member for member in members}
         self.version += 1
-        listing = self.random.choice((c.Listing.FULL, c.Listing.CACHED))
-        return c.Roster(listing, self.version, tuple(members))
+        listing = self.random.choice((UpdateKind.FULL, UpdateKind.CACHED))
+        return EndpointListUpdated(listing, self.version, tuple(members))
 
-    def update(self) -> c.Roster:
+    def update(self) -> EndpointListUpdated:
         draw = self.random
         self.version += 1
         if draw.random() < 0.1:
-            return c.Roster(c.Listing.UNAVAILABLE, self.version, ())
+            return EndpointListUpdated(UpdateKind.UNAVAILABLE, self.version, ())
         ident = draw.choice((*range(1, 11), 11, 12, 13, 21))
         kind = CACHE if ident < 11 else PARENT if ident < 21 else ORIGIN
-        standing = draw.choices((c.Standing.READY, c.Standing.DRAINING, c.Standing.GONE), (6, 1, 1))[0]
+        standing = draw.choices(
+            (EndpointState.READY, EndpointState.DRAINING, EndpointState.REMOVED), (6, 1, 1)
+        )[0]
         if kind == ORIGIN:
-            standing = c.Standing.READY
+            standing = EndpointState.READY
         started = self.now if draw.random() < 0.4 else 0
         changed = self.member(ident, kind, draw.choice((0.5, 6.0, 30.0)), standing, started)
         self.endpoints[ident] = changed
-        return c.Roster(c.Listing.DELTA, self.version, (changed,))
+        return EndpointListUpdated(UpdateKind.DELTA, self.version, (changed,))
 
     def member(
-        self, ident: int, kind: int, weight: float, standing: c.Standing, started: int = 0
-    ) -> c.Member:
+        self, ident: int, kind: int, weight: float, standing: EndpointState, started: int = 0
+    ) -> Endpoint:
         zone = 0 if kind == CACHE and ident != 10 else 1
-        return c.Member(standing, ident, started, ident % 2, zone, kind, weight)
+        return Endpoint(standing, ident, started, ident % 2, zone, kind, weight)
 
-    def purge(self) -> c.Purge:
+    def purge(self) -> PurgeAnnounced:
         draw = self.random
         obj = draw.randrange(40) if draw.random() < 0.5 else 0
-        return c.Purge(draw.randrange(40), draw.randrange(300_000), obj)
+        return PurgeAnnounced(draw.randrange(40), draw.randrange(300_000), obj)
 
-    def capacity(self) -> c.Room:
-        return c.Room(self.random.choice(sorted(self.endpoints)), self.random.random() < 0.7)
+    def capacity(self) -> ConnectionAvailabilityChanged:
+        return ConnectionAvailabilityChanged(
+            self.random.choice(sorted(self.endpoints)), self.random.random() < 0.7
+        )
 
-    def stale_list(self) -> c.Stale:
-        return c.Stale(self.random.random() < 0.2)
+    def stale_list(self) -> EndpointListFreshnessChanged:
+        return EndpointListFreshnessChanged(self.random.random() < 0.2)
 
-    def counts_of_others(self) -> c.Learnt:
+    def counts_of_others(self) -> RequestCountsReceived:
         draw = self.random
-        return c.Learnt(tuple((draw.randrange(9000), 0, draw.randrange(1, 9) / 2) for _ in range(20)))
+        return RequestCountsReceived(
+            tuple((draw.randrange(9000), 0, draw.randrange(1, 9) / 2) for _ in range(20))
+        )
 
-    def counts_asked(self) -> c.AskCounts:
-        return c.AskCounts(self.random.randrange(1, 40), self.random.randrange(100))
+    def counts_asked(self) -> RequestCountsWanted:
+        return RequestCountsWanted(self.random.randrange(1, 40), self.random.randrange(100))
 
-    def due(self) -> c.Due:
-        return c.Due(0)
+    def due(self) -> TimerFired:
+        return TimerFired(0)
 
-    def shut_down(self) -> c.ShuttingDown:
-        return c.ShuttingDown(self.random.randrange(SECOND // 2, 2 * SECOND))
+    def shut_down(self) -> ShutdownStarted:
+        return ShutdownStarted(self.random.randrange(SECOND // 2, 2 * SECOND))
 
 
 OTHER_VERDICTS = tuple(
-    verdict for verdict in c.Verdict if verdict not in (c.Verdict.RETURNED, c.Verdict.MISS)
+    verdict for verdict in AttemptOutcome if verdict not in (AttemptOutcome.SUCCEEDED, AttemptOutcome.MISS)
 )
 WEIGHTS = {
     World.request: 100,
--- a/tests/fake_host.py
+++ b/tests/fake_host.py
@@ -1,25 +1,47 @@
 """A tiny fake host: builds one front, hands it notes at chosen times, keeps its orders."""
 
-from limepath import contract as c
 from limepath.choice import Front
+from limepath.interface.commands import ScheduleWakeup
+from limepath.interface.events import (
+    AttemptEnded,
+    AttemptOutcome,
+    CacheStatus,
+    Endpoint,
+    EndpointListUpdated,
+    EndpointState,
+    ProbeEnded,
+    PurgeAnnounced,
+    RequestArrived,
+    TimerFired,
+    UpdateKind,
+)
+from limepath.interface.settings import (
+    DeliveryService,
+    GracePeriods,
+    Idempotency,
+    KeyScope,
+    Permissions,
+    SlowStart,
+    Topology,
+)
 
 SECOND = 1_000_000
 CACHE, PARENT, ORIGIN = 0, 2, 3
 
 
 def service(**changes):
-    plain = c.DeliveryService(
-        objective=600_000,
-        stretch=1.6,
-        viewer_timeout=5 * SECOND,
-        revenue=1.0,
+    plain = DeliveryService(
+        latency_objective=600_000,
+        objective_stretch=1.6,
+        deadline=5 * SECOND,
+        priority_weight=1.0,
         late_share=0.2,
-        repeats=c.Repeats.IDEMPOTENT,
-        scope=c.Scope.ALL,
-        window=SECOND,
+        idempotency=Idempotency.IDEMPOTENT,
+        key_scope=KeyScope.ALL,
+        retry_window=SECOND,
         streamed=False,
-        fresh=0,
-        grace=0,
+        max_age=0,
+        stale_grace=0,
         stale_share=0.5,
         uncacheable=False,
         segmented=False,
@@ -27,8 +49,8 @@
     return plain._replace(**changes)
 
 
-def member(cache, kind=CACHE, standing=c.Standing.READY, started=0, weight=6.0):
-    return c.Member(standing, cache, started, 0, 0 if kind == CACHE else 1, kind, weight)
+def member(cache, kind=CACHE, standing=EndpointState.READY, started=0, weight=6.0):
+    return Endpoint(standing, cache, started, 0, 0 if kind == CACHE else 1, kind, weight)
 
 
 FLEET = (
@@ -53,22 +75,22 @@
         link=9000.0,
         **allowed,
     ):
-        allowance = c.Allowance(
-            forwards=6,
-            overlap=False,
-            withdraw=True,
+        allowance = Permissions(
+            max_attempts=6,
+            hedging=False,
+            cancellation=True,
             probing=True,
-            peers=False,
-            come_back=SECOND,
+            peer_messages=False,
+            max_retry_after=SECOND,
             direct=True,
-            joins=False,
+            join_fills=False,
             lateral="none",
             subscribe=False,
         )
         self.front = Front(
             seed=seed,
             services=services,
-            footprint=c.Footprint(
+            footprint=Topology(
                 zone=0,
                 hub_of=(0, 0),
                 link_kb_s=(link, 0.0),
@@ -76,25 +98,25 @@
                 fronts=fronts,
                 parent_kind=PARENT,
                 origin_kind=ORIGIN,
-                flow_kb_s=1000.0,
+                transfer_kb_s=1000.0,
                 weighted=weighted,
             ),
             allowance=allowance._replace(**allowed),
-            cache_warmup=c.Warmup(0.2, 10 * SECOND, 2.0, SECOND),
-            parent_warmup=c.Warmup(0.1, 20 * SECOND, 2.0, SECOND),
-            grace=c.Grace(8000, SECOND, 300_000, 6 * SECOND, 10 * SECOND),
+            cache_warmup=SlowStart(0.2, 10 * SECOND, 2.0, SECOND),
+            parent_warmup=SlowStart(0.1, 20 * SECOND, 2.0, SECOND),
+            grace=GracePeriods(8000, SECOND, 300_000, 6 * SECOND, 10 * SECOND),
         )
         self.now, self.wake, self.ids, self.told = 100 * SECOND, None, 0, []
-        self.hear(c.Roster(c.Listing.CACHED, 1, fleet))
+        self.hear(EndpointListUpdated(UpdateKind.CACHED, 1, fleet))
 
     def hear(self, *notes):
         """Hand notes over at the present time; give the orders but for wakes."""
         orders = self.front.handle(self.now, notes)
         for order in orders:
-            if isinstance(order, c.Wake):
+            if isinstance(order, ScheduleWakeup):
                 due = self.now + order.delay
                 self.wake = due if self.wake is None else min(self.wake, due)
-        orders = [o for o in orders if not isinstance(o, c.Wake)]
+        orders = [o for o in orders if not isinstance(o, ScheduleWakeup)]
         self.told += orders
         return orders
 
@@ -103,22 +125,24 @@
         end, orders = self.now + span, []
         while self.wake is not None and self.wake <= end:
             self.now, self.wake = self.wake, None
-            orders += self.hear(c.Due(0))
+            orders += self.hear(TimerFired(0))
         self.now = end
         return orders
 
     def get(self, obj=5, ds=0, patience=5 * SECOND, size_kb=0.0, group=0, part=0):
         self.ids += 1
-        return self.hear(c.Get(self.ids, ds, 0, obj, patience, size_kb, group, part, False, False))
+        return self.hear(RequestArrived(self.ids, ds, 0, obj, patience, size_kb, group, part, False, False))
 
-    def end(self, forward, verdict, number=0, closed=False, hint=c.Hint.NONE, took=1000):
-        return self.hear(c.Outcome(forward.id, number, verdict, forward.cache, took, 0, closed, hint, {}))
+    def end(self, forward, verdict, number=0, closed=False, hint=CacheStatus.NONE, took=1000):
+        return self.hear(
+            AttemptEnded(forward.request, number, verdict, forward.endpoint, took, 0, closed, hint, {})
+        )
 
-    def roster(self, *members, listing=c.Listing.DELTA):
-        return self.hear(c.Roster(listing, 2, members))
+    def roster(self, *members, listing=UpdateKind.DELTA):
+        return self.hear(EndpointListUpdated(listing, 2, members))
 
     def purge(self, obj=0, group=0, age=0):
-        return self.hear(c.Purge(group, age, obj))
+        return self.hear(PurgeAnnounced(group, age, obj))
 
-    def probe_report(self, cache, verdict=c.Verdict.RETURNED, util=0.0):
-        return self.hear(c.ProbeReport(cache, verdict, 1000, {"util": util}))
+    def probe_report(self, cache, verdict=AttemptOutcome.SUCCEEDED, util=0.0):
+        return self.hear(ProbeEnded(cache, verdict, 1000, {"util": util}))
--- a/tests/fleet_host.py
+++ b/tests/fleet_host.py
@@ -8,15 +8,29 @@
 from heapq import heappop, heappush
 from random import Random
 
-from limepath import contract as c
 from limepath.choice import Front
+from limepath.interface.commands import FailRequest, ForwardRequest, RejectRequest, ScheduleWakeup, SendProbe
+from limepath.interface.events import (
+    AttemptEnded,
+    AttemptOutcome,
+    CacheStatus,
+    ClientDisconnected,
+    EndpointListUpdated,
+    ProbeEnded,
+    RequestArrived,
+    TimerFired,
+    UpdateKind,
+)
+from limepath.interface.settings import GracePeriods, Idempotency, Permissions, SlowStart, Topology
 from tests.fake_host import CACHE, ORIGIN, PARENT, SECOND, member, service
 
-V = c.Verdict
+V = AttemptOutcome
 WAY = 5_000  # from a front to a member and back, microseconds
-VIDEO = service(objective=600_000)
+SLOW_START = SlowStart(0.2, 10 * SECOND, 2.0, SECOND)
+ENDS = {RejectRequest: "rejected", FailRequest: "failed"}
+VIDEO = service(latency_objective=600_000)
 ENTREGA = service(
-    objective=800_000, viewer_timeout=3 * SECOND, repeats=c.Repeats.NON_IDEMPOTENT, uncacheable=True
+    latency_objective=800_000, deadline=3 * SECOND, idempotency=Idempotency.NON_IDEMPOTENT, uncacheable=True
 )
 
 
@@ -48,7 +62,7 @@
         mean=400_000,
         upper=150_000,
         link=None,
-        warmup=c.Warmup(0.2, 10 * SECOND, 2.0, SECOND),
+        warmup=SLOW_START,
         uneven=1.0,
         told=0.0,
     ):
@@ -69,17 +83,17 @@
             member(12, PARENT, weight=30.0),
             member(21, ORIGIN, weight=20.0),
         ]
-        self.members = {one.cache: FleetMember(one, self.chance) for one in fleet}
+        self.members = {one.id: FleetMember(one, self.chance) for one in fleet}
         link = link or caches * weight * 1000.0
-        allowance = c.Allowance(
-            forwards=6,
-            overlap=False,
-            withdraw=True,
+        allowance = Permissions(
+            max_attempts=6,
+            hedging=False,
+            cancellation=True,
             probing=True,
-            peers=False,
-            come_back=SECOND,
+            peer_messages=False,
+            max_retry_after=SECOND,
             direct=True,
-            joins=False,
+            join_fills=False,
             lateral="none",
             subscribe=False,
         )
@@ -90,7 +104,7 @@
                 allowance=allowance,
                 cache_warmup=warmup,
                 parent_warmup=warmup,
-                footprint=c.Footprint(
+                footprint=Topology(
                     zone=0,
                     hub_of=(0, 0),
                     link_kb_s=(link, 0.0),
@@ -98,10 +112,10 @@
                     fronts=fronts,
                     parent_kind=PARENT,
                     origin_kind=ORIGIN,
-                    flow_kb_s=1000.0,
+                    transfer_kb_s=1000.0,
                     weighted=True,
                 ),
-                grace=c.Grace(8000, SECOND, 300_000, 6 * SECOND, 10 * SECOND),
+                grace=GracePeriods(8000, SECOND, 300_000, 6 * SECOND, 10 * SECOND),
             )
             for i in range(fronts)
         ]
@@ -114,7 +128,7 @@
         )  # an end: (time, front, ds, word, took); words by GET
         self.forwards = 0
         for front in range(fronts):
-            self.hear(front, c.Roster(c.Listing.CACHED, 1, tuple(fleet)))
+            self.hear(front, EndpointListUpdated(UpdateKind.CACHED, 1, tuple(fleet)))
 
     def at(self, when, call, *said):
         self.serial += 1
@@ -138,12 +152,12 @@
         if self.told and not ds:
             self.sizes[self.ids] = self.chance.lognormvariate(-(self.told**2) / 2, self.told)
         size_kb = self.sizes.get(self.ids, 0.0) * self.mean / 1000  # at 1000 KB a second
-        get = c.Get(
+        get = RequestArrived(
             self.ids,
             ds,
             0,
             self.chance.randrange(1, 1 << 40),
-            told.viewer_timeout,
+            told.deadline,
             size_kb,
             0,
             0,
@@ -151,14 +165,14 @@
             bool(ds),
         )
         self.gets[self.ids] = [front, ds, self.now, 0, False]
-        self.at(self.now + told.viewer_timeout, self.over, self.ids)
+        self.at(self.now + told.deadline, self.over, self.ids)
         self.hear(front, get)
         self.at(self.now + int(self.chance.expovariate(self.rate) * SECOND), self.arrive, until)
 
     def over(self, ident):
         if ident in self.gets:
             self.close(ident, "timeout")
-            self.hear(self.gets.pop(ident)[0], c.Left(ident))
+            self.hear(self.gets.pop(ident)[0], ClientDisconnected(ident))
 
     def close(self, ident, word):
         get = self.gets[ident]
@@ -169,37 +183,37 @@
 
     def hear(self, front, *notes):
         for order in self.fronts[front].handle(self.now, notes):
-            if isinstance(order, c.Wake):
-                self.at(self.now + order.delay, self.hear, front, c.Due(order.cookie))
-            elif isinstance(order, c.Probe):
+            if isinstance(order, ScheduleWakeup):
+                self.at(self.now + order.delay, self.hear, front, TimerFired(order.cookie))
+            elif isinstance(order, SendProbe):
                 self.probe(front, order)
-            elif isinstance(order, c.Forward):
+            elif isinstance(order, ForwardRequest):
                 self.forward(front, order)
-            elif isinstance(order, (c.Shed, c.Errored)):
-                self.close(order.id, type(order).__name__.lower())
+            elif isinstance(order, (RejectRequest, FailRequest)):
+                self.close(order.request, ENDS[type(order)])
 
     def probe(self, front, order):
-        one = self.members[order.cache]
+        one = self.members[order.endpoint]
         one.probes.append((self.now, front))
         verdict, took = (
             (V.TIMED_OUT, 250_000)
             if one.silent
             else (V.CONNECT_FAILED, WAY)
             if one.down
-            else (V.RETURNED, WAY)
+            else (V.SUCCEEDED, WAY)
         )
         load = {"util": min(1.0, one.out / one.member.weight)}
-        self.at(self.now + took, self.hear, front, c.ProbeReport(order.cache, verdict, took, load))
+        self.at(self.now + took, self.hear, front, ProbeEnded(order.endpoint, verdict, took, load))
 
     def forward(self, front, order):
         self.forwards += 1
-        get = self.gets[order.id]
+        get = self.gets[order.request]
         number, get[3] = get[3], get[3] + 1
-        cache, source = self.members[order.cache], self.members[order.source]
+        cache, source = self.members[order.endpoint], self.members[order.source]
         mean = self.mean if get[1] == 0 else 20_000
         for one in {cache, source}:
             one.work.append((self.now, front, mean))
-        verdict, took, busy = V.RETURNED, WAY, ()
+        verdict, took, busy = V.SUCCEEDED, WAY, ()
         if cache.silent:
             return
         if cache.down:
@@ -209,14 +223,14 @@
         elif (
             source is cache
             and cache.member.kind == CACHE
-            and (get[1] or order.id * 0x9E3779B1 % 1000 >= self.held * 1000)
+            and (get[1] or order.request * 0x9E3779B1 % 1000 >= self.held * 1000)
         ):
             verdict = V.MISS
         elif source is not cache and (source.down or source.silent or source.out >= 3 * source.member.weight):
             verdict = V.FULL
         else:
             busy = {cache, source}
-            took += cache.sending(mean, self.sizes.get(order.id))
+            took += cache.sending(mean, self.sizes.get(order.request))
             if source is not cache:
                 took += int(self.chance.expovariate(1) * self.upper)
         for one in busy:
@@ -226,11 +240,16 @@
     def ended(self, front, order, number, verdict, took, busy):
         for one in busy:
             one.out -= 1
-        get = self.gets.get(order.id)
-        closed = get is None or get[4] or verdict == V.RETURNED
-        if get and verdict == V.RETURNED:
-            self.close(order.id, "returned")
-        self.hear(front, c.Outcome(order.id, number, verdict, order.cache, took, 0, closed, c.Hint.NONE, {}))
+        get = self.gets.get(order.request)
+        closed = get is None or get[4] or verdict == V.SUCCEEDED
+        if get and verdict == V.SUCCEEDED:
+            self.close(order.request, "returned")
+        self.hear(
+            front,
+            AttemptEnded(
+                order.request, number, verdict, order.endpoint, took, 0, closed, CacheStatus.NONE, {}
+            ),
+        )
 
     # What is counted
 
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -1,18 +1,26 @@
 """Short scenarios, one for each rule and each failure met."""
 
-from limepath import contract as c
 from limepath.hashing import mix64
+from limepath.interface.commands import CancelAttempt, FailRequest, ForwardRequest, RejectRequest, SendProbe
+from limepath.interface.events import (
+    AttemptOutcome,
+    ClientDisconnected,
+    EndpointState,
+    ProbeEnded,
+    RequestArrived,
+)
+from limepath.interface.settings import Idempotency, KeyScope
 from tests.fake_host import FLEET, ORIGIN, PARENT, SECOND, FakeHost, member, service
 
-V = c.Verdict
+V = AttemptOutcome
 
 
 def forwards(orders):
-    return [o for o in orders if isinstance(o, c.Forward)]
+    return [o for o in orders if isinstance(o, ForwardRequest)]
 
 
 def probed(orders):
-    return [o.cache for o in orders if isinstance(o, c.Probe)]
+    return [o.endpoint for o in orders if isinstance(o, SendProbe)]
 
 
 def kinds(orders):
@@ -22,38 +30,40 @@
 def test_a_miss_is_filled_from_a_parent_that_the_hash_names():
     host = FakeHost()
     (look,) = host.get()
-    assert look.source == look.cache
+    assert look.source == look.endpoint
     (fill,) = host.end(look, V.MISS)
-    assert fill.cache == look.cache and fill.source in (11, 12)
-    assert host.end(fill, V.RETURNED, 1, closed=True) == []
+    assert fill.endpoint == look.endpoint and fill.source in (11, 12)
+    assert host.end(fill, V.SUCCEEDED, 1, closed=True) == []
 
 
 def test_one_final_answer_and_nothing_after_it():
     host = FakeHost()
     (look,) = host.get()
-    host.hear(c.Left(look.id))
+    host.hear(ClientDisconnected(look.request))
     assert not forwards(host.end(look, V.CANCELLED)) and not forwards(host.wait(6 * SECOND))
-    assert not any(isinstance(o, (c.Shed, c.Errored)) for o in host.told)
+    assert not any(isinstance(o, (RejectRequest, FailRequest)) for o in host.told)
 
 
 def test_a_non_idempotent_get_that_may_have_run_ends_errored():
-    host = FakeHost(services=(service(repeats=c.Repeats.NON_IDEMPOTENT, uncacheable=True),))
+    host = FakeHost(services=(service(idempotency=Idempotency.NON_IDEMPOTENT, uncacheable=True),))
     (only,) = host.get()
-    assert only.cache == 21 and only.rank == 0
-    assert kinds(host.end(only, V.RESET)) == ["Errored"]
-    host = FakeHost(services=(service(repeats=c.Repeats.NON_IDEMPOTENT, uncacheable=True),))
+    assert only.endpoint == 21 and only.keep_rank == 0
+    assert kinds(host.end(only, V.RESET)) == ["FailRequest"]
+    host = FakeHost(services=(service(idempotency=Idempotency.NON_IDEMPOTENT, uncacheable=True),))
     (second,) = host.get()
-    assert kinds(host.end(second, V.FULL)) == ["Shed"]
+    assert kinds(host.end(second, V.FULL)) == ["RejectRequest"]
 
 
 def test_a_draining_cache_gets_nothing_new_neither_as_source():
     host = FakeHost()
-    host.roster(member(1, standing=c.Standing.DRAINING), member(11, PARENT, standing=c.Standing.GONE))
+    host.roster(
+        member(1, standing=EndpointState.DRAINING), member(11, PARENT, standing=EndpointState.REMOVED)
+    )
     for obj in range(60):
         (look,) = host.get(obj)
         (fill,) = host.end(look, V.MISS)
-        host.end(fill, V.RETURNED, 1, closed=True)
-        assert 1 not in (look.cache, fill.cache) and fill.source == 12
+        host.end(fill, V.SUCCEEDED, 1, closed=True)
+        assert 1 not in (look.endpoint, fill.endpoint) and fill.source == 12
 
 
 def test_a_started_cache_is_not_pushed_over_at_once():
@@ -62,39 +72,41 @@
     sent = 0
     for obj in range(200):
         orders = host.get(obj)
-        sent += any(o.cache == 1 for o in forwards(orders))
+        sent += any(o.endpoint == 1 for o in forwards(orders))
         for forward in forwards(orders):
-            host.end(forward, V.RETURNED, closed=True, took=600_000)
+            host.end(forward, V.SUCCEEDED, closed=True, took=600_000)
     assert 0 < sent <= 3  # 0.8 of 2 x 0.2 x 6 lanes for 1 s, at 0.6 s each
 
 
 def test_no_copy_older_than_a_purge():
     host = FakeHost()
     host.purge(obj=5, age=200_000)
-    assert 0 < host.get(5)[0].oldest <= 200_000
-    assert host.get(6)[0].oldest == 0
+    assert 0 < host.get(5)[0].max_age <= 200_000
+    assert host.get(6)[0].max_age == 0
     host.purge(group=4)
-    assert 0 < host.get(6, group=4)[0].oldest <= 10
+    assert 0 < host.get(6, group=4)[0].max_age <= 10
     host.wait(7 * SECOND)
-    assert host.get(5, group=4)[0].oldest == 0
+    assert host.get(5, group=4)[0].max_age == 0
 
 
 def test_a_silent_cache_is_probed_and_its_gets_called_back():
     host = FakeHost()
     (look,) = host.get()
     assert not probed(host.wait(SECOND)) and probed(host.wait(SECOND)) == [
-        look.cache
+        look.endpoint
     ]  # a transfer takes 0.6 s in the mean
-    host.probe_report(look.cache, V.TIMED_OUT)
+    host.probe_report(look.endpoint, V.TIMED_OUT)
     host.wait(SECOND // 2)
-    assert c.Withdraw(look.id, 0) in host.probe_report(look.cache, V.TIMED_OUT)
+    assert CancelAttempt(look.request, 0) in host.probe_report(look.endpoint, V.TIMED_OUT)
     (again,) = forwards(host.end(look, V.CANCELLED))
-    assert again.cache != look.cache
+    assert again.endpoint != look.endpoint
 
 
 def test_the_origin_fills_only_when_no_parent_is_up():
     host = FakeHost()
-    host.roster(member(11, PARENT, standing=c.Standing.GONE), member(12, PARENT, standing=c.Standing.GONE))
+    host.roster(
+        member(11, PARENT, standing=EndpointState.REMOVED), member(12, PARENT, standing=EndpointState.REMOVED)
+    )
     (look,) = host.get()
     assert host.end(look, V.MISS)[0].source == 21 and ORIGIN == 3
 
@@ -102,54 +114,54 @@
 def test_a_first_broken_connection_moves_no_get_three_in_a_row_put_the_cache_in_doubt():
     host = FakeHost()
     looks = [host.get()[0] for _ in range(9)]
-    home = looks[0].cache
+    home = looks[0].endpoint
     for look in looks:  # all on one connection: three such GETs once put their cache in doubt
-        assert host.end(look, V.RESET)[0].cache == home
+        assert host.end(look, V.RESET)[0].endpoint == home
     for _ in range(2):
         host.wait(1000)
         look = host.get()[0]
-        assert look.cache == home
-        assert forwards(host.end(look, V.RESET))[-1].cache != home
-    assert host.get()[0].cache != home
+        assert look.endpoint == home
+        assert forwards(host.end(look, V.RESET))[-1].endpoint != home
+    assert host.get()[0].endpoint != home
 
 
 def test_a_probe_that_breaks_with_its_connection_calls_nobody_back():
     host = FakeHost()
-    home = host.get()[0].cache
+    home = host.get()[0].endpoint
     assert probed(host.wait(2 * SECOND)) == [home]
-    assert not host.probe_report(home, V.RESET) and host.get()[0].cache == home
+    assert not host.probe_report(home, V.RESET) and host.get()[0].endpoint == home
 
 
 def test_a_full_origin_is_offered_a_get_once():
     host = FakeHost(services=(service(uncacheable=True),), fleet=(member(21, ORIGIN, weight=1.0),))
-    assert {type(o) for _ in range(40) for o in host.get()} == {c.Forward, c.Shed}
+    assert {type(o) for _ in range(40) for o in host.get()} == {ForwardRequest, RejectRequest}
 
 
 def test_a_jammed_link_takes_no_more_fills_and_an_ageing_copy_will_do():
-    host = FakeHost(services=(service(fresh=8 * SECOND, grace=30 * SECOND), service()))
+    host = FakeHost(services=(service(max_age=8 * SECOND, stale_grace=30 * SECOND), service()))
     for obj in range(60):
         (look,) = host.get(obj, ds=1)
         last = host.end(look, V.MISS)
-    assert kinds(last) == ["Shed"]
+    assert kinds(last) == ["RejectRequest"]
     (look,) = host.get(70)
     (aged,) = host.end(look, V.MISS)
-    assert aged.source == aged.cache and look.oldest == 8 * SECOND and aged.oldest == 38 * SECOND
-    assert kinds(host.end(aged, V.MISS, 1)) == ["Shed"]
+    assert aged.source == aged.endpoint and look.max_age == 8 * SECOND and aged.max_age == 38 * SECOND
+    assert kinds(host.end(aged, V.MISS, 1)) == ["RejectRequest"]
 
 
 def test_with_no_cache_left_gets_go_straight_to_a_parent_until_the_link_is_full():
     host = FakeHost()
-    host.roster(*(member(cache, standing=c.Standing.GONE) for cache in (1, 2, 3)))
+    host.roster(*(member(cache, standing=EndpointState.REMOVED) for cache in (1, 2, 3)))
     straight = host.get()[0]
-    assert straight.cache in (11, 12) and straight.source == 21
-    assert any(kinds(host.get(obj)) == ["Shed"] for obj in range(60))
+    assert straight.endpoint in (11, 12) and straight.source == 21
+    assert any(kinds(host.get(obj)) == ["RejectRequest"] for obj in range(60))
 
 
 def test_a_warming_parent_over_its_budget_ends_in_one_answer():
     host = FakeHost()
-    host.roster(*(member(cache, standing=c.Standing.GONE) for cache in (1, 2, 3)))
+    host.roster(*(member(cache, standing=EndpointState.REMOVED) for cache in (1, 2, 3)))
     host.roster(*(member(ident, PARENT, started=host.now, weight=1.0) for ident in (11, 12)))
-    assert kinds(host.get()) == ["Shed"]
+    assert kinds(host.get()) == ["RejectRequest"]
 
 
 def test_where_fills_do_not_come_back_parents_are_asked_for_held_copies_only():
@@ -157,23 +169,23 @@
     for obj in range(40):
         (look,) = host.get(obj)
         fill = forwards(host.end(look, V.MISS))[0]
-        host.end(fill, V.TIMED_OUT if obj % 2 else V.RETURNED, 1, closed=not obj % 2, took=5 * SECOND)
-        host.hear(c.Left(look.id))
+        host.end(fill, V.TIMED_OUT if obj % 2 else V.SUCCEEDED, 1, closed=not obj % 2, took=5 * SECOND)
+        host.hear(ClientDisconnected(look.request))
     (look,) = host.get(90)
     (fetch,) = host.end(look, V.MISS)
-    assert not fetch.held_only
+    assert not fetch.cached_only
     (look,) = host.get(91)
     (held,) = host.end(look, V.MISS)
-    assert held.held_only and kinds(host.end(held, V.MISS, 1)) == ["Shed"]
-    host.end(fetch, V.RETURNED, 1, closed=True)
+    assert held.cached_only and kinds(host.end(held, V.MISS, 1)) == ["RejectRequest"]
+    host.end(fetch, V.SUCCEEDED, 1, closed=True)
     for turn in range(40):
         (look,) = host.get(100 + turn)
         (fetch,) = host.end(look, V.MISS)
-        host.end(fetch, V.RETURNED, 1, closed=True)
+        host.end(fetch, V.SUCCEEDED, 1, closed=True)
     (look,) = host.get(199)
     host.end(look, V.MISS)
     (look,) = host.get(200)
-    assert not host.end(look, V.MISS)[0].held_only
+    assert not host.end(look, V.MISS)[0].cached_only
 
 
 def test_a_probe_turned_away_proves_neither_life_nor_silence():
@@ -181,19 +193,19 @@
     (look,) = host.get()
     for _ in range(4):
         host.wait(SECOND // 2)
-        assert not host.probe_report(look.cache, V.FULL)
-    assert host.get()[0].cache == look.cache
+        assert not host.probe_report(look.endpoint, V.FULL)
+    assert host.get()[0].endpoint == look.endpoint
     for verdict in (V.TIMED_OUT, V.TIMED_OUT, V.FULL):
         host.wait(SECOND // 2)
-        host.probe_report(look.cache, verdict)
-    assert host.get()[0].cache != look.cache
+        host.probe_report(look.endpoint, verdict)
+    assert host.get()[0].endpoint != look.endpoint
 
 
 def test_a_parent_that_loses_three_fills_in_a_row_is_passed_over():
     host = FakeHost(fleet=FLEET[:5])
     (look,) = host.get()
     home = host.end(look, V.MISS)[0].source
-    host.end(c.Forward(look.id, look.cache, 0, home, 1, 0), V.TIMED_OUT, 1, took=SECOND)
+    host.end(ForwardRequest(look.request, look.endpoint, 0, home, 1, 0), V.TIMED_OUT, 1, took=SECOND)
     for _ in range(2):
         host.wait(1000)
         (look,) = forwards(host.get())
@@ -216,17 +228,17 @@
 
 
 def test_a_tokened_get_is_repeated_only_within_its_group_and_window():
-    tokened = service(repeats=c.Repeats.TOKENED, scope=c.Scope.CELL, window=SECOND // 10)
+    tokened = service(idempotency=Idempotency.KEYED, key_scope=KeyScope.CELL, retry_window=SECOND // 10)
     host = FakeHost(services=(tokened,))
     (look,) = host.get()
-    assert forwards(host.end(look, V.ERRORED))
+    assert forwards(host.end(look, V.FAILED))
     (look,) = host.get()
     host.wait(SECOND // 5)
-    assert kinds(host.end(look, V.ERRORED)) == ["Errored"]
-    fleet = tuple(m._replace(cell=m.cache) for m in (member(1), member(2), member(3)))
+    assert kinds(host.end(look, V.FAILED)) == ["FailRequest"]
+    fleet = tuple(m._replace(cell=m.id) for m in (member(1), member(2), member(3)))
     host = FakeHost(services=(tokened,), fleet=fleet)
     (look,) = host.get()
-    assert kinds(host.end(look, V.ERRORED)) == ["Errored"]
+    assert kinds(host.end(look, V.FAILED)) == ["FailRequest"]
     (look,) = host.get()
     assert forwards(host.end(look, V.FULL))
 
@@ -235,7 +247,7 @@
     host = FakeHost()
     (look,) = host.get(patience=SECOND)
     assert not forwards(host.wait(SECOND * 2))
-    assert kinds(host.end(look, V.TIMED_OUT)) == ["Shed"]
+    assert kinds(host.end(look, V.TIMED_OUT)) == ["RejectRequest"]
 
 
 def test_doubt_ends_with_an_answer_and_a_long_silence_makes_cold():
@@ -243,21 +255,21 @@
     (look,) = host.get()
     for _ in range(6):
         host.wait(2 * SECOND)
-        host.probe_report(look.cache, V.TIMED_OUT)
-    assert host.get()[0].cache != look.cache
+        host.probe_report(look.endpoint, V.TIMED_OUT)
+    assert host.get()[0].endpoint != look.endpoint
     host.wait(SECOND // 2)
-    host.probe_report(look.cache)
+    host.probe_report(look.endpoint)
     back = host.get()[0]
-    assert back.cache == look.cache and back.source in (11, 12)  # cold: no look
-    host.end(back, V.RETURNED, closed=True)
+    assert back.endpoint == look.endpoint and back.source in (11, 12)  # cold: no look
+    host.end(back, V.SUCCEEDED, closed=True)
     host.wait(11 * SECOND)
-    assert host.get()[0].source == look.cache
+    assert host.get()[0].source == look.endpoint
 
 
 def test_a_budget_ends_when_its_cache_is_warm():
     host = FakeHost(fleet=(member(1, started=100 * SECOND), member(11, PARENT), member(21, ORIGIN)))
     host.wait(11 * SECOND)
-    assert [host.get(obj)[0].cache for obj in range(8)] == [1] * 8 and not host.front.gate.starts
+    assert [host.get(obj)[0].endpoint for obj in range(8)] == [1] * 8 and not host.front.gate.starts
 
 
 def push(host, get, cache=1):
@@ -270,9 +282,9 @@
 
 
 def test_the_gate_alone_bars_what_a_rule_forbids():
-    host = FakeHost(services=(service(), service(repeats=c.Repeats.NON_IDEMPOTENT)))
+    host = FakeHost(services=(service(), service(idempotency=Idempotency.NON_IDEMPOTENT)))
     (look,) = host.get(patience=SECOND)
-    get = host.front.door.open[look.id]
+    get = host.front.door.open[look.request]
     assert not push(host, get)  # one is out
     get.out = None
     assert push(host, get)
@@ -281,18 +293,18 @@
     get.closed, host.front.loop.now = False, host.now + SECOND
     assert not push(host, get)  # too late
     (look,) = forwards(host.get(ds=1))
-    get = host.front.door.open[look.id]
+    get = host.front.door.open[look.request]
     get.out = None
     assert not push(host, get)  # may have run
     (look,) = forwards(host.get())
-    get = host.front.door.open[look.id]
+    get = host.front.door.open[look.request]
     get.out = None
-    host.roster(member(1, standing=c.Standing.DRAINING))
+    host.roster(member(1, standing=EndpointState.DRAINING))
     assert not push(host, get) and push(host, get, 2)  # draining
     host.front.loop.orders = []
     host.front.gate.final(get, 0)
     host.front.gate.final(get, 0)
-    assert kinds(host.front.loop.orders) == ["Shed"]
+    assert kinds(host.front.loop.orders) == ["RejectRequest"]
 
 
 def test_a_parent_left_alone_and_full_passes_fills_to_the_origin():
@@ -308,10 +320,10 @@
     (fill,) = host.end(look, V.MISS)
     host.wait(1000)
     (look,) = host.end(fill, V.RESET, 1)  # the first break is the connection's
-    assert look.cache == fill.cache
+    assert look.endpoint == fill.endpoint
     host.wait(1000)
     (look,) = host.end(look, V.RESET, 2)
-    assert look.cache != fill.cache and host.end(look, V.MISS, 3)[0].source == 12
+    assert look.endpoint != fill.endpoint and host.end(look, V.MISS, 3)[0].source == 12
 
 
 def test_an_origin_that_was_silent_is_not_taken_for_cold():
@@ -319,10 +331,10 @@
     (straight,) = host.get()
     for _ in range(8):
         host.wait(SECOND // 2)
-        host.probe_report(straight.cache, V.TIMED_OUT)
-    assert kinds(host.get())[-1] == "Shed"
+        host.probe_report(straight.endpoint, V.TIMED_OUT)
+    assert kinds(host.get())[-1] == "RejectRequest"
     host.wait(SECOND // 2)
-    host.probe_report(straight.cache)
+    host.probe_report(straight.endpoint)
     assert all(forwards(host.get(obj)) for obj in range(8))
 
 
@@ -330,7 +342,7 @@
     host = FakeHost()
     host.roster(member(1, started=host.now))
     firsts = [host.get(obj)[0] for obj in range(30)]
-    assert 0 < sum(first.cache == 1 for first in firsts) <= 3 and all(forwards(firsts))
+    assert 0 < sum(first.endpoint == 1 for first in firsts) <= 3 and all(forwards(firsts))
 
 
 def test_many_fronts_spend_a_cold_budget_together_and_each_does_its_part():
@@ -341,8 +353,8 @@
         for obj in range(400):
             host.wait(25_000)
             for forward in forwards(host.get(1000 * seed + obj)):
-                times += [host.now] * (forward.cache == 1)
-                host.end(forward, V.RETURNED, closed=True, took=600_000)
+                times += [host.now] * (forward.endpoint == 1)
+                host.end(forward, V.SUCCEEDED, closed=True, took=600_000)
         return times
 
     told = sorted(time for seed in range(20) for time in sent(seed))
@@ -359,7 +371,7 @@
     door = host.front.door
     for obj in range(40):
         fill = forwards(host.end(host.get(obj)[0], V.MISS))[0]
-        host.end(fill, V.ERRORED, 1, closed=True)
+        host.end(fill, V.FAILED, 1, closed=True)
     assert door.window == 4 / 200
     host.wait(5000 * SECOND)
     assert door.may_fetch() and door.window == 1
@@ -380,15 +392,15 @@
 
 def test_a_parent_that_errs_while_others_fetch_does_not_close_the_window():
     host, errs, held = opened(FakeHost()), 0, []
-    fill(host, 40, V.RETURNED)
+    fill(host, 40, V.SUCCEEDED)
     for obj in range(40):  # each ends through the other parent, or stays out
         fetch, number = forwards(host.end(host.get(obj)[0], V.MISS))[0], 1
         if fetch.source == 11:
-            looked = forwards(host.end(fetch, V.ERRORED, 1, took=7000))[0]
+            looked = forwards(host.end(fetch, V.FAILED, 1, took=7000))[0]
             fetch, number, errs = forwards(host.end(looked, V.MISS, 2))[0], 3, errs + 1
-        held.append(fetch.held_only)
+        held.append(fetch.cached_only)
         if obj >= 15:
-            host.end(fetch, V.RETURNED, number, closed=True)
+            host.end(fetch, V.SUCCEEDED, number, closed=True)
     assert errs > 10 and not any(held)
 
 
@@ -402,7 +414,7 @@
 
 def test_one_fetch_lost_among_timely_ones_leaves_the_window_open_and_a_wide_one_grows_in_proportion():
     host = opened(FakeHost())
-    fill(host, 1, V.RETURNED)
+    fill(host, 1, V.SUCCEEDED)
     fill(host, 2, V.TIMED_OUT, took=SECOND)
     assert host.front.door.window > 0.8 * host.front.door.fill_room  # kept a tenth once
     windows = []
@@ -412,7 +424,7 @@
             fill(host, obj, V.TIMED_OUT, took=SECOND)
             host.wait(SECOND)
         for obj in range(300):
-            fill(host, obj, V.RETURNED)
+            fill(host, obj, V.SUCCEEDED)
         windows.append(host.front.door.window)
     assert windows[0] == 19.8 and windows[1] > 90  # was 55
 
@@ -420,7 +432,7 @@
 def test_a_fill_through_a_strained_cache_says_nothing_of_the_origin():
     host = FakeHost(fleet=FLEET[:1] + FLEET[3:])
     for obj in range(3):
-        host.end(host.get(obj)[0], V.RETURNED, closed=True, took=4 * SECOND)
+        host.end(host.get(obj)[0], V.SUCCEEDED, closed=True, took=4 * SECOND)
     window = host.front.door.window
     fill = forwards(host.end(forwards(host.get(9))[0], V.MISS))[0]
     host.end(fill, V.TIMED_OUT, 1)
@@ -429,9 +441,11 @@
 
 def test_on_a_full_link_small_gets_go_first_and_large_ones_last():
     def filled(size_kb):
-        host = opened(FakeHost(services=(service(), service(objective=SECOND // 10))))
+        host = opened(FakeHost(services=(service(), service(latency_objective=SECOND // 10))))
         looks = [host.get(obj, size_kb=size_kb)[0] for obj in range(60)]
-        return sum(bool(forwards(host.end(look, V.MISS))) for look in looks if isinstance(look, c.Forward))
+        return sum(
+            bool(forwards(host.end(look, V.MISS))) for look in looks if isinstance(look, ForwardRequest)
+        )
 
     assert filled(700.0) < filled(500.0) < filled(100.0)
 
@@ -441,14 +455,14 @@
     eased = host.front.caches[1]
     for took in (4 * SECOND,) * 6 + (1000,) * 60:
         for forward in forwards(host.get()):
-            host.end(forward, V.RETURNED, closed=True, took=took)
+            host.end(forward, V.SUCCEEDED, closed=True, took=took)
         assert eased.ease < 1 or took == 1000
     assert eased.ease == 1
 
 
 def test_a_write_is_not_turned_away_where_the_origin_is_eased_for_fills():
-    host = FakeHost(services=(service(uncacheable=True, repeats=c.Repeats.NON_IDEMPOTENT),), fronts=200)
-    host.hear(*[c.ProbeReport(21, V.RETURNED, 1000, {"util": 1.0})] * 12)
+    host = FakeHost(services=(service(uncacheable=True, idempotency=Idempotency.NON_IDEMPOTENT),), fronts=200)
+    host.hear(*[ProbeEnded(21, V.SUCCEEDED, 1000, {"util": 1.0})] * 12)
     assert forwards(host.get()) and forwards(host.get())
 
 
@@ -464,12 +478,12 @@
 
 def test_a_cache_that_turns_probes_away_is_taken_by_chance_once_its_room_is_under_one():
     host, looks = FakeHost(fleet=FLEET[:1] + FLEET[3:]), 0
-    host.hear(*[c.ProbeReport(1, V.FULL, 1000, {})] * 12)
+    host.hear(*[ProbeEnded(1, V.FULL, 1000, {})] * 12)
     assert host.front.caches[1].ease < 0.1
     for obj in range(40):
         for forward in forwards(host.get(obj)):
-            looks += forward.cache == 1
-            host.end(forward, V.RETURNED, closed=True, took=4 * SECOND)
+            looks += forward.endpoint == 1
+            host.end(forward, V.SUCCEEDED, closed=True, took=4 * SECOND)
     assert 0 < looks < 20
 
 
@@ -478,7 +492,7 @@
     parent, eases = host.front.caches[12], []
     for obj in range(2):
         (fill,) = host.end(host.get(obj)[0], V.MISS)
-        host.end(fill, V.RETURNED, 1, closed=True, took=4 * SECOND)
+        host.end(fill, V.SUCCEEDED, 1, closed=True, took=4 * SECOND)
         eases.append(parent.ease)
         host.probe_report(12, util=1.0)
     assert eases[0] == 1 and eases[1] < 0.6
@@ -486,11 +500,11 @@
 
 def test_odd_rosters_end_in_answers_and_caches_elsewhere_are_left_alone():
     for fleet in ((), FLEET[5:], FLEET[3:], FLEET[:3], (member(4)._replace(zone=1),)):
-        assert [type(o) for o in FakeHost(fleet=fleet).get()] in ([c.Forward], [c.Shed])
+        assert [type(o) for o in FakeHost(fleet=fleet).get()] in ([ForwardRequest], [RejectRequest])
     host = FakeHost(fleet=FLEET + (member(4)._replace(zone=1),))
     assert 4 not in host.front.caches
     host.roster(member(1)._replace(zone=1))
-    assert all(host.get(obj)[0].cache != 1 for obj in range(20))
+    assert all(host.get(obj)[0].endpoint != 1 for obj in range(20))
 
 
 def test_a_parent_of_untold_size_is_taken_for_its_part_of_all_links():
@@ -516,10 +530,10 @@
 def test_a_front_that_starts_fetches_one_at_a_time_and_opens_as_they_come_in_time():
     host = FakeHost()
     first, second = (forwards(host.end(host.get(obj)[0], V.MISS))[0] for obj in (1, 2))
-    assert not first.held_only and second.held_only
-    host.end(first, V.RETURNED, 1, closed=True)
+    assert not first.cached_only and second.cached_only
+    host.end(first, V.SUCCEEDED, 1, closed=True)
     for obj in range(3, 40):
-        fill(host, obj, V.RETURNED)
+        fill(host, obj, V.SUCCEEDED)
     assert host.front.door.window > 10
 
 
@@ -527,70 +541,70 @@
     host = FakeHost(probing=False)
     (look,) = host.get(patience=40 * SECOND)
     (back,) = [
-        o for o in host.wait(12 * SECOND) if isinstance(o, c.Withdraw)
+        o for o in host.wait(12 * SECOND) if isinstance(o, CancelAttempt)
     ]  # its GET is called back, nothing asked
-    assert back.id == look.id and not probed(host.told)
+    assert back.request == look.request and not probed(host.told)
     (again,) = forwards(host.end(look, V.CANCELLED))
-    assert again.cache != look.cache
-    host.end(again, V.RETURNED, 1, closed=True)
+    assert again.endpoint != look.endpoint
+    host.end(again, V.SUCCEEDED, 1, closed=True)
     tried = []
     for _ in range(300):  # a GET each tenth of a second
         host.wait(SECOND // 10)
         (forward,) = forwards(host.get())
-        if forward.cache == look.cache:
+        if forward.endpoint == look.endpoint:
             tried.append(host.now)
             host.wait(5 * SECOND)
             host.end(forward, V.TIMED_OUT, took=5 * SECOND, closed=True)
         else:
-            host.end(forward, V.RETURNED, closed=True)
+            host.end(forward, V.SUCCEEDED, closed=True)
     assert 2 <= len(tried) <= 6  # never, where only a probe brought a member back
 
 
 def test_without_probes_an_answer_to_a_try_brings_a_member_back():
     host = FakeHost(probing=False)
     (look,) = (forward,) = host.get()
-    while forward.cache == look.cache:  # its connections break until it is in doubt
+    while forward.endpoint == look.endpoint:  # its connections break until it is in doubt
         number = 0
-        while forward.cache == look.cache:
+        while forward.endpoint == look.endpoint:
             host.wait(1000)
             (forward,) = forwards(host.end(forward, V.RESET, number))
             number += 1
-        host.end(forward, V.RETURNED, number, closed=True)
+        host.end(forward, V.SUCCEEDED, number, closed=True)
         (forward,) = forwards(host.get())
-    host.end(forward, V.RETURNED, closed=True)
+    host.end(forward, V.SUCCEEDED, closed=True)
     caches = []
     for _ in range(30):
         host.wait(SECOND // 10)
         (forward,) = forwards(host.get())
-        caches.append(forward.cache)
-        host.end(forward, V.RETURNED, closed=True)
-    assert caches[0] != look.cache and caches[-10:] == [look.cache] * 10 and not probed(host.told)
+        caches.append(forward.endpoint)
+        host.end(forward, V.SUCCEEDED, closed=True)
+    assert caches[0] != look.endpoint and caches[-10:] == [look.endpoint] * 10 and not probed(host.told)
 
 
 def test_what_may_not_run_again_is_never_the_try_of_a_doubted_member():
-    host = FakeHost(probing=False, services=(service(repeats=c.Repeats.NON_IDEMPOTENT),))
+    host = FakeHost(probing=False, services=(service(idempotency=Idempotency.NON_IDEMPOTENT),))
     (look,) = host.get(patience=20 * SECOND)
     host.wait(6 * SECOND)
     host.end(look, V.TIMED_OUT, took=6 * SECOND, closed=True)
     for _ in range(100):
         host.wait(SECOND // 10)
         (forward,) = forwards(host.get())
-        assert forward.cache != look.cache
-        host.end(forward, V.RETURNED, closed=True)
+        assert forward.endpoint != look.endpoint
+        host.end(forward, V.SUCCEEDED, closed=True)
 
 
 def test_news_calls_a_forward_back_and_no_member_is_passed_for_it():
     host = FakeHost()
     (look,) = host.get()
-    (again,) = forwards(host.end(look, V.MOOT))
-    assert again.cache == look.cache
+    (again,) = forwards(host.end(look, V.SUPERSEDED))
+    assert again.endpoint == look.endpoint
 
 
 def test_a_get_without_its_token_is_not_repeated_by_a_tokened_service():
-    told = service(repeats=c.Repeats.TOKENED, window=60 * SECOND)
+    told = service(idempotency=Idempotency.KEYED, retry_window=60 * SECOND)
     for keyed in (False, True):
         host = FakeHost(services=(told,))
-        (look,) = host.hear(c.Get(1, 0, 0, 5, 5 * SECOND, 0.0, 0, 0, False, False, keyed))
+        (look,) = host.hear(RequestArrived(1, 0, 0, 5, 5 * SECOND, 0.0, 0, 0, False, False, keyed))
         orders = host.end(look, V.RESET)
-        assert kinds(orders) == (["Forward"] if keyed else ["Errored"])
-        assert not keyed or 0 < orders[0].within <= 60 * SECOND
+        assert kinds(orders) == (["ForwardRequest"] if keyed else ["FailRequest"])
+        assert not keyed or 0 < orders[0].send_within <= 60 * SECOND
--- a/tests/test_cold_ramp.py
+++ b/tests/test_cold_ramp.py
@@ -6,9 +6,10 @@
 
 import pytest
 
-from limepath import contract as c
 from limepath.choice import LANES
 from limepath.hashing import mix64
+from limepath.interface.commands import ForwardRequest
+from limepath.interface.settings import SlowStart
 from limepath.testbed.process import free_ports
 from tests.cold_ramp import CASES, TWO, OfferedFront, Ramp, sent_in, spent_at_most, worst
 from tests.fake_host import SECOND, FakeHost, member, service
@@ -93,8 +94,8 @@
     now = 1002 * SECOND
     sent = [one.request(now, 1, obj) for obj in range(2, 12)]
     assert sent == [True] * 5 + [False] * 5  # 5 of 70 ms in place of one of 400
-    assert not one.request(now + ramp.warmup.window - 1, 0, 12)
-    assert one.request(now + ramp.warmup.window, 0, 13)
+    assert not one.request(now + ramp.warmup.overload_window - 1, 0, 12)
+    assert one.request(now + ramp.warmup.overload_window, 0, 13)
 
 
 def test_few_fronts_have_equal_parts_wherever_their_places_lie():
@@ -110,7 +111,7 @@
 
 
 def test_what_goes_straight_to_the_origin_takes_no_part_of_a_cold_budget():
-    passing = service(objective=60 * SECOND, uncacheable=True)
+    passing = service(latency_objective=60 * SECOND, uncacheable=True)
     sent = []
     for services in ((service(),), (service(), passing)):
         host = FakeHost(services=services, fronts=40, nearby=20)
@@ -121,11 +122,11 @@
 
 def test_a_cold_budget_of_nothing_lets_nothing_pass():
     host = FakeHost(fronts=40, nearby=20)
-    warmup = c.Warmup(0.0, 10 * SECOND, 2.0, SECOND)
+    warmup = SlowStart(0.0, 10 * SECOND, 2.0, SECOND)
     host.front.gate.warmups = {False: warmup, True: warmup}
     host.roster(member(1, started=host.now))
     orders = [order for obj in range(40) for order in host.get(obj)]
-    assert not any(order.cache == 1 for order in orders if isinstance(order, c.Forward))
+    assert not any(order.endpoint == 1 for order in orders if isinstance(order, ForwardRequest))
 
 
 def test_twenty_processes_with_requests_for_a_cold_cache_keep_its_budget_together():
--- a/tests/test_departed_clients.py
+++ b/tests/test_departed_clients.py
@@ -14,12 +14,12 @@
 from twisted.internet.error import ConnectionDone
 from twisted.python.failure import Failure
 
-from limepath import contract as c
 from limepath.configuration.process_limits import planned
 from limepath.front import departures
 from limepath.front.client_connection import ClientConnection
 from limepath.front.clients import Clients
 from limepath.front.turn import clock
+from limepath.interface.events import EndpointState
 from limepath.log import Log
 from tests.stand_ins import BOUND, Site, Viewer, connections, listening, until
 from tests.test_endings import (
@@ -215,14 +215,16 @@
     member = 1
 
     def handle(self, now, notes):
-        return [order._replace(cache=self.member, source=self.member) for order in super().handle(now, notes)]
+        return [
+            order._replace(endpoint=self.member, source=self.member) for order in super().handle(now, notes)
+        ]
 
 
 class DrivenFront:
     """The front's parts on a reactor of the test's own, which passes when it is told to; one cache."""
 
     def __init__(self, **limits):
-        self.front, self.reactor, self.ready = OrderingAt(), EPollReactor(), c.Standing.READY
+        self.front, self.reactor, self.ready = OrderingAt(), EPollReactor(), EndpointState.READY
         _, self.clients, self.caches, _ = parts(self.front, self.reactor, **limits)
         self.clients.services[b"tarea"] = (1, True, 5_000_000)
         self.listener = socket.socket()
@@ -231,7 +233,7 @@
         self.listener.bind(("127.0.0.1", 0))
         self.listener.listen()
         self.listener.settimeout(BOUND)
-        self.caches.listed(1, "s-1", self.listener.getsockname(), 0, c.Standing.READY)
+        self.caches.listed(1, "s-1", self.listener.getsockname(), 0, EndpointState.READY)
         self.clients.listen(TCP4ServerEndpoint(self.reactor, 0, interface="127.0.0.1"))
 
     def viewer(self):
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -10,7 +10,6 @@
 
 import pytest
 
-from limepath import contract as c
 from limepath.duties import simulate
 from limepath.duties.bounds import bounds, doubles
 from limepath.duties.check import explored
@@ -32,6 +31,8 @@
 from limepath.duties.rounds import Rounds
 from limepath.duties.simulate import Day, Fault, findings, simulated
 from limepath.duties.world import World
+from limepath.interface.commands import ForwardRequest, SendProbe
+from limepath.interface.events import AttemptOutcome, ProbeEnded
 from limepath.membership.interface import Spans
 from limepath.report_table import hold
 from limepath.timer_queue import TimerQueue
@@ -390,10 +391,10 @@
 
 def test_one_prober_s_failure_does_not_serve_but_two_agreeing_do():
     timers, known = learnt()
-    known.heard((result(verdict=int(c.Verdict.TIMED_OUT)),))
+    known.heard((result(verdict=int(AttemptOutcome.TIMED_OUT)),))
     assert known.answer(5, 3 * SECOND) is None
-    known.heard((result(prober=3, verdict=int(c.Verdict.TIMED_OUT), age=SECOND // 2),))
-    assert known.answer(5, 3 * SECOND).verdict == c.Verdict.TIMED_OUT
+    known.heard((result(prober=3, verdict=int(AttemptOutcome.TIMED_OUT), age=SECOND // 2),))
+    assert known.answer(5, 3 * SECOND).verdict == AttemptOutcome.TIMED_OUT
 
 
 def test_a_result_goes_to_all_nearby_with_its_age_and_is_passed_on_in_large_fleets():
@@ -415,28 +416,28 @@
 
 def test_a_shared_answer_that_is_newer_than_the_doubt_ends_it_and_an_older_one_does_not():
     host = FakeHost()
-    (forward,) = [o for o in host.get() if isinstance(o, c.Forward)]
-    asked = [o for o in host.wait(2 * SECOND) if isinstance(o, c.Probe)]
-    assert asked[0].cache == forward.cache and 1_200_000 < asked[0].oldest <= 1_300_000
-    host.probe_report(forward.cache, c.Verdict.TIMED_OUT)
-    cache = host.front.caches[forward.cache]
+    (forward,) = [o for o in host.get() if isinstance(o, ForwardRequest)]
+    asked = [o for o in host.wait(2 * SECOND) if isinstance(o, SendProbe)]
+    assert asked[0].endpoint == forward.endpoint and 1_200_000 < asked[0].max_age <= 1_300_000
+    host.probe_report(forward.endpoint, AttemptOutcome.TIMED_OUT)
+    cache = host.front.caches[forward.endpoint]
     assert cache.missed == 1
-    host.hear(c.ProbeReport(forward.cache, c.Verdict.RETURNED, 900, {}, 500_000))  # learnt before that
+    host.hear(ProbeEnded(forward.endpoint, AttemptOutcome.SUCCEEDED, 900, {}, 500_000))  # learnt before that
     assert cache.missed == 1
     host.wait(SECOND // 5)
-    host.hear(c.ProbeReport(forward.cache, c.Verdict.RETURNED, 900, {}, 100_000))
+    host.hear(ProbeEnded(forward.endpoint, AttemptOutcome.SUCCEEDED, 900, {}, 100_000))
     assert cache.missed == 0 and cache.heard == host.now - 100_000
 
 
 def test_another_s_failure_makes_the_module_see_for_itself_and_counts_when_it_answers():
     host = FakeHost()
     host.wait(SECOND)
-    host.hear(c.ProbeReport(1, c.Verdict.TIMED_OUT, 900, {}, 1000))
+    host.hear(ProbeEnded(1, AttemptOutcome.TIMED_OUT, 900, {}, 1000))
     cache = host.front.caches[1]
     assert cache.missed == 0 and cache.suspect
-    asked = [o for o in host.wait(SECOND // 5) if isinstance(o, c.Probe)]
-    assert [o.cache for o in asked] == [1]
-    host.hear(c.ProbeReport(1, c.Verdict.TIMED_OUT, 900, {}, 1000))  # the shared answer that serves
+    asked = [o for o in host.wait(SECOND // 5) if isinstance(o, SendProbe)]
+    assert [o.endpoint for o in asked] == [1]
+    host.hear(ProbeEnded(1, AttemptOutcome.TIMED_OUT, 900, {}, 1000))  # the shared answer that serves
     assert cache.missed == 1
 
 
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -15,7 +15,6 @@
 import pytest
 from twisted.internet.testing import MemoryReactorClock, StringTransport
 
-from limepath import contract as c
 from limepath.configuration.platform import opening_of
 from limepath.configuration.process_limits import planned
 from limepath.front import cache_peer
@@ -24,6 +23,17 @@
 from limepath.front.client_connection import ClientConnection, State
 from limepath.front.clients import Clients
 from limepath.front.turn import Turn
+from limepath.interface.commands import ForwardRequest
+from limepath.interface.events import (
+    AttemptEnded,
+    AttemptOutcome,
+    ClientDisconnected,
+    EndpointListUpdated,
+    EndpointState,
+    PurgeAnnounced,
+    RequestArrived,
+    UpdateKind,
+)
 from limepath.log import Log
 from tests.stand_ins import (
     BOUND,
@@ -226,7 +236,11 @@
 
     def handle(self, now, notes):
         self.heard += notes
-        return [c.Forward(note.id, 1, 0, 1, 0, 0, **self.order) for note in notes if isinstance(note, c.Get)]
+        return [
+            ForwardRequest(note.id, 1, 0, 1, 0, 0, **self.order)
+            for note in notes
+            if isinstance(note, RequestArrived)
+        ]
 
 
 def parts(front, reactor=None, **limits):
@@ -237,7 +251,7 @@
     clients = Clients(reactor, turn, limits, log, {b"video": (0, False, 5_000_000)})
     caches = Caches(reactor, turn, clients, limits, log, b"INFO")
     turn.joined(clients, caches)
-    caches.listed(1, "s-1", ("127.0.0.1", 9), 0, c.Standing.READY)
+    caches.listed(1, "s-1", ("127.0.0.1", 9), 0, EndpointState.READY)
 
     def get():
         clients.arrived(
@@ -282,7 +296,7 @@
 
 
 def test_the_wait_is_counted_at_the_moment_of_the_send_not_by_the_timer_alone(monkeypatch):
-    front = Ordering(within=40_000)
+    front = Ordering(send_within=40_000)
     _, _, caches, get = parts(front)
     waiting = get()
     now = waiting.attempts[0].at
@@ -292,7 +306,9 @@
     connection = up(caches)
     assert connection.transport.value() == b""
     caches.reactor.advance(0)
-    assert [note.verdict for note in front.heard if isinstance(note, c.Outcome)] == [c.Verdict.CONNECT_FAILED]
+    assert [note.outcome for note in front.heard if isinstance(note, AttemptEnded)] == [
+        AttemptOutcome.CONNECT_FAILED
+    ]
 
 
 def test_a_connection_that_comes_up_once_its_member_has_gone_takes_nothing():
@@ -300,7 +316,7 @@
     get()
     peer, old = caches.peers[1], CacheConnection(caches.peers[1])
     caches.listed(
-        1, "s-1", ("127.0.0.1", 9), 7, c.Standing.READY
+        1, "s-1", ("127.0.0.1", 9), 7, EndpointState.READY
     )  # started anew, at the address of the old one
     old.makeConnection(CacheTransport())
     peer.came_up(old)
@@ -317,7 +333,9 @@
     clients.left(waiting)
     assert connection.transport.aborted
     caches.reactor.advance(0)
-    assert [note.verdict for note in front.heard if isinstance(note, c.Outcome)] == [c.Verdict.MOOT]
+    assert [note.outcome for note in front.heard if isinstance(note, AttemptEnded)] == [
+        AttemptOutcome.SUPERSEDED
+    ]
 
 
 def test_a_request_that_a_cache_never_read_whole_has_not_run_when_its_time_is_over():
@@ -328,14 +346,20 @@
     reactor.advance(0.9)
     reactor.advance(0)
     assert connection.transport.aborted
-    assert [note.verdict for note in front.heard if isinstance(note, c.Outcome)] == [c.Verdict.CONNECT_FAILED]
+    assert [note.outcome for note in front.heard if isinstance(note, AttemptEnded)] == [
+        AttemptOutcome.CONNECT_FAILED
+    ]
 
 
 def test_news_of_one_pass_comes_before_what_is_decided_by_it():
     front = Ordering()
     reactor, clients, _, _ = parts(front)
     turn = clients.turn
-    left, roster, purge = c.Left(1), c.Roster(c.Listing.DELTA, 2, ()), c.Purge(1, 0, 0)
+    left, roster, purge = (
+        ClientDisconnected(1),
+        EndpointListUpdated(UpdateKind.DELTA, 2, ()),
+        PurgeAnnounced(1, 0, 0),
+    )
     turn.gather(left, roster)
     turn.gather(purge)
     reactor.advance(0)
@@ -481,7 +505,7 @@
 
 def test_a_last_answer_that_is_taken_slowly_keeps_the_front_up_for_as_long_as_any_may_take():
     told = opening_of(configuration(free_address()), {})
-    assert told.limits.last_call == max(one.viewer_timeout for one in told.arguments["services"])
+    assert told.limits.last_call == max(one.deadline for one in told.arguments["services"])
     reactor, clients, _, _ = parts(Ordering(), last_call=5_000_000)
     clients.port = SimpleNamespace(doRead=lambda: None, stopListening=lambda: None, socket=listening())
     taking = ClientConnection(clients)  # its answer is held
--- a/tests/test_event_tree.py
+++ b/tests/test_event_tree.py
@@ -5,7 +5,6 @@
 import msgspec
 import pytest
 
-from limepath import contract as c
 from limepath.configuration import peers_file
 from limepath.configuration.ini import BadSetting
 from limepath.discovery.bounds import children_at_most, fresh, tree_bounds
@@ -35,6 +34,8 @@
 from limepath.discovery.simulate_tree import Plan, run_tree
 from limepath.discovery.state import List
 from limepath.discovery.topology import Scope, Zone
+from limepath.interface.commands import ForwardRequest
+from limepath.interface.events import AttemptOutcome, EndpointListFreshnessChanged
 from limepath.report_table import hold
 from tests.fake_host import FakeHost
 from tests.test_listing import PEERS, Fronting, command, drill, event, held, of, whole
@@ -358,21 +359,21 @@
 def test_a_front_whose_list_is_late_gives_nothing_to_a_cache():
     host = FakeHost()
     (look,) = host.get(5)
-    assert look.cache != 21
-    host.end(look, c.Verdict.RETURNED, closed=True)
-    host.hear(c.Stale(True))
-    asked = [order for obj in range(50) for order in host.get(obj) if isinstance(order, c.Forward)]
-    assert {order.cache for order in asked} <= {21} and {order.source for order in asked} <= {21}
-    host.hear(c.Stale(False))
-    assert host.get(99)[0].cache != 21
+    assert look.endpoint != 21
+    host.end(look, AttemptOutcome.SUCCEEDED, closed=True)
+    host.hear(EndpointListFreshnessChanged(True))
+    asked = [order for obj in range(50) for order in host.get(obj) if isinstance(order, ForwardRequest)]
+    assert {order.endpoint for order in asked} <= {21} and {order.source for order in asked} <= {21}
+    host.hear(EndpointListFreshnessChanged(False))
+    assert host.get(99)[0].endpoint != 21
 
 
 def test_a_fill_that_is_due_while_the_list_is_late_is_not_sent():
     host = FakeHost()
     (look,) = host.get(5)
-    host.hear(c.Stale(True))
-    later = host.end(look, c.Verdict.MISS)
-    assert not [order for order in later if isinstance(order, c.Forward) and order.cache != 21]
+    host.hear(EndpointListFreshnessChanged(True))
+    later = host.end(look, AttemptOutcome.MISS)
+    assert not [order for order in later if isinstance(order, ForwardRequest) and order.endpoint != 21]
 
 
 # A stream on which events never cease
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -36,9 +36,9 @@
     forward = fleet.forward
 
     def watched(front, order):
-        if not front and not fleet.gets[order.id][1] and fleet.now > 5 * SECOND:
+        if not front and not fleet.gets[order.request][1] and fleet.now > 5 * SECOND:
             door = fleet.fronts[0].door
-            home.append(order.cache == hash_order(door.open[order.id].name, door.caches)[0].id)
+            home.append(order.endpoint == hash_order(door.open[order.request].name, door.caches)[0].id)
         forward(front, order)
 
     fleet.forward = watched
@@ -52,7 +52,7 @@
     forward = fleet.forward
 
     def watched(front, order):
-        if order.source != order.cache and not order.held_only and order.cache >= 100:
+        if order.source != order.endpoint and not order.cached_only and order.endpoint >= 100:
             fetches.append(front)
         forward(front, order)
 
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -11,7 +11,6 @@
 from twisted.internet.task import Clock
 from twisted.internet.testing import MemoryReactorClock, StringTransport
 
-from limepath import contract as c
 from limepath.configuration.platform import opening_of
 from limepath.configuration.process_limits import planned
 from limepath.front.attempt import Probing
@@ -24,6 +23,14 @@
 from limepath.front.clients import Clients
 from limepath.front.reference_clock import ReferenceClock
 from limepath.front.turn import Turn
+from limepath.interface.commands import ForwardRequest
+from limepath.interface.events import (
+    AttemptEnded,
+    AttemptOutcome,
+    EndpointState,
+    PurgeAnnounced,
+    RequestArrived,
+)
 from limepath.log import Log
 from tests.fake_host import FakeHost
 from tests.stand_ins import (
@@ -288,7 +295,7 @@
     clients = Clients(reactor, turn, limits, log, {b"video": (0, False, 5_000_000)})
     caches = Caches(reactor, turn, clients, limits, log, b"INFO")
     turn.joined(clients, caches)
-    caches.listed(1, "s-1", ("127.0.0.1", 9), 0, c.Standing.READY)
+    caches.listed(1, "s-1", ("127.0.0.1", 9), 0, EndpointState.READY)
     verdicts = []
     caches.ended = lambda attempt, verdict, *_: verdicts.append(verdict)
     for unsent in (0, 1):
@@ -299,7 +306,7 @@
         )
         connection.send(SimpleNamespace(tag=b"aa"), b"ASK", b"\r\n")
         connection.connectionLost(None)
-    assert verdicts == [c.Verdict.RESET, c.Verdict.CONNECT_FAILED]
+    assert verdicts == [AttemptOutcome.RESET, AttemptOutcome.CONNECT_FAILED]
 
 
 def test_where_all_are_silent_a_get_ends_with_its_time():
@@ -553,7 +560,7 @@
         self.told = []
 
     def handle(self, now, notes):
-        if any(isinstance(note, c.Get) for note in notes):
+        if any(isinstance(note, RequestArrived) for note in notes):
             raise ZeroDivisionError("by a GET")
         self.told += notes
         return []
@@ -581,7 +588,7 @@
         {b"x-txn": b"9b1f03aa5c7e2d41", b"x-ttl-ms": b"900", b"x-family": b"1"},
         b"",
     )
-    purge = c.Purge(1, 0, 0)
+    purge = PurgeAnnounced(1, 0, 0)
     turn.gather(purge)
     clock.advance(0)
     assert connection.answers == [502]
@@ -671,7 +678,7 @@
         )
         connection = CacheConnection(told)
         attempt = SimpleNamespace(
-            get=SimpleNamespace(note=SimpleNamespace(write=False)), order=SimpleNamespace(oldest=0)
+            get=SimpleNamespace(note=SimpleNamespace(is_write=False)), order=SimpleNamespace(max_age=0)
         )
         told.idle, told.waiting = [], []
         connection.out = {b"aa": attempt, b"bb": attempt, b"p7": Probing(1, b"p7", 1)}
@@ -699,15 +706,20 @@
     ]
 
 
+def request_of(note):
+    """The request that an event is of."""
+    return note.id if isinstance(note, RequestArrived) else note.request
+
+
 class EagerFront(BrokenFront):
     """Forwards whatever GET it hears of, once more after each outcome."""
 
     def handle(self, now, notes):
         self.told += notes
         return [
-            c.Forward(note.id, 1, 0, 1, 0, 0)
+            ForwardRequest(request_of(note), 1, 0, 1, 0, 0)
             for note in notes
-            if isinstance(note, (c.Get, c.Outcome)) and not getattr(note, "closed", False)
+            if isinstance(note, (RequestArrived, AttemptEnded)) and not getattr(note, "answered", False)
         ]
 
 
@@ -718,7 +730,7 @@
     clients = Clients(reactor, turn, limits, log, {b"video": (0, False, 5_000_000)})
     caches = Caches(reactor, turn, clients, limits, log, b"INFO")
     turn.joined(clients, caches)
-    caches.listed(1, "s-1", ("127.0.0.1", 9), 0, c.Standing.READY)
+    caches.listed(1, "s-1", ("127.0.0.1", 9), 0, EndpointState.READY)
     clients.arrived(
         FakeConnection(),
         b"GET",
@@ -728,14 +740,14 @@
     )
     reactor.advance(0)
     (get,) = clients.open.values()
-    caches.ended(get.attempts[0], c.Verdict.MISS)  # in one pass with the viewer's end
+    caches.ended(get.attempts[0], AttemptOutcome.MISS)  # in one pass with the viewer's end
     clients.left(get)
     reactor.advance(0)
     reactor.advance(0)
-    outcomes = [note for note in front.told if isinstance(note, c.Outcome)]
-    assert [(note.forward, note.verdict, note.closed) for note in outcomes] == [
-        (0, c.Verdict.MISS, False),
-        (1, c.Verdict.MOOT, True),
+    outcomes = [note for note in front.told if isinstance(note, AttemptEnded)]
+    assert [(note.attempt, note.outcome, note.answered) for note in outcomes] == [
+        (0, AttemptOutcome.MISS, False),
+        (1, AttemptOutcome.SUPERSEDED, True),
     ]
     assert not clients.open
 
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -6,7 +6,6 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from limepath import contract as c
 from limepath.configuration import peers_file
 from limepath.configuration.ini import BadSetting
 from limepath.connection_pacing.connections import Connections, rush
@@ -23,6 +22,16 @@
     Tally,
 )
 from limepath.frequency_exchange.newcomer import ANSWER_TIMEOUT, ASKED, HALF, TRIES, Newcomer
+from limepath.interface.commands import ForwardRequest, RejectRequest
+from limepath.interface.events import (
+    AttemptEnded,
+    AttemptOutcome,
+    CacheStatus,
+    ConnectionAvailabilityChanged,
+    RequestArrived,
+    RequestCountsReceived,
+    RequestCountsWanted,
+)
 from tests.fake_host import PARENT, SECOND, FakeHost
 from tests.test_listing import PEERS
 
@@ -62,32 +71,40 @@
 
 
 def get(ident, obj=7):
-    return c.Get(ident, 0, 0, obj, 5 * SECOND, 0.0, 0, 0, False, False)
+    return RequestArrived(ident, 0, 0, obj, 5 * SECOND, 0.0, 0, 0, False, False)
 
 
 def forwards(orders):
-    return [order for order in orders if isinstance(order, c.Forward)]
+    return [order for order in orders if isinstance(order, ForwardRequest)]
 
 
 def test_a_get_goes_to_no_cache_without_a_way_and_is_shed_at_once_where_there_is_none():
     host = FakeHost()
-    home = forwards(host.hear(get(1)))[0].cache
-    host.hear(c.Room(home, False))
-    other = forwards(host.hear(get(2)))[0].cache
+    home = forwards(host.hear(get(1)))[0].endpoint
+    host.hear(ConnectionAvailabilityChanged(home, False))
+    other = forwards(host.hear(get(2)))[0].endpoint
     assert other != home
-    host.hear(c.Room(home, True))
-    assert forwards(host.hear(get(3)))[0].cache == home
+    host.hear(ConnectionAvailabilityChanged(home, True))
+    assert forwards(host.hear(get(3)))[0].endpoint == home
     host = FakeHost()
-    host.hear(*(c.Room(cache.id, False) for cache in host.front.caches.values()))
+    host.hear(*(ConnectionAvailabilityChanged(cache.id, False) for cache in host.front.caches.values()))
     told = host.hear(get(4))
-    assert [type(order) for order in told] == [c.Shed] and told[0].come_back > 0
+    assert [type(order) for order in told] == [RejectRequest] and told[0].retry_after > 0
 
 
 def test_a_parent_without_a_way_from_here_is_a_fill_source_all_the_same():
     host = FakeHost()
-    host.hear(*(c.Room(cache.id, False) for cache in host.front.caches.values() if cache.upper))
+    host.hear(
+        *(
+            ConnectionAvailabilityChanged(cache.id, False)
+            for cache in host.front.caches.values()
+            if cache.upper
+        )
+    )
     first = forwards(host.hear(get(1)))[0]
-    told = host.hear(c.Outcome(1, 0, c.Verdict.MISS, first.cache, 1000, 0, False, c.Hint.NONE, {}))
+    told = host.hear(
+        AttemptEnded(1, 0, AttemptOutcome.MISS, first.endpoint, 1000, 0, False, CacheStatus.NONE, {})
+    )
     assert host.front.caches[forwards(told)[0].source].member.kind == PARENT
 
 
@@ -98,13 +115,13 @@
         for _ in range(20 if obj < 4 else 1):
             ident += 1
             old.hear(get(ident, obj))
-    counts = old.hear(c.AskCounts(10, 5))[-1]
+    counts = old.hear(RequestCountsWanted(10, 5))[-1]
     assert (
         counts.cookie == 5
         and {obj for obj, _, _ in counts.counts[:3]} == {1, 2, 3}
         and counts.counts[0][2] == 20
     )
-    new.hear(c.Learnt(counts.counts))
+    new.hear(RequestCountsReceived(counts.counts))
     ranks = []
     for host in (new, blank):
         for obj in range(50, 110):
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -7,9 +7,9 @@
 
 import pytest
 
-from limepath import contract as c
 from limepath.configuration.addresses import address_of
 from limepath.configuration.platform import BadConfiguration, opening_of
+from limepath.interface.settings import Idempotency
 from tests.stand_ins import MS, SETTINGS, Site, configuration, free_address
 
 NAN, INFINITE = float("nan"), float("inf")
@@ -106,15 +106,15 @@
     for key in ("overload-factor", "tip-after"):
         arguments = opening_of(told(("safety", key), 0), {}).arguments
         assert (
-            arguments["cache_warmup"].span == 0
+            arguments["cache_warmup"].duration == 0
         )  # once a division by zero at the first forward to a new cache
-    assert opening_of(told(("safety", "tip-after"), MS), {}).arguments["cache_warmup"].span > 0
+    assert opening_of(told(("safety", "tip-after"), MS), {}).arguments["cache_warmup"].duration > 0
 
 
 def test_times_are_whole_microseconds_however_they_are_told():
     service = opening_of(told(("classes", 0, "deadline"), 2.5e9), {}).arguments["services"][0]
-    assert service.viewer_timeout == 2_500_000 and isinstance(service.viewer_timeout, int)
-    assert service.repeats is c.Repeats.IDEMPOTENT
+    assert service.deadline == 2_500_000 and isinstance(service.deadline, int)
+    assert service.idempotency is Idempotency.IDEMPOTENT
 
 
 def test_a_reload_with_settings_that_cannot_be_used_changes_nothing():
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -8,11 +8,11 @@
 
 from twisted.internet.task import Clock
 
-from limepath import contract as c
 from limepath.configuration.platform import opening_of
 from limepath.front.caches import Caches
 from limepath.front.changelog import ChangeLog
 from limepath.front.turn import Turn
+from limepath.interface.events import TimerFired
 from limepath.log import Log
 from limepath.testbed.process import free_ports
 from tests.fake_host import FakeHost
@@ -100,7 +100,7 @@
 
     def take():
         changes.known(known(lines))
-        turn.gather(c.Due(0))
+        turn.gather(TimerFired(0))
         changes.known(known(lines[::2]))
 
     work = lines_run(take)
--- a/tests/test_terms_standstill.py
+++ b/tests/test_terms_standstill.py
@@ -6,10 +6,10 @@
 import socket
 import time
 
-from limepath import contract as c
 from limepath.front import attempt, cache_peer, client_connection, client_request, clients, turn
 from limepath.front.changelog import ChangeLog
 from limepath.front.poll_times import lateness_of
+from limepath.interface.events import AttemptEnded, AttemptOutcome, PurgeAnnounced, RequestArrived
 from tests.stand_ins import SETTINGS, Site, StandInChangeLog, until
 from tests.test_departed_clients import driven  # noqa: F401 (a fixture)
 from tests.test_endings import NOW, Ordering, going_on, parts, stopped, up
@@ -127,7 +127,7 @@
         front.reactor.callLater(0, drag_on)
         front.passes_until(lambda front=front: front.clients.open)
         (request,) = front.clients.open.values()
-        assert request.note.patience <= 1_500_000, connected
+        assert request.note.time_left <= 1_500_000, connected
 
 
 def test_news_that_lies_unread_comes_before_a_decision_that_is_late(driven):  # noqa: F811
@@ -146,9 +146,9 @@
     log.tell(1, invalidate={"bucket": 17, "time": 1})
     until(lambda: select.select([changes.stream.transport.socket], [], [], 0)[0])
     passed(began, 0.1)
-    front.passes_until(lambda: any(isinstance(note, c.Get) for note in front.front.heard))
+    front.passes_until(lambda: any(isinstance(note, RequestArrived) for note in front.front.heard))
     kinds = [type(note) for note in front.front.heard]
-    assert kinds.index(c.Purge) < kinds.index(c.Get)
+    assert kinds.index(PurgeAnnounced) < kinds.index(RequestArrived)
 
 
 class Late(Ordering):
@@ -170,15 +170,15 @@
         now = [10**12]
         for module in (attempt, cache_peer, client_request, clients, turn):
             monkeypatch.setattr(module, "clock", lambda now=now: now[0])
-        front = Late(now, takes, within=40_000)
+        front = Late(now, takes, send_within=40_000)
         _, _, caches, get = parts(front)
         connection = up(caches)
         get()
         assert (connection.transport.value() != b"") == sent
         if not sent:
             caches.reactor.advance(0)
-            verdicts = [note.verdict for note in front.heard if isinstance(note, c.Outcome)]
-            assert verdicts == [c.Verdict.MOOT]  # nobody is at fault
+            verdicts = [note.outcome for note in front.heard if isinstance(note, AttemptEnded)]
+            assert verdicts == [AttemptOutcome.SUPERSEDED]  # nobody is at fault
 
 
 def test_room_is_not_made_by_a_connection_whose_request_has_come(driven):  # noqa: F811
@@ -263,4 +263,4 @@
     viewer.send(ttl=2000)
     front.passes_until(lambda: front.clients.open)
     (request,) = front.clients.open.values()
-    assert request.note.patience <= 1_700_000
+    assert request.note.time_left <= 1_700_000
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -78,7 +78,7 @@
     assert "unknown event code 255 at byte 16" in flaw(batch(b"\xff"))
     assert "cut short" in flaw(batch(b"\x14\0"))
     assert "settings of instance 3" in flaw(batch(up(b"no json"))) and "'safety'" in flaw(batch(up({})))
-    assert "unknown verdict code 99" in flaw(batch(struct.pack(">BI6sHQB", 60, 3, CACHE, 99, 0, 0)))
+    assert "unknown outcome code 99" in flaw(batch(struct.pack(">BI6sHQB", 60, 3, CACHE, 99, 0, 0)))
 
 
 def test_an_exception_in_the_decisions_becomes_a_fault_of_that_instance():
