--- a/limepath/cli/duties.py
+++ b/limepath/cli/duties.py
@@ -7,7 +7,7 @@
 
 from limepath.configuration import ini
 from limepath.configuration.peers_file import MODES
-from limepath.duties.interface import Mode
+from limepath.configuration.sharing_settings import DutyMode
 from limepath.report_table import hold, plain, table
 
 
@@ -202,11 +202,11 @@
 
     try:
         read = peers_file.read(file)
-    except ini.BadSetting as flaw:
+    except ini.SettingError as flaw:
         print(f"limepath: configuration: {flaw}", file=sys.stderr)
         sys.exit(2)
     rows = [
-        Row(f"{plan.name} ({Mode(plan.mode).name.lower().replace('_', '-')}): {name}, s", seconds(value))
+        Row(f"{plan.name} ({DutyMode(plan.mode).name.lower().replace('_', '-')}): {name}, s", seconds(value))
         for plan in read.plans
         for name, value in computed(read.spans, plan, read.leasing, instances, together)._asdict().items()
     ]
--- a/limepath/cli/keys.py
+++ b/limepath/cli/keys.py
@@ -110,8 +110,8 @@
     try:
         read_in = tls_file.read(file)
         found = key_set(read_in, now)
-    except (ini.BadSetting, BadMaterial) as flaw:
-        fail(flaw if isinstance(flaw, ini.BadSetting) else f"{file}: {flaw}")
+    except (ini.SettingError, BadMaterial) as flaw:
+        fail(flaw if isinstance(flaw, ini.SettingError) else f"{file}: {flaw}")
     rows = []
     if found.chain:
         for place, one in enumerate((found.chain.leaf, *found.chain.above)):
--- a/limepath/cli/listing.py
+++ b/limepath/cli/listing.py
@@ -7,8 +7,8 @@
 
 from limepath.cli.duties import conclude, json_option
 from limepath.configuration import peers_file
-from limepath.configuration.ini import BadSetting
-from limepath.membership.control import Unanswered, ask
+from limepath.configuration.ini import SettingError
+from limepath.membership.control import NoAnswerError, ask
 
 
 @click.group("listing")
@@ -21,9 +21,9 @@
     try:
         read = peers_file.read(file)
         if not read.listing:
-            raise BadSetting(f"{file}: [listing]: missing; each front follows the change log by itself")
+            raise SettingError(f"{file}: [listing]: missing; each front follows the change log by itself")
         return read
-    except BadSetting as flaw:
+    except SettingError as flaw:
         print(f"limepath: configuration: {flaw}", file=sys.stderr)
         sys.exit(2)
 
@@ -89,7 +89,7 @@
     """
     try:
         told = ask(opened(where).control if where.endswith(".ini") else where, "listing")
-    except Unanswered as flaw:
+    except NoAnswerError as flaw:
         print(f"limepath: {flaw}", file=sys.stderr)
         sys.exit(1)
     if as_json:
--- a/limepath/cli/opening.py
+++ b/limepath/cli/opening.py
@@ -7,7 +7,7 @@
 import click
 
 from limepath.configuration import peers_file, platform
-from limepath.configuration.ini import BadSetting
+from limepath.configuration.ini import SettingError
 
 
 @click.group("opening")
@@ -39,7 +39,7 @@
                 "plans": [plan._asdict() for plan in read.plans],
             }
             told["plans"] = [plan | {"mode": plan["mode"].name} for plan in told["plans"]]
-    except (BadSetting, platform.BadConfiguration) as flaw:
+    except (SettingError, platform.ConfigurationError) as flaw:
         print(f"limepath: configuration: {flaw}", file=sys.stderr)
         sys.exit(2)
     if as_json:
--- a/limepath/cli/peers.py
+++ b/limepath/cli/peers.py
@@ -6,8 +6,8 @@
 import click
 
 from limepath.configuration import peers_file
-from limepath.configuration.ini import BadSetting
-from limepath.membership.control import Unanswered, ask
+from limepath.configuration.ini import SettingError
+from limepath.membership.control import NoAnswerError, ask
 
 
 @click.group("peers")
@@ -36,13 +36,15 @@
         if where.endswith(".ini"):
             read = peers_file.read(where)
             if not read.control:
-                raise BadSetting(f"{where}: [instance] control: missing; this instance has no control socket")
+                raise SettingError(
+                    f"{where}: [instance] control: missing; this instance has no control socket"
+                )
             where = read.control
         told = ask(where, "peers")
-    except BadSetting as flaw:
+    except SettingError as flaw:
         print(f"limepath: configuration: {flaw}", file=sys.stderr)
         sys.exit(2)
-    except Unanswered as flaw:
+    except NoAnswerError as flaw:
         print(f"limepath: {flaw}", file=sys.stderr)
         sys.exit(1)
     if as_json:
--- a/limepath/configuration/ini.py
+++ b/limepath/configuration/ini.py
@@ -13,10 +13,10 @@
 UNITS = {"us": 1, "ms": 1000, "s": 1_000_000, "m": 60_000_000, "h": 3_600_000_000}
 SIZES = {"": 1, "kb": 1000, "mb": 1_000_000}
 WORD = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,31}")
-NEEDED = object()
+REQUIRED = object()
 
 
-class BadSetting(Exception):
+class SettingError(Exception):
     """Its text names file, section and key."""
 
 
@@ -26,7 +26,7 @@
     """
 
     read: Callable[[str], Any]
-    absent: Any = NEEDED
+    absent: Any = REQUIRED
     least: Any = None
     most: Any = None
     unit: str = ""
@@ -134,14 +134,14 @@
     try:
         parser.read_string(text, file)
     except configparser.DuplicateSectionError as error:
-        raise BadSetting(f"{file}: [{error.section}]: stands twice") from None
+        raise SettingError(f"{file}: [{error.section}]: stands twice") from None
     except configparser.DuplicateOptionError as error:
-        raise BadSetting(f"{file}: [{error.section}] {error.option}: stands twice") from None
+        raise SettingError(f"{file}: [{error.section}] {error.option}: stands twice") from None
     except configparser.MissingSectionHeaderError as error:
-        raise BadSetting(f"{file}: line {error.lineno}: stands before the first [section]") from None
+        raise SettingError(f"{file}: line {error.lineno}: stands before the first [section]") from None
     except configparser.ParsingError as error:
         line, what = error.errors[0]
-        raise BadSetting(f"{file}: line {line}: cannot be read: {what}") from None
+        raise SettingError(f"{file}: line {line}: cannot be read: {what}") from None
     return parser
 
 
@@ -149,13 +149,13 @@
     try:
         value = key.read(text.strip())
     except ValueError as error:
-        raise BadSetting(f"{where}: {text.strip()[:60]!r}: {error}") from None
+        raise SettingError(f"{where}: {text.strip()[:60]!r}: {error}") from None
     for bound, broken, says in (
         (key.least, lambda b: value < b, "at least"),
         (key.most, lambda b: value > b, "at most"),
     ):
         if bound is not None and broken(bound):
-            raise BadSetting(f"{where}: {text.strip()!r}: {says} {in_words(bound, key.unit)} is wanted")
+            raise SettingError(f"{where}: {text.strip()!r}: {says} {in_words(bound, key.unit)} is wanted")
     return value
 
 
@@ -167,7 +167,7 @@
         pattern = title if title in form else f"{kind} *" if name else title
         if pattern not in form:
             known = [known.removesuffix(" *") for known in form]
-            raise BadSetting(f"{file}: [{title}]: no such section{near(kind, known)}")
+            raise SettingError(f"{file}: [{title}]: no such section{near(kind, known)}")
         if pattern.endswith(" *"):
             value_of(Key(word), name, f"{file}: [{title}]")
         told[title if pattern == title else (kind, name.strip())] = section_of(
@@ -177,11 +177,11 @@
         if title.endswith(" *"):
             continue
         if title not in told and section.needed:
-            raise BadSetting(f"{file}: [{title}]: missing")
+            raise SettingError(f"{file}: [{title}]: missing")
         told.setdefault(
             title,
             section_of({}, f"{file}: [{title}]", section.keys)
-            if not any(key.absent is NEEDED for key in section.keys.values())
+            if not any(key.absent is REQUIRED for key in section.keys.values())
             else None,
         )
     return told
@@ -190,13 +190,13 @@
 def section_of(raw, where, keys):
     for name in raw:
         if name not in keys:
-            raise BadSetting(f"{where} {name}: no such key{near(name, keys)}")
+            raise SettingError(f"{where} {name}: no such key{near(name, keys)}")
     values = {}
     for name, key in keys.items():
         if name in raw:
             values[name] = value_of(key, raw[name], f"{where} {name}")
-        elif key.absent is NEEDED:
-            raise BadSetting(f"{where} {name}: missing")
+        elif key.absent is REQUIRED:
+            raise SettingError(f"{where} {name}: missing")
         else:
             values[name] = key.absent
     return values
@@ -208,7 +208,7 @@
         with open(file, encoding="utf-8") as opened:
             text = opened.read()
     except OSError as error:
-        raise BadSetting(f"{file}: {error.strerror}") from None
+        raise SettingError(f"{file}: {error.strerror}") from None
     except ValueError:
-        raise BadSetting(f"{file}: no UTF-8 text") from None
+        raise SettingError(f"{file}: no UTF-8 text") from None
     return check(text, str(file), form)
--- a/limepath/configuration/peers_file.py
+++ b/limepath/configuration/peers_file.py
@@ -4,13 +4,17 @@
 from typing import NamedTuple
 
 from limepath.configuration import ini
-from limepath.configuration.ini import BadSetting, Key, Section
-from limepath.discovery.interface import Terms
-from limepath.duties.interface import Leasing, Mode, Plan
+from limepath.configuration.ini import Key, Section, SettingError
+from limepath.configuration.sharing_settings import (
+    DiscoverySettings,
+    DutyMode,
+    DutySettings,
+    LeaseSettings,
+    MembershipTimeouts,
+)
 from limepath.log import FORMS
-from limepath.membership.interface import Spans
 
-MODES = {"at-least-once": Mode.AT_LEAST_ONCE, "one-owner": Mode.ONE_OWNER}
+MODES = {"at-least-once": DutyMode.AT_LEAST_ONCE, "one-owner": DutyMode.ONE_OWNER}
 KINDS = ("caches", "parents", "origin")
 MS, SECOND = 1000, 1_000_000
 
@@ -48,7 +52,7 @@
     "sharing": Section({"batch": span(250 * MS, 20 * MS, 10 * SECOND), "copies": Key(ini.whole, 2, 1, 10)}),
     "listing": Section(
         {
-            "fronts": Key(ini.whole, ini.NEEDED, 1, 10_000),
+            "fronts": Key(ini.whole, ini.REQUIRED, 1, 10_000),
             "calls": Key(ini.whole, 20, 1, 10_000),
             "relays": Key(ini.whole, 2, 1, 8),
             "beat": span(500 * MS, 50 * MS, 10 * SECOND),
@@ -64,7 +68,7 @@
         }
     ),
     "caches": Section(
-        {"connections": Key(ini.whole, ini.NEEDED, 1, 100_000), "ready": Key(ini.whole, 0, 0, 10_000)}
+        {"connections": Key(ini.whole, ini.REQUIRED, 1, 100_000), "ready": Key(ini.whole, 0, 0, 10_000)}
     ),
     "duty *": Section(
         {
@@ -76,7 +80,7 @@
 }
 
 
-class PeersOpening(NamedTuple):
+class PeersSettings(NamedTuple):
     """Paths are resolved against the file's own folder."""
 
     file: str
@@ -89,11 +93,11 @@
     seeds: tuple
     keys: str
     keys_reread: int
-    spans: Spans
-    leasing: Leasing
+    spans: MembershipTimeouts
+    leasing: LeaseSettings
     plans: tuple
     kinds: dict  # a duty's name to the kinds of its targets
-    listing: Terms = None  # None: each front follows the change log by itself
+    listing: DiscoverySettings = None  # None: each front follows the change log by itself
     connections: int = 0  # new ones a second at one member, of all fronts; 0 where no pace is kept
 
 
@@ -103,7 +107,7 @@
     where = os.path.dirname(os.path.abspath(file))
     instance, peers, leases, sharing = (told[name] for name in ("instance", "peers", "leases", "sharing"))
     if peers["direct"] * 2 >= peers["period"]:
-        raise BadSetting(
+        raise SettingError(
             f"{file}: [peers] direct: twice this must be below period, so that others can be asked too"
         )
     duties = {
@@ -111,26 +115,28 @@
         for (kind, name), values in ((key, values) for key, values in told.items() if isinstance(key, tuple))
         if kind == "duty"
     }
-    plans = tuple(Plan(name, MODES[values["mode"]], values["interval"]) for name, values in duties.items())
+    plans = tuple(
+        DutySettings(name, MODES[values["mode"]], values["interval"]) for name, values in duties.items()
+    )
     for plan in plans:
-        if plan.mode == Mode.ONE_OWNER and not leases["voters"]:
-            raise BadSetting(f"{file}: [leases] voters: missing; [duty {plan.name}] has mode one-owner")
+        if plan.mode == DutyMode.ONE_OWNER and not leases["voters"]:
+            raise SettingError(f"{file}: [leases] voters: missing; [duty {plan.name}] has mode one-owner")
     if len(leases["voters"]) > 15:
-        raise BadSetting(
+        raise SettingError(
             f"{file}: [leases] voters: at most 15 are wanted; others may own duties all the same"
         )
     if not plans:
-        raise BadSetting(f"{file}: [duty NAME]: missing; without a duty there is nothing to share")
+        raise SettingError(f"{file}: [duty NAME]: missing; without a duty there is nothing to share")
 
     listing = told["listing"]
     if listing and listing["patience"] < 2 * listing["beat"]:
-        raise BadSetting(
+        raise SettingError(
             f"{file}: [listing] patience: at least twice beat is wanted, or one lost datagram passes for a "
             "silent relay"
         )
     if listing and listing["site"] and listing["gather"] > listing["beat"]:
-        raise BadSetting(f"{file}: [listing] gather: at most beat is wanted, or heartbeats outrun events")
-    terms = listing and Terms(
+        raise SettingError(f"{file}: [listing] gather: at most beat is wanted, or heartbeats outrun events")
+    terms = listing and DiscoverySettings(
         "",
         listing["fronts"],
         float(listing["calls"]),
@@ -144,14 +150,14 @@
     )
     caches = told["caches"]
     if caches and not terms:
-        raise BadSetting(f"{file}: [caches]: wants [listing] too, whose key fronts tells how many share")
+        raise SettingError(f"{file}: [caches]: wants [listing] too, whose key fronts tells how many share")
     if caches:
         terms = terms._replace(ready=float(caches["ready"]))
 
     def resolved(path):
         return os.path.join(where, path) if path else ""
 
-    return PeersOpening(
+    return PeersSettings(
         str(file),
         instance["name"],
         resolved(instance["store"]),
@@ -162,14 +168,14 @@
         peers["seeds"],
         resolved(peers["keys"]),
         peers["keys-reread"],
-        Spans(
+        MembershipTimeouts(
             period=peers["period"],
             direct=peers["direct"],
             indirect=peers["indirect"],
             suspicion=peers["suspicion"],
             forget=peers["forget"],
         ),
-        Leasing(
+        LeaseSettings(
             voters=leases["voters"],
             span=leases["span"],
             drift=leases["drift"],
--- a/limepath/configuration/platform.py
+++ b/limepath/configuration/platform.py
@@ -100,11 +100,11 @@
 PER_ZONE = {"hub-of": Number(-1, whole=True), "pipe-kb-per-s": ANY, "zone-balancers": Number(whole=True)}
 
 
-class BadConfiguration(Exception):
+class ConfigurationError(Exception):
     """Its text names the faulty key."""
 
 
-class Opening(NamedTuple):
+class FrontSettings(NamedTuple):
     name: str
     listen: tuple
     seed: int
@@ -123,7 +123,7 @@
     """
     value = told.get(key, default)
     if value is None:
-        raise BadConfiguration(f"{where}{key}: missing")
+        raise ConfigurationError(f"{where}{key}: missing")
     return checked(value, kind, where + key)
 
 
@@ -131,19 +131,19 @@
     shown = f"{name}: {str(value)[:60]!r}"
     if isinstance(kind, tuple) and not isinstance(kind, Number):
         if value not in kind:
-            raise BadConfiguration(f"{shown} is none of {', '.join(kind)}")
+            raise ConfigurationError(f"{shown} is none of {', '.join(kind)}")
     elif isinstance(kind, Number):
         if isinstance(value, bool) or not isinstance(value, (int, float)) or not math.isfinite(value):
-            raise BadConfiguration(f"{shown} is no number")
+            raise ConfigurationError(f"{shown} is no number")
         if value < kind.least or kind.over and value == kind.least or value > kind.most:
             least = f"over {kind.least:g}" if kind.over else f"{kind.least:g} or more"
-            raise BadConfiguration(
+            raise ConfigurationError(
                 f"{shown} has to be {least}" + (f" and {kind.most:g} at most" if kind.most < math.inf else "")
             )
         if kind.whole and value != int(value):
-            raise BadConfiguration(f"{shown} is no whole number")
+            raise ConfigurationError(f"{shown} is no whole number")
     elif not isinstance(value, kind) or isinstance(value, bool) and kind is not bool:
-        raise BadConfiguration(f"{shown} is no {kind.__name__}")
+        raise ConfigurationError(f"{shown} is no {kind.__name__}")
     return value
 
 
@@ -163,14 +163,14 @@
         check(settings.get(key, {}), key + ".")
     classes, family = settings["classes"], settings.get("family-info", {})
     if not classes:
-        raise BadConfiguration("settings.classes: there is none")
+        raise ConfigurationError("settings.classes: there is none")
     for number, entry in enumerate(classes):
         if not isinstance(entry, dict):
-            raise BadConfiguration(f"settings.classes[{number}]: {str(entry)[:60]!r} is no dict")
+            raise ConfigurationError(f"settings.classes[{number}]: {str(entry)[:60]!r} is no dict")
         check(entry, "classes[].", f"classes[{number}].")
         name = entry["name"]
         if not name or set(name) & set("/?# ") or name in [other["name"] for other in classes[:number]]:
-            raise BadConfiguration(
+            raise ConfigurationError(
                 f"settings.classes[{number}].name: {name!r} is empty, can't stand in a target or "
                 "is there twice"
             )
@@ -178,18 +178,20 @@
         for key, kind in lists.items():
             told = family.get(key, [])
             if len(told) not in (0, len(entries)):
-                raise BadConfiguration(
+                raise ConfigurationError(
                     f"settings.family-info.{key}: {len(told)} entries for {len(entries)} of settings.{what}"
                 )
             for number, value in enumerate(told):
                 checked(value, kind, f"settings.family-info.{key}[{number}]")
     if settings["az"] >= len(settings["areas"]):
-        raise BadConfiguration("settings.az: no place in settings.areas")
+        raise ConfigurationError("settings.az: no place in settings.areas")
     for key in ("mid-kind", "master-kind"):
         if family.get(key, -1) >= len(settings["models"]):
-            raise BadConfiguration(f"settings.family-info.{key}: no place in settings.models")
+            raise ConfigurationError(f"settings.family-info.{key}: no place in settings.models")
     if family.get("mid-kind", -1) == family.get("master-kind", -1) != -1:
-        raise BadConfiguration("settings.family-info.mid-kind: the same as settings.family-info.master-kind")
+        raise ConfigurationError(
+            "settings.family-info.mid-kind: the same as settings.family-info.master-kind"
+        )
 
 
 def address(told, key, default=None):
@@ -197,24 +199,24 @@
     try:
         return address_of(text)
     except ValueError:
-        raise BadConfiguration(f"{key}: {text!r} is no address with a port") from None
+        raise ConfigurationError(f"{key}: {text!r} is no address with a port") from None
 
 
 def read(environ):
     """Give the Opening that the environment and the file it names tell of."""
     path = environ.get(CONFIGURATION)
     if not path:
-        raise BadConfiguration(f"{CONFIGURATION}: missing from the environment")
+        raise ConfigurationError(f"{CONFIGURATION}: missing from the environment")
     try:
         with open(path, encoding="utf-8") as file:
             told = json.load(file)
     except OSError as error:
-        raise BadConfiguration(f"{CONFIGURATION}: {path}: {error.strerror}") from None
+        raise ConfigurationError(f"{CONFIGURATION}: {path}: {error.strerror}") from None
     except ValueError as error:
-        raise BadConfiguration(f"{CONFIGURATION}: {path}: no JSON: {error}") from None
+        raise ConfigurationError(f"{CONFIGURATION}: {path}: no JSON: {error}") from None
     if not isinstance(told, dict):
-        raise BadConfiguration(f"{CONFIGURATION}: {path}: no JSON object")
-    return opening_of(told, environ)
+        raise ConfigurationError(f"{CONFIGURATION}: {path}: no JSON object")
+    return front_settings(told, environ)
 
 
 def read_again(environ, running):
@@ -224,12 +226,12 @@
     return told.changelog, [key for key in FIXED if getattr(told, key) != getattr(running, key)]
 
 
-def opening_of(told, environ):
+def front_settings(told, environ):
     seed = part(told, "seed", str)
     try:
         seed = int(seed, 16)
     except ValueError:
-        raise BadConfiguration(f"seed: {seed!r} is no hexadecimal number") from None
+        raise ConfigurationError(f"seed: {seed!r} is no hexadecimal number") from None
     settings = part(told, "settings", dict)
     known = part(told, "known", dict, {"seq": 0, "results": []})
     part(known, "seq", Number(whole=True), where="known.")
@@ -246,9 +248,9 @@
             for i, entry in enumerate(settings["classes"])
         }
     except KeyError as error:
-        raise BadConfiguration(f"settings: {error} is an unknown value") from None
+        raise ConfigurationError(f"settings: {error} is an unknown value") from None
     except (TypeError, ValueError, AttributeError, IndexError) as error:
-        raise BadConfiguration(f"settings: {error}") from None
+        raise ConfigurationError(f"settings: {error}") from None
     machine = part(told, "limits", dict, {})
     sockets = available(int(part(machine, "sockets", COUNT, 1024, "limits.")))
     memory_mb = int(part(machine, "memory_mb", COUNT, 192, "limits."))
@@ -273,7 +275,7 @@
         wait=min(connect, grace.drain, grace.purge or connect),
         cache_idle=us(allowed.get("conn-idle", 30_000_000_000)) * 8 // 10,
     )
-    return Opening(
+    return FrontSettings(
         environ.get(NAME) or part(told, "name", str, "front"),
         address(told, "listen", environ.get(LISTEN)),
         seed,
--- a/limepath/configuration/tls_file.py
+++ b/limepath/configuration/tls_file.py
@@ -6,8 +6,8 @@
 from typing import NamedTuple
 
 from limepath.configuration import ini
-from limepath.configuration.ini import BadSetting, Key, Section
-from limepath.tls.interface import Pace, RetryDelays
+from limepath.configuration.ini import Key, Section, SettingError
+from limepath.configuration.tls_settings import HandshakePace, RetryDelays
 
 SECOND = 1_000_000
 VERSIONS = ("1.2", "1.3")
@@ -81,14 +81,14 @@
     name: str
 
 
-class TlsOpening(NamedTuple):
+class TlsSettings(NamedTuple):
     file: str
     certificate: str
     key: str
     least: str
     most: str
     sessions: tuple  # most, each, longest
-    pace: Pace
+    pace: HandshakePace
     limit: int
     retry_delays: RetryDelays
     trusts: tuple
@@ -109,29 +109,29 @@
     )
     if bool(client["certificate"]) != bool(client["key"]):
         missing = "key" if client["certificate"] else "certificate"
-        raise BadSetting(f"{file}: [client] {missing}: missing; certificate and key go together")
+        raise SettingError(f"{file}: [client] {missing}: missing; certificate and key go together")
     if versions["least"] > versions["most"]:
-        raise BadSetting(f"{file}: [versions] least: above most")
+        raise SettingError(f"{file}: [versions] least: above most")
     for one, other in (("passing", "passing-most"), ("lasting", "lasting-most")):
         if alone[one] > alone[other]:
-            raise BadSetting(f"{file}: [left-alone] {one}: above {other}")
+            raise SettingError(f"{file}: [left-alone] {one}: above {other}")
     if hands["at-once"] > hands["all-at-once"]:
-        raise BadSetting(f"{file}: [handshakes] at-once: above all-at-once")
+        raise SettingError(f"{file}: [handshakes] at-once: above all-at-once")
     trusts, taken = [], {}
     for key, values in told.items():
         if not isinstance(key, tuple):
             continue
         title = key[1]
         if not values["members"]:
-            raise BadSetting(f"{file}: [trust {title}] members: missing; name caches, parents or origin")
+            raise SettingError(f"{file}: [trust {title}] members: missing; name caches, parents or origin")
         for kind in values["members"]:
             if kind in taken:
-                raise BadSetting(
+                raise SettingError(
                     f"{file}: [trust {title}] members: {kind!r} stands in [trust {taken[kind]}] too"
                 )
             taken[kind] = title
         if "{id}" not in values["name"]:
-            raise BadSetting(
+            raise SettingError(
                 f"{file}: [trust {title}] name: '{{id}}' is missing; each member has a name of its own"
             )
         trusts.append(
@@ -146,15 +146,15 @@
             )
         )
     if not trusts:
-        raise BadSetting(f"{file}: [trust NAME]: missing; without one no server can be verified")
-    return TlsOpening(
+        raise SettingError(f"{file}: [trust NAME]: missing; without one no server can be verified")
+    return TlsSettings(
         str(file),
         resolved(client["certificate"]),
         resolved(client["key"]),
         versions["least"],
         versions["most"],
         (told["sessions"]["most"], told["sessions"]["each"], told["sessions"]["longest"]),
-        Pace(
+        HandshakePace(
             hands["rate"],
             hands["burst"],
             hands["at-once"],
--- a/limepath/discovery/catch_up.py
+++ b/limepath/discovery/catch_up.py
@@ -12,7 +12,7 @@
 from typing import NamedTuple
 
 from limepath.discovery.integers import CodingError
-from limepath.discovery.interface import Place
+from limepath.discovery.interface import Revision
 from limepath.discovery.page_bytes import (
     LONGEST_PAGE,
     packed_index,
@@ -57,7 +57,7 @@
 class Chunk(NamedTuple):
     """`count` is how many chunks the page has, `mark` tells the snapshot from others at the same place."""
 
-    place: Place
+    place: Revision
     mark: int
     page: int
     chunk: int
@@ -82,7 +82,7 @@
         self.mark = mark_of(self.packed[INDEX])
 
     @property
-    def place(self) -> Place:
+    def place(self) -> Revision:
         return self.contents.place
 
     def bytes_of(self, page: int) -> bytes:
@@ -127,7 +127,7 @@
 
     def __init__(self, mine: Contents):
         self.mine = mine
-        self.place: Place | None = (
+        self.place: Revision | None = (
             None  # where the other's snapshot stands, and its mark, once they are known
         )
         self.mark: int | None = None
--- a/limepath/discovery/children.py
+++ b/limepath/discovery/children.py
@@ -11,7 +11,7 @@
 from limepath.discovery.coding import BATCH_LIMIT, batches
 from limepath.discovery.component import Component
 from limepath.discovery.integers import Reader
-from limepath.discovery.interface import Batch, Reach, Reads
+from limepath.discovery.interface import EventBatch, SendToMember, SubscriptionMode
 from limepath.discovery.window import NotHeld
 
 LEASE = 4  # beats for which a subscriber counts as one
@@ -25,7 +25,7 @@
     __slots__ = ("until", "reads", "sent", "unanswered", "stamp", "stamp_at")
 
     def __init__(self):
-        self.until, self.reads, self.sent, self.unanswered = 0, Reads.HEARTBEATS, None, []
+        self.until, self.reads, self.sent, self.unanswered = 0, SubscriptionMode.HEARTBEATS, None, []
         self.stamp = self.stamp_at = 0
 
     def overdue(self, now):
@@ -46,7 +46,7 @@
         )  # of lists sent in this tick, by token; who asked for any in the last
 
     def readers(self):
-        return [child for child in self.known.values() if child.reads == Reads.BATCHES]
+        return [child for child in self.known.values() if child.reads == SubscriptionMode.BATCHES]
 
     def keep(self, live, now):
         self.known = {
@@ -59,7 +59,7 @@
         if known and known.reads == reads:
             return True
         readers = len(self.readers())
-        if reads == Reads.BATCHES:
+        if reads == SubscriptionMode.BATCHES:
             return readers < children_at_most(self.terms)
         return len(self.known) - readers < watchers_at_most(self.terms)
 
@@ -70,12 +70,12 @@
             self.counts["turned away"] += 1
             self.known.pop(token, None)
             beat = self.followers.my_beat()
-            return self.timers.emit(Reach(token, answering(beat, message.stamp, refused=True)))
+            return self.timers.emit(SendToMember(token, answering(beat, message.stamp, refused=True)))
         child = self.known.setdefault(token, Child())
         child.until, child.reads = now + LEASE * self.terms.beat, message.reads
         child.stamp, child.stamp_at = message.stamp, now
-        self.timers.emit(Reach(token, answering(self.followers.my_beat(), message.stamp)))
-        if message.reads != Reads.BATCHES:
+        self.timers.emit(SendToMember(token, answering(self.followers.my_beat(), message.stamp)))
+        if message.reads != SubscriptionMode.BATCHES:
             child.sent = None
         elif message.generation != place.generation or not self.held.window.covers(message.number):
             child.sent = None
@@ -132,11 +132,11 @@
         now, held = self.timers.now, self.held
         age = held.age() if held.confirmed_at is not None and last == held.list.place.number else -1
         since = now - child.stamp_at if child.stamp else 0
-        message = Batch(held.list.place.generation, child.sent + 1, data, age, child.stamp, since)
+        message = EventBatch(held.list.place.generation, child.sent + 1, data, age, child.stamp, since)
         child.sent = last
         child.unanswered.append((now, last))
         self.counts["pushed"] += 1
-        self.timers.emit(Reach(token, message))
+        self.timers.emit(SendToMember(token, message))
         return True
 
     def next_batch(self, sent):
@@ -150,7 +150,7 @@
 
     def tell(self):
         for token in self.known:
-            self.timers.emit(Reach(token, self.followers.my_beat()))
+            self.timers.emit(SendToMember(token, self.followers.my_beat()))
 
     def may_serve_piece(self, token):
         """Whether one more datagram of a list may go out before the next tick, to one of those that share
--- a/limepath/discovery/followers.py
+++ b/limepath/discovery/followers.py
@@ -5,7 +5,7 @@
 
 from limepath.discovery.coding import decode
 from limepath.discovery.component import Component
-from limepath.discovery.interface import Beat, Events, Reach, Reads
+from limepath.discovery.interface import Events, Heartbeat, SendToMember, SubscriptionMode
 from limepath.discovery.window import NotHeld
 
 CARRIED = 1000  # bytes of events in one datagram
@@ -23,7 +23,7 @@
     def my_beat(self):
         now, place, held = self.timers.now, self.held.list.place, self.held
         age = -1 if held.confirmed_at is None else now - held.confirmed_at
-        return Beat(
+        return Heartbeat(
             self.terms.zone,
             *place,
             held.list.digest,
@@ -44,7 +44,7 @@
 
     def tell(self):
         for token in self.known:
-            self.timers.emit(Reach(token, self.my_beat()))
+            self.timers.emit(SendToMember(token, self.my_beat()))
 
     def push(self):
         numbers, self.to_push = self.to_push, []
@@ -53,7 +53,7 @@
             for token in self.known:
                 for message in messages or (self.my_beat(),):
                     self.counts["pushed"] += 1
-                    self.timers.emit(Reach(token, message))
+                    self.timers.emit(SendToMember(token, message))
 
     def events_from(self, first):
         """The first WINDOW messages of the events from this number on; none where one is not kept or does not
@@ -83,10 +83,10 @@
     def subscribed(self, token, message):
         place = self.held.list.place
         self.scopes.learn(token, message.zone, message.site)
-        if self.tree.on and message.reads != Reads.TEXTS:
+        if self.tree.on and message.reads != SubscriptionMode.TEXTS:
             return self.children.subscribed(token, message)
         self.known[token] = self.timers.now + LEASE * self.terms.beat
-        self.timers.emit(Reach(token, self.my_beat()))
+        self.timers.emit(SendToMember(token, self.my_beat()))
         if message.generation == place.generation and message.number < place.number:
             for one in self.events_from(message.number + 1):
-                self.timers.emit(Reach(token, one))
+                self.timers.emit(SendToMember(token, one))
--- a/limepath/discovery/heard.py
+++ b/limepath/discovery/heard.py
@@ -6,7 +6,7 @@
 from limepath.discovery.coding import CodingError, events_of
 from limepath.discovery.component import Component
 from limepath.discovery.events import BadList, parsed
-from limepath.discovery.interface import Place, Reach, Reads, Say
+from limepath.discovery.interface import LogEvent, Revision, SendToMember, SubscriptionMode
 from limepath.discovery.upstream import BAD
 
 IN_FLIGHT = 5_000  # microseconds added to an age for the way, where no stamp measures it
@@ -31,7 +31,7 @@
         if source is None:
             return
         source.beat, source.at, source.owes = message, now, None
-        theirs = Place(message.generation, message.number)
+        theirs = Revision(message.generation, message.number)
         if message.refused:
             return self.tree.turned_away(token)
         if theirs > place:
@@ -98,7 +98,7 @@
         if source:
             source.bad_until, source.behind = self.timers.now + BAD, None
         self.counts["contradictions"] += 1
-        self.timers.emit(Say("list-contradiction", {"peer": f"{token:016x}", "why": why}))
+        self.timers.emit(LogEvent("list-contradiction", {"peer": f"{token:016x}", "why": why}))
         self.roles.suspicious = self.stream.whole = True
         if self.stream.state and self.stream.caught_up:  # we hold the service's own word
             self.roles.suspicious = self.stream.whole = False
@@ -107,7 +107,7 @@
         if token in self.upstream.sources:
             self.upstream.sources[token].bad_until = self.timers.now + BAD
         self.counts["nonsense"] += 1
-        self.timers.emit(Say("list-nonsense", {"peer": f"{token:016x}", "why": str(why)[:120]}))
+        self.timers.emit(LogEvent("list-nonsense", {"peer": f"{token:016x}", "why": str(why)[:120]}))
 
     def events(self, token, message):
         if (
@@ -176,4 +176,6 @@
         if self.early:
             self.counts["gaps"] += 1
             self.early.clear()
-            self.timers.emit(Reach(token, self.roles.subscription(Reads.BATCHES, lacks=True)))
+            self.timers.emit(
+                SendToMember(token, self.roles.subscription(SubscriptionMode.BATCHES, lacks=True))
+            )
--- a/limepath/discovery/held.py
+++ b/limepath/discovery/held.py
@@ -8,7 +8,14 @@
 from limepath.discovery.coding import BATCH_LIMIT, CodingError, encode
 from limepath.discovery.component import Component
 from limepath.discovery.events import BadList, summary
-from limepath.discovery.interface import Confirmed, Ready, Save, Say, Stale, Take
+from limepath.discovery.interface import (
+    ApplyEvent,
+    FrontReady,
+    ListConfirmed,
+    ListFreshnessChanged,
+    LogEvent,
+    SaveSnapshot,
+)
 from limepath.discovery.state import List, unpacked
 from limepath.discovery.window import Window
 
@@ -37,7 +44,7 @@
             self.list = self.unpacked(saved)
             self.window.restart(self.list.place.number)
         except BadList as flaw:
-            self.timers.emit(Say("saved-list", {"flaw": f"{flaw}; begins without"}))
+            self.timers.emit(LogEvent("saved-list", {"flaw": f"{flaw}; begins without"}))
 
     def unpacked(self, data):
         """The list of packed bytes; raise BadList."""
@@ -53,7 +60,7 @@
 
     def save(self):
         self.saving = False
-        self.timers.emit(Save(self.list.packed(self.timers.now)))
+        self.timers.emit(SaveSnapshot(self.list.packed(self.timers.now)))
 
     def age(self):
         """How long ago the service confirmed this list, or None."""
@@ -73,7 +80,7 @@
             self.timers.schedule(due, self.watch)
         else:
             self.stale = True
-            self.timers.emit(Stale(True))
+            self.timers.emit(ListFreshnessChanged(True))
 
     def adopt(self, new):
         """Put another list in the place of ours."""
@@ -88,9 +95,9 @@
     def give(self):
         """Hand the whole list to the front. How old its purges are only the clocks tell."""
         self.given = True
-        self.timers.emit(Take(self.list.whole()))
+        self.timers.emit(ApplyEvent(self.list.whole()))
         for told in self.list.purges.values():
-            self.timers.emit(Take(told))
+            self.timers.emit(ApplyEvent(told))
 
     def advance(self, told, text):
         """The next event. It was not yet told when our list was last confirmed: so old it can be at most."""
@@ -98,7 +105,7 @@
         self.list.take(told, self.timers.now)
         self.keep(told, text)
         if self.given:
-            self.timers.emit(Take(told, oldest))
+            self.timers.emit(ApplyEvent(told, oldest))
         if not self.followers.to_push:
             self.timers.schedule(self.timers.now + BATCH, self.followers.push)
         self.followers.to_push.append(told["seq"])
@@ -135,17 +142,17 @@
             self.give()
         if self.stale and not self.late():
             self.stale = False
-            self.timers.emit(Stale(False))
+            self.timers.emit(ListFreshnessChanged(False))
             self.watch()
         if first:
             self.watch()
-            self.timers.emit(Confirmed(self.list.place, self.timers.now - at))
+            self.timers.emit(ListConfirmed(self.list.place, self.timers.now - at))
             sharing = max(self.terms.fronts, len(self.live()) + 1)
             wait = (
                 int(self.timers.random_fraction() * sharing / self.terms.ready * 1e6)
                 if self.terms.ready
                 else 0
             )
-            self.timers.schedule(self.timers.now + wait, self.timers.emit, Ready())
+            self.timers.schedule(self.timers.now + wait, self.timers.emit, FrontReady())
             self.followers.tell()
             self.children.tell()
--- a/limepath/discovery/host.py
+++ b/limepath/discovery/host.py
@@ -8,21 +8,21 @@
 
 from limepath.discovery.interface import (
     MESSAGES,
-    Call,
-    Confirmed,
-    FromPeer,
-    HangUp,
-    Moved,
-    Reach,
-    Ready,
-    Save,
-    Say,
-    Stale,
-    StreamEvent,
-    StreamLost,
-    StreamSays,
-    StreamUp,
-    Take,
+    ApplyEvent,
+    CloseStream,
+    FrontReady,
+    ListConfirmed,
+    ListFreshnessChanged,
+    LogEvent,
+    OpenStream,
+    PeerMessage,
+    SaveSnapshot,
+    SendToMember,
+    ServiceMoved,
+    StreamActive,
+    StreamClosed,
+    StreamEventReceived,
+    StreamOpened,
 )
 from limepath.discovery.relay import Listing
 from limepath.duties.host import clock
@@ -41,9 +41,9 @@
         before, events = self.body, self.feed.events_heard
         super().dataReceived(data)
         if self.body and not before:
-            self.feed.gather(StreamUp())
+            self.feed.gather(StreamOpened())
         elif self.body and self.feed.events_heard == events and not (self.reader.rest or self.reader.data):
-            self.feed.gather(StreamSays())
+            self.feed.gather(StreamActive())
 
 
 class GuidedChangeLog(ChangeLog):
@@ -70,7 +70,7 @@
         """The address of the service; the logic says when to call."""
         moved, self.host, self.port = hasattr(self, "host"), host, port
         if moved:
-            self.gather(Moved())
+            self.gather(ServiceMoved())
         else:
             self.logic_host.carry_out(self.logic.start(clock()))
             self.tallies.start()
@@ -85,34 +85,34 @@
     def heard(self, sender, message):
         """A message of another instance that is not of the duties."""
         if isinstance(message, MESSAGES):
-            self.gather(FromPeer(sender.token, message))
+            self.gather(PeerMessage(sender.token, message))
 
     def execute(self, order):
-        if isinstance(order, Reach):
+        if isinstance(order, SendToMember):
             self.cooperation.reach(order.token, order.message)
-        elif isinstance(order, Take):
+        elif isinstance(order, ApplyEvent):
             self.give(order)
-        elif isinstance(order, Call):
+        elif isinstance(order, OpenStream):
             self.call_after(order.after)
-        elif isinstance(order, HangUp):
+        elif isinstance(order, CloseStream):
             self.hang_up()
-        elif isinstance(order, Save):
+        elif isinstance(order, SaveSnapshot):
             if not self.cooperation.over:
                 self.cooperation.writes.put({ROW: order.data})
-        elif isinstance(order, Confirmed):
+        elif isinstance(order, ListConfirmed):
             self.log.say(
                 "list-confirmed",
                 number=order.place.number,
                 generation=order.place.generation,
                 age_ms=order.age // 1000,
             )
-        elif isinstance(order, Ready):
+        elif isinstance(order, FrontReady):
             if self.confirmed:
                 self.confirmed()
-        elif isinstance(order, Stale):
+        elif isinstance(order, ListFreshnessChanged):
             self.turn.gather(EndpointListFreshnessChanged(order.late))
             self.log.say("list-late" if order.late else "list-in-time")
-        elif isinstance(order, Say):
+        elif isinstance(order, LogEvent):
             self.log.say(order.event, **order.fields)
 
     def give(self, order):
@@ -153,7 +153,7 @@
     def did_not_come(self, failure, serial):
         self.coming = None
         if not failure.check(ConnectingCancelledError) and serial == self.serial:
-            self.gather(StreamLost(failure.getErrorMessage()[:120]))
+            self.gather(StreamClosed(failure.getErrorMessage()[:120]))
 
     def hang_up(self):
         self.serial += 1  # what still comes of the former call is nobody's
@@ -221,7 +221,7 @@
 
     def event(self, number, text):
         self.events_heard += 1
-        self.gather(StreamEvent(text, number))
+        self.gather(StreamEventReceived(text, number))
 
     def gather(self, *notes):
         if self.serial == self.changes.serial:
@@ -230,7 +230,7 @@
     def lost(self, stream):
         if self.changes.stream is stream:
             self.changes.stream = None
-        self.gather(StreamLost("the stream ended"))
+        self.gather(StreamClosed("the stream ended"))
 
 
 class _Capped:
--- a/limepath/discovery/page_bytes.py
+++ b/limepath/discovery/page_bytes.py
@@ -10,7 +10,7 @@
 from limepath.discovery.coding import Oversized, batches, encode, events_of, inflated
 from limepath.discovery.events import BadList, check_member
 from limepath.discovery.integers import Damaged, Reader, integer, unzigzag, zigzag
-from limepath.discovery.interface import Place
+from limepath.discovery.interface import Revision
 from limepath.discovery.pages import (
     DIGEST_BYTES,
     PURGE_NUMBERS,
@@ -110,7 +110,7 @@
 def unpacked_index(data: bytes) -> Digests:
     """What the index tells; raise CodingError."""
     reader = Reader(data)
-    place = Place(reader.integer(), reader.integer())
+    place = Revision(reader.integer(), reader.integer())
     revision = unzigzag(reader.integer())
     layout = Layout(*(reader.integer() for _ in Layout._fields))
     if not layout.member_pages or layout.width < PURGE_NUMBERS:
--- a/limepath/discovery/page_transfer.py
+++ b/limepath/discovery/page_transfer.py
@@ -9,7 +9,7 @@
 from limepath.discovery.catch_up import Snapshot as Standing
 from limepath.discovery.component import Component
 from limepath.discovery.integers import CodingError
-from limepath.discovery.interface import AskChunk, PageChunk, Place, Reach
+from limepath.discovery.interface import PageChunk, PageChunkRequest, Revision, SendToMember
 from limepath.discovery.pages import Contents
 
 AT_ONCE, RETRY, STALLS = 4, 250_000, 16  # chunks asked for at once; until asked again; and until given up
@@ -68,7 +68,7 @@
         """Answer one that asks for a chunk; not at all where enough went out in this tick."""
         if not self.tree.on or not self.children.may_serve_piece(token):
             return
-        place = Place(message.generation, message.number)
+        place = Revision(message.generation, message.number)
         snapshot = self.newest() if place.number < 0 else self.snapshots.get((place, message.mark))
         try:
             if snapshot is None:
@@ -78,7 +78,7 @@
             answer = PageChunk(*chunk.place, *chunk[1:])
         except NoSuchChunk:
             answer = PageChunk(*place, message.mark, message.page, message.chunk, 0)
-        self.timers.emit(Reach(token, answer))
+        self.timers.emit(SendToMember(token, answer))
 
     # At the one that wants it
 
@@ -100,13 +100,13 @@
         self.timers.schedule(self.timers.now + RETRY, self.proceed, transfer)
 
     def ask(self, transfer):
-        place, mark = transfer.catch_up.place or Place(0, -1), transfer.catch_up.mark or 0
+        place, mark = transfer.catch_up.place or Revision(0, -1), transfer.catch_up.mark or 0
         for name in transfer.catch_up.wanted():
             if len(transfer.asked) >= AT_ONCE:
                 return
             if name not in transfer.asked:
                 transfer.asked.add(name)
-                self.timers.emit(Reach(transfer.token, AskChunk(*place, mark, *name)))
+                self.timers.emit(SendToMember(transfer.token, PageChunkRequest(*place, mark, *name)))
 
     def arrived(self, token, message):
         transfer = self.transfer
@@ -115,7 +115,7 @@
         if not message.count:  # it has a newer one by now, or none: the next heartbeat tells
             self.transfer = None
             return
-        place = Place(message.generation, message.number)
+        place = Revision(message.generation, message.number)
         chunk = Chunk(place, message.mark, message.page, message.chunk, message.count, message.data)
         try:
             transfer.catch_up.take(chunk)
--- a/limepath/discovery/pages.py
+++ b/limepath/discovery/pages.py
@@ -21,7 +21,7 @@
 from limepath.discovery.coding import TEXT_KINDS, decode
 from limepath.discovery.events import summary
 from limepath.discovery.integers import Damaged
-from limepath.discovery.interface import Place
+from limepath.discovery.interface import Revision
 from limepath.discovery.window import KeptPurge
 
 MEMBERS_A_PAGE = 32  # in the mean
@@ -33,7 +33,7 @@
 class Contents(NamedTuple):
     """A list as it stood, `members` by id. Nobody changes one: the members are a copy of the list's."""
 
-    place: Place
+    place: Revision
     revision: int
     members: Mapping[str, dict]
     purges: tuple[KeptPurge, ...]
@@ -66,7 +66,7 @@
 class Digests(NamedTuple):
     """The digests of all pages of a list that stands at `place`."""
 
-    place: Place
+    place: Revision
     revision: int
     layout: Layout
     pages: tuple[int, ...]
--- a/limepath/discovery/relay.py
+++ b/limepath/discovery/relay.py
@@ -18,24 +18,24 @@
 from limepath.discovery.heard import Heard
 from limepath.discovery.held import Held
 from limepath.discovery.interface import (
-    AskChunk,
-    AskPiece,
-    AskScopes,
-    Batch,
-    Beat,
+    EventBatch,
     Events,
-    Follow,
-    FromPeer,
-    Moved,
+    Heartbeat,
     PageChunk,
-    Piece,
-    Reach,
-    Scopes,
-    StreamEvent,
-    StreamLost,
-    StreamSays,
-    StreamUp,
-    Where,
+    PageChunkRequest,
+    PeerMessage,
+    ScopeAnnouncement,
+    ScopeQuery,
+    ScopeReport,
+    SendToMember,
+    ServiceMoved,
+    SnapshotChunk,
+    SnapshotChunkRequest,
+    StreamActive,
+    StreamClosed,
+    StreamEventReceived,
+    StreamOpened,
+    Subscribe,
 )
 from limepath.discovery.page_transfer import Pages
 from limepath.discovery.roles import Roles
@@ -75,23 +75,23 @@
         self.pages = Pages(self)
         self.followers, self.children, self.snapshot = Followers(self), Children(self), Snapshot(self)
         self.desks = {
-            StreamUp: self.stream.up,
-            StreamSays: self.stream.says,
-            StreamEvent: self.stream.event,
-            StreamLost: self.stream.lost,
-            Moved: self.stream.moved,
+            StreamOpened: self.stream.up,
+            StreamActive: self.stream.says,
+            StreamEventReceived: self.stream.event,
+            StreamClosed: self.stream.lost,
+            ServiceMoved: self.stream.moved,
         }
         self.from_peers = {
-            Where: self.where,
-            Follow: self.followers.subscribed,
-            Beat: self.heard.beat,
+            ScopeAnnouncement: self.where,
+            Subscribe: self.followers.subscribed,
+            Heartbeat: self.heard.beat,
             Events: self.heard.events,
-            Batch: self.heard.batch,
-            AskScopes: self.scopes.asked_page,
-            Scopes: self.scopes.told_page,
-            AskPiece: self.snapshot.asked,
-            Piece: self.snapshot.arrived,
-            AskChunk: self.pages.asked,
+            EventBatch: self.heard.batch,
+            ScopeQuery: self.scopes.asked_page,
+            ScopeReport: self.scopes.told_page,
+            SnapshotChunkRequest: self.snapshot.asked,
+            SnapshotChunk: self.snapshot.arrived,
+            PageChunkRequest: self.pages.asked,
             PageChunk: self.pages.arrived,
         }
         if saved is not None:
@@ -108,7 +108,7 @@
         """Take notes in at `now`, do what is due, give the orders."""
         self.timers.run_due(now)
         for note in notes:
-            if isinstance(note, FromPeer):
+            if isinstance(note, PeerMessage):
                 if desk := self.from_peers.get(type(note.message)):
                     desk(note.token, note.message)
             else:
@@ -121,7 +121,7 @@
     def where(self, token, message):
         self.scopes.learn(token, message.zone, message.site)
         if message.asks:
-            self.timers.emit(Reach(token, Where(self.terms.zone, site=self.terms.site)))
+            self.timers.emit(SendToMember(token, ScopeAnnouncement(self.terms.zone, site=self.terms.site)))
 
     def shown(self):
         """What `limepath listing show` prints, as plain values."""
--- a/limepath/discovery/roles.py
+++ b/limepath/discovery/roles.py
@@ -6,7 +6,7 @@
 from limepath.discovery.bounds import TURN
 from limepath.discovery.calls import Budget
 from limepath.discovery.component import Component
-from limepath.discovery.interface import Follow, Reach, Role, Say
+from limepath.discovery.interface import LogEvent, Role, SendToMember, Subscribe
 from limepath.discovery.scopes import ASKED
 from limepath.discovery.upstream import Source
 
@@ -50,15 +50,15 @@
             if token != self.me:
                 source = sources.setdefault(token, Source())
                 source.owes = source.owes or now
-                self.timers.emit(Reach(token, self.subscription(reads)))
+                self.timers.emit(SendToMember(token, self.subscription(reads)))
         if self.tree.on:
             self.upstream.forget_but(wanted)
 
     def subscription(self, reads, lacks=False):
         terms, place = self.terms, self.held.list.place
         if not self.tree.on:
-            return Follow(terms.zone, *place)
-        return Follow(terms.zone, *place, reads, terms.site, lacks, max(1, self.timers.now))
+            return Subscribe(terms.zone, *place)
+        return Subscribe(terms.zone, *place, reads, terms.site, lacks, max(1, self.timers.now))
 
     def decide(self):
         """Whether to hold a stream; all calls go out here."""
@@ -73,7 +73,7 @@
         needy = self.suspicious or unheard and now - self.unheard >= TURN  # the next by hash are to act first
         role = Role.RELAYS if relay else Role.ALONE if needy else Role.FOLLOWS
         if role != self.role:
-            self.timers.emit(Say("list-role", {"role": role.name.lower(), "live": len(self.live()) + 1}))
+            self.timers.emit(LogEvent("list-role", {"role": role.name.lower(), "live": len(self.live()) + 1}))
             self.role = role
         if role == Role.FOLLOWS:
             self.unneeded = self.unneeded or now
--- a/limepath/discovery/scopes.py
+++ b/limepath/discovery/scopes.py
@@ -7,7 +7,7 @@
 """
 
 from limepath.discovery.component import Component
-from limepath.discovery.interface import AskScopes, Reach, Scopes, Where
+from limepath.discovery.interface import ScopeAnnouncement, ScopeQuery, ScopeReport, SendToMember
 from limepath.discovery.topology import Scope, salt
 from limepath.hashing import mix64
 
@@ -80,14 +80,14 @@
         """The star: ask the first few of those `ranked` whose zone is not known."""
         unknown = [token for token in ranked if token != self.me and token not in self.known]
         for token in unknown[:ASKED]:
-            self.timers.emit(Reach(token, Where(self.terms.zone, True)))
+            self.timers.emit(SendToMember(token, ScopeAnnouncement(self.terms.zone, True)))
 
     def ask(self, live):
         """The tree, every beat: a few of unknown scope, and one of the zone for what differs."""
         self.beats, self.served = self.beats + 1, 0
         unknown = [token for token in live if token not in self.known]
         for token in self.timers.sample(unknown, self.how_many(len(unknown), len(live))):
-            self.timers.emit(Reach(token, Where(self.terms.zone, True, self.terms.site)))
+            self.timers.emit(SendToMember(token, ScopeAnnouncement(self.terms.zone, True, self.terms.site)))
         if self.same and self.beats % COMPARED:
             return
         mates = [token for token, scope in self.mates.items() if scope.site and token != self.me]
@@ -102,7 +102,7 @@
         return min(unknown, int(wanted + self.timers.random_fraction()))
 
     def ask_page(self, token):
-        self.timers.emit(Reach(token, AskScopes(*self.mine, self.digest, self.after)))
+        self.timers.emit(SendToMember(token, ScopeQuery(*self.mine, self.digest, self.after)))
 
     def asked_page(self, token, message):
         self.learn(token, message.zone, message.site)
@@ -110,8 +110,8 @@
             return
         self.served += 1
         if message.digest == self.digest:
-            return self.timers.emit(Reach(token, Scopes(message.zone)))
-        self.timers.emit(Reach(token, self.page(message.after)))
+            return self.timers.emit(SendToMember(token, ScopeReport(message.zone)))
+        self.timers.emit(SendToMember(token, self.page(message.after)))
 
     def page(self, after):
         """The next of the zone's fronts that go into one datagram."""
@@ -120,9 +120,9 @@
             site = self.mates[token].site
             size += ENTRY_BYTES + (0 if site in sites else SITE_BYTES + len(site.encode()))
             if size > PAGE_BYTES:
-                return Scopes(self.terms.zone, tuple(sites), tuple(fronts), False)
+                return ScopeReport(self.terms.zone, tuple(sites), tuple(fronts), False)
             fronts.append((token, sites.setdefault(site, len(sites))))
-        return Scopes(self.terms.zone, tuple(sites), tuple(fronts), True)
+        return ScopeReport(self.terms.zone, tuple(sites), tuple(fronts), True)
 
     def told_page(self, token, message):
         """Take in whom another knows; go on with the next page at once."""
--- a/limepath/discovery/simulate.py
+++ b/limepath/discovery/simulate.py
@@ -11,26 +11,32 @@
 from random import Random
 from typing import NamedTuple
 
+from limepath.configuration.sharing_settings import DiscoverySettings, MembershipTimeouts
 from limepath.discovery.bounds import bounds
 from limepath.discovery.interface import (
     MESSAGES,
-    Call,
-    Confirmed,
-    FromPeer,
-    HangUp,
-    Moved,
-    Reach,
-    Save,
-    StreamEvent,
-    StreamLost,
-    StreamSays,
-    StreamUp,
-    Take,
-    Terms,
+    ApplyEvent,
+    CloseStream,
+    ListConfirmed,
+    OpenStream,
+    PeerMessage,
+    SaveSnapshot,
+    SendToMember,
+    ServiceMoved,
+    StreamActive,
+    StreamClosed,
+    StreamEventReceived,
+    StreamOpened,
 )
 from limepath.discovery.relay import Listing
 from limepath.duties.world import Network
-from limepath.membership.interface import REFUTALS, Heard, News, Passed, Send, Spans
+from limepath.membership.interface import (
+    REFUTATION_BITS,
+    MemberRecord,
+    MessageReceived,
+    MessageRelayed,
+    SendMessage,
+)
 from limepath.membership.members import Members
 from limepath.report_table import Row, at_most, seconds
 
@@ -70,7 +76,7 @@
         self.told_at[self.world.epoch, number] = self.world.now
         if self.mode == "up":
             for node, serial in list(self.streams.items()):
-                self.say(node, serial, StreamEvent(self.events[-1], str(number)))
+                self.say(node, serial, StreamEventReceived(self.events[-1], str(number)))
 
     def say(self, node, serial, *notes):
         self.world.at(self.world.now + 500, self.arrive, node, serial, notes)
@@ -82,7 +88,7 @@
     def call(self, node, after):
         self.calls.append(self.world.now)
         if self.mode == "down":
-            return self.say(node, node.serial, StreamLost("refused"))
+            return self.say(node, node.serial, StreamClosed("refused"))
         self.streams[node] = node.serial
         zone = node.zone
         self.most_streams[zone] = max(
@@ -92,22 +98,22 @@
             self.greet(node, after)
 
     def greet(self, node, after):
-        self.say(node, node.serial, StreamUp())
+        self.say(node, node.serial, StreamOpened())
         for number in range(after, len(self.events)):
-            self.say(node, node.serial, StreamEvent(self.events[number], str(number + 1)))
-        self.say(node, node.serial, StreamSays())
+            self.say(node, node.serial, StreamEventReceived(self.events[number], str(number + 1)))
+        self.say(node, node.serial, StreamActive())
 
     def comment(self):
         if self.mode == "up":
             for node, serial in self.streams.items():
-                self.say(node, serial, StreamSays())
+                self.say(node, serial, StreamActive())
         self.world.at(self.world.now + SECOND, self.comment)
 
     def turn(self, mode):
         self.mode = mode
         if mode == "down":
             for node, serial in list(self.streams.items()):
-                self.say(node, serial, StreamLost("ended"))
+                self.say(node, serial, StreamClosed("ended"))
             self.streams = {}
 
     def restored(self, number):
@@ -128,7 +134,9 @@
     def start(self, seeds):
         world = self.world
         self.life += 1
-        me = News(self.token, f"n{self.index}", str(self.index), PORT, self.life << REFUTALS, world.now)
+        me = MemberRecord(
+            self.token, f"n{self.index}", str(self.index), PORT, self.life << REFUTATION_BITS, world.now
+        )
         self.members = Members(me, seeds, world.spans, world.chance.getrandbits(32))
         self.wake_at, self.paused, self.queue, self.ready_at, self.front = None, False, [], None, 0
         self.born = world.now
@@ -161,30 +169,30 @@
         self.paused = False
         notes, self.queue = self.queue[-2000:], []
         for note in notes:
-            self.heard(note) if isinstance(note, Heard) else self.hear([note])
+            self.heard(note) if isinstance(note, MessageReceived) else self.hear([note])
         self.wake(self.wake_at)
 
     def carry(self, orders):
         world = self.world
         for order in orders:
-            if isinstance(order, Send):
+            if isinstance(order, SendMessage):
                 world.send(self, order)
-            elif isinstance(order, Passed):
-                self.hear([FromPeer(order.sender.token, order.message)])
-            elif isinstance(order, Reach):
+            elif isinstance(order, MessageRelayed):
+                self.hear([PeerMessage(order.sender.token, order.message)])
+            elif isinstance(order, SendToMember):
                 self.members.reach(order.token, order.message)
-            elif isinstance(order, Call):
+            elif isinstance(order, OpenStream):
                 self.serial += 1
                 world.service.call(self, order.after)
-            elif isinstance(order, HangUp):
+            elif isinstance(order, CloseStream):
                 self.serial += 1
                 world.service.streams.pop(self, None)
-            elif isinstance(order, Take):
+            elif isinstance(order, ApplyEvent):
                 self.front = order.told["seq"]
                 world.took(self, order.told)
-            elif isinstance(order, Confirmed):
+            elif isinstance(order, ListConfirmed):
                 self.ready_at = world.now
-            elif isinstance(order, Save):
+            elif isinstance(order, SaveSnapshot):
                 self.saved = order.data
         if not self.members:
             return
@@ -217,22 +225,24 @@
         )
 
     def start(self, now):
-        return [Call(0)]
+        return [OpenStream(0)]
 
     def handle(self, now, notes=()):
         orders = []
         for note in notes:
-            if isinstance(note, StreamEvent):
+            if isinstance(note, StreamEventReceived):
                 told = json.loads(note.text)
                 if told["seq"] > self.number:
-                    orders += [Take(told)] + ([] if self.number else [Confirmed((0, told["seq"]), 0)])
+                    orders += [ApplyEvent(told)] + (
+                        [] if self.number else [ListConfirmed((0, told["seq"]), 0)]
+                    )
                     self.number, self.pauses = told["seq"], 0
-            elif isinstance(note, (StreamLost, Moved)):
+            elif isinstance(note, (StreamClosed, ServiceMoved)):
                 pause = min(600 * MS, 100 * MS << min(10, self.pauses))
                 self.pauses, self.due = self.pauses + 1, now + int(pause * (0.5 + self.chance.random()))
         if self.due is not None and now >= self.due:
             self.due = None
-            orders.append(Call(self.number))
+            orders.append(OpenStream(self.number))
         return orders
 
     def next(self):
@@ -269,7 +279,7 @@
         self.list_messages += isinstance(order.message, MESSAGES)
         to = self.nodes[int(order.host)]
         for delay in self.network.ways(node.index, to.index):
-            self.at(self.now + delay, to.heard, Heard(node.members.me, order.to, order.message))
+            self.at(self.now + delay, to.heard, MessageReceived(node.members.me, order.to, order.message))
 
     def took(self, node, told):
         """An event has reached a front that was ready before: how late."""
@@ -321,13 +331,13 @@
     kinds=(),
     caches=40,
     terms=None,
-    spans=Spans(),
+    spans=MembershipTimeouts(),
     saved=0.0,
 ):
     """All start at once with the list service refusing for `down`; then faults one after another. `saved`:
     the share of fronts that hold a saved list. Give its Found.
     """
-    terms = terms or Terms(fronts=fronts)
+    terms = terms or DiscoverySettings(fronts=fronts)
     world = World(fronts, zones, seed, terms, loss, alone, caches, spans)
     bound, service, said = bounds(terms, fronts, zones), world.service, []
     world.at(SECOND // 2, service.comment)
@@ -460,4 +470,4 @@
     streams, service.streams = service.streams, {}
     service.turn("up")
     for node, serial in streams.items():  # what stood still is of no use any more
-        service.say(node, serial, StreamLost("ended"))
+        service.say(node, serial, StreamClosed("ended"))
--- a/limepath/discovery/simulate_tree.py
+++ b/limepath/discovery/simulate_tree.py
@@ -14,33 +14,33 @@
 
 import msgspec
 
+from limepath.configuration.sharing_settings import DiscoverySettings
 from limepath.discovery.bounds import HELPERS, tree_bounds
 from limepath.discovery.interface import (
-    AskChunk,
-    AskScopes,
-    Batch,
-    Beat,
-    Call,
-    Follow,
-    FromPeer,
-    HangUp,
+    ApplyEvent,
+    CloseStream,
+    EventBatch,
+    Heartbeat,
+    ListFreshnessChanged,
+    OpenStream,
     PageChunk,
-    Reach,
-    Scopes,
-    Stale,
-    StreamEvent,
-    StreamLost,
-    StreamSays,
-    StreamUp,
-    Take,
-    Terms,
-    Where,
+    PageChunkRequest,
+    PeerMessage,
+    ScopeAnnouncement,
+    ScopeQuery,
+    ScopeReport,
+    SendToMember,
+    StreamActive,
+    StreamClosed,
+    StreamEventReceived,
+    StreamOpened,
+    Subscribe,
 )
 from limepath.discovery.relay import Listing
 from limepath.discovery.simulate import member, most_in
 from limepath.duties.world import Network
 from limepath.membership.guard import HEAD, SEAL
-from limepath.membership.interface import REFUTALS, News
+from limepath.membership.interface import REFUTATION_BITS, MemberRecord
 from limepath.report_table import Row, at_most, seconds
 
 SECOND, MS = 1_000_000, 1000
@@ -72,8 +72,12 @@
     caches: int = 40
 
 
-OLDER_FIELDS = {Where: 2, Follow: 3, Beat: 7}  # of messages that an older program knows, where fewer
-NEWER = (Batch, AskScopes, Scopes, AskChunk, PageChunk)  # that it does not know
+OLDER_FIELDS = {
+    ScopeAnnouncement: 2,
+    Subscribe: 3,
+    Heartbeat: 7,
+}  # of messages that an older program knows, where fewer
+NEWER = (EventBatch, ScopeQuery, ScopeReport, PageChunkRequest, PageChunk)  # that it does not know
 
 
 def as_older(message):
@@ -93,7 +97,7 @@
         site = index % plan.sites
         self.zone, self.site = f"z{site % plan.zones}", f"site{site}"
         self.region = site % plan.zones % plan.regions
-        self.me = News(self.token, f"n{index}", "127.0.0.1", PORT, 1 << REFUTALS, 0)
+        self.me = MemberRecord(self.token, f"n{index}", "127.0.0.1", PORT, 1 << REFUTATION_BITS, 0)
         self.logic, self.paused, self.queue, self.wake_at, self.serial = None, False, [], None, 0
         self.older = False
         self.delay, self.front, self.got, self.stale, self.fetched = 0, 0, {}, [], 0
@@ -131,17 +135,17 @@
     def carry(self, orders):
         world = self.world
         for order in orders:
-            if isinstance(order, Reach):
+            if isinstance(order, SendToMember):
                 world.send(self, order)
-            elif isinstance(order, Call):
+            elif isinstance(order, OpenStream):
                 self.serial += 1
                 world.service.call(self, order.after)
-            elif isinstance(order, HangUp):
+            elif isinstance(order, CloseStream):
                 self.serial += 1
                 world.service.streams.pop(self, None)
-            elif isinstance(order, Take):
+            elif isinstance(order, ApplyEvent):
                 self.took(order.told)
-            elif isinstance(order, Stale):
+            elif isinstance(order, ListFreshnessChanged):
                 self.stale.append((world.now, order.late))
         self.readers_seen = max(self.readers_seen, len(self.logic.children.readers()))
         due = self.logic.next()
@@ -183,7 +187,7 @@
         self.events.append(json.dumps({"seq": number} | told))
         self.told_at[number] = self.world.now
         for front, serial in list(self.streams.items()):
-            self.say(front, serial, StreamEvent(self.events[-1], str(number)))
+            self.say(front, serial, StreamEventReceived(self.events[-1], str(number)))
         return number
 
     def say(self, front, serial, *notes):
@@ -198,19 +202,19 @@
         self.calls.append(self.world.now)
         if self.world.cut(front.region, SERVICE_REGION):
             return self.world.at(
-                self.world.now + 500 * MS, self.arrive, front, front.serial, (StreamLost("no answer"),)
+                self.world.now + 500 * MS, self.arrive, front, front.serial, (StreamClosed("no answer"),)
             )
         self.streams[front] = front.serial
         count = sum(one.zone == front.zone for one in self.streams)
         self.most_streams[front.zone] = max(count, self.most_streams.get(front.zone, 0))
-        self.say(front, front.serial, StreamUp())
+        self.say(front, front.serial, StreamOpened())
         for number in range(after, len(self.events)):
-            self.say(front, front.serial, StreamEvent(self.events[number], str(number + 1)))
-        self.say(front, front.serial, StreamSays())
+            self.say(front, front.serial, StreamEventReceived(self.events[number], str(number + 1)))
+        self.say(front, front.serial, StreamActive())
 
     def comment(self):
         for front, serial in self.streams.items():
-            self.say(front, serial, StreamSays())
+            self.say(front, serial, StreamActive())
         self.world.at(self.world.now + COMMENT, self.comment)
 
 
@@ -219,7 +223,7 @@
 
     def __init__(self, plan, seed, terms=None):
         self.plan, self.chance, self.now, self.order, self.timers = plan, Random(seed), 0, 0, []
-        self.terms = (terms or Terms())._replace(fronts=plan.fronts)
+        self.terms = (terms or DiscoverySettings())._replace(fronts=plan.fronts)
         if plan.broken == "window":
             self.terms = self.terms._replace(window=10 * SECOND, window_bytes=10_000)
         self.network, self.cuts = Network(Random(seed + 1), plan.loss), set()
@@ -260,13 +264,13 @@
         if self.cut(front.region, to.region) or message is None:
             return
         for delay in self.network.ways(front.index, to.index):
-            note = FromPeer(front.token, message)
+            note = PeerMessage(front.token, message)
             self.at(self.now + delay + front.delay, to.hear, (note,))
 
     def size(self, front, message):
         kind = type(message)
         self.counted[kind] = self.counted.get(kind, 0) + 1
-        if kind is Batch or kind not in self.sizes or self.counted[kind] % SAMPLED == 0:
+        if kind is EventBatch or kind not in self.sizes or self.counted[kind] % SAMPLED == 0:
             self.sizes[kind] = len(self.encoder.encode((front.me, 1, self.order, message))) + ENVELOPE
         return self.sizes[kind]
 
--- a/limepath/discovery/snapshot.py
+++ b/limepath/discovery/snapshot.py
@@ -8,7 +8,7 @@
 from limepath.discovery.component import Component
 from limepath.discovery.events import BadList
 from limepath.discovery.heard import IN_FLIGHT
-from limepath.discovery.interface import AskPiece, Piece, Place, Reach
+from limepath.discovery.interface import Revision, SendToMember, SnapshotChunk, SnapshotChunkRequest
 from limepath.discovery.state import DATA, mark_of, packed_size
 
 WINDOW, RETRY, STALLS = 4, 250_000, 8  # pieces asked for at once; until asked for again; and until given up
@@ -55,14 +55,14 @@
     def asked(self, token, message):
         if self.tree.on and not self.children.may_serve_piece(token):
             return  # asked again later
-        place, data = self.pack(Place(message.generation, message.number))
+        place, data = self.pack(Revision(message.generation, message.number))
         of = packed_size(data) if data else 0
         if 0 <= message.piece < of:
             at = message.piece * DATA
-            answer = Piece(*place, message.piece, of, mark_of(data), data[at : at + DATA])
+            answer = SnapshotChunk(*place, message.piece, of, mark_of(data), data[at : at + DATA])
         else:
-            answer = Piece(*place, message.piece, 0)
-        self.timers.emit(Reach(token, answer))
+            answer = SnapshotChunk(*place, message.piece, 0)
+        self.timers.emit(SendToMember(token, answer))
 
     def begin(self, token, followers):
         """Each in its turn, since all that follow one lack the same."""
@@ -85,16 +85,16 @@
         self.timers.schedule(self.timers.now + RETRY, self.proceed, fetch)
 
     def ask(self, fetch):
-        place = fetch.place or Place(0, -1)
+        place = fetch.place or Revision(0, -1)
         for piece in range(fetch.of):
             if len(fetch.asked) >= WINDOW:
                 return
             if piece not in fetch.pieces and piece not in fetch.asked:
                 fetch.asked.add(piece)
-                self.timers.emit(Reach(fetch.token, AskPiece(*place, piece)))
+                self.timers.emit(SendToMember(fetch.token, SnapshotChunkRequest(*place, piece)))
 
     def arrived(self, token, message):
-        fetch, place = self.fetch, Place(message.generation, message.number)
+        fetch, place = self.fetch, Revision(message.generation, message.number)
         if fetch is None or token != fetch.token:
             return
         if not message.of:  # it has a newer one by now, or none: the next beat tells
--- a/limepath/discovery/state.py
+++ b/limepath/discovery/state.py
@@ -11,7 +11,7 @@
 from limepath.discovery.coding import decode
 from limepath.discovery.events import BadList, parsed, summary
 from limepath.discovery.integers import CodingError
-from limepath.discovery.interface import Place
+from limepath.discovery.interface import Revision
 from limepath.discovery.window import RecentPurges
 from limepath.hashing import MASK_64
 
@@ -25,7 +25,7 @@
     """`place` is (generation, number); (0, 0) until something was taken. Purges are kept for `kept_for`."""
 
     def __init__(self, kept_for=PURGES_KEPT):
-        self.place, self.members, self.revision, self.digest = Place(), {}, 0, 0
+        self.place, self.members, self.revision, self.digest = Revision(), {}, 0, 0
         self.purges = RecentPurges(kept_for, 0, PURGE_BYTES)
 
     def take(self, told, now=0, age=0):
@@ -44,7 +44,7 @@
                 self.purges.add(now, told, json.dumps(told), age)
             except CodingError as error:
                 raise BadList(f"purge {told['seq']}: {error}") from None
-        self.place = Place(self.place.generation, told["seq"])
+        self.place = Revision(self.place.generation, told["seq"])
 
     def put(self, member):
         if (old := self.members.pop(member["id"], None)) is not None:
@@ -120,7 +120,7 @@
             raise BadList("no place")
     except (ValueError, KeyError, TypeError, AttributeError) as flaw:
         raise BadList(f"damaged: {type(flaw).__name__}") from None
-    one.place = Place(generation, number)
+    one.place = Revision(generation, number)
     return one
 
 
--- a/limepath/discovery/stream.py
+++ b/limepath/discovery/stream.py
@@ -8,7 +8,7 @@
 from limepath.discovery.bounds import QUIET
 from limepath.discovery.component import Component
 from limepath.discovery.events import BadList, parsed, summary
-from limepath.discovery.interface import Call, HangUp, Place, Role, Say
+from limepath.discovery.interface import CloseStream, LogEvent, OpenStream, Revision, Role
 from limepath.discovery.replay import EventTimes
 
 CALLING, UP = "calling", "up"
@@ -40,7 +40,7 @@
         self.whole |= number not in self.held.window
         self.incoming, self.overlapped = self.held.empty() if self.whole else None, False
         self.timers.emit(
-            Call(0 if self.whole else number - 1)
+            OpenStream(0 if self.whole else number - 1)
         )  # one that we hold: a service restored from an older
         # state, which would say nothing until its numbers pass ours, does not tell it again
         self.times.clear()
@@ -56,12 +56,12 @@
             self.timers.schedule(self.heard_at + self.terms.silence, self.still_silent, serial)
 
     def hang_up(self, why):
-        self.timers.emit(HangUp(why))
+        self.timers.emit(CloseStream(why))
         self.ended(why)
 
     def ended(self, why):
         now = self.timers.now
-        self.timers.emit(Say("list-stream", {"ended": why, "after": self.held.list.place.number}))
+        self.timers.emit(LogEvent("list-stream", {"ended": why, "after": self.held.list.place.number}))
         self.whole |= (
             not self.caught_up or now - self.heard_at >= self.terms.silence
         )  # it may have been restored meanwhile
@@ -106,7 +106,7 @@
             if self.doubted != mark:  # it may have been damaged on the way: once more from the start
                 self.doubted, self.whole = mark, True
                 return self.hang_up(f"event: {flaw}"[:120])
-            self.timers.emit(Say("list-event", {"skipped": str(flaw)[:120], "number": note.number}))
+            self.timers.emit(LogEvent("list-event", {"skipped": str(flaw)[:120], "number": note.number}))
             self.counts["nonsense"] += 1
         if self.caught_up:
             self.held.confirm(now)
@@ -188,9 +188,9 @@
         ):
             generation += 1
             self.timers.emit(
-                Say("list-backwards", {"was": old.number, "is": place.number, "generation": generation})
+                LogEvent("list-backwards", {"was": old.number, "is": place.number, "generation": generation})
             )
-        incoming.place = Place(generation, place.number)
+        incoming.place = Revision(generation, place.number)
         if incoming.place != old or incoming.digest != self.held.list.digest:
             self.held.adopt(incoming)
 
--- a/limepath/discovery/tree.py
+++ b/limepath/discovery/tree.py
@@ -7,7 +7,7 @@
 
 from limepath.discovery import bounds
 from limepath.discovery.component import Component
-from limepath.discovery.interface import Reads
+from limepath.discovery.interface import SubscriptionMode
 from limepath.discovery.topology import Zone, by_hash, longest_path
 
 REFUSED = 10_000_000  # until one that refused is asked again
@@ -51,17 +51,17 @@
         self.choose_parent()
         wanted = {}
         if self.watches():
-            wanted = dict.fromkeys([*self.upstream.chosen, *self.first], Reads.HEARTBEATS)
+            wanted = dict.fromkeys([*self.upstream.chosen, *self.first], SubscriptionMode.HEARTBEATS)
         lacks = self.lacks() and self.backup is not None
         if self.backup is not None:
-            wanted[self.backup] = Reads.BATCHES if lacks else Reads.HEARTBEATS
+            wanted[self.backup] = SubscriptionMode.BATCHES if lacks else SubscriptionMode.HEARTBEATS
         if not self.position.is_root:
             first = self.position.candidates[:1]
             wanted |= {
-                token: wanted.get(token, Reads.HEARTBEATS) for token in first
+                token: wanted.get(token, SubscriptionMode.HEARTBEATS) for token in first
             }  # until it answers again
             if self.parent is not None:
-                wanted[self.parent] = Reads.HEARTBEATS if lacks else Reads.BATCHES
+                wanted[self.parent] = SubscriptionMode.HEARTBEATS if lacks else SubscriptionMode.BATCHES
         wanted.pop(self.me, None)
         return wanted
 
--- a/limepath/discovery/upstream.py
+++ b/limepath/discovery/upstream.py
@@ -9,7 +9,7 @@
 from limepath.discovery import bounds
 from limepath.discovery.bounds import TURN
 from limepath.discovery.component import Component
-from limepath.discovery.interface import Reads
+from limepath.discovery.interface import SubscriptionMode
 from limepath.hashing import mix64
 
 BAD = 30_000_000  # for which one that told nonsense is passed over
@@ -48,7 +48,7 @@
         """Whom to follow this beat, and what for: {token: Reads}."""
         if not self.tree.on:
             self.choose()
-            return dict.fromkeys([*self.chosen, *self.first], Reads.TEXTS)
+            return dict.fromkeys([*self.chosen, *self.first], SubscriptionMode.TEXTS)
         self.tree.place()
         if self.tree.watches():
             self.choose()
--- a/limepath/duties/bounds.py
+++ b/limepath/duties/bounds.py
@@ -7,7 +7,7 @@
 
 from typing import NamedTuple
 
-from limepath.duties.interface import Mode
+from limepath.configuration.sharing_settings import DutyMode
 from limepath.duties.leases import claim_every, silence
 from limepath.membership.members import detection, spread
 
@@ -22,7 +22,7 @@
 def bounds(spans, plan, leasing, live, together=1):
     """Give the Bounds of one plan."""
     found = detection(spans, live, together)
-    if plan.mode == Mode.AT_LEAST_ONCE:
+    if plan.mode == DutyMode.AT_LEAST_ONCE:
         return Bounds(
             gap=2 * plan.interval + found,
             restart=2 * plan.interval + found,
@@ -48,6 +48,6 @@
     While views differ, each side serves it once an interval; the change itself may add one each way. Where
     one instance at most owns it, two follow each other within half an interval only at a change of owner.
     """
-    if plan.mode == Mode.ONE_OWNER:
+    if plan.mode == DutyMode.ONE_OWNER:
         return 2 * len(changes)
     return sum(2 + (length + bound.disagreement) // plan.interval for length in changes)
--- a/limepath/duties/check.py
+++ b/limepath/duties/check.py
@@ -12,7 +12,8 @@
 import time
 from typing import NamedTuple
 
-from limepath.duties.interface import Keep, Leasing
+from limepath.configuration.sharing_settings import LeaseSettings
+from limepath.duties.interface import PersistEpochCeiling
 from limepath.duties.leases import Leases, Voter
 from limepath.report_table import Row, at_most
 from limepath.timer_queue import TimerQueue
@@ -53,7 +54,7 @@
             self.timers,
             self.names[self.index],
             self.index * 100 + self.life,
-            Leasing(tuple(self.names), SPAN, DRIFT, 1),
+            LeaseSettings(tuple(self.names), SPAN, DRIFT, 1),
             (0,),
             self.wanted,
             self.changed,
@@ -87,7 +88,7 @@
             for _, _, door, message in own:
                 self.leases.heard(self.names[self.index], door, message)
         for order in self.timers.take_commands():
-            if isinstance(order, Keep):
+            if isinstance(order, PersistEpochCeiling):
                 self.ceiling = order.ceiling
         sent, self.out = self.out, []
         return sent
@@ -164,7 +165,7 @@
                     type(message).__name__,
                     str(
                         (
-                            rounds[source if type(message).__name__ == "Claim" else to]
+                            rounds[source if type(message).__name__ == "LeaseRequest" else to]
                             - getattr(message, "round", 0),
                             *list(
                                 getattr(message, name)
--- a/limepath/duties/host.py
+++ b/limepath/duties/host.py
@@ -8,7 +8,15 @@
 
 from limepath.duties.instance import Instance
 from limepath.duties.interface import MESSAGES as DUTY_MESSAGES
-from limepath.duties.interface import Epochs, Keep, Serve, Served, Shared, Targets, Vote
+from limepath.duties.interface import (
+    EpochReport,
+    LeaseGrant,
+    PersistEpochCeiling,
+    ResultShared,
+    ServeTarget,
+    TargetServed,
+    TargetsUpdated,
+)
 from limepath.interface.commands import SendProbe
 from limepath.interface.events import (
     AttemptOutcome,
@@ -19,20 +27,20 @@
 )
 from limepath.logic_host import LogicHost
 from limepath.membership import control
-from limepath.membership.host import Line, Unopened
+from limepath.membership.host import DatagramSocket, StartError
 from limepath.membership.identity import CEILING, identity_of, kept_ceiling
 from limepath.membership.interface import (
     MESSAGES,
-    REFUTALS,
-    Depart,
-    Departed,
-    GiveWay,
-    News,
-    Passed,
-    Say,
-    Send,
+    REFUTATION_BITS,
+    LeaveCompleted,
+    LeaveRequested,
+    LogEvent,
+    MemberRecord,
+    MessageRelayed,
+    SendMessage,
+    YieldIdentity,
 )
-from limepath.store import DAMAGED, NEW, Held, PendingWrites, Store, Unusable
+from limepath.store import DAMAGED, NEW, PendingWrites, Store, StoreLockedError, StoreUnusableError
 
 REPORT = 10_000_000  # between lines on what was dropped
 
@@ -63,18 +71,22 @@
                 from limepath.frequency_exchange.interface import MESSAGES as TALLY_MESSAGES
 
                 types += LISTING_MESSAGES + TALLY_MESSAGES
-            self.line = Line(reactor, told.listen, told.keys, types, log, self.gather)
-        except (Held, Unusable, OSError) as error:
-            raise Unopened(str(error)) from None
+            self.line = DatagramSocket(reactor, told.listen, told.keys, types, log, self.gather)
+        except (StoreLockedError, StoreUnusableError, OSError) as error:
+            raise StartError(str(error)) from None
         identity, rows = identity_of(self.store.all(), drawn)
         try:
             self.store.put(rows)
         except sqlite3.Error as error:
-            raise Unopened(f"{told.store}: {error}") from None
+            raise StartError(f"{told.store}: {error}") from None
         self.writes = PendingWrites(self.store, log)
         self.found, self.identity = self.store.found, identity
-        me = News(
-            identity.token, told.name, *told.advertise, identity.life << REFUTALS, time.time_ns() // 1000
+        me = MemberRecord(
+            identity.token,
+            told.name,
+            *told.advertise,
+            identity.life << REFUTATION_BITS,
+            time.time_ns() // 1000,
         )
         self.instance = Instance(
             me, told.seeds, told.spans, told.plans, told.leasing, front.seed, identity.ceiling, identity.sure
@@ -143,20 +155,20 @@
         me = self.instance.members.me
         if self.rests_on_unwritten(order):
             self.counts["held_back"] += 1
-        elif isinstance(order, Send):
+        elif isinstance(order, SendMessage):
             self.line.send(me, order)
-        elif isinstance(order, Serve):
+        elif isinstance(order, ServeTarget):
             self.serve(order)
-        elif isinstance(order, Shared):
+        elif isinstance(order, ResultShared):
             self.learnt(order.result)
-        elif isinstance(order, Keep):
+        elif isinstance(order, PersistEpochCeiling):
             self.writes.put(kept_ceiling(order.ceiling))
-        elif isinstance(order, Say):
+        elif isinstance(order, LogEvent):
             self.log.say(order.event, **order.fields)
-        elif isinstance(order, Passed):
+        elif isinstance(order, MessageRelayed):
             for guest in self.guests:
                 guest.heard(order.sender, order.message)
-        elif isinstance(order, GiveWay):
+        elif isinstance(order, YieldIdentity):
             self.log.say(
                 "gives-way",
                 order.why + "; this front shares nothing any more",
@@ -165,7 +177,7 @@
                 life=order.other.life,
             )
             self.stop()
-        elif isinstance(order, Departed):
+        elif isinstance(order, LeaveCompleted):
             self.stop()
 
     def rests_on_unwritten(self, order):
@@ -174,9 +186,9 @@
         """
         if CEILING not in self.writes.rows:
             return False
-        if isinstance(order, Serve):
+        if isinstance(order, ServeTarget):
             return bool(order.epoch)
-        return isinstance(order, Send) and isinstance(order.message, (Vote, Epochs))
+        return isinstance(order, SendMessage) and isinstance(order.message, (LeaseGrant, EpochReport))
 
     def reach(self, token, message):
         """Send a message of another logic to one that lives."""
@@ -202,7 +214,7 @@
                     load = {
                         name: float(value) for name, value in list(note.load.items())[:8] if len(name) <= 12
                     }
-                    self.gather(Served(duty, note.endpoint, int(note.outcome), note.duration, load))
+                    self.gather(TargetServed(duty, note.endpoint, int(note.outcome), note.duration, load))
 
     def duty_of(self, cache):
         kind = self.members.get(cache)
@@ -222,7 +234,7 @@
 
     def all_targets(self):
         return [
-            Targets(duty, tuple(cache for cache, kind in self.members.items() if kind in kinds))
+            TargetsUpdated(duty, tuple(cache for cache, kind in self.members.items() if kind in kinds))
             for duty, kinds in enumerate(self.kinds)
         ]
 
@@ -276,7 +288,7 @@
             self.line.reread()
 
     def leave(self):
-        self.gather(Depart())
+        self.gather(LeaveRequested())
 
     def stop(self):
         """Share nothing any more; the front goes on by itself."""
--- a/limepath/duties/instance.py
+++ b/limepath/duties/instance.py
@@ -7,30 +7,39 @@
 from collections import Counter
 from typing import NamedTuple
 
+from limepath.configuration.sharing_settings import DutyMode
 from limepath.duties.interface import (
-    AskEpochs,
-    Claim,
-    Epochs,
-    Mode,
-    Reach,
-    Release,
-    Results,
-    Served,
-    Targets,
-    Vote,
+    EpochQuery,
+    EpochReport,
+    LeaseGrant,
+    LeaseRelease,
+    LeaseRequest,
+    ProbeResults,
+    SendToMember,
+    TargetServed,
+    TargetsUpdated,
 )
 from limepath.duties.learnt import Learnt
 from limepath.duties.leases import Leases
 from limepath.duties.ring import Ring, key_of
 from limepath.duties.rounds import Rounds
-from limepath.membership.interface import NEWEST, Depart, Departed, GiveWay, Heard, Joined, Parted, Passed
+from limepath.membership.interface import (
+    NEWEST_VERSION,
+    LeaveCompleted,
+    LeaveRequested,
+    MemberJoined,
+    MemberLeft,
+    MessageReceived,
+    MessageRelayed,
+    YieldIdentity,
+)
 from limepath.membership.members import Members
 from limepath.timer_queue import TimerQueue
 
 FEW = 3  # changes of the view that are taken in at once; for more it waits, as far as GATHERED goes
 REBUILD = 16  # changes cost less than a ring built anew up to this part of its members
 GATHERED = 100_000  # microseconds in which a view that changes much (a cold start) has its ring built once
-LEASE_MESSAGES = (Claim, Vote, Release, AskEpochs, Epochs)
+LEASE_MESSAGES = (LeaseRequest, LeaseGrant, LeaseRelease, EpochQuery, EpochReport)
 
 
 class View(NamedTuple):
@@ -51,7 +60,7 @@
         self.rounds = Rounds(timers, duty, plan, self.allowed)
 
     def allowed(self, target):
-        if self.plan.mode == Mode.AT_LEAST_ONCE:
+        if self.plan.mode == DutyMode.AT_LEAST_ONCE:
             return 0, 0
         return self.leases.may(self.duty, self.slot_of(target))
 
@@ -66,7 +75,7 @@
     def divide(self, ring, token):
         """Whose targets are whose has changed: take and leave what follows."""
         self.stale = False
-        if self.plan.mode == Mode.AT_LEAST_ONCE:
+        if self.plan.mode == DutyMode.AT_LEAST_ONCE:
             own = ring.own(token, self.keyed)
         else:
             held = self.leases.slots_held(self.duty)
@@ -77,7 +86,7 @@
 class Instance:
     """`me` is its News; `ceiling` and `sure` are the store's word on epochs."""
 
-    def __init__(self, me, seeds, spans, plans, leasing, seed, ceiling=0, sure=True, speaks=NEWEST):
+    def __init__(self, me, seeds, spans, plans, leasing, seed, ceiling=0, sure=True, speaks=NEWEST_VERSION):
         self.members = Members(me, seeds, spans, seed, speaks)
         self.timers, self.plans, self.leasing, self.token = (
             TimerQueue(seed ^ 0x5EED),
@@ -87,7 +96,7 @@
         )
         self.whole, self.names, self.over, self.leaving = Ring.of([me.token]), {}, False, False
         self.came, self.went, self.divided = [], [], None
-        leased = [duty for duty, plan in enumerate(plans) if plan.mode == Mode.ONE_OWNER]
+        leased = [duty for duty, plan in enumerate(plans) if plan.mode == DutyMode.ONE_OWNER]
         self.slot_keys = [(key_of(slot + 1), slot) for slot in range(leasing.slots)]
         self.leases = (
             Leases(
@@ -128,17 +137,17 @@
 
     def handle(self, now, notes):
         """Take in what the host heard at `now`; give the orders that follow, in sequence."""
-        peers = [note for note in notes if isinstance(note, (Heard, Depart))]
-        if any(isinstance(note, Depart) for note in peers) and not self.leaving:
+        peers = [note for note in notes if isinstance(note, (MessageReceived, LeaveRequested))]
+        if any(isinstance(note, LeaveRequested) for note in peers) and not self.leaving:
             self.leave()
         orders = self.settle(now, self.members.handle(now, peers))
         if len(peers) == len(notes):
             return orders
         self.timers.now = now
         for note in notes:
-            if isinstance(note, Served):
+            if isinstance(note, TargetServed):
                 self.served(note)
-            elif isinstance(note, Targets):
+            elif isinstance(note, TargetsUpdated):
                 self.targets(note)
         return orders + self.settle(now, [])
 
@@ -155,7 +164,7 @@
         """Know these from the start, without joining by messages."""
         self.members.known(others)
         for one in self.members.timers.take_commands():
-            if isinstance(one, Joined):
+            if isinstance(one, MemberJoined):
                 self.joined(one.news)
 
     # Inside
@@ -168,14 +177,14 @@
         self.timers.now = now
         while True:
             for order in orders:
-                if isinstance(order, Passed) and self.passed(order.sender, order.message):
+                if isinstance(order, MessageRelayed) and self.passed(order.sender, order.message):
                     pass
-                elif isinstance(order, Joined):
+                elif isinstance(order, MemberJoined):
                     self.joined(order.news)
-                elif isinstance(order, Parted):
+                elif isinstance(order, MemberLeft):
                     self.parted(order.news)
                 else:
-                    if isinstance(order, (GiveWay, Departed)):
+                    if isinstance(order, (YieldIdentity, LeaveCompleted)):
                         self.over = True
                     out.append(order)
             if self.over:
@@ -189,7 +198,7 @@
                     share.divide(self.ring, self.token)
             self.timers.run_due(now)
             for order in self.timers.take_commands():
-                if isinstance(order, Reach):
+                if isinstance(order, SendToMember):
                     self.members.reach(order.token, order.message)
                 else:
                     out.append(order)
@@ -208,7 +217,7 @@
 
     def passed(self, sender, message):
         """Take a message in; False where it is not of the duties, and goes on to the host."""
-        if isinstance(message, Results):
+        if isinstance(message, ProbeResults):
             for result, at in self.learnt.heard(message.results):
                 self.shares[result.duty].rounds.served(result.target, at)
         elif self.leases and isinstance(message, LEASE_MESSAGES):
@@ -286,7 +295,7 @@
                 "targets": len(share.keyed),
                 "owned": len(share.rounds.owned),
             }
-            if share.plan.mode == Mode.ONE_OWNER:
+            if share.plan.mode == DutyMode.ONE_OWNER:
                 told["slots"] = {
                     slot: self.leases.held[share.duty, slot].epoch
                     for slot in sorted(self.leases.slots_held(share.duty))
--- a/limepath/duties/interface.py
+++ b/limepath/duties/interface.py
@@ -4,44 +4,16 @@
 everywhere.
 """
 
-from enum import IntEnum
 from typing import NamedTuple
 
 import msgspec
 
 from limepath.membership.interface import Message
 
-
-class Mode(IntEnum):
-    AT_LEAST_ONCE = 0
-    ONE_OWNER = 1
-
-
-class Plan(NamedTuple):
-    """A duty: each of its targets is served once in `interval`."""
-
-    name: str
-    mode: Mode
-    interval: int
-
-
-class Leasing(NamedTuple):
-    """`voters` are names, fixed: a majority is counted of them. Clocks run apart by `drift` of a span at
-    most. Results are passed on every `batch`, to `copies` others at a time.
-    """
-
-    voters: tuple = ()
-    span: int = 3_000_000
-    drift: float = 0.01
-    slots: int = 32
-    batch: int = 250_000
-    copies: int = 2
-
-
 # Messages
 
 
-class Result(NamedTuple):
+class ProbeResult(NamedTuple):
     """What serving one target told, `age` microseconds ago; a prober numbers its results."""
 
     duty: int
@@ -54,11 +26,11 @@
     load: dict[str, float] = {}
 
 
-class Results(Message, tag="r"):
-    results: tuple[Result, ...]
+class ProbeResults(Message, tag="r"):
+    results: tuple[ProbeResult, ...]
 
 
-class Claim(Message, tag="c"):
+class LeaseRequest(Message, tag="c"):
     """I want these slots, or go on with them: (slot, epoch); the lease counts from when I sent this."""
 
     duty: int
@@ -66,7 +38,7 @@
     slots: tuple[tuple[int, int], ...]
 
 
-class Vote(Message, tag="v"):
+class LeaseGrant(Message, tag="v"):
     """Granted slots, and of those turned down (slot, the epoch that is in the way, what is left of its
     lease).
     """
@@ -77,20 +49,20 @@
     denied: tuple[tuple[int, int, int], ...] = ()
 
 
-class Release(Message, tag="e"):
+class LeaseRelease(Message, tag="e"):
     """Given back before the end: (slot, epoch)."""
 
     duty: int
     slots: tuple[tuple[int, int], ...]
 
 
-class AskEpochs(Message, tag="q"):
+class EpochQuery(Message, tag="q"):
     """From a voter whose store is new or lost."""
 
     round: int
 
 
-class Epochs(Message, tag="k"):
+class EpochReport(Message, tag="k"):
     """No epoch above this one was ever granted here; `sure` unless this voter's own store is new or lost."""
 
     round: int
@@ -98,20 +70,20 @@
     sure: bool
 
 
-MESSAGES = (Results, Claim, Vote, Release, AskEpochs, Epochs)
+MESSAGES = (ProbeResults, LeaseRequest, LeaseGrant, LeaseRelease, EpochQuery, EpochReport)
 
 
 # Notes in
 
 
-class Targets(NamedTuple):
+class TargetsUpdated(NamedTuple):
     """All targets of a duty, by its index, as the list of members tells now."""
 
     duty: int
     targets: tuple
 
 
-class Served(NamedTuple):
+class TargetServed(NamedTuple):
     """What serving a target told this instance, `took` microseconds after it began."""
 
     duty: int
@@ -124,7 +96,7 @@
 # Orders out
 
 
-class Serve(NamedTuple):
+class ServeTarget(NamedTuple):
     """Serve the target now; `epoch` is 0 where the mode has none. Not later than `until`, if that is told."""
 
     duty: int
@@ -133,20 +105,20 @@
     until: int = 0
 
 
-class Reach(NamedTuple):
+class SendToMember(NamedTuple):
     """Send to a live member."""
 
     token: int
     message: msgspec.Struct
 
 
-class Shared(NamedTuple):
+class ResultShared(NamedTuple):
     """Another instance's result, new here."""
 
-    result: Result
+    result: ProbeResult
 
 
-class Keep(NamedTuple):
+class PersistEpochCeiling(NamedTuple):
     """Write the ceiling of epochs to the store, and have it there before anything after this order is
     done.
     """
--- a/limepath/duties/learnt.py
+++ b/limepath/duties/learnt.py
@@ -8,7 +8,7 @@
 
 from collections import Counter
 
-from limepath.duties.interface import Reach, Result, Results, Shared
+from limepath.duties.interface import ProbeResult, ProbeResults, ResultShared, SendToMember
 from limepath.interface.events import AttemptOutcome
 
 NEARBY, ROUNDS = 8, 2
@@ -29,7 +29,7 @@
     def own(self, duty, target, verdict, took, load):
         """Keep a result of this instance's own and begin to spread it."""
         self.serial += 1
-        result = Result(duty, target, self.me, self.serial, 0, verdict, took, load)
+        result = ProbeResult(duty, target, self.me, self.serial, 0, verdict, took, load)
         self.keep(result, self.timers.now)
         self.spread(result)
 
@@ -71,9 +71,9 @@
             live if len(live) <= NEARBY else self.timers.sample(live, min(self.leasing.copies, len(live)))
         )
         for at in range(0, len(said), CARRIED):
-            message = Results(tuple(said[at : at + CARRIED]))
+            message = ProbeResults(tuple(said[at : at + CARRIED]))
             for token in others:
-                self.timers.emit(Reach(token, message))
+                self.timers.emit(SendToMember(token, message))
         self.timers.schedule(now + self.leasing.batch, self.flush)
 
     def heard(self, results):
@@ -101,7 +101,7 @@
                 if self.known[result.duty, result.target][0][0] is result:
                     self.spread(result)
                 counts["new"] += 1
-                self.timers.emit(Shared(result))
+                self.timers.emit(ResultShared(result))
                 new.append((result, at))
         return new
 
--- a/limepath/duties/leases.py
+++ b/limepath/duties/leases.py
@@ -9,7 +9,14 @@
 I/O.
 """
 
-from limepath.duties.interface import AskEpochs, Claim, Epochs, Keep, Release, Vote
+from limepath.duties.interface import (
+    EpochQuery,
+    EpochReport,
+    LeaseGrant,
+    LeaseRelease,
+    LeaseRequest,
+    PersistEpochCeiling,
+)
 
 BLOCK = 1000  # epochs by which the ceiling is kept ahead
 
@@ -72,12 +79,12 @@
             elif epoch > highest:
                 if epoch > self.ceiling:
                     self.ceiling = epoch + BLOCK
-                    self.timers.emit(Keep(self.ceiling))
+                    self.timers.emit(PersistEpochCeiling(self.ceiling))
                 self.grants[key] = Grant(holder, epoch, now + self.leasing.span)
                 granted.append(slot)
             else:
                 denied.append((slot, highest, 0))
-        return Vote(claim.duty, claim.round, tuple(granted), tuple(denied))
+        return LeaseGrant(claim.duty, claim.round, tuple(granted), tuple(denied))
 
     def released(self, holder, message):
         for slot, epoch in message.slots:
@@ -96,7 +103,7 @@
             return self.learn()
         self.asked += 1
         for name in self.others:
-            reach(name, AskEpochs(self.asked))
+            reach(name, EpochQuery(self.asked))
         self.timers.schedule(self.timers.now + claim_every(self.leasing), self.ask, reach)
 
     def answered(self, name, message):
@@ -112,7 +119,7 @@
     def learn(self):
         self.ceiling = max([self.ceiling, *(one.ceiling for one in self.told.values())])
         self.floor, self.sure = self.ceiling, True
-        self.timers.emit(Keep(self.ceiling))
+        self.timers.emit(PersistEpochCeiling(self.ceiling))
 
 
 class Lease:
@@ -193,7 +200,7 @@
     def ask(self, duty, slots):
         self.round += 1
         self.claims[self.round] = Claiming(self.timers.now, duty, slots)
-        message = Claim(duty, self.round, tuple(slots))
+        message = LeaseRequest(duty, self.round, tuple(slots))
         for voter in self.leasing.voters:
             self.reach(voter, message)
         self.timers.schedule(self.timers.now + claim_every(self.leasing) - 1, self.closed, self.round)
@@ -213,7 +220,7 @@
     def release(self, duty, slots):
         if slots:
             for voter in self.leasing.voters:
-                self.reach(voter, Release(duty, tuple(slots)))
+                self.reach(voter, LeaseRelease(duty, tuple(slots)))
 
     def give_back(self, duty, slots):
         given = [(slot, self.held.pop((duty, slot)).epoch) for slot in sorted(slots)]
@@ -266,18 +273,18 @@
 
     def heard(self, name, door, message):
         """A message of another instance, or of this one to itself; `door` names its life."""
-        if isinstance(message, Vote):
+        if isinstance(message, LeaseGrant):
             self.voted(name, message)
         elif self.voter is None:
             return
-        elif isinstance(message, Claim):
+        elif isinstance(message, LeaseRequest):
             if (vote := self.voter.claimed(door, message)) is not None:
                 self.reach(name, vote)
-        elif isinstance(message, Release):
+        elif isinstance(message, LeaseRelease):
             self.voter.released(door, message)
-        elif isinstance(message, AskEpochs):
-            self.reach(name, Epochs(message.round, self.voter.highest(), self.voter.sure))
-        elif isinstance(message, Epochs):
+        elif isinstance(message, EpochQuery):
+            self.reach(name, EpochReport(message.round, self.voter.highest(), self.voter.sure))
+        elif isinstance(message, EpochReport):
             self.voter.answered(name, message)
 
     def leave(self):
--- a/limepath/duties/measure.py
+++ b/limepath/duties/measure.py
@@ -10,7 +10,7 @@
 import time
 from datetime import date
 
-from limepath.duties.interface import Mode
+from limepath.configuration.sharing_settings import DutyMode
 from limepath.duties.saving import WAYS, saved
 from limepath.duties.simulate import SECOND, simulated
 
@@ -39,7 +39,7 @@
     for instances in sizes:
         for targets in (0, 1000):
             began = time.monotonic()
-            found = simulated(instances, targets, Mode.AT_LEAST_ONCE, 10 * SECOND, 20 * SECOND, kinds=())
+            found = simulated(instances, targets, DutyMode.AT_LEAST_ONCE, 10 * SECOND, 20 * SECOND, kinds=())
             told.append(
                 {
                     "instances": instances,
--- a/limepath/duties/rounds.py
+++ b/limepath/duties/rounds.py
@@ -4,7 +4,7 @@
 or after this instance stood still, is due within half an interval, at a place of its own.
 """
 
-from limepath.duties.interface import Serve
+from limepath.duties.interface import ServeTarget
 from limepath.hashing import mix64
 
 LATE = 4  # a part of the interval by which a round may be late before it counts as missed
@@ -68,7 +68,7 @@
         if (leave := self.allowed(target)) is None:
             return self.plan_at(target, now + interval // PRESSED)
         self.last[target] = now
-        self.timers.emit(Serve(self.duty, target, *leave))
+        self.timers.emit(ServeTarget(self.duty, target, *leave))
         self.plan_at(target, due + interval)
 
     def served(self, target, at):
--- a/limepath/duties/saving.py
+++ b/limepath/duties/saving.py
@@ -9,7 +9,8 @@
 from typing import NamedTuple
 
 from limepath.choice import Front
-from limepath.duties.interface import Leasing, Mode, Plan, Served
+from limepath.configuration.sharing_settings import DutyMode, DutySettings, LeaseSettings, MembershipTimeouts
+from limepath.duties.interface import TargetServed
 from limepath.duties.world import World
 from limepath.interface.commands import CancelAttempt, ForwardRequest, ScheduleWakeup, SendProbe
 from limepath.interface.events import (
@@ -33,7 +34,6 @@
     SlowStart,
     Topology,
 )
-from limepath.membership.interface import Spans
 
 SECOND = 1_000_000
 ALONE, EACH, SHARED = "on suspicion alone", "each for itself", "shared"
@@ -72,7 +72,12 @@
 
     def __init__(self, way, fronts, caches, interval, rate, seed):
         super().__init__(
-            fronts, caches, (Plan("probe", Mode.AT_LEAST_ONCE, interval),), Spans(), Leasing(), seed
+            fronts,
+            caches,
+            (DutySettings("probe", DutyMode.AT_LEAST_ONCE, interval),),
+            MembershipTimeouts(),
+            LeaseSettings(),
+            seed,
         )
         self.way, self.rate = way, rate
         self.silent, self.seen, self.met, self.gets = (20 * SECOND, 40 * SECOND), {}, 0, 0
@@ -182,7 +187,7 @@
         self.asked[index].discard(cache)
         self.tell(index, ProbeEnded(cache, verdict, took, {}))
         if self.way != ALONE:
-            self.nodes[index].hear([Served(0, cache, int(verdict), took, {})])
+            self.nodes[index].hear([TargetServed(0, cache, int(verdict), took, {})])
 
     def serve(self, node, order):
         self.sent(node.index, order.target)
--- a/limepath/duties/simulate.py
+++ b/limepath/duties/simulate.py
@@ -7,10 +7,10 @@
 from statistics import median
 from typing import NamedTuple
 
+from limepath.configuration.sharing_settings import DutyMode, DutySettings, LeaseSettings, MembershipTimeouts
 from limepath.duties.bounds import bounds, doubles
-from limepath.duties.interface import Leasing, Mode, Plan
 from limepath.duties.world import World
-from limepath.membership.interface import Depart, Spans
+from limepath.membership.interface import LeaveRequested
 from limepath.membership.members import spread
 from limepath.report_table import Row, at_most, seconds
 
@@ -143,7 +143,7 @@
     def leave(self, index):
         if self.world.nodes[index].instance:
             self.deaths.append((self.world.now, index))
-            self.world.nodes[index].hear([Depart()])
+            self.world.nodes[index].hear([LeaveRequested()])
         self.world.at(self.world.now + 1, self.look, True)
 
     def start(self, index):
@@ -242,7 +242,7 @@
         at_most("doubles while nothing had changed", undisturbed_doubles, 0),
         at_most("rounds at targets gone, after the grace", world.after_gone, 0),
     ]
-    if plan.mode == Mode.ONE_OWNER:
+    if plan.mode == DutyMode.ONE_OWNER:
         rows += [
             at_most("moments at which two held one slot", len(world.both_held), 0),
             Row("rounds turned away for an older epoch", world.turned_away),
@@ -281,7 +281,7 @@
 def simulated(
     instances=5,
     targets=100,
-    mode=Mode.AT_LEAST_ONCE,
+    mode=DutyMode.AT_LEAST_ONCE,
     interval=5 * SECOND,
     length=None,
     seed=1,
@@ -290,8 +290,8 @@
     late=0.0,
     kinds=None,
     voters=5,
-    spans=Spans(),
-    leasing=Leasing(),
+    spans=MembershipTimeouts(),
+    leasing=LeaseSettings(),
     cold=False,
 ):
     """Run a day; give its Findings. `cold` starts with instances that do not know each other yet.
@@ -303,7 +303,7 @@
             KINDS if instances <= MANY else tuple(Random(seed).sample(KINDS, 1 if instances > VAST else 2))
         )
     leasing = leasing._replace(voters=tuple(f"n{index}" for index in range(min(instances, voters))))
-    plan = Plan("probe", mode, interval)
+    plan = DutySettings("probe", mode, interval)
     settle = bounds(spans, plan, leasing, instances).disagreement
     first = 2 * interval + (settle if cold else 0)
     length = length or first + len(kinds) * (30 * SECOND + settle)
--- a/limepath/duties/world.py
+++ b/limepath/duties/world.py
@@ -11,10 +11,25 @@
 
 import msgspec
 
+from limepath.configuration.sharing_settings import DutyMode
 from limepath.duties.instance import Instance
-from limepath.duties.interface import Keep, Mode, Serve, Served, Shared, Targets
+from limepath.duties.interface import (
+    PersistEpochCeiling,
+    ResultShared,
+    ServeTarget,
+    TargetServed,
+    TargetsUpdated,
+)
 from limepath.membership.guard import HEAD, SEAL
-from limepath.membership.interface import REFUTALS, Departed, GiveWay, Heard, News, Say, Send
+from limepath.membership.interface import (
+    REFUTATION_BITS,
+    LeaveCompleted,
+    LogEvent,
+    MemberRecord,
+    MessageReceived,
+    SendMessage,
+    YieldIdentity,
+)
 
 SAMPLED = 64  # one message in so many is encoded, for the bytes
 PORT = 7946
@@ -63,12 +78,12 @@
     def start(self, seeds):
         world = self.world
         self.store["life"] += 1
-        me = News(
+        me = MemberRecord(
             self.store["token"],
             self.name,
             str(self.index),
             PORT,
-            self.store["life"] << REFUTALS,
+            self.store["life"] << REFUTATION_BITS,
             world.now + world.wall_step,
         )
         self.instance = Instance(
@@ -86,7 +101,7 @@
 
     def begin(self):
         self.carry(self.instance.start(self.clock()))
-        self.hear([Targets(duty, tuple(self.world.targets)) for duty in range(len(self.world.plans))])
+        self.hear([TargetsUpdated(duty, tuple(self.world.targets)) for duty in range(len(self.world.plans))])
 
     def stop(self):
         self.instance, self.queue, self.wake_at = None, [], None
@@ -109,21 +124,21 @@
     def carry(self, orders):
         world, me = self.world, self.instance.members.me
         for order in orders:
-            if isinstance(order, Send):
+            if isinstance(order, SendMessage):
                 world.send(self, me, order)
-            elif isinstance(order, Serve):
+            elif isinstance(order, ServeTarget):
                 world.serve(self, order)
-            elif isinstance(order, Keep):
+            elif isinstance(order, PersistEpochCeiling):
                 self.store |= {"ceiling": order.ceiling, "sure": True}
-            elif isinstance(order, Shared):
+            elif isinstance(order, ResultShared):
                 world.shared(self, order.result)
-            elif isinstance(order, Say):
+            elif isinstance(order, LogEvent):
                 world.said(order)
-            elif isinstance(order, GiveWay):
+            elif isinstance(order, YieldIdentity):
                 self.gave_way = order.why
                 world.gave_way.append((world.now, self.index, order.why))
                 return self.stop()
-            elif isinstance(order, Departed):
+            elif isinstance(order, LeaveCompleted):
                 return self.stop()
         if world.leased:
             self.note_leases(
@@ -163,7 +178,7 @@
     ):
         self.chance, self.now, self.serial, self.calendar = Random(seed), 0, 0, []
         self.plans, self.spans, self.leasing, self.drift = plans, spans, leasing, drift
-        self.leased = any(plan.mode == Mode.ONE_OWNER for plan in plans)
+        self.leased = any(plan.mode == DutyMode.ONE_OWNER for plan in plans)
         self.network = Network(Random(seed + 1), loss, doubled, late)
         self.wall_step = 0
         self.targets, self.gone = {target: 0 for target in range(1, targets + 1)}, {}
@@ -208,7 +223,7 @@
             if (
                 node.instance
                 and not node.paused
-                and node.store["life"] == order.fields["incarnation"] >> REFUTALS
+                and node.store["life"] == order.fields["incarnation"] >> REFUTATION_BITS
                 and (not self.network.cuts)
             ):
                 self.false_deaths.append((self.now, node.index))
@@ -220,7 +235,7 @@
             self.sampled += 1
             self.bytes += len(self.encoder.encode((me, order.to, self.messages, order.message))) + HEAD + SEAL
         for delay in self.network.ways(node.index, to):
-            self.at(self.now + delay, self.arrive, to, Heard(me, order.to, order.message))
+            self.at(self.now + delay, self.arrive, to, MessageReceived(me, order.to, order.message))
 
     def arrive(self, to, note):
         if self.nodes[to].instance:
@@ -245,7 +260,7 @@
 
     def answered(self, node, instance, order):
         if node.instance is instance:
-            node.hear([Served(order.duty, order.target, 0, 800, {"util": 0.5})])
+            node.hear([TargetServed(order.duty, order.target, 0, 800, {"util": 0.5})])
 
     def replace_targets(self, gone, come):
         """The list changes; each instance learns of it within 200 ms."""
@@ -259,7 +274,7 @@
             self.at(
                 self.now + int(self.chance.random() * 200_000),
                 node.hear,
-                [Targets(duty, now_all) for duty in range(len(self.plans))],
+                [TargetsUpdated(duty, now_all) for duty in range(len(self.plans))],
             )
 
     def views_agree(self):
--- a/limepath/frequency_exchange/host.py
+++ b/limepath/frequency_exchange/host.py
@@ -1,7 +1,14 @@
 """Beside a front that shares: counts from and to other instances, in and out of the module."""
 
 from limepath.duties.host import clock
-from limepath.frequency_exchange.interface import MESSAGES, Ask, Counted, FromPeer, Learn, Reach
+from limepath.frequency_exchange.interface import (
+    MESSAGES,
+    AddCounts,
+    CountsRead,
+    PeerMessage,
+    ReadCounts,
+    SendToMember,
+)
 from limepath.frequency_exchange.newcomer import Newcomer
 from limepath.interface.commands import ReportRequestCounts
 from limepath.interface.events import RequestArrived, RequestCountsReceived, RequestCountsWanted
@@ -26,11 +33,11 @@
     def heard(self, sender, message):
         """A message of another instance that is not of the duties."""
         if isinstance(message, MESSAGES):
-            self.logic_host.submit(FromPeer(sender.token, message))
+            self.logic_host.submit(PeerMessage(sender.token, message))
 
     def counted(self, order):
         """The module answers an AskCounts."""
-        self.logic_host.submit(Counted(order.cookie, order.counts))
+        self.logic_host.submit(CountsRead(order.cookie, order.counts))
 
     def saw(self, notes):
         """What the module is told: that GETs come."""
@@ -38,11 +45,11 @@
             self.logic.saw_get(clock())
 
     def execute(self, order):
-        if isinstance(order, Reach):
+        if isinstance(order, SendToMember):
             self.cooperation.reach(order.token, order.message)
-        elif isinstance(order, Ask):
+        elif isinstance(order, ReadCounts):
             self.turn.gather(RequestCountsWanted(order.most, order.token))
-        elif isinstance(order, Learn):
+        elif isinstance(order, AddCounts):
             self.turn.gather(RequestCountsReceived(order.counts))
 
     def failed(self, error):
--- a/limepath/frequency_exchange/interface.py
+++ b/limepath/frequency_exchange/interface.py
@@ -11,11 +11,11 @@
 LARGEST = 1e6  # a count above this is nobody's
 
 
-class AskTally(Message, tag="ta"):
+class RequestCountsQuery(Message, tag="ta"):
     """Tell me what is asked for most."""
 
 
-class Tally(Message, tag="tt"):
+class RequestCounts(Message, tag="tt"):
     """(object, part, count), the highest key first; `age` since the last GET that was counted; `of` messages
     in all. A front that is new itself tells 0 counts.
     """
@@ -26,18 +26,18 @@
     of: int = 1
 
 
-MESSAGES = (AskTally, Tally)
+MESSAGES = (RequestCountsQuery, RequestCounts)
 
 
 # Notes in
 
 
-class FromPeer(NamedTuple):
+class PeerMessage(NamedTuple):
     token: int
     message: Message
 
 
-class Counted(NamedTuple):
+class CountsRead(NamedTuple):
     """The module's own table: (object, part, count), for whom `token` asked."""
 
     token: int
@@ -47,19 +47,19 @@
 # Orders out
 
 
-class Ask(NamedTuple):
+class ReadCounts(NamedTuple):
     """Ask the module for its table."""
 
     token: int
     most: int
 
 
-class Learn(NamedTuple):
+class AddCounts(NamedTuple):
     """Hand these to the module."""
 
     counts: tuple
 
 
-class Reach(NamedTuple):
+class SendToMember(NamedTuple):
     token: int
     message: Message
--- a/limepath/frequency_exchange/newcomer.py
+++ b/limepath/frequency_exchange/newcomer.py
@@ -4,13 +4,13 @@
     CARRIED,
     LARGEST,
     MOST,
-    Ask,
-    AskTally,
-    Counted,
-    FromPeer,
-    Learn,
-    Reach,
-    Tally,
+    AddCounts,
+    CountsRead,
+    PeerMessage,
+    ReadCounts,
+    RequestCounts,
+    RequestCountsQuery,
+    SendToMember,
 )
 from limepath.timer_queue import TimerQueue
 
@@ -37,11 +37,11 @@
     def handle(self, now, notes=()):
         self.timers.run_due(now)
         for note in notes:
-            if isinstance(note, Counted):
+            if isinstance(note, CountsRead):
                 self.tell(note)
-            elif isinstance(note, FromPeer) and isinstance(note.message, AskTally):
+            elif isinstance(note, PeerMessage) and isinstance(note.message, RequestCountsQuery):
                 self.asked_by(note.token)
-            elif isinstance(note, FromPeer):
+            elif isinstance(note, PeerMessage):
                 self.take(note.token, note.message)
         return self.timers.take_commands()
 
@@ -63,7 +63,7 @@
             self.tries += 1
             self.asked, self.parts = self.timers.sample(live, 1)[0], {}
             self.counts["asked"] += 1
-            self.timers.emit(Reach(self.asked, AskTally()))
+            self.timers.emit(SendToMember(self.asked, RequestCountsQuery()))
         self.timers.schedule(self.timers.now + ANSWER_TIMEOUT, self.ask)
 
     def take(self, token, message):
@@ -90,7 +90,7 @@
         self.done = len(self.parts) == message.of
         worth = 0.5 ** (message.age / HALF)
         self.counts["learnt"] += len(message.counts)
-        self.timers.emit(Learn(tuple((obj, part, count * worth) for obj, part, count in message.counts)))
+        self.timers.emit(AddCounts(tuple((obj, part, count * worth) for obj, part, count in message.counts)))
 
     # Telling
 
@@ -101,7 +101,7 @@
             self.second, self.answers = second, 0
         self.answers += 1
         if self.answers <= ASKED:
-            self.timers.emit(Ask(token, MOST))
+            self.timers.emit(ReadCounts(token, MOST))
 
     def tell(self, note):
         counts = note.counts[:MOST] if self.counted_at is not None else ()
@@ -109,4 +109,4 @@
         parts = [counts[at : at + CARRIED] for at in range(0, len(counts), CARRIED)] or [()]
         for at, part in enumerate(parts):
             self.counts["told"] += len(part)
-            self.timers.emit(Reach(note.token, Tally(age, tuple(part), at, len(parts))))
+            self.timers.emit(SendToMember(note.token, RequestCounts(age, tuple(part), at, len(parts))))
--- a/limepath/front/start.py
+++ b/limepath/front/start.py
@@ -15,7 +15,7 @@
 from limepath import early_signals
 from limepath.choice import Front
 from limepath.configuration import platform as opening
-from limepath.configuration.ini import BadSetting
+from limepath.configuration.ini import SettingError
 from limepath.front.caches import Caches
 from limepath.front.changelog import BadEvent, ChangeLog
 from limepath.front.clients import Clients
@@ -67,15 +67,15 @@
         try:
             caches.secured = Secured(reactor, log, secured, kinds, told.seed)
         except ValueError as flaw:
-            raise BadSetting(f"{secured.file}: {flaw}") from None
+            raise SettingError(f"{secured.file}: {flaw}") from None
     if shared:
         from limepath.duties.host import Cooperation  # nothing of it is loaded where nothing is shared
-        from limepath.membership.host import Unopened
+        from limepath.membership.host import StartError
 
         try:
             cooperation = Cooperation(reactor, turn, caches, log, shared, told)
-        except Unopened as flaw:
-            raise BadSetting(f"{shared.file}: {flaw}") from None
+        except StartError as flaw:
+            raise SettingError(f"{shared.file}: {flaw}") from None
     if cooperation and shared.listing:
         from limepath.discovery.host import (
             guided,  # nothing of it is loaded where each front follows the log by itself
@@ -89,7 +89,7 @@
     try:
         changes.known(told.known)
     except BadEvent as flaw:
-        raise opening.BadConfiguration(f"known.results: {flaw}") from None
+        raise opening.ConfigurationError(f"known.results: {flaw}") from None
     turn.run()
     clients.gone.addCallback(lambda _: reactor.stop())
 
@@ -108,7 +108,7 @@
     def reload():
         try:
             (host, port), differing = opening.read_again(os.environ, told)
-        except opening.BadConfiguration as flaw:
+        except opening.ConfigurationError as flaw:
             log.say("reload", f"{flaw}; the running values stay")
             return
         for key in differing:
@@ -169,7 +169,7 @@
         build(
             opening.read(os.environ), shared, form or (shared.form if shared else "person"), secured
         ).addErrback(fail)
-    except (opening.BadConfiguration, BadSetting) as flaw:
+    except (opening.ConfigurationError, SettingError) as flaw:
         print(f"limepath: configuration: {flaw}", file=sys.stderr)
         return 2
     reactor.run(installSignalHandlers=False)
--- a/limepath/membership/anti_entropy.py
+++ b/limepath/membership/anti_entropy.py
@@ -7,7 +7,7 @@
 from bisect import bisect_left
 
 from limepath.membership.digests import BUCKETS, bucket_of, first_of
-from limepath.membership.interface import Page, Pull
+from limepath.membership.interface import MemberPage, Pull
 
 PAGE, PAGES = 12, 8  # news on a page; pages in a row that bring no member
 DIFFERING = 1  # looks at another digest in a row before a page is pulled
@@ -46,7 +46,7 @@
         me, table = self.view.me, self.view.table
         tokens = self.tokens_of_page(message.after + 1, message.buckets)
         page = tuple(me if token == me.token else table[token] for token in tokens[:PAGE])
-        self.members.send(sender, Page(page, len(tokens) <= PAGE))
+        self.members.send(sender, MemberPage(page, len(tokens) <= PAGE))
 
     def tokens_of_page(self, first, buckets):
         """The tokens from `first` on that lie in buckets that differ: a page of them, one more if there
--- a/limepath/membership/checks.py
+++ b/limepath/membership/checks.py
@@ -10,7 +10,7 @@
 from collections.abc import Sequence
 
 from limepath.membership.bounds import MOST_MISSED
-from limepath.membership.interface import Ack, PingFor, State
+from limepath.membership.interface import Ack, IndirectPing, MemberState
 
 
 class Without(Sequence):
@@ -87,15 +87,15 @@
             return
         others = Without(self.view.ring, bisect_left(self.view.ring, news.token))
         for token in self.timers.sample(others, min(self.spans.indirect, len(others))):
-            self.members.send(self.view.table[token], PingFor(sequence, news, self.members.told(token)))
+            self.members.send(self.view.table[token], IndirectPing(sequence, news, self.members.told(token)))
 
     def failed(self, sequence):
         if (news := self.pending.pop(sequence, None)) is None:
             return
         known = self.view.table.get(news.token)
-        if known is not None and known.state == State.ALIVE:
+        if known is not None and known.state == MemberState.ALIVE:
             self.miss()
-        if known and known.state <= State.SUSPECT and known.incarnation == news.incarnation:
+        if known and known.state <= MemberState.SUSPECT and known.incarnation == news.incarnation:
             self.members.suspicions.suspect(known, self.view.me.token)
 
     def miss(self):
--- a/limepath/membership/control.py
+++ b/limepath/membership/control.py
@@ -14,7 +14,7 @@
 LONGEST, TIMEOUT, CALLERS = 4096, 5, 16
 
 
-class Unanswered(Exception):
+class NoAnswerError(Exception):
     """No instance answers there, or not in a way that can be read."""
 
 
@@ -79,11 +79,11 @@
             line.sendall(json.dumps({"show": what}).encode() + b"\n")
             told = line.makefile("rb").readline()
     except OSError as error:
-        raise Unanswered(f"{path}: {error.strerror or error}") from None
+        raise NoAnswerError(f"{path}: {error.strerror or error}") from None
     try:
         told = json.loads(told)
     except ValueError:
-        raise Unanswered(f"{path}: no answer that can be read") from None
+        raise NoAnswerError(f"{path}: no answer that can be read") from None
     if "error" in told:
-        raise Unanswered(f"{path}: {told['error']}")
+        raise NoAnswerError(f"{path}: {told['error']}")
     return told
--- a/limepath/membership/gossip.py
+++ b/limepath/membership/gossip.py
@@ -4,7 +4,7 @@
 from itertools import islice
 from math import ceil, log2
 
-from limepath.membership.interface import State
+from limepath.membership.interface import MemberState
 
 CARRIED = 8  # news on one message
 COPIES = 3  # times log2 of the view, that a piece of news is passed on
@@ -26,7 +26,7 @@
 
     def carried(self, own):
         """News for one message: what the receiver itself should refute (`own`, or None), then the newest."""
-        carried = [own] if own and own.state not in (State.ALIVE, State.LEFT) else []
+        carried = [own] if own and own.state not in (MemberState.ALIVE, MemberState.LEFT) else []
         for token in list(islice(self.left, CARRIED - len(carried))):
             news, left = self.left.pop(token)
             carried.append(news)
--- a/limepath/membership/guard.py
+++ b/limepath/membership/guard.py
@@ -16,7 +16,7 @@
 
 import msgspec
 
-from limepath.membership.interface import GENERATION, MESSAGES, NEWEST, News
+from limepath.membership.interface import MESSAGES, NEWEST_VERSION, OLDEST_VERSION, MemberRecord
 
 LARGEST = 1400  # bytes of a datagram: no fragments on an Ethernet
 SEAL, HEAD, WINDOW, SENDERS = 16, 7, 256, 4096
@@ -82,11 +82,11 @@
 class Guard:
     """`types` are all messages that this instance takes; `speaks` is its newest version."""
 
-    def __init__(self, keys, types=MESSAGES, speaks=NEWEST):
+    def __init__(self, keys, types=MESSAGES, speaks=NEWEST_VERSION):
         self.keys, self.speaks, self.counter = keys, speaks, 0
         self.windows, self.counts = OrderedDict(), Counter()
         self.encoder = msgspec.msgpack.Encoder()
-        body = tuple[News, int, int, msgspec.Raw]
+        body = tuple[MemberRecord, int, int, msgspec.Raw]
         self.envelope = msgspec.msgpack.Decoder(body)
         self.message = msgspec.msgpack.Decoder(Union[tuple(types)])  # noqa: UP007 (made from a tuple)
 
@@ -97,7 +97,7 @@
         self.counter += 1
         if len(body) + HEAD + SEAL > LARGEST:
             raise ValueError(f"a {type(message).__name__} of {len(body)} bytes")
-        head = b"LP" + bytes((GENERATION << 4 | self.speaks,)) + key.name + body
+        head = b"LP" + bytes((OLDEST_VERSION << 4 | self.speaks,)) + key.name + body
         return head + blake2b(head, key=key.secret, digest_size=SEAL).digest()
 
     def open(self, datagram):
@@ -115,7 +115,7 @@
             raise Dropped("oversized")
         if len(datagram) <= HEAD + SEAL or datagram[:2] != b"LP":
             raise Dropped("noise")
-        if datagram[2] >> 4 != GENERATION:
+        if datagram[2] >> 4 != OLDEST_VERSION:
             raise Dropped("version")
         name = datagram[3:7]
         key = next((key for key in self.keys if key.name == name), None)
--- a/limepath/membership/host.py
+++ b/limepath/membership/host.py
@@ -7,7 +7,7 @@
 from twisted.internet.protocol import DatagramProtocol
 
 from limepath.membership.guard import BadKeys, Dropped, Guard, keys_of
-from limepath.membership.interface import Heard
+from limepath.membership.interface import MessageReceived
 
 SLICE, TAKEN = (
     50_000,
@@ -15,7 +15,7 @@
 )  # microseconds; datagrams that may be dropped in one before it is left unread to its end
 
 
-class Unopened(Exception):
+class StartError(Exception):
     """The keys or the socket can't be had; the text names which."""
 
 
@@ -24,16 +24,16 @@
     try:
         mark = os.stat(path)
         if mark.st_mode & 0o077:
-            raise Unopened(f"{path}: open to others; its mode should be 600")
+            raise StartError(f"{path}: open to others; its mode should be 600")
         with open(path, encoding="ascii") as file:
             return keys_of(file.read()), (mark.st_mtime_ns, mark.st_size)
     except OSError as error:
-        raise Unopened(f"{path}: {error.strerror}") from None
+        raise StartError(f"{path}: {error.strerror}") from None
     except (BadKeys, UnicodeDecodeError) as error:
-        raise Unopened(f"{path}: {error}") from None
+        raise StartError(f"{path}: {error}") from None
 
 
-class Line(DatagramProtocol):
+class DatagramSocket(DatagramProtocol):
     """One socket. `gather(note)` takes what was heard."""
 
     def __init__(self, reactor, address, keys, types, log, gather):
@@ -53,7 +53,7 @@
 
     def datagramReceived(self, datagram, address):
         try:
-            self.gather(Heard(*self.guard.open(datagram)))
+            self.gather(MessageReceived(*self.guard.open(datagram)))
         except Dropped:
             self.bad += 1  # counted by kind there, told by `report`
             if not self.sliced:
@@ -88,7 +88,7 @@
             if (mark.st_mtime_ns, mark.st_size) == self.mark:
                 return
             keys, self.mark = read_keys(self.path)
-        except (OSError, Unopened) as error:
+        except (OSError, StartError) as error:
             self.log.say("peers-keys", f"{error}; the old keys stay")
             return
         if keys != self.guard.keys:
--- a/limepath/membership/interface.py
+++ b/limepath/membership/interface.py
@@ -12,18 +12,21 @@
 
 from limepath.hashing import MASK_64, mix64
 
-REFUTALS = 20  # bits
-GENERATION, NEWEST = 1, 3  # of what is spoken; version 2 brought the digest of the view, 3 digests by range
+REFUTATION_BITS = 20  # bits
+OLDEST_VERSION, NEWEST_VERSION = (
+    1,
+    3,
+)  # of what is spoken; version 2 brought the digest of the view, 3 digests by range
 
 
-class State(IntEnum):
+class MemberState(IntEnum):
     ALIVE = 0
     SUSPECT = 1
     DEAD = 2
     LEFT = 3
 
 
-class News(NamedTuple):
+class MemberRecord(NamedTuple):
     """What is known of one instance; `token` is drawn when its store is made, `birth` at each start."""
 
     token: int
@@ -37,7 +40,7 @@
 
     @property
     def life(self):
-        return self.incarnation >> REFUTALS
+        return self.incarnation >> REFUTATION_BITS
 
     @property
     def door(self):
@@ -45,16 +48,6 @@
         return mix64(self.token ^ self.life * 0x9E3779B97F4A7C15 & MASK_64) or 1
 
 
-class Spans(NamedTuple):
-    """`suspicion` counts periods; `indirect` instances are asked to check in our stead."""
-
-    period: int = 1_000_000
-    direct: int = 300_000
-    indirect: int = 3
-    suspicion: int = 4
-    forget: int = 3_600_000_000
-
-
 # Messages
 
 
@@ -69,27 +62,27 @@
 
 
 class Welcome(Message, tag="w"):
-    news: tuple[News, ...] = ()
+    news: tuple[MemberRecord, ...] = ()
 
 
 class Ping(Message, tag="p"):
     seq: int
-    news: tuple[News, ...] = ()
+    news: tuple[MemberRecord, ...] = ()
     digest: int = 0
 
 
 class Ack(Message, tag="a"):
     seq: int
-    news: tuple[News, ...] = ()
+    news: tuple[MemberRecord, ...] = ()
     digest: int = 0
 
 
-class PingFor(Message, tag="f"):
+class IndirectPing(Message, tag="f"):
     """Check that one in my stead."""
 
     seq: int
-    about: News
-    news: tuple[News, ...] = ()
+    about: MemberRecord
+    news: tuple[MemberRecord, ...] = ()
 
 
 class Pull(Message, tag="l"):
@@ -101,68 +94,68 @@
     buckets: tuple[int, ...] = ()
 
 
-class Page(Message, tag="g"):
-    news: tuple[News, ...]
+class MemberPage(Message, tag="g"):
+    news: tuple[MemberRecord, ...]
     last: bool = False
 
 
-MESSAGES = (Hello, Welcome, Ping, Ack, PingFor, Pull, Page)
+MESSAGES = (Hello, Welcome, Ping, Ack, IndirectPing, Pull, MemberPage)
 
 
 # Notes in
 
 
-class Heard(NamedTuple):
+class MessageReceived(NamedTuple):
     """A message that is authentic and new; `to` is the door that its sender meant, 0 if it knew none."""
 
-    sender: News
+    sender: MemberRecord
     to: int
     message: Message
 
 
-class Depart(NamedTuple):
+class LeaveRequested(NamedTuple):
     """Leave in an orderly way."""
 
 
 # Orders out
 
 
-class Send(NamedTuple):
+class SendMessage(NamedTuple):
     host: str
     port: int
     to: int
     message: Message
 
 
-class Joined(NamedTuple):
+class MemberJoined(NamedTuple):
     """Counts as alive from now on, until Parted."""
 
-    news: News
+    news: MemberRecord
 
 
-class Parted(NamedTuple):
-    news: News
+class MemberLeft(NamedTuple):
+    news: MemberRecord
 
 
-class GiveWay(NamedTuple):
+class YieldIdentity(NamedTuple):
     """Another holds this identity; this instance must stop sharing."""
 
-    other: News
+    other: MemberRecord
     why: str
 
 
-class Passed(NamedTuple):
+class MessageRelayed(NamedTuple):
     """A message of another logic, from one that lives."""
 
-    sender: News
+    sender: MemberRecord
     message: Message
 
 
-class Departed(NamedTuple):
+class LeaveCompleted(NamedTuple):
     """The others have been told; the host may go."""
 
 
-class Say(NamedTuple):
+class LogEvent(NamedTuple):
     """For the log."""
 
     event: str
--- a/limepath/membership/joining.py
+++ b/limepath/membership/joining.py
@@ -4,7 +4,7 @@
 nothing.
 """
 
-from limepath.membership.interface import Hello, Send, State, Welcome
+from limepath.membership.interface import Hello, MemberState, SendMessage, Welcome
 
 MOST_SEEDS = 3  # that are greeted at the start
 GREETINGS = 8  # Hellos by period to those that are out of date
@@ -35,7 +35,7 @@
         if refused:
             return
         self.greeted[host, port] = now
-        self.timers.emit(Send(host, port, 0, Hello()))
+        self.timers.emit(SendMessage(host, port, 0, Hello()))
 
     def period_over(self):
         """Forget to whom Hello was said longer than a period ago."""
@@ -44,7 +44,9 @@
 
     def seek(self):
         """Hello to a seed or to one declared dead: two halves that lost each other find together again."""
-        lost = [(news.host, news.port) for news in self.view.buried.values() if news.state == State.DEAD]
+        lost = [
+            (news.host, news.port) for news in self.view.buried.values() if news.state == MemberState.DEAD
+        ]
         lost += [address for address in self.seeds if not self.view.at_seeds[address]]
         for address in self.timers.sample(lost, min(SOUGHT, len(lost))):
             self.greet(*address)
@@ -52,7 +54,7 @@
     def greeted_by(self, sender, message):
         """Nothing is believed of one that does not know this life: its Hello may be an old one."""
         welcome = Welcome(self.members.told(sender.token))
-        self.timers.emit(Send(sender.host, sender.port, sender.door, welcome))
+        self.timers.emit(SendMessage(sender.host, sender.port, sender.door, welcome))
 
     def welcomed(self, sender, message):
         """The sender meant this life, so it lives; its view is pulled while ours is new, else as digests
--- a/limepath/membership/leaving.py
+++ b/limepath/membership/leaving.py
@@ -2,7 +2,7 @@
 
 from math import ceil, log2
 
-from limepath.membership.interface import Departed, GiveWay, Ping, State
+from limepath.membership.interface import LeaveCompleted, MemberState, Ping, YieldIdentity
 
 FAREWELLS, FAREWELL_ROUNDS = 4, 3  # told at least in one round; rounds, a `direct` span apart
 
@@ -17,7 +17,7 @@
     def depart(self):
         """Tell in rounds that this instance has left, then Departed."""
         self.begun = True
-        self.view.me = self.view.me._replace(state=State.LEFT)
+        self.view.me = self.view.me._replace(state=MemberState.LEFT)
         self.farewell(FAREWELL_ROUNDS)
 
     def farewell(self, rounds):
@@ -26,7 +26,7 @@
         others = len(self.view.ring)
         if not rounds or not others:
             self.members.over = True
-            return self.timers.emit(Departed())
+            return self.timers.emit(LeaveCompleted())
         self.tell(self.view.me, FAREWELLS + ceil(log2(others + 1)))
         self.timers.schedule(self.timers.now + self.members.spans.direct, self.farewell, rounds - 1)
 
@@ -36,8 +36,8 @@
             return
         self.members.over = True
         if other.token != self.view.me.token:
-            self.tell(self.view.me._replace(state=State.LEFT), FAREWELLS)
-        self.timers.emit(GiveWay(other, why))
+            self.tell(self.view.me._replace(state=MemberState.LEFT), FAREWELLS)
+        self.timers.emit(YieldIdentity(other, why))
 
     def tell(self, gone, most):
         ring = self.view.ring
--- a/limepath/membership/members.py
+++ b/limepath/membership/members.py
@@ -13,19 +13,19 @@
 from limepath.membership.checks import Checks
 from limepath.membership.gossip import Gossip
 from limepath.membership.interface import (
-    NEWEST,
-    REFUTALS,
+    NEWEST_VERSION,
+    REFUTATION_BITS,
     Ack,
-    Depart,
-    Heard,
     Hello,
-    Page,
-    Passed,
+    IndirectPing,
+    LeaveRequested,
+    MemberPage,
+    MemberState,
+    MessageReceived,
+    MessageRelayed,
     Ping,
-    PingFor,
     Pull,
-    Send,
-    State,
+    SendMessage,
     Welcome,
 )
 from limepath.membership.joining import Joining
@@ -45,7 +45,7 @@
 class Members:
     """One instance's view. `me` is its own News, alive; `seeds` are addresses."""
 
-    def __init__(self, me, seeds, spans, seed, speaks=NEWEST):
+    def __init__(self, me, seeds, spans, seed, speaks=NEWEST_VERSION):
         self.spans, self.speaks = spans, speaks
         self.timers = TimerQueue(seed)
         self.view, self.gossip = View(me, self.timers, seeds), Gossip()
@@ -60,10 +60,10 @@
         self.receivers = {
             Ping: self.checks.pinged,
             Ack: self.checks.acked,
-            PingFor: self.checks.asked_to_check,
+            IndirectPing: self.checks.asked_to_check,
             Welcome: self.joins.welcomed,
             Pull: self.anti_entropy.pulled_from,
-            Page: self.anti_entropy.paged,
+            MemberPage: self.anti_entropy.paged,
         }
 
     # What the host and other logic use
@@ -72,9 +72,9 @@
         """Take notes in at `now`, do what is due, give the orders."""
         self.timers.run_due(now)
         for note in notes:
-            if isinstance(note, Heard):
+            if isinstance(note, MessageReceived):
                 self.heard(note)
-            elif isinstance(note, Depart) and not self.leaving:
+            elif isinstance(note, LeaveRequested) and not self.leaving:
                 self.leaves.depart()
         return self.timers.take_commands()
 
@@ -98,7 +98,7 @@
 
     def reach(self, token, message):
         """Send a message of another logic to a member that counts as alive."""
-        if (news := self.table.get(token)) and news.state <= State.SUSPECT:
+        if (news := self.table.get(token)) and news.state <= MemberState.SUSPECT:
             self.send(news, message)
 
     @property
@@ -124,7 +124,7 @@
     # Sending
 
     def send(self, news, message):
-        self.timers.emit(Send(news.host, news.port, news.door, message))
+        self.timers.emit(SendMessage(news.host, news.port, news.door, message))
 
     def ping(self, news, sequence):
         """A check, or with 0 a message that asks for no answer to one; news goes with it."""
@@ -158,7 +158,7 @@
 
     def put(self, news):
         """Write news into the view, pass it on."""
-        if news.state != State.SUSPECT:
+        if news.state != MemberState.SUSPECT:
             self.suspicions.clear(news.token)
         self.view.put(news)
         self.pass_on(news)
@@ -175,19 +175,19 @@
             return self.about_me(news)
         old = self.table.get(news.token)
         if old is None:
-            if news.state <= State.SUSPECT:
-                self.put(news._replace(state=State.ALIVE))
-                if news.state == State.SUSPECT:
+            if news.state <= MemberState.SUSPECT:
+                self.put(news._replace(state=MemberState.ALIVE))
+                if news.state == MemberState.SUSPECT:
                     self.suspicions.suspect(news, news.by)
             return
         if news.incarnation < old.incarnation:
             return
-        if news.state == State.SUSPECT:
+        if news.state == MemberState.SUSPECT:
             if news.incarnation > old.incarnation:
-                self.put(news._replace(state=State.ALIVE))
-            if self.table[news.token].state <= State.SUSPECT:
+                self.put(news._replace(state=MemberState.ALIVE))
+            if self.table[news.token].state <= MemberState.SUSPECT:
                 self.suspicions.suspect(news, news.by)
-        elif news.state == State.ALIVE:
+        elif news.state == MemberState.ALIVE:
             if news.incarnation > old.incarnation:
                 self.put(news)
         elif news.state > old.state or news.incarnation > old.incarnation:
@@ -197,11 +197,11 @@
         """Refute what is said of this life; see whether another goes on under this identity."""
         if self.leaving:
             return
-        if news.birth != self.me.birth and news.incarnation >> REFUTALS >= self.me.life:
+        if news.birth != self.me.birth and news.incarnation >> REFUTATION_BITS >= self.me.life:
             if news.life > self.me.life or news.birth < self.me.birth:
                 self.give_way(news, REPLACED)
             return
-        if news.state != State.ALIVE and news.incarnation >= self.me.incarnation:
+        if news.state != MemberState.ALIVE and news.incarnation >= self.me.incarnation:
             self.counts["refuted"] += 1
             self.checks.miss()
             self.view.renew(news.incarnation + 1)
@@ -217,7 +217,7 @@
         if other not in (None, sender.token) and self.is_live(other):
             old = self.table[other]
             if (old.host, old.port) == (sender.host, sender.port):
-                self.put(old._replace(state=State.DEAD, by=self.me.token))
+                self.put(old._replace(state=MemberState.DEAD, by=self.me.token))
 
     # Messages
 
@@ -241,11 +241,11 @@
             return
         if sender.name == me.name and (sender.birth, sender.token) < (me.birth, me.token):
             return self.give_way(sender, DOUBLED)  # it has just spoken: it is alive
-        self.apply(sender._replace(state=State.ALIVE, by=0))
+        self.apply(sender._replace(state=MemberState.ALIVE, by=0))
         if self.view.names.get(sender.name) != sender.token:
             self.speaks_for(sender)
         receive = self.receivers.get(type(note.message))
         if receive is not None:
             receive(sender, note.message)
         else:
-            self.timers.emit(Passed(sender, note.message))
+            self.timers.emit(MessageRelayed(sender, note.message))
--- a/limepath/membership/suspicion.py
+++ b/limepath/membership/suspicion.py
@@ -8,7 +8,7 @@
 from math import log
 
 from limepath.membership.bounds import LONGEST_SUSPICION, shortest, spread
-from limepath.membership.interface import Say, State
+from limepath.membership.interface import LogEvent, MemberState
 
 CONFIRMED = 3  # others that suspect the same, at which the shortest suspicion holds
 
@@ -36,10 +36,10 @@
         if doubt is None or doubt.incarnation < news.incarnation:
             doubt = self.open[news.token] = Suspicion(news.incarnation, self.timers.now, by)
             self.members.counts["suspected"] += by == mine
-            self.members.put(news._replace(state=State.SUSPECT, by=by))
+            self.members.put(news._replace(state=MemberState.SUSPECT, by=by))
         elif by not in doubt.by and (len(doubt.by) <= CONFIRMED or by == mine):
             doubt.by.add(by)
-            self.members.pass_on(news._replace(state=State.SUSPECT, by=by))
+            self.members.pass_on(news._replace(state=MemberState.SUSPECT, by=by))
         else:
             return
         at = max(self.timers.now, self.deadline(doubt))
@@ -74,9 +74,11 @@
         news = self.view.table[token]
         self.members.counts["declared"] += 1
         self.timers.emit(
-            Say("peer-dead", {"peer": news.name, "incarnation": incarnation, "suspected_by": len(doubt.by)})
+            LogEvent(
+                "peer-dead", {"peer": news.name, "incarnation": incarnation, "suspected_by": len(doubt.by)}
+            )
         )
-        self.members.put(news._replace(state=State.DEAD, by=self.view.me.token))
+        self.members.put(news._replace(state=MemberState.DEAD, by=self.view.me.token))
 
     def current(self, token, incarnation):
         """The suspicion that is still open of it at that incarnation, or None."""
--- a/limepath/membership/view.py
+++ b/limepath/membership/view.py
@@ -3,7 +3,7 @@
 from bisect import bisect_left, insort
 
 from limepath.membership.digests import Digests
-from limepath.membership.interface import Joined, Parted, State
+from limepath.membership.interface import MemberJoined, MemberLeft, MemberState
 
 MOST_BURIED = 4096  # dead and left that are remembered at most
 
@@ -26,12 +26,17 @@
 
     def is_live(self, token):
         """Whether it counts as alive, suspected or not; this instance does."""
-        return token == self.me.token or token in self.table and self.table[token].state <= State.SUSPECT
+        return (
+            token == self.me.token or token in self.table and self.table[token].state <= MemberState.SUSPECT
+        )
 
     def put(self, news):
         """Write news of another into the table and tell how the living changed by it."""
         token, old = news.token, self.table.get(news.token)
-        was, now_live = old is not None and old.state <= State.SUSPECT, news.state <= State.SUSPECT
+        was, now_live = (
+            old is not None and old.state <= MemberState.SUSPECT,
+            news.state <= MemberState.SUSPECT,
+        )
         self.table[token] = news
         if was:
             self.digests.toggle(old)
@@ -43,10 +48,10 @@
             self.joined(news)
         elif was and not now_live:
             del self.ring[bisect_left(self.ring, token)]
-            self.timers.emit(Parted(news))
+            self.timers.emit(MemberLeft(news))
         elif was and old.life != news.life:  # it started anew before we missed it
-            self.timers.emit(Parted(old))
-            self.timers.emit(Joined(news))
+            self.timers.emit(MemberLeft(old))
+            self.timers.emit(MemberJoined(news))
         if not now_live:
             self.buried[token] = news
             self.buried_since.setdefault(token, self.timers.now)
@@ -55,7 +60,7 @@
         insort(self.ring, news.token)
         self.buried.pop(news.token, None)
         self.buried_since.pop(news.token, None)
-        self.timers.emit(Joined(news))
+        self.timers.emit(MemberJoined(news))
 
     def count_at_seed(self, news, change):
         address = news.host, news.port
--- a/limepath/scale/capacity_hours.py
+++ b/limepath/scale/capacity_hours.py
@@ -2,10 +2,9 @@
 
 from math import ceil, log, log2
 
+from limepath.configuration.sharing_settings import DiscoverySettings, MembershipTimeouts
 from limepath.discovery.bounds import bounds
-from limepath.discovery.interface import Terms
 from limepath.membership import gossip, members
-from limepath.membership.interface import Spans
 from limepath.scale.capacity_lines import Hour, Kind, Lines
 from limepath.scale.capacity_roles import BY_CODE, RELAYS, STREAMS
 from limepath.scale.capacity_size import BUDGET, SIZE
@@ -46,7 +45,7 @@
     what = "membership sent, worst front in its worst second"
     lines.add(Kind.MESSAGES, what, worst, "suspicions and news, membership/members.py", BUDGET.bytes)
     run = together(SIZE.zone_fronts)
-    until = members.detection(Spans(), SIZE.fronts, run) / 1e6
+    until = members.detection(MembershipTimeouts(), SIZE.fronts, run) / 1e6
     found = assumed(
         until, "s", f"computed by membership/members.py; {run} neighbours on the ring lost together"
     )
@@ -72,7 +71,7 @@
     """What the list costs when a region comes back, or the service does."""
     relay, service = Lines(RELAY, Hour.REGION_BACK), Lines(SERVICE, Hour.REGION_BACK)
     packed, text = figures.fact("listing", "packed purges"), figures.at("listing", "text", SIZE.caches)
-    fan_out = getattr(Terms(), "fan_out", None)  # where the list goes in trees
+    fan_out = getattr(DiscoverySettings(), "fan_out", None)  # where the list goes in trees
     followers = 2 * fan_out if fan_out else SIZE.zone_fronts // RELAYS
     if packed.value is not None:
         packed = packed.times(followers / 1e3, "MB", f"{followers} followers of one front ask for all of it")
@@ -80,7 +79,7 @@
         text = text.times(STREAMS / 1e3, "MB", f"{STREAMS} streams at once")
     relay.add(Kind.MESSAGES, "whole lists sent, where events kept are outrun", packed, "discovery/")
     service.add(Kind.MESSAGES, "whole lists told anew", text, "the service is not ours")
-    promised = bounds(Terms(fronts=SIZE.fronts), SIZE.fronts, SIZE.zones)
+    promised = bounds(DiscoverySettings(fronts=SIZE.fronts), SIZE.fronts, SIZE.zones)
     for what, value in (
         ("until every front has the list", promised.ready),
         ("until a front that hears of nobody has it", promised.alone),
--- a/limepath/scale/capacity_roles.py
+++ b/limepath/scale/capacity_roles.py
@@ -1,13 +1,13 @@
 """The capacity of all roles beside a plain front's, in a calm hour. Free of I/O."""
 
 from limepath.configuration.process_limits import Limits
+from limepath.configuration.sharing_settings import DiscoverySettings
 from limepath.discovery.bounds import bounds
-from limepath.discovery.interface import Terms
 from limepath.scale.capacity_lines import Kind, Lines
 from limepath.scale.capacity_size import BUDGET, SIZE
 from limepath.scale.estimates import assumed, missing, total
 
-RELAYS = Terms().relays
+RELAYS = DiscoverySettings().relays
 STREAMS = RELAYS * SIZE.zones
 INTERVAL = 5.0  # seconds between checks of a target: the shipped default
 SLOTS, RENEWAL = 32, 0.75  # of a duty with one owner; seconds between renewals (a quarter of 3 s)
@@ -67,7 +67,7 @@
     event = figures.fact("listing", "event")
     if event.value is not None:
         event = event.times(SIZE.purges * STREAMS / 1e3, "KB/s", f"{STREAMS} streams")
-    promised = bounds(Terms(fronts=SIZE.fronts), SIZE.fronts, SIZE.zones)
+    promised = bounds(DiscoverySettings(fronts=SIZE.fronts), SIZE.fronts, SIZE.zones)
     streams = assumed(float(STREAMS), "streams", f"{RELAYS} relays a zone")
     lines.add(Kind.STATE, "streams held", streams, "discovery/")
     lines.add(Kind.MESSAGES, "purges told, text alone", event, "the service is not ours")
--- a/limepath/scale/hollow.py
+++ b/limepath/scale/hollow.py
@@ -10,12 +10,12 @@
 from hashlib import blake2b
 
 from limepath.configuration import peers_file, platform
-from limepath.configuration.ini import BadSetting
+from limepath.configuration.ini import SettingError
 from limepath.discovery.host import guided
 from limepath.discovery.interface import Events
 from limepath.duties.host import Cooperation, clock
 from limepath.interface.commands import ReportRequestCounts
-from limepath.membership.host import Unopened
+from limepath.membership.host import StartError
 from limepath.scale.accounting import Account
 from limepath.scale.arrivals import Arrivals
 from limepath.scale.control import FrontReport, Subsystem
@@ -48,7 +48,7 @@
             self.caches = HollowCaches(self.reactor.callLater, self.turn, opening.limits)
             self.turn.joined(self.caches)
             self.cooperation = Cooperation(self.reactor, self.turn, self.caches, log, shared, opening)
-        except (BadSetting, platform.BadConfiguration, Unopened) as flaw:
+        except (SettingError, platform.ConfigurationError, StartError) as flaw:
             raise NotDone(f"{config.name}: {flaw}") from None
         self.changes = guided(
             self.reactor,
@@ -152,7 +152,7 @@
         """What SIGHUP does: the list service's address and the keys are taken anew."""
         try:
             (host, port), differing = platform.read_again(environment(self.config), self.opening)
-        except platform.BadConfiguration as flaw:
+        except platform.ConfigurationError as flaw:
             raise NotDone(f"{self.config.name}: {flaw}; the running values stay") from None
         for key in differing:
             self.log.say("reload", "differs; it changes at a restart only", key=key)
@@ -190,7 +190,7 @@
     """(PeersOpening, Opening) of a FrontConfig; BadSetting or BadConfiguration."""
     shared = peers_file.read(config.peers)
     if not shared.listing:
-        raise BadSetting(f"{config.peers}: [listing]: missing; a hollow front takes the list from others")
+        raise SettingError(f"{config.peers}: [listing]: missing; a hollow front takes the list from others")
     return shared, platform.read(environment(config))
 
 
--- a/limepath/scale/hollow_process.py
+++ b/limepath/scale/hollow_process.py
@@ -18,8 +18,8 @@
 from twisted.logger import globalLogBeginner
 
 from limepath.configuration.addresses import address_of
-from limepath.configuration.ini import BadSetting
-from limepath.configuration.platform import BadConfiguration
+from limepath.configuration.ini import SettingError
+from limepath.configuration.platform import ConfigurationError
 from limepath.discovery.state import List
 from limepath.scale import control
 from limepath.scale.accounting import Meter
@@ -65,7 +65,7 @@
     for front in config.fronts:
         try:
             settings_of(front)
-        except (BadSetting, BadConfiguration) as flaw:
+        except (SettingError, ConfigurationError) as flaw:
             raise BadConfig(f"{front.name}: {flaw}") from None
     return config, region_of
 
--- a/limepath/scale/roles_console.py
+++ b/limepath/scale/roles_console.py
@@ -3,9 +3,8 @@
 import json
 from functools import partial
 
+from limepath.configuration.sharing_settings import DutyMode, DutySettings, LeaseSettings, MembershipTimeouts
 from limepath.duties.instance import Instance
-from limepath.duties.interface import Leasing, Mode, Plan
-from limepath.membership.interface import Spans
 from limepath.scale.measured import Found, Series
 from limepath.scale.roles import least_cpu
 from limepath.scale.roles_view import SIZES, fleet
@@ -16,8 +15,8 @@
 def instance(size):
     """One instance that knows a whole fleet."""
     me, *others = fleet(size)
-    plan = Plan("probe", Mode.AT_LEAST_ONCE, INTERVAL)
-    one = Instance(me, (), Spans(), (plan,), Leasing(), 1)
+    plan = DutySettings("probe", DutyMode.AT_LEAST_ONCE, INTERVAL)
+    one = Instance(me, (), MembershipTimeouts(), (plan,), LeaseSettings(), 1)
     one.set_out(others)
     return one
 
--- a/limepath/scale/roles_membership.py
+++ b/limepath/scale/roles_membership.py
@@ -15,10 +15,9 @@
 import msgspec
 import psutil
 
-from limepath.duties.interface import Leasing, Mode, Plan
+from limepath.configuration.sharing_settings import DutyMode, DutySettings, LeaseSettings, MembershipTimeouts
 from limepath.duties.world import Node, World
 from limepath.membership.guard import HEAD, SEAL
-from limepath.membership.interface import Spans
 from limepath.scale.measured import Found, Series
 
 SECOND = 1_000_000
@@ -33,8 +32,8 @@
     """Counts what each instance sends and is sent, by whole virtual second."""
 
     def __init__(self, instances):
-        plan = Plan("probe", Mode.AT_LEAST_ONCE, 3600 * SECOND)
-        super().__init__(instances, 0, (plan,), Spans(), Leasing(), 1)
+        plan = DutySettings("probe", DutyMode.AT_LEAST_ONCE, 3600 * SECOND)
+        super().__init__(instances, 0, (plan,), MembershipTimeouts(), LeaseSettings(), 1)
         self.sent, self.received = {}, {}
         self.packing = msgspec.msgpack.Encoder()
 
--- a/limepath/scale/roles_relay.py
+++ b/limepath/scale/roles_relay.py
@@ -14,12 +14,12 @@
 from importlib.util import find_spec
 from typing import NamedTuple
 
+from limepath.configuration.sharing_settings import DiscoverySettings, MembershipTimeouts
 from limepath.discovery.interface import MESSAGES as LIST_MESSAGES
-from limepath.discovery.interface import Terms
 from limepath.discovery.simulate import World
 from limepath.duties.interface import MESSAGES as DUTY_MESSAGES
 from limepath.membership.guard import Guard, Key
-from limepath.membership.interface import MESSAGES, Spans
+from limepath.membership.interface import MESSAGES
 from limepath.scale.measured import Fact, Found, Series
 from limepath.scale.roles_listing import purge
 
@@ -84,7 +84,9 @@
     """One zone's fronts without sites, with their membership."""
 
     def __init__(self, fronts):
-        super().__init__(fronts, 1, 1, Terms(fronts=fronts), 0.0, False, CACHES, Spans())
+        super().__init__(
+            fronts, 1, 1, DiscoverySettings(fronts=fronts), 0.0, False, CACHES, MembershipTimeouts()
+        )
         types = (*MESSAGES, *LIST_MESSAGES, *DUTY_MESSAGES)
         secret = (Key(b"abcd", os.urandom(32)),)
         self.guards = [Guard(secret, types) for _ in self.nodes]
@@ -154,7 +156,7 @@
     """Events that a front keeps for those behind, and how: a count, or a span in seconds."""
     from limepath.discovery import relay, state
 
-    if span := getattr(Terms(), "window", None):
+    if span := getattr(DiscoverySettings(), "window", None):
         yield Fact("window", "span of events kept for those behind", "s", span / 1e6)
     elif kept := getattr(relay, "KEPT", None):
         yield Fact("events kept", "events kept for those behind", "events", kept)
--- a/limepath/scale/roles_view.py
+++ b/limepath/scale/roles_view.py
@@ -14,8 +14,16 @@
 
 import msgspec
 
+from limepath.configuration.sharing_settings import MembershipTimeouts
 from limepath.membership.guard import Guard, Key
-from limepath.membership.interface import REFUTALS, Ack, Heard, News, Ping, Send, Spans
+from limepath.membership.interface import (
+    REFUTATION_BITS,
+    Ack,
+    MemberRecord,
+    MessageReceived,
+    Ping,
+    SendMessage,
+)
 from limepath.membership.members import Members
 from limepath.scale.measured import Found, Series
 from limepath.scale.roles import profile_facts
@@ -31,10 +39,17 @@
     """News of so many instances, each as it was read from a datagram, so that no two share an object."""
     chance = Random(1)
     told = [
-        News(chance.getrandbits(63), f"front-{at}", f"10.{at >> 8}.{at & 255}.7", 7946, 1 << REFUTALS, at)
+        MemberRecord(
+            chance.getrandbits(63),
+            f"front-{at}",
+            f"10.{at >> 8}.{at & 255}.7",
+            7946,
+            1 << REFUTATION_BITS,
+            at,
+        )
         for at in range(size)
     ]
-    one = msgspec.msgpack.Decoder(News)
+    one = msgspec.msgpack.Decoder(MemberRecord)
     return [one.decode(msgspec.msgpack.encode(news)) for news in told]
 
 
@@ -43,7 +58,7 @@
 
     def __init__(self, news):
         self.me, *self.others = news
-        self.members = Members(self.me, [("10.0.0.1", 7946)], Spans(), 1)
+        self.members = Members(self.me, [("10.0.0.1", 7946)], MembershipTimeouts(), 1)
         key = (Key(b"abcd", os.urandom(32)),)
         self.guard, self.others_guard, self.spent, self.now = Guard(key), Guard(key), 0, 0
         self.by_address = {(one.host, one.port): one for one in self.others}
@@ -58,13 +73,13 @@
         """A datagram from another: opened, taken in, what follows sealed; then answered in turn."""
         sealed = self.others_guard.seal(sender, self.me.door, message)
         began = time.thread_time_ns()
-        heard = Heard(*self.guard.open(sealed))
+        heard = MessageReceived(*self.guard.open(sealed))
         orders = self.carried(self.members.handle(self.now, (heard,)))
         self.spent += time.thread_time_ns() - began
         self.answer(orders)
 
     def carried(self, orders):
-        sent = [order for order in orders if isinstance(order, Send)]
+        sent = [order for order in orders if isinstance(order, SendMessage)]
         for order in sent:
             self.guard.seal(self.me, order.to, order.message)
         return sent
--- a/limepath/scale/roles_voter.py
+++ b/limepath/scale/roles_voter.py
@@ -3,11 +3,12 @@
 import os
 from functools import partial
 
+from limepath.configuration.sharing_settings import LeaseSettings
 from limepath.duties.interface import MESSAGES as DUTY_MESSAGES
-from limepath.duties.interface import Claim, Leasing
+from limepath.duties.interface import LeaseRequest
 from limepath.duties.leases import Voter
 from limepath.membership.guard import Guard, Key
-from limepath.membership.interface import MESSAGES, REFUTALS, News
+from limepath.membership.interface import MESSAGES, REFUTATION_BITS, MemberRecord
 from limepath.scale.measured import Found, Series
 from limepath.scale.roles import least_cpu
 from limepath.timer_queue import TimerQueue
@@ -23,10 +24,10 @@
     def __init__(self, slots):
         types, key = (*MESSAGES, *DUTY_MESSAGES), (Key(b"abcd", os.urandom(32)),)
         self.mine, self.theirs = Guard(key, types), Guard(key, types)
-        self.voter = Voter(TimerQueue(1), Leasing(), (), 0, True)
+        self.voter = Voter(TimerQueue(1), LeaseSettings(), (), 0, True)
         self.voter.mute_until = 0
-        self.news = News(7, HOLDER, "127.0.0.1", 7946, 1 << REFUTALS, 1)
-        self.claim, self.granted = Claim(0, 1, tuple((slot, 1) for slot in range(slots))), 0
+        self.news = MemberRecord(7, HOLDER, "127.0.0.1", 7946, 1 << REFUTATION_BITS, 1)
+        self.claim, self.granted = LeaseRequest(0, 1, tuple((slot, 1) for slot in range(slots))), 0
         self.run(WARM)
 
     def run(self, count=CLAIMS):
--- a/limepath/store.py
+++ b/limepath/store.py
@@ -13,11 +13,11 @@
 NEW, GOOD, DAMAGED = "new", "good", "damaged"
 
 
-class Held(Exception):
+class StoreLockedError(Exception):
     """Another process has this store open."""
 
 
-class Unusable(Exception):
+class StoreUnusableError(Exception):
     """The store cannot be made at this path; the text says why."""
 
 
@@ -39,9 +39,9 @@
                 self.verify()
         except (sqlite3.DatabaseError, ValueError) as error:
             if "locked" in str(error):
-                raise Held(f"{path}: held by another process") from None
+                raise StoreLockedError(f"{path}: held by another process") from None
             if "unable to open" in str(error) or not existed:
-                raise Unusable(f"{path}: {error}") from None
+                raise StoreUnusableError(f"{path}: {error}") from None
             self.put_aside()
 
     def opened(self):
@@ -87,7 +87,7 @@
         try:
             self.base, self.found = self.opened(), DAMAGED
         except sqlite3.DatabaseError as error:
-            raise Unusable(f"{self.path}: {error}") from None
+            raise StoreUnusableError(f"{self.path}: {error}") from None
 
     def put(self, rows):
         """Write all these rows or none; they are on the disk when this returns."""
--- a/limepath/testbed/coldstart.py
+++ b/limepath/testbed/coldstart.py
@@ -21,12 +21,12 @@
 from twisted.internet.protocol import Factory, Protocol
 from twisted.internet.task import LoopingCall
 
+from limepath.configuration.sharing_settings import DiscoverySettings
 from limepath.connection_pacing.connections import rush
 from limepath.discovery.bounds import bounds, tree_bounds
-from limepath.discovery.interface import Terms
 from limepath.discovery.simulate import most_in
 from limepath.discovery.state import List
-from limepath.membership.control import Unanswered, ask
+from limepath.membership.control import NoAnswerError, ask
 from limepath.report_table import Row, at_most, seconds
 from limepath.testbed.duties import SETTINGS
 from limepath.testbed.faults import Fault as Way
@@ -127,7 +127,7 @@
     def shown(self):
         try:
             return ask(self.path("peers.sock"), "listing", 2)
-        except Unanswered:
+        except NoAnswerError:
             return None
 
     def said_at(self, event):
@@ -174,7 +174,9 @@
             down,
         )
         self.chance, self.sites = Random(seed), sites
-        self.terms = Terms(fronts=fronts, ready=float(READY), site="any" if sites else "", fan_out=FAN_OUT)
+        self.terms = DiscoverySettings(
+            fronts=fronts, ready=float(READY), site="any" if sites else "", fan_out=FAN_OUT
+        )
         self.zero = time.monotonic_ns() // 1000
         self.listens, self.fronts = (
             free_ports(socket.SOCK_DGRAM, fronts),
--- a/limepath/testbed/duties.py
+++ b/limepath/testbed/duties.py
@@ -18,11 +18,10 @@
 
 from twisted.internet.defer import Deferred, inlineCallbacks
 
+from limepath.configuration.sharing_settings import DutyMode, DutySettings, LeaseSettings, MembershipTimeouts
 from limepath.duties.bounds import bounds
-from limepath.duties.interface import Leasing, Mode, Plan
 from limepath.duties.simulate import Fault, findings
-from limepath.membership.control import Unanswered, ask
-from limepath.membership.interface import Spans
+from limepath.membership.control import NoAnswerError, ask
 from limepath.report_table import Row
 from limepath.testbed.faults import Fault as Way
 from limepath.testbed.faults import Faults, Kind, both_ways
@@ -31,8 +30,8 @@
 from limepath.testbed.ways import Connections, Datagrams
 
 MS, SECOND = 1000, 1_000_000
-SPANS = Spans(period=250 * MS, direct=80 * MS, indirect=3, suspicion=3)
-LEASING = Leasing(span=SECOND, drift=0.01, slots=16, batch=100 * MS)
+SPANS = MembershipTimeouts(period=250 * MS, direct=80 * MS, indirect=3, suspicion=3)
+LEASING = LeaseSettings(span=SECOND, drift=0.01, slots=16, batch=100 * MS)
 KINDS = (
     "kill",
     "stop",
@@ -91,7 +90,7 @@
             if seed != who or drill.count == 1
         ]
         spans, leasing, plan = SPANS, drill.leasing, drill.plan
-        mode = "one-owner" if plan.mode == Mode.ONE_OWNER else "at-least-once"
+        mode = "one-owner" if plan.mode == DutyMode.ONE_OWNER else "at-least-once"
         self.write_keys(drill.keys)
         self.replace(
             "peers.ini",
@@ -162,7 +161,7 @@
         )
         self.chance, self.spans = Random(seed), SPANS
         self.leasing = LEASING._replace(voters=tuple(f"n{who}" for who in range(min(instances, 5))))
-        self.leased = plan.mode == Mode.ONE_OWNER
+        self.leased = plan.mode == DutyMode.ONE_OWNER
         self.zero, self.wall_zero = time.monotonic_ns() // 1000, time.time_ns() // 1000
         self.listens, self.fronts = (
             free_ports(socket.SOCK_DGRAM, instances),
@@ -254,7 +253,7 @@
                 try:
                     if node.shown()["me"]["joined"] or not self.sharing or self.count == 1:
                         break
-                except Unanswered:
+                except NoAnswerError:
                     pass
                 yield self.pause(50 * MS)
 
@@ -402,7 +401,7 @@
         for node in self.nodes:
             try:
                 told = node.shown()
-            except Unanswered:
+            except NoAnswerError:
                 return False
             views.add(
                 tuple(sorted(row["token"] for row in told["members"] if row["state"] in ("alive", "suspect")))
@@ -444,7 +443,14 @@
     flaws = []
     with tempfile.TemporaryDirectory(prefix="limepath-drill-") as scratch:
         drill = Drill(
-            reactor, keep or scratch, instances, targets, Plan("probe", mode, interval), seed, sharing, loss
+            reactor,
+            keep or scratch,
+            instances,
+            targets,
+            DutySettings("probe", mode, interval),
+            seed,
+            sharing,
+            loss,
         )
         beat = LoopingCall(drill.changes.beat)
         beat.start(0.5)
--- a/limepath/tls/admission.py
+++ b/limepath/tls/admission.py
@@ -15,20 +15,9 @@
 
 from sortedcontainers import SortedList
 
+from limepath.configuration.tls_settings import HandshakePace, RetryDelays
 from limepath.timer_queue import TimerQueue
-from limepath.tls.interface import (
-    PASSING,
-    Begin,
-    Broken,
-    Pace,
-    Refuse,
-    RetryDelays,
-    Shaken,
-    Swapped,
-    Told,
-    Unwanted,
-    Want,
-)
+from limepath.tls.interface import PASSING, Begin, Broken, Refuse, Shaken, Swapped, Told, Unwanted, Want
 
 HEAD_START = 200_000  # microseconds for who can resume
 
@@ -73,7 +62,7 @@
 
 
 class Admission:
-    def __init__(self, seed, pace=Pace(), retry_delays=RetryDelays()):
+    def __init__(self, seed, pace=HandshakePace(), retry_delays=RetryDelays()):
         self.timers, self.pace, self.retry_delays = TimerQueue(seed), pace, retry_delays
         self.bucket, self.servers, self.wants, self.under_way = None, {}, {}, {}
         self.looks_at = None
--- a/tests/byte_records.py
+++ b/tests/byte_records.py
@@ -41,10 +41,12 @@
 UNIONS = (membership.MESSAGES, endpoints.MESSAGES, leases.MESSAGES, request_counts.MESSAGES)
 MESSAGE_TYPES = tuple(message_type for union in UNIONS for message_type in union)
 
-LIVES = {"incarnation": (5 << membership.REFUTALS) + 2, "birth": 1_796_000_000_000_001}
-SUSPICION = {"state": membership.State.SUSPECT, "by": TOKENS[1]}
-MEMBER = membership.News(token=TOKENS[0], name="front-1", host="192.0.2.1", port=7401, **LIVES, **SUSPICION)
-OTHER_MEMBER = membership.News(token=TOKENS[2], name="front-2", host="192.0.2.2", port=7402, **LIVES)
+LIVES = {"incarnation": (5 << membership.REFUTATION_BITS) + 2, "birth": 1_796_000_000_000_001}
+SUSPICION = {"state": membership.MemberState.SUSPECT, "by": TOKENS[1]}
+MEMBER = membership.MemberRecord(
+    token=TOKENS[0], name="front-1", host="192.0.2.1", port=7401, **LIVES, **SUSPICION
+)
+OTHER_MEMBER = membership.MemberRecord(token=TOKENS[2], name="front-2", host="192.0.2.2", port=7402, **LIVES)
 
 
 class CodedRecord(NamedTuple):
@@ -58,46 +60,58 @@
 
 # Messages
 PROBE_RESULTS = (
-    leases.Result(duty=77, target=78, prober=76, serial=79, age=80, verdict=81, took=82, load={"x": 0.5}),
-    leases.Result(duty=83, target=84, prober=TOKENS[1], serial=85, age=86, verdict=87, took=88),
+    leases.ProbeResult(
+        duty=77, target=78, prober=76, serial=79, age=80, verdict=81, took=82, load={"x": 0.5}
+    ),
+    leases.ProbeResult(duty=83, target=84, prober=TOKENS[1], serial=85, age=86, verdict=87, took=88),
 )
 CONFIRMED = {"generation": 28, "number": 29, "digest": (1 << 64) - 1, "age": -1, "reaches": 33, "stamp": 34}
-HEARTBEAT = endpoints.Beat(zone="zone-1", site="site-1", tries=31, followers=32, refused=True, **CONFIRMED)
+HEARTBEAT = endpoints.Heartbeat(
+    zone="zone-1", site="site-1", tries=31, followers=32, refused=True, **CONFIRMED
+)
 FULL_MESSAGES = {
     "membership/hello": membership.Hello(),
     "membership/welcome": membership.Welcome(news=(MEMBER, OTHER_MEMBER)),
     "membership/ping": membership.Ping(seq=11, news=(MEMBER,), digest=12),
     "membership/ack": membership.Ack(seq=14, news=(OTHER_MEMBER,), digest=15),
-    "membership/ping-request": membership.PingFor(seq=17, about=OTHER_MEMBER, news=(MEMBER,)),
+    "membership/ping-request": membership.IndirectPing(seq=17, about=OTHER_MEMBER, news=(MEMBER,)),
     "membership/pull": membership.Pull(after=19, buckets=(20, 1 << 63)),
-    "membership/page": membership.Page(news=(OTHER_MEMBER, MEMBER), last=True),
-    "endpoint-list/scope": endpoints.Where(zone="zone-1", asks=True, site="site-1"),
-    "endpoint-list/subscribe": endpoints.Follow(
+    "membership/page": membership.MemberPage(news=(OTHER_MEMBER, MEMBER), last=True),
+    "endpoint-list/scope": endpoints.ScopeAnnouncement(zone="zone-1", asks=True, site="site-1"),
+    "endpoint-list/subscribe": endpoints.Subscribe(
         zone="zone-1", generation=21, number=22, reads=2, site="site-1", lacks=True, stamp=23
     ),
     "endpoint-list/heartbeat": HEARTBEAT,
     "endpoint-list/event-texts": endpoints.Events(generation=38, first=39, texts=("one", "two"), age=41),
-    "endpoint-list/events": endpoints.Batch(
+    "endpoint-list/events": endpoints.EventBatch(
         generation=42, first=43, data=b"\xff", age=44, stamp=45, since=46
     ),
-    "endpoint-list/scopes-request": endpoints.AskScopes(zone="zone-1", site="site-1", digest=50, after=51),
-    "endpoint-list/scopes": endpoints.Scopes(
+    "endpoint-list/scopes-request": endpoints.ScopeQuery(zone="zone-1", site="site-1", digest=50, after=51),
+    "endpoint-list/scopes": endpoints.ScopeReport(
         zone="z", sites=("a", "b"), fronts=((1 << 62, 1), (9, 0)), last=False
     ),
-    "endpoint-list/chunk-request": endpoints.AskChunk(generation=53, number=54, mark=55, page=-1, chunk=57),
+    "endpoint-list/chunk-request": endpoints.PageChunkRequest(
+        generation=53, number=54, mark=55, page=-1, chunk=57
+    ),
     "endpoint-list/chunk": endpoints.PageChunk(
         generation=58, number=59, mark=60, page=61, chunk=62, count=63, data=b"\x00chunk\xff"
     ),
-    "endpoint-list/part-request": endpoints.AskPiece(generation=68, number=-1, piece=69),
-    "endpoint-list/part": endpoints.Piece(generation=70, number=71, piece=72, of=73, mark=b"mark", data=b"p"),
-    "probe/results": leases.Results(results=PROBE_RESULTS),
-    "lease/request": leases.Claim(duty=89, round=90, slots=((91, 92), (93, 94))),
-    "lease/vote": leases.Vote(duty=95, round=96, granted=(97, 98), denied=((99, 100, 101), (102, 103, 104))),
-    "lease/release": leases.Release(duty=108, slots=((109, 110),)),
-    "lease/epochs-request": leases.AskEpochs(round=111),
-    "lease/epochs": leases.Epochs(round=112, ceiling=113, sure=True),
-    "request-counts/request": request_counts.AskTally(),
-    "request-counts/counts": request_counts.Tally(age=114, counts=((115, 116, 117.5),), at=121, of=122),
+    "endpoint-list/part-request": endpoints.SnapshotChunkRequest(generation=68, number=-1, piece=69),
+    "endpoint-list/part": endpoints.SnapshotChunk(
+        generation=70, number=71, piece=72, of=73, mark=b"mark", data=b"p"
+    ),
+    "probe/results": leases.ProbeResults(results=PROBE_RESULTS),
+    "lease/request": leases.LeaseRequest(duty=89, round=90, slots=((91, 92), (93, 94))),
+    "lease/vote": leases.LeaseGrant(
+        duty=95, round=96, granted=(97, 98), denied=((99, 100, 101), (102, 103, 104))
+    ),
+    "lease/release": leases.LeaseRelease(duty=108, slots=((109, 110),)),
+    "lease/epochs-request": leases.EpochQuery(round=111),
+    "lease/epochs": leases.EpochReport(round=112, ceiling=113, sure=True),
+    "request-counts/request": request_counts.RequestCountsQuery(),
+    "request-counts/counts": request_counts.RequestCounts(
+        age=114, counts=((115, 116, 117.5),), at=121, of=122
+    ),
 }
 
 
@@ -162,7 +176,7 @@
 ENCODED_EVENTS = [coding.encode(*one) for one in EVENTS]
 PURGES = ((OBJECT_PURGE, 8_000_000), (BUCKET_PURGE, 9_000_000), (LATE_PURGE, 2_000_000))
 CONTENTS = pages.Contents(
-    place=endpoints.Place(generation=3, number=1201),
+    place=endpoints.Revision(generation=3, number=1201),
     revision=-7,
     members={f"cache-{number}": endpoint(number) for number in range(1, 41)},
     purges=tuple(KeptPurge(one.told["seq"], age, coding.encode(*one)) for one, age in PURGES),
@@ -175,7 +189,7 @@
     held.take({"seq": 1000, "fleet": {"revision": 8, "complete": True, "members": members}})
     held.take(OBJECT_PURGE.told, now=2_000_000, age=1_000_000)
     held.take(BUCKET_PURGE.told, now=4_000_000, age=0)
-    held.place = endpoints.Place(generation=2, number=1002)
+    held.place = endpoints.Revision(generation=2, number=1002)
     return held
 
 
@@ -226,7 +240,7 @@
     SAVED_LIST: list_record(full_list()),
     "saved-list/empty": list_record(state.List()),
     "page-index/full": index_record(CONTENTS),
-    "page-index/empty": index_record(pages.Contents(endpoints.Place(), 0, {}, ())),
+    "page-index/empty": index_record(pages.Contents(endpoints.Revision(), 0, {}, ())),
     "page/members-1": page_record(0),
     "page/members-2": page_record(1),
     "page/purges-1": page_record(2),
@@ -268,7 +282,7 @@
     view = Digests()
     for news in (MEMBER, OTHER_MEMBER):
         view.toggle(news)
-    ring, states, reads = Ring.of(TOKENS), membership.State, endpoints.Reads
+    ring, states, reads = Ring.of(TOKENS), membership.MemberState, endpoints.SubscriptionMode
     return {
         "membership/view": view.whole,
         "membership/view-buckets": view.buckets,
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -10,21 +10,19 @@
 
 import pytest
 
+from limepath.configuration.sharing_settings import DutyMode, DutySettings, LeaseSettings, MembershipTimeouts
 from limepath.duties import simulate
 from limepath.duties.bounds import bounds, doubles
 from limepath.duties.check import explored
 from limepath.duties.interface import (
-    Claim,
-    Epochs,
-    Keep,
-    Leasing,
-    Mode,
-    Plan,
-    Reach,
-    Release,
-    Result,
-    Serve,
-    Shared,
+    EpochReport,
+    LeaseRelease,
+    LeaseRequest,
+    PersistEpochCeiling,
+    ProbeResult,
+    ResultShared,
+    SendToMember,
+    ServeTarget,
 )
 from limepath.duties.learnt import CARRIED, IN_FLIGHT, Learnt
 from limepath.duties.leases import Leases, Voter, held_for, silence
@@ -33,14 +31,13 @@
 from limepath.duties.world import World
 from limepath.interface.commands import ForwardRequest, SendProbe
 from limepath.interface.events import AttemptOutcome, ProbeEnded
-from limepath.membership.interface import Spans
 from limepath.report_table import hold
 from limepath.timer_queue import TimerQueue
 from tests.fake_host import FakeHost
 
 SECOND = 1_000_000
-LEASING = Leasing(("a", "b", "c"), 3 * SECOND, 0.01, 4)
-MODES = (Mode.AT_LEAST_ONCE, Mode.ONE_OWNER)
+LEASING = LeaseSettings(("a", "b", "c"), 3 * SECOND, 0.01, 4)
+MODES = (DutyMode.AT_LEAST_ONCE, DutyMode.ONE_OWNER)
 
 
 def broken(found):
@@ -80,7 +77,7 @@
 
 
 def test_200_targets_replaced_within_seconds_are_served_and_the_gone_are_not():
-    plan, spans = Plan("probe", Mode.AT_LEAST_ONCE, 5 * SECOND), Spans()
+    plan, spans = DutySettings("probe", DutyMode.AT_LEAST_ONCE, 5 * SECOND), MembershipTimeouts()
     world = World(4, 200, (plan,), spans, LEASING._replace(voters=("n0", "n1", "n2")), 3)
     faults = [Fault(at * SECOND, "targets", (0,), 0) for at in (11, 12, 13, 14, 15)]
     day = Day(world, faults, 40 * SECOND)
@@ -93,7 +90,7 @@
 
 def test_the_same_seed_tells_the_same_day():
     one, again, other = (
-        simulated(3, 10, Mode.ONE_OWNER, length=50 * SECOND, seed=seed, loss=0.1, kinds=("kill",))
+        simulated(3, 10, DutyMode.ONE_OWNER, length=50 * SECOND, seed=seed, loss=0.1, kinds=("kill",))
         for seed in (4, 4, 5)
     )
     assert one.rows == again.rows and one.faults == again.faults
@@ -101,15 +98,15 @@
 
 
 def test_the_owner_may_die_before_during_and_after_its_round():
-    plan = Plan("probe", Mode.ONE_OWNER, 5 * SECOND)
+    plan = DutySettings("probe", DutyMode.ONE_OWNER, 5 * SECOND)
     leasing = LEASING._replace(voters=("n0", "n1", "n2"))
-    bound = bounds(Spans(), plan, leasing, 3).gap
-    quiet = World(3, 6, (plan,), Spans(), leasing, 9)
+    bound = bounds(MembershipTimeouts(), plan, leasing, 3).gap
+    quiet = World(3, 6, (plan,), MembershipTimeouts(), leasing, 9)
     quiet.open(True)
     quiet.run(30 * SECOND)
     at, who = quiet.serves[0, 1][2]
     for dies in (at - 1, at, at + 400, at + 900):  # the answer comes 800 us after the round began
-        world = World(3, 6, (plan,), Spans(), leasing, 9)
+        world = World(3, 6, (plan,), MembershipTimeouts(), leasing, 9)
         world.open(True)
         world.at(dies, world.nodes[who].stop)
         world.run(at + 60 * SECOND)
@@ -119,8 +116,8 @@
 
 
 def test_one_that_wakes_up_after_its_lease_does_not_go_on():
-    plan = Plan("probe", Mode.ONE_OWNER, 2 * SECOND)
-    world = World(3, 30, (plan,), Spans(), LEASING._replace(voters=("n0", "n1", "n2")), 2)
+    plan = DutySettings("probe", DutyMode.ONE_OWNER, 2 * SECOND)
+    world = World(3, 30, (plan,), MembershipTimeouts(), LEASING._replace(voters=("n0", "n1", "n2")), 2)
     world.open(True)
     world.run(12 * SECOND)
     node = world.nodes[0]
@@ -136,8 +133,10 @@
 
 
 def test_a_minority_stops_and_a_majority_goes_on():
-    plan = Plan("probe", Mode.ONE_OWNER, 2 * SECOND)
-    world = World(5, 30, (plan,), Spans(), LEASING._replace(voters=tuple(f"n{i}" for i in range(5))), 6)
+    plan = DutySettings("probe", DutyMode.ONE_OWNER, 2 * SECOND)
+    world = World(
+        5, 30, (plan,), MembershipTimeouts(), LEASING._replace(voters=tuple(f"n{i}" for i in range(5))), 6
+    )
     world.open(True)
     world.run(12 * SECOND)
     few = frozenset({0, 1})
@@ -148,12 +147,17 @@
 
 
 def test_bounds_grow_with_what_they_are_made_of():
-    plan = Plan("probe", Mode.AT_LEAST_ONCE, 5 * SECOND)
-    plain, slow = bounds(Spans(), plan, LEASING, 5), bounds(Spans(suspicion=8), plan, LEASING, 5)
-    assert slow.gap > plain.gap and bounds(Spans(), plan, LEASING, 500).gap > plain.gap
-    assert bounds(Spans(), plan, LEASING, 5, 3).gap > plain.gap
-    leased = plan._replace(mode=Mode.ONE_OWNER)
-    short, long = (bounds(Spans(), leased, LEASING._replace(span=span * SECOND), 5) for span in (3, 60))
+    plan = DutySettings("probe", DutyMode.AT_LEAST_ONCE, 5 * SECOND)
+    plain, slow = (
+        bounds(MembershipTimeouts(), plan, LEASING, 5),
+        bounds(MembershipTimeouts(suspicion=8), plan, LEASING, 5),
+    )
+    assert slow.gap > plain.gap and bounds(MembershipTimeouts(), plan, LEASING, 500).gap > plain.gap
+    assert bounds(MembershipTimeouts(), plan, LEASING, 5, 3).gap > plain.gap
+    leased = plan._replace(mode=DutyMode.ONE_OWNER)
+    short, long = (
+        bounds(MembershipTimeouts(), leased, LEASING._replace(span=span * SECOND), 5) for span in (3, 60)
+    )
     assert long.gap - short.gap >= 25 * SECOND and long.restart - long.gap == silence(
         LEASING._replace(span=60 * SECOND)
     )
@@ -260,12 +264,12 @@
     timers = TimerQueue(1)
     voter = Voter(timers, LEASING, ("b", "c"), 500, True)
     voter.mute_until = 0
-    low = voter.claimed(1, Claim(0, 1, ((0, 500),)))
+    low = voter.claimed(1, LeaseRequest(0, 1, ((0, 500),)))
     assert low.denied == ((0, 500, 0),) and not timers.take_commands()
-    assert voter.claimed(1, Claim(0, 1, ((0, 501),))).granted == (0,)
+    assert voter.claimed(1, LeaseRequest(0, 1, ((0, 501),))).granted == (0,)
     (keep,) = timers.take_commands()
-    assert isinstance(keep, Keep) and keep.ceiling > 501
-    assert voter.claimed(1, Claim(0, 2, ((1, 502),))).granted == (1,) and not timers.take_commands()
+    assert isinstance(keep, PersistEpochCeiling) and keep.ceiling > 501
+    assert voter.claimed(1, LeaseRequest(0, 2, ((1, 502),))).granted == (1,) and not timers.take_commands()
 
 
 def test_a_voter_that_lost_its_store_asks_so_many_that_every_majority_is_among_them():
@@ -273,15 +277,15 @@
     voter = Voter(timers, LEASING._replace(voters=tuple("abcde")), tuple("bcde"), 0, False)
     voter.begin(lambda name, message: asked.append(name))
     assert asked == list("bcde") and not voter.votes()
-    voter.answered("b", Epochs(1, 7000, True))
-    voter.answered("x", Epochs(1, 9999, True))
-    voter.answered("c", Epochs(1, 100, False))
-    voter.answered("d", Epochs(1, 100, True))
+    voter.answered("b", EpochReport(1, 7000, True))
+    voter.answered("x", EpochReport(1, 9999, True))
+    voter.answered("c", EpochReport(1, 100, False))
+    voter.answered("d", EpochReport(1, 100, True))
     assert not voter.sure
-    voter.answered("e", Epochs(1, 300, True))
+    voter.answered("e", EpochReport(1, 300, True))
     assert voter.sure and voter.floor == 7000
     timers.run_due(silence(LEASING) + 1)
-    assert voter.claimed(1, Claim(0, 1, ((0, 7000),))).denied == ((0, 7000, 0),)
+    assert voter.claimed(1, LeaseRequest(0, 1, ((0, 7000),))).denied == ((0, 7000, 0),)
 
 
 def test_a_new_fleet_begins_once_all_voters_have_told_that_they_know_nothing():
@@ -295,12 +299,12 @@
     timers = TimerQueue(1)
     voter = Voter(timers, LEASING, (), 0, True)
     voter.mute_until = 0
-    assert voter.claimed(1, Claim(0, 1, ((0, 1),))).granted
-    assert voter.claimed(2, Claim(0, 1, ((0, 2),))).denied[0][2] == LEASING.span
-    voter.released(2, Release(0, ((0, 1),)))  # not the holder's
-    assert not voter.claimed(2, Claim(0, 1, ((0, 2),))).granted
-    voter.released(1, Release(0, ((0, 1),)))
-    assert voter.claimed(2, Claim(0, 1, ((0, 2),))).granted
+    assert voter.claimed(1, LeaseRequest(0, 1, ((0, 1),))).granted
+    assert voter.claimed(2, LeaseRequest(0, 1, ((0, 2),))).denied[0][2] == LEASING.span
+    voter.released(2, LeaseRelease(0, ((0, 1),)))  # not the holder's
+    assert not voter.claimed(2, LeaseRequest(0, 1, ((0, 2),))).granted
+    voter.released(1, LeaseRelease(0, ((0, 1),)))
+    assert voter.claimed(2, LeaseRequest(0, 1, ((0, 2),))).granted
 
 
 def test_the_checker_finds_no_order_that_breaks_the_rule_and_the_broken_rule_at_once():
@@ -318,14 +322,18 @@
 
 def rounds_of(seed=1, interval=4 * SECOND):
     timers = TimerQueue(seed)
-    return timers, Rounds(timers, 0, Plan("probe", Mode.AT_LEAST_ONCE, interval), lambda target: (0, 0))
+    return timers, Rounds(
+        timers, 0, DutySettings("probe", DutyMode.AT_LEAST_ONCE, interval), lambda target: (0, 0)
+    )
 
 
 def served(timers, span, step=10_000):
     out, end = [], timers.now + span
     while timers.now < end:
         timers.run_due(timers.now + step)
-        out += [(timers.now, order.target) for order in timers.take_commands() if isinstance(order, Serve)]
+        out += [
+            (timers.now, order.target) for order in timers.take_commands() if isinstance(order, ServeTarget)
+        ]
     return out
 
 
@@ -369,14 +377,14 @@
 
 
 def result(target=5, prober=2, serial=1, age=SECOND, verdict=0):
-    return Result(0, target, prober, serial, age, verdict, 900, {"util": 0.3})
+    return ProbeResult(0, target, prober, serial, age, verdict, 900, {"util": 0.3})
 
 
 def test_old_results_and_those_of_the_dead_are_dropped():
     timers, known = learnt()
     known.heard((result(), result(prober=9), result(target=6, age=5 * SECOND), result(), result(serial=0)))
     assert dict(known.counts) == {"new": 1, "dead prober": 1, "too old": 1, "known": 2}
-    (shared,) = [o for o in timers.take_commands() if isinstance(o, Shared)]
+    (shared,) = [o for o in timers.take_commands() if isinstance(o, ResultShared)]
     assert shared.result.target == 5 and shared.result.age == SECOND + IN_FLIGHT
 
 
@@ -401,12 +409,12 @@
     timers, known = learnt()
     known.own(0, 5, 0, 900, {})
     timers.run_due(timers.now + LEASING.batch)
-    sent = [o for o in timers.take_commands() if isinstance(o, Reach)]
+    sent = [o for o in timers.take_commands() if isinstance(o, SendToMember)]
     assert {o.token for o in sent} == {2, 3} and sent[0].message.results[0].age == LEASING.batch
     timers, known = learnt(live=tuple(range(2, 60)))
     known.heard(tuple(result(target=target) for target in range(40)))
     timers.run_due(timers.now + LEASING.batch)
-    sent = [o for o in timers.take_commands() if isinstance(o, Reach)]
+    sent = [o for o in timers.take_commands() if isinstance(o, SendToMember)]
     assert len({o.token for o in sent}) == LEASING.copies
     assert all(len(o.message.results) <= CARRIED for o in sent)
 
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -15,7 +15,7 @@
 import pytest
 from twisted.internet.testing import MemoryReactorClock, StringTransport
 
-from limepath.configuration.platform import opening_of
+from limepath.configuration.platform import front_settings
 from limepath.configuration.process_limits import planned
 from limepath.front import cache_peer
 from limepath.front.cache_connection import CacheConnection
@@ -504,7 +504,7 @@
 
 
 def test_a_last_answer_that_is_taken_slowly_keeps_the_front_up_for_as_long_as_any_may_take():
-    told = opening_of(configuration(free_address()), {})
+    told = front_settings(configuration(free_address()), {})
     assert told.limits.last_call == max(one.deadline for one in told.arguments["services"])
     reactor, clients, _, _ = parts(Ordering(), last_call=5_000_000)
     clients.port = SimpleNamespace(doRead=lambda: None, stopListening=lambda: None, socket=listening())
@@ -551,7 +551,7 @@
 
 def test_a_front_that_shuts_down_answers_before_it_is_killed_what_has_longer_than_that():
     """Requests with a minute left on a hanging cache: one that was open, one that came after SIGTERM."""
-    assert opening_of(configuration("127.0.0.1:1", limits={}), {}).limits.last_answer == 3_600_000
+    assert front_settings(configuration("127.0.0.1:1", limits={}), {}).limits.last_answer == 3_600_000
     with Site(limits={"leaving_ms": 500, "sockets": 256}) as site:
         viewers = [site.viewer().send(), site.viewer()]
         for viewer in viewers:
--- a/tests/test_event_coding.py
+++ b/tests/test_event_coding.py
@@ -25,7 +25,7 @@
 from limepath.discovery.events import parsed, summary
 from limepath.discovery.integers import CodingError, Damaged, Reader, integer, unzigzag, zigzag
 from limepath.membership.guard import HEAD, LARGEST, SEAL
-from limepath.membership.interface import News
+from limepath.membership.interface import MemberRecord
 
 NOW_MS = 1_796_000_000_000  # December 2026
 HUGE = (1 << 64) - 1
@@ -223,7 +223,7 @@
 
 
 def test_a_batch_leaves_room_for_envelope_and_seal():
-    sender = News(HUGE, "n" * 32, "255.255.255.255", 65_535, HUGE, HUGE, 3, HUGE)
+    sender = MemberRecord(HUGE, "n" * 32, "255.255.255.255", 65_535, HUGE, HUGE, 3, HUGE)
     around = msgspec.msgpack.encode((sender, HUGE, HUGE, ["le", HUGE, HUGE, b"", HUGE, HUGE]))
     assert len(around) + BATCH_LIMIT + HEAD + SEAL < LARGEST
 
