--- a/tests/test_event_tree.py
+++ b/tests/test_event_tree.py
@@ -6,28 +6,28 @@
 import pytest
 
 from limepath.configuration import peers_file
-from limepath.configuration.ini import BadSetting
+from limepath.configuration.ini import SettingError
+from limepath.configuration.sharing_settings import DiscoverySettings
 from limepath.discovery.bounds import children_at_most, fresh, tree_bounds
 from limepath.discovery.calls import Budget
 from limepath.discovery.coding import batches, encode
 from limepath.discovery.interface import (
-    AskChunk,
-    AskScopes,
-    Batch,
-    Beat,
-    Follow,
-    FromPeer,
-    Reach,
-    Reads,
+    ApplyEvent,
+    EventBatch,
+    Heartbeat,
+    ListFreshnessChanged,
+    PageChunkRequest,
+    PeerMessage,
     Role,
-    Scopes,
-    Stale,
-    StreamEvent,
-    StreamSays,
-    StreamUp,
-    Take,
-    Terms,
-    Where,
+    ScopeAnnouncement,
+    ScopeQuery,
+    ScopeReport,
+    SendToMember,
+    StreamActive,
+    StreamEventReceived,
+    StreamOpened,
+    Subscribe,
+    SubscriptionMode,
 )
 from limepath.discovery.replay import EventTimes
 from limepath.discovery.simulate import member
@@ -41,7 +41,7 @@
 from tests.test_listing import PEERS, Fronting, command, drill, event, held, of, whole
 
 SECOND, MS = 1_000_000, 1000
-TERMS = Terms(zone="sur", fronts=30, site="a", fan_out=2)
+TERMS = DiscoverySettings(zone="sur", fronts=30, site="a", fan_out=2)
 SCOPE = Scope("sur", "a")
 
 
@@ -57,7 +57,7 @@
     texts = [event(number) for number in range(first, last + 1)]
     data = batches([encode(json.loads(text), text) for text in texts])
     assert len(data) == 1
-    return Batch(generation, first, data[0], age, stamp)
+    return EventBatch(generation, first, data[0], age, stamp)
 
 
 class Member(Fronting):
@@ -72,16 +72,16 @@
         self.position = zone.position(me)
         self.parent, self.backup = self.position.candidates[0], self.position.backups[0]
         self.run(200 * MS)
-        self.hear(*(FromPeer(token, Where("sur", False, "a")) for token in self.others))
+        self.hear(*(PeerMessage(token, ScopeAnnouncement("sur", False, "a")) for token in self.others))
         self.run(SECOND)
 
     def asked(self, token):
         """What this front last asked of another."""
-        asked = [order.message for order in self.said(Reach) if order.token == token]
-        return [message for message in asked if isinstance(message, Follow)]
+        asked = [order.message for order in self.said(SendToMember) if order.token == token]
+        return [message for message in asked if isinstance(message, Subscribe)]
 
     def told(self, token, message):
-        return self.hear(FromPeer(token, message))
+        return self.hear(PeerMessage(token, message))
 
     def keep_alive(self, span, *tokens, number=None, age=0):
         """Let these tell where they stand every beat."""
@@ -89,7 +89,7 @@
             for token in tokens:
                 place, digest = self.logic.held.list.place, self.logic.held.list.digest
                 at = place.number if number is None else number
-                self.told(token, Beat("sur", 0, at, digest, age, site="a", reaches=2))
+                self.told(token, Heartbeat("sur", 0, at, digest, age, site="a", reaches=2))
             self.run(self.logic.terms.beat)
 
 
@@ -98,8 +98,8 @@
 
 def test_a_front_asks_its_parent_for_events_and_its_backup_for_heartbeats():
     front = Member(held(3).packed())
-    assert front.asked(front.parent)[-1].reads == Reads.BATCHES
-    assert front.asked(front.backup)[-1].reads == Reads.HEARTBEATS
+    assert front.asked(front.parent)[-1].reads == SubscriptionMode.BATCHES
+    assert front.asked(front.backup)[-1].reads == SubscriptionMode.HEARTBEATS
     others = set(front.others) - {front.parent, front.backup}
     front.out.clear()
     front.keep_alive(2 * SECOND, front.parent, front.backup)
@@ -110,34 +110,38 @@
     front = Member(held(3).packed())
     grandparent = front.position.candidates[1]
     front.keep_alive(3 * SECOND, front.backup, grandparent)
-    assert front.asked(grandparent)[-1].reads == Reads.BATCHES
-    assert front.asked(front.parent)[-1].reads == Reads.HEARTBEATS
+    assert front.asked(grandparent)[-1].reads == SubscriptionMode.BATCHES
+    assert front.asked(front.parent)[-1].reads == SubscriptionMode.HEARTBEATS
     front.keep_alive(SECOND, front.parent, front.backup, grandparent)
-    assert front.asked(front.parent)[-1].reads == Reads.BATCHES
+    assert front.asked(front.parent)[-1].reads == SubscriptionMode.BATCHES
 
 
 def test_one_that_refuses_is_passed_over():
     front = Member(held(3).packed())
-    front.told(front.parent, Beat("sur", 0, 3, 0, 0, refused=True, site="a"))
+    front.told(front.parent, Heartbeat("sur", 0, 3, 0, 0, refused=True, site="a"))
     front.run(front.logic.terms.beat)
-    assert front.asked(front.position.candidates[1])[-1].reads == Reads.BATCHES
-    assert front.asked(front.parent)[-1].reads == Reads.HEARTBEATS
+    assert front.asked(front.position.candidates[1])[-1].reads == SubscriptionMode.BATCHES
+    assert front.asked(front.parent)[-1].reads == SubscriptionMode.HEARTBEATS
 
 
 def test_no_more_children_are_taken_than_the_bound_whoever_asks():
     front = Member(held(3).packed(), fronts=40)
-    front.told(front.parent, Beat("sur", 0, 3, held(3).digest, 0, site="a", reaches=2))
+    front.told(front.parent, Heartbeat("sur", 0, 3, held(3).digest, 0, site="a", reaches=2))
     for token in front.others:
-        front.told(token, Follow("sur", 0, 3, Reads.BATCHES, "a", False, 5))
-    beats = {order.token: order.message for order in front.said(Reach) if isinstance(order.message, Beat)}
+        front.told(token, Subscribe("sur", 0, 3, SubscriptionMode.BATCHES, "a", False, 5))
+    beats = {
+        order.token: order.message
+        for order in front.said(SendToMember)
+        if isinstance(order.message, Heartbeat)
+    }
     refused = [token for token, beat in beats.items() if beat.refused]
     assert len(beats) - len(refused) == children_at_most(TERMS) == len(front.logic.children.readers())
     front.out.clear()
     front.told(front.parent, batch(4, 5))
     front.run(TERMS.gather)
-    sent = {order.token for order in front.said(Reach) if isinstance(order.message, Batch)}
+    sent = {order.token for order in front.said(SendToMember) if isinstance(order.message, EventBatch)}
     assert len(sent) == children_at_most(TERMS) and not sent & set(refused)
-    front.told(refused[0], Follow("sur", 0, 3, Reads.HEARTBEATS, "a", False, 5))
+    front.told(refused[0], Subscribe("sur", 0, 3, SubscriptionMode.HEARTBEATS, "a", False, 5))
     shown = front.logic.shown()  # who is sent heartbeats only is a follower, and no cost of events
     assert shown["sends_events_to"] == children_at_most(TERMS) == shown["followers"] - 1
 
@@ -145,10 +149,10 @@
 @pytest.mark.parametrize(
     "nonsense",
     [
-        Batch(0, 4, b"", 0),
-        Batch(0, 4, b"\x10abc", 0),  # a kind of a later program
-        Batch(0, 5, batch(4, 5).data, 0),
-        Batch(0, 4, batch(4, 5).data[:-3], 0),
+        EventBatch(0, 4, b"", 0),
+        EventBatch(0, 4, b"\x10abc", 0),  # a kind of a later program
+        EventBatch(0, 5, batch(4, 5).data, 0),
+        EventBatch(0, 4, batch(4, 5).data[:-3], 0),
     ],
 )
 def test_a_parents_nonsense_is_named_nothing_of_it_taken_and_the_parent_passed_over(nonsense):
@@ -156,7 +160,7 @@
     front.told(front.parent, nonsense)
     front.run(front.logic.terms.beat)
     assert front.logic.held.list.place.number == 3 and front.logic.counts["nonsense"] == 1
-    assert front.asked(front.position.candidates[1])[-1].reads == Reads.BATCHES
+    assert front.asked(front.position.candidates[1])[-1].reads == SubscriptionMode.BATCHES
 
 
 def test_an_older_generation_is_not_taken():
@@ -169,7 +173,7 @@
     front = Member(held(3).packed())
     front.told(front.parent, batch(4, 5))
     other = json.dumps({"seq": 5, "invalidate": {"bucket": 77, "time": 5}})
-    front.told(front.parent, Batch(0, 5, batches([encode(json.loads(other), other)])[0], 0))
+    front.told(front.parent, EventBatch(0, 5, batches([encode(json.loads(other), other)])[0], 0))
     assert front.logic.upstream.flaw_of(front.logic.upstream.sources[front.parent]) == "bad"
     assert front.logic.held.list.place.number == 5
 
@@ -180,20 +184,20 @@
 def test_events_go_to_a_child_in_one_datagram_a_tick_and_again_if_it_did_not_get_them():
     front = Member(held(3).packed())
     child = front.others[0]
-    front.told(front.parent, Beat("sur", 0, 3, held(3).digest, 0, site="a", reaches=2))
-    front.told(child, Follow("sur", 0, 3, Reads.BATCHES, "a", False, 77))
+    front.told(front.parent, Heartbeat("sur", 0, 3, held(3).digest, 0, site="a", reaches=2))
+    front.told(child, Subscribe("sur", 0, 3, SubscriptionMode.BATCHES, "a", False, 77))
     front.told(front.parent, batch(4, 6))
     front.told(front.parent, batch(7, 9))
     front.out.clear()
     front.run(TERMS.gather)
-    (only,) = [order.message for order in front.said(Reach) if isinstance(order.message, Batch)]
+    (only,) = [order.message for order in front.said(SendToMember) if isinstance(order.message, EventBatch)]
     assert (only.first, only.stamp) == (4, 77) and only.data == batch(4, 9).data
     front.out.clear()
     front.run(2 * TERMS.gather)
-    assert not [order for order in front.said(Reach) if isinstance(order.message, Batch)]
-    front.told(child, Follow("sur", 0, 3, Reads.BATCHES, "a", False, 78))  # it was lost
+    assert not [order for order in front.said(SendToMember) if isinstance(order.message, EventBatch)]
+    front.told(child, Subscribe("sur", 0, 3, SubscriptionMode.BATCHES, "a", False, 78))  # it was lost
     front.run(TERMS.gather)
-    (again,) = [order.message for order in front.said(Reach) if isinstance(order.message, Batch)]
+    (again,) = [order.message for order in front.said(SendToMember) if isinstance(order.message, EventBatch)]
     assert again.first == 4
 
 
@@ -211,15 +215,15 @@
 
 def test_one_behind_does_not_have_a_front_send_more_than_a_set_number_in_a_tick():
     front = Member(held(3).packed(), terms=TERMS._replace(window_bytes=10**6))
-    front.told(front.parent, Beat("sur", 0, 3, held(3).digest, 0, site="a", reaches=2))
+    front.told(front.parent, Heartbeat("sur", 0, 3, held(3).digest, 0, site="a", reaches=2))
     for first in range(4, 4004, 50):
         front.told(front.parent, batch(first, first + 49))
     for token in front.others[:4]:
-        front.told(token, Follow("sur", 0, 3, Reads.BATCHES, "a", False, 5))
+        front.told(token, Subscribe("sur", 0, 3, SubscriptionMode.BATCHES, "a", False, 5))
     for _ in range(6):
         front.out.clear()
         front.run(TERMS.gather)
-        sent = [order for order in front.said(Reach) if isinstance(order.message, Batch)]
+        sent = [order for order in front.said(SendToMember) if isinstance(order.message, EventBatch)]
         assert len({order.token for order in sent}) == 4 and len(sent) <= 4 + 4
 
 
@@ -227,17 +231,17 @@
     front = Member(held(3).packed())
     limit = (front.logic.tree.hops * (TERMS.gather + 100 * MS)) + 2 * TERMS.beat
     for _ in range(limit // TERMS.beat + 1):
-        front.told(front.parent, Beat("sur", 0, 3, held(3).digest, 50 * MS, site="a", reaches=2))
-        front.told(front.backup, Beat("sur", 0, 9, 1, 50 * MS, site="a", reaches=2))
+        front.told(front.parent, Heartbeat("sur", 0, 3, held(3).digest, 50 * MS, site="a", reaches=2))
+        front.told(front.backup, Heartbeat("sur", 0, 9, 1, 50 * MS, site="a", reaches=2))
         front.run(TERMS.beat)
-    assert Reads.BATCHES in [ask.reads for ask in front.asked(front.backup)]
+    assert SubscriptionMode.BATCHES in [ask.reads for ask in front.asked(front.backup)]
 
 
 def test_a_whole_list_is_asked_for_where_the_window_of_the_others_does_not_reach():
     front = Member(held(3).packed())
-    front.told(front.parent, Beat("sur", 0, 9000, 1, 50 * MS, site="a", reaches=4))
+    front.told(front.parent, Heartbeat("sur", 0, 9000, 1, 50 * MS, site="a", reaches=4))
     assert not front.logic.pages.transfer
-    front.told(front.parent, Beat("sur", 0, 9000, 1, 50 * MS, site="a", reaches=5))
+    front.told(front.parent, Heartbeat("sur", 0, 9000, 1, 50 * MS, site="a", reaches=5))
     assert front.logic.pages.transfer
 
 
@@ -259,18 +263,20 @@
     serving = Fronting([front.logic.me], theirs.packed(), TERMS, front.parent)
     serving.logic.held.confirm(0)
     front.told(
-        front.parent, Beat("sur", *theirs.place, theirs.digest, 0, site="a", reaches=theirs.place.number)
+        front.parent, Heartbeat("sur", *theirs.place, theirs.digest, 0, site="a", reaches=theirs.place.number)
     )
     brought, done = [], 0
     for _ in range(400):
         front.run(50 * MS)
         serving.run(50 * MS)
         asks = [
-            o.message for o in front.out[done:] if isinstance(o, Reach) and isinstance(o.message, AskChunk)
+            o.message
+            for o in front.out[done:]
+            if isinstance(o, SendToMember) and isinstance(o.message, PageChunkRequest)
         ]
         done = len(front.out)
         for ask in asks:
-            answers = of(serving.hear(FromPeer(front.logic.me, ask)), Reach)
+            answers = of(serving.hear(PeerMessage(front.logic.me, ask)), SendToMember)
             brought += [order.message for order in answers]
         for chunk in brought[len(brought) - len(asks) :] if asks else ():
             front.told(front.parent, spoil(chunk))
@@ -312,7 +318,7 @@
 
 
 def test_fronts_that_learn_at_once_that_they_are_few_do_not_call_at_once():
-    terms = Terms(fronts=1000, site="a")
+    terms = DiscoverySettings(fronts=1000, site="a")
     budgets = [Budget(terms, lambda share=share: share / 40) for share in range(40)]
     called, times = [], []
     for now in range(0, 12 * SECOND, 100 * MS):
@@ -328,7 +334,7 @@
 
 def test_one_of_the_older_program_is_asked_for_pieces():
     front = Member(held(3).packed())
-    front.told(front.parent, Beat("sur", 0, 9000, 1, 50 * MS))
+    front.told(front.parent, Heartbeat("sur", 0, 9000, 1, 50 * MS))
     assert front.logic.snapshot.fetch and not front.logic.pages.transfer
 
 
@@ -340,20 +346,20 @@
     stamp = front.asked(front.parent)[-1].stamp
     asked_at = front.now
     front.run(3 * SECOND)
-    front.told(front.parent, Beat("sur", 0, 3, held(3).digest, 0, site="a", stamp=stamp))
+    front.told(front.parent, Heartbeat("sur", 0, 3, held(3).digest, 0, site="a", stamp=stamp))
     assert front.logic.held.age() >= 3 * SECOND and stamp <= asked_at
 
 
 def test_a_front_is_told_when_its_list_is_late_and_when_it_is_not_any_more():
     front = Member(held(3).packed())
-    front.told(front.parent, Beat("sur", 0, 3, held(3).digest, 0, site="a", stamp=front.now))
+    front.told(front.parent, Heartbeat("sur", 0, 3, held(3).digest, 0, site="a", stamp=front.now))
     bound = fresh(TERMS, front.logic.tree.hops)
     front.run(bound)
-    assert not front.said(Stale)
+    assert not front.said(ListFreshnessChanged)
     front.run(1)
-    assert front.said(Stale) == [Stale(True)]
-    front.told(front.parent, Beat("sur", 0, 3, held(3).digest, 0, site="a", stamp=front.now))
-    assert front.said(Stale) == [Stale(True), Stale(False)]
+    assert front.said(ListFreshnessChanged) == [ListFreshnessChanged(True)]
+    front.told(front.parent, Heartbeat("sur", 0, 3, held(3).digest, 0, site="a", stamp=front.now))
+    assert front.said(ListFreshnessChanged) == [ListFreshnessChanged(True), ListFreshnessChanged(False)]
 
 
 def test_a_front_whose_list_is_late_gives_nothing_to_a_cache():
@@ -387,7 +393,7 @@
     for step in range(80):
         number += 1
         told = {"seq": number, "invalidate": {"bucket": 1, "time": base + step * 28}}
-        front.hear(StreamEvent(json.dumps(told)))
+        front.hear(StreamEventReceived(json.dumps(told)))
         front.run(28 * MS)
     assert front.logic.stream.caught_up
 
@@ -402,10 +408,12 @@
         json.dumps({"seq": number, "invalidate": {"bucket": 70 + number, "time": 5}}) for number in (5, 6, 7)
     ]
     texts = [whole(), *map(event, range(2, 5)), *other]
-    front.hear(StreamUp(), *(StreamEvent(text) for text in texts))
+    front.hear(StreamOpened(), *(StreamEventReceived(text) for text in texts))
     front.run(500 * MS)
-    front.hear(StreamSays())
-    purged = [order.told["invalidate"]["bucket"] for order in front.said(Take) if "invalidate" in order.told]
+    front.hear(StreamActive())
+    purged = [
+        order.told["invalidate"]["bucket"] for order in front.said(ApplyEvent) if "invalidate" in order.told
+    ]
     assert {75, 76, 77} <= set(purged)
 
 
@@ -424,11 +432,11 @@
     front.logic.roles.suspicious = True
     while front.logic.stream.state is None:
         front.run(100 * MS)
-    front.hear(StreamUp(), *(StreamEvent(text) for text in [whole(), *map(event, range(2, 7))]))
+    front.hear(StreamOpened(), *(StreamEventReceived(text) for text in [whole(), *map(event, range(2, 7))]))
     front.run(500 * MS)
-    front.hear(StreamSays())
+    front.hear(StreamActive())
     assert front.logic.held.list.place == (0, 6) and front.logic.held.window.reaches == 4
-    assert [order.told["seq"] for order in front.said(Take)][-3:] == [4, 5, 6]
+    assert [order.told["seq"] for order in front.said(ApplyEvent)][-3:] == [4, 5, 6]
 
 
 def test_what_is_shown_tells_that_the_bound_in_bytes_cut_the_window_short():
@@ -447,22 +455,28 @@
     asked = 0
     for index in range(60):
         front = Fronting(range(1000, 1600), terms=TERMS, me=index + 1)
-        front.hear(*(FromPeer(token, Where("norte", False, "b")) for token in range(1001, 1600)))
+        front.hear(
+            *(PeerMessage(token, ScopeAnnouncement("norte", False, "b")) for token in range(1001, 1600))
+        )
         front.run(3 * SECOND)
         front.out.clear()
         front.run(TERMS.beat)
-        asked += sum(isinstance(order.message, Where) for order in front.said(Reach))
+        asked += sum(isinstance(order.message, ScopeAnnouncement) for order in front.said(SendToMember))
     assert asked <= 8  # of 60 fronts in one beat; all of them before
 
 
 def test_a_front_that_knows_nobody_of_its_zone_yet_does_not_count_as_one_of_few_relays():
     front = Fronting(range(1000, 1300), terms=TERMS, me=1)
-    front.hear(*(FromPeer(token, Where(f"z{token % 20}", False, "b")) for token in range(1000, 1040)))
+    front.hear(
+        *(PeerMessage(token, ScopeAnnouncement(f"z{token % 20}", False, "b")) for token in range(1000, 1040))
+    )
     front.run(5 * SECOND)
     assert front.logic.roles.role == Role.RELAYS and not front.logic.scopes.settled()
-    front.hear(FromPeer(1299, Where("sur", False, "a")))
-    front.hear(*(FromPeer(token, Where(f"z{token % 20}", False, "b")) for token in range(1040, 1140)))
-    front.hear(FromPeer(1299, Scopes("sur")))  # it knows the same
+    front.hear(PeerMessage(1299, ScopeAnnouncement("sur", False, "a")))
+    front.hear(
+        *(PeerMessage(token, ScopeAnnouncement(f"z{token % 20}", False, "b")) for token in range(1040, 1140))
+    )
+    front.hear(PeerMessage(1299, ScopeReport("sur")))  # it knows the same
     front.run(3 * SECOND)
     assert front.logic.scopes.settled()
 
@@ -470,18 +484,18 @@
 def test_the_fronts_of_a_zone_are_learnt_by_pages_from_one_that_knows_them():
     tokens = list(range(10**18, 10**18 + 300))
     knowing = Fronting(tokens, terms=TERMS, me=7)
-    knowing.hear(*(FromPeer(token, Where("sur", False, f"s{token % 5}")) for token in tokens))
+    knowing.hear(*(PeerMessage(token, ScopeAnnouncement("sur", False, f"s{token % 5}")) for token in tokens))
     learning = Fronting([7, *tokens], terms=TERMS, me=8)
-    learning.hear(FromPeer(7, Where("sur", False, "a")))
+    learning.hear(PeerMessage(7, ScopeAnnouncement("sur", False, "a")))
     learning.logic.scopes.ask_page(7)
     asks = [order.message for order in learning.logic.timers.take_commands()]
     for _ in range(10):
         if not asks:
             break
-        (page,) = [order.message for order in of(knowing.hear(FromPeer(8, asks.pop())), Reach)]
-        assert isinstance(page, Scopes) and len(page.fronts) <= 100
-        asks = [order.message for order in of(learning.hear(FromPeer(7, page)), Reach)]
-        asks = [message for message in asks if isinstance(message, AskScopes)]
+        (page,) = [order.message for order in of(knowing.hear(PeerMessage(8, asks.pop())), SendToMember)]
+        assert isinstance(page, ScopeReport) and len(page.fronts) <= 100
+        asks = [order.message for order in of(learning.hear(PeerMessage(7, page)), SendToMember)]
+        asks = [message for message in asks if isinstance(message, ScopeQuery)]
     assert set(tokens) <= set(learning.logic.scopes.mates)
 
 
@@ -532,7 +546,10 @@
 
 def test_no_front_has_more_children_than_the_bound_where_views_differ():
     found = run_tree(small(), 5, prepare=hide)
-    assert max(front.readers_seen for front in found.world.fronts) <= tree_bounds(Terms(), 48, 2, 8).children
+    assert (
+        max(front.readers_seen for front in found.world.fronts)
+        <= tree_bounds(DiscoverySettings(), 48, 2, 8).children
+    )
     behind = [front for front in found.world.running() if front.front < len(found.world.service.events) - 200]
     assert not behind
 
@@ -567,11 +584,11 @@
 
 
 def test_the_bounds_follow_from_the_settings_and_the_fleet():
-    one = tree_bounds(Terms(), 100, 4, 16)
-    assert tree_bounds(Terms(), 5200, 20, 240).event > one.event
-    assert tree_bounds(Terms(gather=SECOND), 100, 4, 16).event > one.event
-    assert tree_bounds(Terms(), 5200, 20, 240).children == one.children == 8
-    assert tree_bounds(Terms(fan_out=8), 100, 4, 16).most_bytes > one.most_bytes
+    one = tree_bounds(DiscoverySettings(), 100, 4, 16)
+    assert tree_bounds(DiscoverySettings(), 5200, 20, 240).event > one.event
+    assert tree_bounds(DiscoverySettings(gather=SECOND), 100, 4, 16).event > one.event
+    assert tree_bounds(DiscoverySettings(), 5200, 20, 240).children == one.children == 8
+    assert tree_bounds(DiscoverySettings(fan_out=8), 100, 4, 16).most_bytes > one.most_bytes
 
 
 # Settings
@@ -590,7 +607,7 @@
 def test_settings_of_the_tree_that_cannot_be_used_are_named(tmp_path, lines, says):
     file = tmp_path / "peers.ini"
     file.write_text(f"{PEERS}[listing]\nfronts = 5\n{lines}\n")
-    with pytest.raises(BadSetting, match=r"\[listing\]") as error:
+    with pytest.raises(SettingError, match=r"\[listing\]") as error:
         peers_file.read(file)
     assert says in str(error.value)
 
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -11,7 +11,7 @@
 from twisted.internet.task import Clock
 from twisted.internet.testing import MemoryReactorClock, StringTransport
 
-from limepath.configuration.platform import opening_of
+from limepath.configuration.platform import front_settings
 from limepath.configuration.process_limits import planned
 from limepath.front.attempt import Probing
 from limepath.front.cache_connection import CacheConnection
@@ -341,7 +341,7 @@
 
 def test_a_purge_overtakes_no_forward_that_waits_for_its_connection():
     told = SETTINGS | {"family-info": SETTINGS["family-info"] | {"heed-within": 200 * MS}}
-    assert opening_of(configuration(free_address(), settings=told), {}).limits.wait == 200_000
+    assert front_settings(configuration(free_address(), settings=told), {}).limits.wait == 200_000
 
 
 def test_after_sigterm_all_is_answered_and_the_front_ends_well():
--- a/tests/test_hollow_fronts.py
+++ b/tests/test_hollow_fronts.py
@@ -8,7 +8,7 @@
 from twisted.internet.task import Clock
 
 from limepath.configuration.process_limits import planned
-from limepath.discovery.interface import Follow
+from limepath.discovery.interface import Subscribe
 from limepath.discovery.simulate import member
 from limepath.discovery.state import List
 from limepath.duties.host import clock
@@ -129,7 +129,7 @@
     work(1_000)
     account.meter.switch(account.arriving)
     work(5_000)
-    account.opened(Follow("sur", 0, 1), 80)
+    account.opened(Subscribe("sur", 0, 1), 80)
     work(1_000)
     account.meter.switch(account.arriving)
     work(7_000)
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -7,19 +7,19 @@
 from hypothesis import strategies as st
 
 from limepath.configuration import peers_file
-from limepath.configuration.ini import BadSetting
+from limepath.configuration.ini import SettingError
 from limepath.connection_pacing.connections import Connections, rush
 from limepath.discovery.simulate import most_in
 from limepath.frequency_exchange.interface import (
     CARRIED,
     MOST,
-    Ask,
-    AskTally,
-    Counted,
-    FromPeer,
-    Learn,
-    Reach,
-    Tally,
+    AddCounts,
+    CountsRead,
+    PeerMessage,
+    ReadCounts,
+    RequestCounts,
+    RequestCountsQuery,
+    SendToMember,
 )
 from limepath.frequency_exchange.newcomer import ANSWER_TIMEOUT, ASKED, HALF, TRIES, Newcomer
 from limepath.interface.commands import ForwardRequest, RejectRequest
@@ -146,39 +146,39 @@
 
 def test_a_newcomer_asks_another_where_one_is_silent_or_new_itself_and_gives_up_at_last():
     one = newcomer()
-    asked = [order for order in run(one, 60 * SECOND) if isinstance(order, Reach)]
-    assert len(asked) == TRIES and all(order.message == AskTally() for order in asked)
+    asked = [order for order in run(one, 60 * SECOND) if isinstance(order, SendToMember)]
+    assert len(asked) == TRIES and all(order.message == RequestCountsQuery() for order in asked)
     one = newcomer()
     first = run(one, SECOND)[0].token
-    assert not one.handle(SECOND, [FromPeer(first, Tally(0, ()))])  # as new as this one
+    assert not one.handle(SECOND, [PeerMessage(first, RequestCounts(0, ()))])  # as new as this one
     assert run(one, SECOND + 2 * ANSWER_TIMEOUT) and not one.done
 
 
 def test_counts_are_worth_less_with_age_and_come_only_from_the_one_that_was_asked():
     one = newcomer()
     asked = run(one, SECOND)[0].token
-    tally = Tally(HALF, ((7, 0, 8.0),))
-    assert not one.handle(SECOND, [FromPeer(9, tally)])
-    assert one.handle(SECOND, [FromPeer(asked, tally)]) == [Learn(((7, 0, 4.0),))] and one.done
-    assert not one.handle(SECOND, [FromPeer(asked, tally)]) and not run(one, 60 * SECOND)
+    tally = RequestCounts(HALF, ((7, 0, 8.0),))
+    assert not one.handle(SECOND, [PeerMessage(9, tally)])
+    assert one.handle(SECOND, [PeerMessage(asked, tally)]) == [AddCounts(((7, 0, 4.0),))] and one.done
+    assert not one.handle(SECOND, [PeerMessage(asked, tally)]) and not run(one, 60 * SECOND)
 
 
 @pytest.mark.parametrize(
     "nonsense",
     [
-        Tally(-1, ((7, 0, 8.0),)),
-        Tally(0, ((7, 0, -1.0),)),
-        Tally(0, ((7, 0, float("nan")),)),
-        Tally(0, ((-7, 0, 1.0),)),
-        Tally(0, ((7, 0, 1.0),), 3, 2),
-        Tally(0, ((7, 0, 1.0),), 0, 99),
-        Tally(0, ((7, 0, 1.0),) * (CARRIED + 1)),
+        RequestCounts(-1, ((7, 0, 8.0),)),
+        RequestCounts(0, ((7, 0, -1.0),)),
+        RequestCounts(0, ((7, 0, float("nan")),)),
+        RequestCounts(0, ((-7, 0, 1.0),)),
+        RequestCounts(0, ((7, 0, 1.0),), 3, 2),
+        RequestCounts(0, ((7, 0, 1.0),), 0, 99),
+        RequestCounts(0, ((7, 0, 1.0),) * (CARRIED + 1)),
     ],
 )
 def test_nonsense_is_refused_whole_and_another_is_asked(nonsense):
     one = newcomer()
     asked = run(one, SECOND)[0].token
-    assert not one.handle(SECOND, [FromPeer(asked, nonsense)]) and one.counts["refused"] == 1
+    assert not one.handle(SECOND, [PeerMessage(asked, nonsense)]) and one.counts["refused"] == 1
     assert run(one, SECOND + 2 * ANSWER_TIMEOUT)
 
 
@@ -188,16 +188,16 @@
     asks = [
         order
         for token in range(300)
-        for order in one.handle(10, [FromPeer(token, AskTally())])
-        if isinstance(order, Ask)
+        for order in one.handle(10, [PeerMessage(token, RequestCountsQuery())])
+        if isinstance(order, ReadCounts)
     ]
     assert len(asks) == ASKED and asks[0].most == MOST
     table = tuple((obj, 0, 2.0) for obj in range(1000))
-    assert one.handle(20, [Counted(5, table)]) == [
-        Reach(5, Tally(0, (), 0, 1))
+    assert one.handle(20, [CountsRead(5, table)]) == [
+        SendToMember(5, RequestCounts(0, (), 0, 1))
     ]  # it has counted nothing itself
     one.saw_get(10)
-    parts = [order.message for order in one.handle(30, [Counted(5, table)])]
+    parts = [order.message for order in one.handle(30, [CountsRead(5, table)])]
     assert (
         sum(len(part.counts) for part in parts) == MOST
         and {part.of for part in parts} == {len(parts)}
@@ -208,7 +208,7 @@
 def test_the_pace_wants_to_know_how_many_share_it(tmp_path):
     file = tmp_path / "peers.ini"
     file.write_text(PEERS + "[caches]\nconnections = 100\n")
-    with pytest.raises(BadSetting, match=r"\[caches\]: wants \[listing\]"):
+    with pytest.raises(SettingError, match=r"\[caches\]: wants \[listing\]"):
         peers_file.read(file)
     file.write_text(PEERS + "[listing]\nfronts = 9\n[caches]\nconnections = 100\nready = 50\n")
     read = peers_file.read(file)
--- a/tests/test_list_pages.py
+++ b/tests/test_list_pages.py
@@ -27,7 +27,7 @@
 )
 from limepath.discovery.coding import Oversized, encode
 from limepath.discovery.integers import CodingError, Damaged, integer
-from limepath.discovery.interface import Place
+from limepath.discovery.interface import Revision
 from limepath.discovery.page_bytes import (
     LONGEST_PAGE,
     packed_index,
@@ -51,7 +51,7 @@
 from limepath.discovery.state import List
 from limepath.discovery.window import KeptPurge
 from limepath.membership.guard import HEAD, LARGEST, SEAL
-from limepath.membership.interface import News
+from limepath.membership.interface import MemberRecord
 
 CACHES, RATE, KEPT_SECONDS = 1400, 36, 307.3
 NOW_MS = 1_796_000_000_000
@@ -82,7 +82,7 @@
 def contents(sizes=(), purges=(), number=7, generation=0, revision=3):
     """A list of members with these sizes by name, and of these purges."""
     members = {name: member(name, size) for name, size in dict(sizes).items()}
-    return Contents(Place(generation, number), revision, members, tuple(purges))
+    return Contents(Revision(generation, number), revision, members, tuple(purges))
 
 
 def large(seed=1, number=30_020_000, purges=0, generation=0):
@@ -101,7 +101,7 @@
         purge(number - back, back * 1_000_000 // RATE + chance.randrange(5000))
         for back in range(purges - 1, -1, -1)
     )
-    return Contents(Place(generation, number), 5, members, kept)
+    return Contents(Revision(generation, number), 5, members, kept)
 
 
 def same(one, other):
@@ -243,7 +243,7 @@
 
 
 def test_a_chunk_leaves_room_for_envelope_and_seal():
-    sender = News(HUGE, "n" * 32, "255.255.255.255", 65_535, HUGE, HUGE, 3, HUGE)
+    sender = MemberRecord(HUGE, "n" * 32, "255.255.255.255", 65_535, HUGE, HUGE, 3, HUGE)
     message = ["lx", HUGE, HUGE, HUGE, INDEX, MOST_CHUNKS, MOST_CHUNKS, bytes(CHUNK_BYTES)]
     assert len(msgspec.msgpack.encode((sender, HUGE, HUGE, message))) + HEAD + SEAL < LARGEST
 
@@ -292,9 +292,9 @@
 @pytest.mark.parametrize(
     "change",
     [
-        lambda chunk: chunk._replace(place=Place(0, 30_020_001)),
-        lambda chunk: chunk._replace(place=Place(0, 30_019_999)),
-        lambda chunk: chunk._replace(place=Place(1, 30_020_000)),
+        lambda chunk: chunk._replace(place=Revision(0, 30_020_001)),
+        lambda chunk: chunk._replace(place=Revision(0, 30_019_999)),
+        lambda chunk: chunk._replace(place=Revision(1, 30_020_000)),
         lambda chunk: chunk._replace(mark=chunk.mark ^ 1),
     ],
 )
@@ -322,7 +322,7 @@
 
 def test_an_index_that_is_another_than_its_mark_tells_is_damaged():
     snapshot = Snapshot(contents({"a": 1}))
-    for change in ({"mark": 5}, {"place": Place(0, 8)}):
+    for change in ({"mark": 5}, {"place": Revision(0, 8)}):
         catch_up = CatchUp(contents())
         with pytest.raises(DamagedPage):
             catch_up.take(snapshot.chunk(ChunkName(INDEX, 0))._replace(**change))
@@ -354,7 +354,7 @@
 def test_a_chunk_that_cannot_be_is_damaged_and_changes_nothing(chunk, count, size):
     catch_up = CatchUp(contents())
     with pytest.raises(DamagedPage):
-        catch_up.take(Chunk(Place(0, 7), 5, INDEX, chunk, count, bytes(size)))
+        catch_up.take(Chunk(Revision(0, 7), 5, INDEX, chunk, count, bytes(size)))
     assert list(catch_up.wanted()) == [(INDEX, 0)] and catch_up.place is None
 
 
@@ -388,7 +388,7 @@
     snapshot = Snapshot(Contents(one.place, one.revision, dict(one.members), ()))
     one.take({"seq": 3, "fleet": {"members": [member("c"), member("a", phase="terminated")]}})
     catch_up, _ = caught_up(contents(), snapshot)
-    assert catch_up.contents().place == Place(0, 2) and set(catch_up.contents().members) == {"a", "b"}
+    assert catch_up.contents().place == Revision(0, 2) and set(catch_up.contents().members) == {"a", "b"}
 
 
 # Bytes from another front
--- a/tests/test_listing.py
+++ b/tests/test_listing.py
@@ -9,43 +9,47 @@
 import pytest
 
 from limepath.configuration import peers_file
-from limepath.configuration.ini import BadSetting
+from limepath.configuration.ini import SettingError
+from limepath.configuration.sharing_settings import (
+    DiscoverySettings,
+    DutyMode,
+    DutySettings,
+    LeaseSettings,
+    MembershipTimeouts,
+)
 from limepath.discovery.bounds import QUIET, bounds, fresh
 from limepath.discovery.calls import Budget
 from limepath.discovery.interface import (
-    AskPiece,
-    Beat,
-    Call,
-    Confirmed,
+    ApplyEvent,
+    CloseStream,
     Events,
-    Follow,
-    FromPeer,
-    HangUp,
-    Piece,
-    Place,
-    Reach,
+    Heartbeat,
+    ListConfirmed,
+    LogEvent,
+    OpenStream,
+    PeerMessage,
+    Revision,
     Role,
-    Save,
-    Say,
-    StreamEvent,
-    StreamLost,
-    StreamSays,
-    StreamUp,
-    Take,
-    Terms,
+    SaveSnapshot,
+    SendToMember,
+    SnapshotChunk,
+    SnapshotChunkRequest,
+    StreamActive,
+    StreamClosed,
+    StreamEventReceived,
+    StreamOpened,
+    Subscribe,
 )
 from limepath.discovery.relay import Listing
 from limepath.discovery.simulate import KINDS, member, simulated
 from limepath.discovery.state import DATA, List, mark_of
 from limepath.discovery.upstream import BAD
-from limepath.duties.interface import Leasing, Mode, Plan
 from limepath.duties.world import World
-from limepath.membership.interface import Spans
 from limepath.membership.members import spread
 from limepath.report_table import hold
 
 SECOND, MS = 1_000_000, 1000
-TERMS = Terms(zone="sur", fronts=2)
+TERMS = DiscoverySettings(zone="sur", fronts=2)
 
 
 def event(number, **told):
@@ -63,7 +67,7 @@
     one = List()
     for text in [whole(), *map(event, range(2, numbers + 1))]:
         one.take(json.loads(text))
-    one.place = Place(generation, numbers)
+    one.place = Revision(generation, numbers)
     return one
 
 
@@ -96,11 +100,11 @@
 
     def streams(self, *texts):
         """Run until it calls; the service tells these and that it is alive."""
-        while not self.said(Call):
+        while not self.said(OpenStream):
             self.run(100 * MS)
-        self.hear(StreamUp(), *(StreamEvent(text) for text in texts))
+        self.hear(StreamOpened(), *(StreamEventReceived(text) for text in texts))
         self.run(QUIET)
-        return self.hear(StreamSays())
+        return self.hear(StreamActive())
 
 
 def of(orders, kind):
@@ -109,36 +113,45 @@
 
 def test_a_saved_list_reaches_the_front_only_once_somebody_has_confirmed_it():
     front = Fronting([2], held(5).packed()).run(SECOND)
-    assert not front.said(Take) and front.logic.held.list.place.number == 5 and front.logic.held.late()
-    told = front.hear(FromPeer(2, Beat("sur", 0, 5, held(5).digest, -1)))  # one that knows no better itself
-    assert not of(told, Take)
-    told = front.hear(FromPeer(2, Beat("sur", 0, 5, held(5).digest, 200 * MS)))
-    assert of(told, Take)[0].told["fleet"]["complete"] and len(of(told, Take)) == 5 and of(told, Confirmed)
+    assert not front.said(ApplyEvent) and front.logic.held.list.place.number == 5 and front.logic.held.late()
+    told = front.hear(
+        PeerMessage(2, Heartbeat("sur", 0, 5, held(5).digest, -1))
+    )  # one that knows no better itself
+    assert not of(told, ApplyEvent)
+    told = front.hear(PeerMessage(2, Heartbeat("sur", 0, 5, held(5).digest, 200 * MS)))
+    assert (
+        of(told, ApplyEvent)[0].told["fleet"]["complete"]
+        and len(of(told, ApplyEvent)) == 5
+        and of(told, ListConfirmed)
+    )
     assert 200 * MS <= front.logic.held.age() < 300 * MS and not front.logic.held.late()
 
 
 def test_a_saved_list_is_brought_up_to_date_by_the_events_that_it_lacks():
     front = Fronting([2], held(3).packed()).run(SECOND)
-    asked = [order.message for order in front.said(Reach) if isinstance(order.message, Follow)]
-    assert asked[0] == Follow("sur", 0, 3)
-    told = front.hear(FromPeer(2, Events(0, 4, (event(4), event(5)), 100 * MS)))
-    assert of(told, Confirmed)[0].place == (0, 5) and of(told, Take)[0].told["seq"] == 5
+    asked = [order.message for order in front.said(SendToMember) if isinstance(order.message, Subscribe)]
+    assert asked[0] == Subscribe("sur", 0, 3)
+    told = front.hear(PeerMessage(2, Events(0, 4, (event(4), event(5)), 100 * MS)))
+    assert of(told, ListConfirmed)[0].place == (0, 5) and of(told, ApplyEvent)[0].told["seq"] == 5
 
 
 @pytest.mark.parametrize("spoilt", [b"", b"LPL1", held(3).packed()[:-4], b"LPL1" + held(3).packed()[9:]])
 def test_a_damaged_saved_list_is_named_and_not_used(spoilt):
     front = Fronting([], spoilt).run(SECOND)
-    assert "begins without" in front.said(Say)[0].fields["flaw"] and front.logic.held.list.place == (0, 0)
+    assert "begins without" in front.said(LogEvent)[0].fields["flaw"] and front.logic.held.list.place == (
+        0,
+        0,
+    )
     front.streams(whole())
-    assert front.said(Confirmed)[0].place == (0, 1)
+    assert front.said(ListConfirmed)[0].place == (0, 1)
 
 
 def test_a_front_that_hears_of_nobody_takes_the_service_at_its_word_and_saves_it():
     front = Fronting()
     front.streams(whole(1), event(2))
-    assert front.said(Call) == [Call(0)] and front.said(Confirmed)[0].place == (0, 2)
+    assert front.said(OpenStream) == [OpenStream(0)] and front.said(ListConfirmed)[0].place == (0, 2)
     front.run(2 * SECOND)
-    again = Fronting(saved=front.said(Save)[-1].data)
+    again = Fronting(saved=front.said(SaveSnapshot)[-1].data)
     assert (
         again.logic.held.list.place == (0, 2) and again.logic.held.list.digest == front.logic.held.list.digest
     )
@@ -147,41 +160,41 @@
 def test_a_service_restored_from_an_older_state_is_found_out_though_it_says_nothing():
     front = Fronting()
     front.streams(whole(1), event(2), event(3))
-    front.hear(StreamEvent(event(4)))
-    front.hear(StreamLost("the stream ended"))
-    while len(front.said(Call)) < 2:
+    front.hear(StreamEventReceived(event(4)))
+    front.hear(StreamClosed("the stream ended"))
+    while len(front.said(OpenStream)) < 2:
         front.run(100 * MS)
-    assert front.said(Call)[-1] == Call(3)  # one before the last that it holds
-    front.hear(StreamUp())
+    assert front.said(OpenStream)[-1] == OpenStream(3)  # one before the last that it holds
+    front.hear(StreamOpened())
     front.run(QUIET)  # it is at 2 now, and tells nothing above 3
-    front.hear(StreamSays())
-    assert "not told again" in front.said(HangUp)[-1].why
-    while len(front.said(Call)) < 3:
+    front.hear(StreamActive())
+    assert "not told again" in front.said(CloseStream)[-1].why
+    while len(front.said(OpenStream)) < 3:
         front.run(100 * MS)
-    assert front.said(Call)[-1] == Call(0)
-    front.hear(StreamUp(), StreamEvent(whole(1)), StreamEvent(event(2)))
+    assert front.said(OpenStream)[-1] == OpenStream(0)
+    front.hear(StreamOpened(), StreamEventReceived(whole(1)), StreamEventReceived(event(2)))
     front.run(QUIET)
     assert front.logic.held.list.place == (0, 4)  # it may be telling all slowly
     front.run(TERMS.silence - QUIET - 1)
-    front.hear(StreamSays())
+    front.hear(StreamActive())
     front.run(10)
     assert front.logic.held.list.place == (1, 2) and any(
-        said.event == "list-backwards" for said in front.said(Say)
+        said.event == "list-backwards" for said in front.said(LogEvent)
     )
 
 
 def test_an_event_told_anew_and_otherwise_is_no_duplicate():
     front = Fronting()
     front.streams(whole(1), event(2))
-    front.hear(StreamEvent(event(3)))
-    assert not of(front.hear(StreamEvent(event(3))), HangUp)
-    assert of(front.hear(StreamEvent(event(3, invalidate={"bucket": 99, "time": 6}))), HangUp)
+    front.hear(StreamEventReceived(event(3)))
+    assert not of(front.hear(StreamEventReceived(event(3))), CloseStream)
+    assert of(front.hear(StreamEventReceived(event(3, invalidate={"bucket": 99, "time": 6}))), CloseStream)
 
 
 def test_a_gap_in_the_stream_has_the_whole_list_called_anew():
     front = Fronting()
     front.streams(whole(1), event(2))
-    assert "5 comes after 2" in of(front.hear(StreamEvent(event(5))), HangUp)[0].why
+    assert "5 comes after 2" in of(front.hear(StreamEventReceived(event(5))), CloseStream)[0].why
     assert front.logic.held.list.place.number == 2 and front.logic.stream.whole
 
 
@@ -189,10 +202,12 @@
     front = Fronting()
     front.streams(whole(1), event(2))
     for _ in range(2):
-        front.hear(StreamEvent('{"seq": 3, "fleet": {"members": [{"id": "s-9"}]}}', "3"))
+        front.hear(StreamEventReceived('{"seq": 3, "fleet": {"members": [{"id": "s-9"}]}}', "3"))
         while front.logic.stream.state is None:
             front.run(100 * MS)
-    assert any(said.event == "list-event" and "s-9" in said.fields["skipped"] for said in front.said(Say))
+    assert any(
+        said.event == "list-event" and "s-9" in said.fields["skipped"] for said in front.said(LogEvent)
+    )
     assert front.logic.held.list.place.number == 2
 
 
@@ -200,15 +215,15 @@
     front = Fronting()
     front.streams(whole(1))
     front.run(300 * MS)
-    taken = of(front.hear(StreamEvent(event(2))), Take)
+    taken = of(front.hear(StreamEventReceived(event(2))), ApplyEvent)
     assert taken[0].oldest == 300 * MS
 
 
 def test_two_relays_that_tell_different_lists_are_not_believed_and_the_service_is_asked():
     front = Fronting([2, 3], held(4).packed(), TERMS._replace(fronts=3)).run(SECOND)
-    front.hear(FromPeer(2, Beat("sur", 0, 4, held(4).digest, 10 * MS)))
+    front.hear(PeerMessage(2, Heartbeat("sur", 0, 4, held(4).digest, 10 * MS)))
     assert front.logic.roles.role != Role.ALONE and not front.logic.roles.suspicious
-    front.hear(FromPeer(3, Beat("sur", 0, 4, held(4).digest ^ 1, 10 * MS)))
+    front.hear(PeerMessage(3, Heartbeat("sur", 0, 4, held(4).digest ^ 1, 10 * MS)))
     assert (
         front.logic.roles.suspicious
         and front.logic.upstream.flaw_of(front.logic.upstream.sources[3]) == "bad"
@@ -221,8 +236,8 @@
     front = Fronting([2, 3], held(6).packed(), TERMS._replace(relays=3)).run(SECOND)
     for _ in range(6):
         front.hear(
-            FromPeer(2, Beat("sur", 0, 6, held(6).digest, 400 * MS)),
-            FromPeer(3, Beat("sur", 0, 4, held(4).digest, 10 * MS)),
+            PeerMessage(2, Heartbeat("sur", 0, 6, held(6).digest, 400 * MS)),
+            PeerMessage(3, Heartbeat("sur", 0, 4, held(4).digest, 10 * MS)),
         )
         front.run(TERMS.beat)
     assert front.logic.upstream.flaw_of(
@@ -242,7 +257,7 @@
 )
 def test_a_relays_nonsense_is_named_and_nothing_of_it_is_taken(nonsense):
     front = Fronting([2], held(3).packed()).run(SECOND)
-    front.hear(FromPeer(2, nonsense))
+    front.hear(PeerMessage(2, nonsense))
     assert (
         front.logic.held.list.place.number == 3
         and front.logic.counts["nonsense"] == 1
@@ -253,29 +268,29 @@
 
 def test_what_one_that_is_not_followed_tells_is_not_taken():
     front = Fronting([2], held(3).packed()).run(SECOND)
-    front.hear(FromPeer(9, Events(0, 4, (event(4),), 0)), FromPeer(9, Beat("sur", 0, 9, 1, 0)))
+    front.hear(PeerMessage(9, Events(0, 4, (event(4),), 0)), PeerMessage(9, Heartbeat("sur", 0, 9, 1, 0)))
     assert front.logic.held.list.place.number == 3 and not front.logic.snapshot.fetch
 
 
 def fetched(served, longest=4_000_000, spoil=lambda piece: piece):
     """A newcomer gets a whole list from one that holds it; give the newcomer."""
     newcomer = Fronting([2], terms=TERMS._replace(longest=longest)).run(SECOND)
-    newcomer.hear(FromPeer(2, Beat("sur", *served.held.list.place, served.held.list.digest, 10 * MS)))
+    newcomer.hear(PeerMessage(2, Heartbeat("sur", *served.held.list.place, served.held.list.digest, 10 * MS)))
     done = 0
     for _ in range(3000):
         newcomer.run(10 * MS)
         asked = [
             order.message
             for order in newcomer.out[done:]
-            if isinstance(order, Reach) and isinstance(order.message, AskPiece)
+            if isinstance(order, SendToMember) and isinstance(order.message, SnapshotChunkRequest)
         ]
         done = len(newcomer.out)
         if not newcomer.logic.snapshot.fetch:
             break
         for ask in asked:
-            for answer in of(served.handle(newcomer.now + 10**9, [FromPeer(1, ask)]), Reach):
-                if isinstance(answer.message, Piece):
-                    newcomer.hear(FromPeer(2, spoil(answer.message)))
+            for answer in of(served.handle(newcomer.now + 10**9, [PeerMessage(1, ask)]), SendToMember):
+                if isinstance(answer.message, SnapshotChunk):
+                    newcomer.hear(PeerMessage(2, spoil(answer.message)))
     return newcomer
 
 
@@ -292,25 +307,31 @@
         len(served.held.list.packed()) > 25 * DATA
         and newcomer.logic.held.list.digest == served.held.list.digest
     )
-    assert len(newcomer.said(Take)[0].told["fleet"]["members"]) == 10_000 and newcomer.said(Confirmed)
+    assert len(newcomer.said(ApplyEvent)[0].told["fleet"]["members"]) == 10_000 and newcomer.said(
+        ListConfirmed
+    )
 
 
 def test_a_list_that_is_too_long_or_does_not_fit_its_digest_is_refused_by_name():
     served = full(500)
-    assert "over 1000 bytes" in fetched(served, 1000).said(Say)[-1].fields["why"]
+    assert "over 1000 bytes" in fetched(served, 1000).said(LogEvent)[-1].fields["why"]
     spoilt = fetched(
         served,
         spoil=lambda piece: (
             piece._replace(data=b"x" * len(piece.data))
             if hasattr(piece, "_replace")
-            else Piece(piece.generation, piece.number, piece.piece, piece.of, mark_of(b""), piece.data)
+            else SnapshotChunk(
+                piece.generation, piece.number, piece.piece, piece.of, mark_of(b""), piece.data
+            )
         ),
     )
-    assert not spoilt.said(Take) and "does not fit its digest" in spoilt.said(Say)[-1].fields["why"]
+    assert (
+        not spoilt.said(ApplyEvent) and "does not fit its digest" in spoilt.said(LogEvent)[-1].fields["why"]
+    )
 
 
 def test_a_small_view_does_not_make_a_front_think_that_it_is_nearly_alone():
-    budget = Budget(Terms(fronts=200), lambda: 0.0)
+    budget = Budget(DiscoverySettings(fronts=200), lambda: 0.0)
     budget.view(0, 3)
     assert (
         budget.sharing(0, 2) == 200
@@ -319,9 +340,9 @@
     )
     lonely = Fronting([], terms=TERMS._replace(fronts=200)).run(120 * SECOND)
     for _ in range(3):
-        lonely.hear(StreamLost("refused"))
+        lonely.hear(StreamClosed("refused"))
         lonely.run(20 * SECOND)
-    assert len(lonely.said(Call)) <= 180 // 12  # one of 200, not one of one
+    assert len(lonely.said(OpenStream)) <= 180 // 12  # one of 200, not one of one
 
 
 def test_a_fleet_that_starts_without_the_list_service_spares_it_and_knows_all_after_every_fault():
@@ -347,25 +368,41 @@
 
 
 def test_the_bounds_follow_from_the_settings():
-    one = bounds(Terms(fronts=10), 10)
+    one = bounds(DiscoverySettings(fronts=10), 10)
     assert bounds(
-        Terms(fronts=10, silence=5 * SECOND), 10
-    ).relays_gone > one.relays_gone and one.known_late == fresh(Terms())
-    assert bounds(Terms(fronts=300), 300).alone > one.alone and one.calls <= Terms().rate
+        DiscoverySettings(fronts=10, silence=5 * SECOND), 10
+    ).relays_gone > one.relays_gone and one.known_late == fresh(DiscoverySettings())
+    assert (
+        bounds(DiscoverySettings(fronts=300), 300).alone > one.alone and one.calls <= DiscoverySettings().rate
+    )
 
 
 # Membership, on which it stands
 
 
 def test_views_of_a_cold_fleet_are_one_after_the_time_in_which_news_spreads():
-    world = World(100, 4, (Plan("probe", Mode.AT_LEAST_ONCE, 5 * SECOND),), Spans(), Leasing(), 1)
+    world = World(
+        100,
+        4,
+        (DutySettings("probe", DutyMode.AT_LEAST_ONCE, 5 * SECOND),),
+        MembershipTimeouts(),
+        LeaseSettings(),
+        1,
+    )
     world.open(False)
-    world.run(spread(Spans(), 100))
+    world.run(spread(MembershipTimeouts(), 100))
     assert world.views_agree()  # after 2 s; 9.5 s where a page a period was pulled
 
 
 def test_halves_that_suspected_each_other_declare_nobody_dead_who_lives():
-    world = World(150, 4, (Plan("probe", Mode.AT_LEAST_ONCE, 20 * SECOND),), Spans(), Leasing(), 1)
+    world = World(
+        150,
+        4,
+        (DutySettings("probe", DutyMode.AT_LEAST_ONCE, 20 * SECOND),),
+        MembershipTimeouts(),
+        LeaseSettings(),
+        1,
+    )
     world.open(True)
     world.run(3 * SECOND)
     one = frozenset(range(75))
@@ -404,7 +441,7 @@
 def test_settings_of_the_list_that_cannot_be_used_are_named(tmp_path, lines, says):
     file = tmp_path / "peers.ini"
     file.write_text(f"{PEERS}[listing]\n{lines}\n")
-    with pytest.raises(BadSetting, match=r"\[listing\]") as flaw:
+    with pytest.raises(SettingError, match=r"\[listing\]") as flaw:
         peers_file.read(file)
     assert says in str(flaw.value)
 
@@ -414,7 +451,7 @@
     file.write_text(PEERS)
     assert peers_file.read(file).listing is None
     file.write_text(PEERS + "[listing]\nfronts = 200\n")
-    assert peers_file.read(file).listing == Terms(fronts=200)
+    assert peers_file.read(file).listing == DiscoverySettings(fronts=200)
 
 
 def command(*words):
@@ -432,7 +469,8 @@
     done = command("listing", "bounds", str(file), "--zones", "2", "--json")
     assert (
         done.returncode == 0
-        and json.loads(done.stdout)["rows"][0]["measured"] == bounds(Terms(fronts=200), 200, 2).event / SECOND
+        and json.loads(done.stdout)["rows"][0]["measured"]
+        == bounds(DiscoverySettings(fronts=200), 200, 2).event / SECOND
     )
 
 
--- a/tests/test_opening.py
+++ b/tests/test_opening.py
@@ -14,12 +14,12 @@
 
 from limepath.cli import root
 from limepath.configuration import ini, peers_file
-from limepath.configuration.ini import BadSetting
+from limepath.configuration.ini import SettingError
 from limepath.membership.control import Caller
 from limepath.membership.guard import BadKeys, keys_of
-from limepath.membership.host import Unopened, read_keys
+from limepath.membership.host import StartError, read_keys
 from limepath.membership.identity import identity_of, kept_ceiling
-from limepath.store import DAMAGED, GOOD, NEW, Held, Store, Unusable
+from limepath.store import DAMAGED, GOOD, NEW, Store, StoreLockedError, StoreUnusableError
 from tests.stand_ins import configuration, free_address
 
 WHOLE = """[instance]
@@ -42,7 +42,7 @@
 
 
 def flaw(tmp_path, old, new):
-    with pytest.raises(BadSetting) as raised:
+    with pytest.raises(SettingError) as raised:
         read(tmp_path, WHOLE.replace(old, new))
     return str(raised.value).replace(str(tmp_path), "")
 
@@ -94,10 +94,10 @@
 
 
 def test_a_file_that_is_not_there_or_no_text_is_told(tmp_path):
-    with pytest.raises(BadSetting, match="No such file"):
+    with pytest.raises(SettingError, match="No such file"):
         peers_file.read(str(tmp_path / "none.ini"))
     (tmp_path / "b.ini").write_bytes(b"\xff\xfe")
-    with pytest.raises(BadSetting, match="no UTF-8"):
+    with pytest.raises(SettingError, match="no UTF-8"):
         peers_file.read(str(tmp_path / "b.ini"))
 
 
@@ -105,7 +105,7 @@
 def test_whatever_the_text_it_is_read_or_told(text):
     try:
         ini.check(text, "x", peers_file.FORM)
-    except BadSetting as flaw:
+    except SettingError as flaw:
         assert str(flaw).startswith("x: ")
 
 
@@ -113,7 +113,7 @@
     file = tmp_path / "keys"
     file.write_text("ab" * 32)
     file.chmod(0o644)
-    with pytest.raises(Unopened, match="open to others"):
+    with pytest.raises(StartError, match="open to others"):
         read_keys(str(file))
     file.chmod(0o600)
     assert len(read_keys(str(file))[0]) == 1
@@ -130,7 +130,7 @@
     store = Store(path)
     assert store.found == NEW
     store.put({"token": b"5", "life": b"1"})
-    with pytest.raises(Held):
+    with pytest.raises(StoreLockedError):
         Store(path)
     store.close()
     again = Store(path)
@@ -168,7 +168,7 @@
 
 
 def test_a_store_that_cannot_be_made_is_told(tmp_path):
-    with pytest.raises(Unusable):
+    with pytest.raises(StoreUnusableError):
         Store(str(tmp_path))
     with pytest.raises(OSError):
         Store("/proc/none/s.db")
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -8,32 +8,31 @@
 from hypothesis import strategies as st
 from twisted.internet.task import Clock
 
+from limepath.configuration.sharing_settings import DutyMode, DutySettings, LeaseSettings, MembershipTimeouts
 from limepath.duties.interface import MESSAGES as DUTY_MESSAGES
-from limepath.duties.interface import Leasing, Mode, Plan
 from limepath.duties.world import World
 from limepath.log import Log
 from limepath.membership.anti_entropy import PAGE
 from limepath.membership.checks import Without
 from limepath.membership.digests import BUCKETS, bucket_of
 from limepath.membership.guard import LARGEST, BadKeys, Dropped, Guard, Window, keys_of
-from limepath.membership.host import SLICE, TAKEN, Line
+from limepath.membership.host import SLICE, TAKEN, DatagramSocket
 from limepath.membership.identity import Identity, identity_of, kept_ceiling
 from limepath.membership.interface import (
     MESSAGES,
-    REFUTALS,
+    REFUTATION_BITS,
     Ack,
-    GiveWay,
-    Heard,
     Hello,
+    MemberPage,
+    MemberRecord,
+    MemberState,
     Message,
-    News,
-    Page,
+    MessageReceived,
     Ping,
     Pull,
-    Send,
-    Spans,
-    State,
+    SendMessage,
     Welcome,
+    YieldIdentity,
 )
 from limepath.membership.members import DOUBLED, REPLACED, Members, detection, shortest, spread
 from limepath.membership.view import MOST_BURIED, View
@@ -41,16 +40,16 @@
 
 SECOND = 1_000_000
 OLD, NEW = "ab" * 32, "cd" * 32
-SPANS = Spans()
+SPANS = MembershipTimeouts()
 
 
-def news(token, life=1, birth=1, name=None, port=None, state=State.ALIVE, refuted=0):
-    return News(
+def news(token, life=1, birth=1, name=None, port=None, state=MemberState.ALIVE, refuted=0):
+    return MemberRecord(
         token,
         name or f"n{token}",
         "127.0.0.1",
         port or 1000 + token,
-        (life << REFUTALS) + refuted,
+        (life << REFUTATION_BITS) + refuted,
         birth,
         state,
     )
@@ -65,8 +64,8 @@
 
 
 def hear(members, sender, message, now=SECOND // 100, to=None):
-    orders = members.handle(now, [Heard(sender, members.me.door if to is None else to, message)])
-    return [order for order in orders if isinstance(order, (Send, GiveWay))]
+    orders = members.handle(now, [MessageReceived(sender, members.me.door if to is None else to, message)])
+    return [order for order in orders if isinstance(order, (SendMessage, YieldIdentity))]
 
 
 def opened(guard, datagram):
@@ -124,14 +123,14 @@
 
 def test_no_message_is_larger_than_a_datagram():
     guard = Guard(keys_of(OLD))
-    widest = News(
+    widest = MemberRecord(
         2**63 - 1, "n" * 32, "2001:db8:1234:5678:9abc:def0:1234:5678", 65_535, 2**60, 2**60, 1, 2**63
     )
     members = instance(others=())
     for token in range(100):
         members.apply(widest._replace(token=2**62 + token))
     ping = Ping(2**40, members.told(2**62), 2**64 - 1)
-    (page,) = [o.message for o in hear(members, news(2), Pull()) if isinstance(o.message, Page)]
+    (page,) = [o.message for o in hear(members, news(2), Pull()) if isinstance(o.message, MemberPage)]
     assert len(ping.news) == 8 and len(page.news) == 12
     for message in (ping, page):
         assert len(guard.seal(widest, 2**64 - 1, message)) <= LARGEST
@@ -167,13 +166,13 @@
         for order in members.handle(now, ()):
             said.append((now, order))
             if (
-                isinstance(order, Send) and isinstance(order.message, Ping) and order.port != 1002
+                isinstance(order, SendMessage) and isinstance(order.message, Ping) and order.port != 1002
             ):  # 2 is silent
                 token = order.port - 1000
                 hear(members, news(token), Ack(order.message.seq), now)
-        if members.table[2].state == State.DEAD:
+        if members.table[2].state == MemberState.DEAD:
             declared = now
-    asked = [o for _, o in said if isinstance(o, Send) and type(o.message).__name__ == "PingFor"]
+    asked = [o for _, o in said if isinstance(o, SendMessage) and type(o.message).__name__ == "IndirectPing"]
     assert {o.message.about.token for o in asked} == {2} and len(asked) >= 2
     assert declared <= detection(SPANS, 4)
     assert members.ring == [3, 4]
@@ -181,22 +180,22 @@
 
 def test_a_suspect_that_hears_of_it_refutes_and_is_alive_again():
     members = instance()
-    ack = hear(members, news(2), Ping(9, (news(1, state=State.SUSPECT),)))[0].message
-    assert members.me.incarnation == (1 << REFUTALS) + 1 and members.me in ack.news
+    ack = hear(members, news(2), Ping(9, (news(1, state=MemberState.SUSPECT),)))[0].message
+    assert members.me.incarnation == (1 << REFUTATION_BITS) + 1 and members.me in ack.news
     other = instance(token=3, others=(1, 2))
-    other.apply(news(1, state=State.SUSPECT))
-    assert other.table[1].state == State.SUSPECT
+    other.apply(news(1, state=MemberState.SUSPECT))
+    assert other.table[1].state == MemberState.SUSPECT
     other.apply(members.me)
-    assert other.table[1].state == State.ALIVE
-    other.apply(news(1, state=State.DEAD))  # old news of the incarnation before
-    assert other.table[1].state == State.ALIVE
+    assert other.table[1].state == MemberState.ALIVE
+    other.apply(news(1, state=MemberState.DEAD))  # old news of the incarnation before
+    assert other.table[1].state == MemberState.ALIVE
 
 
 def test_the_dead_are_told_so_and_come_back_under_a_higher_incarnation_only():
     members = instance()
-    members.apply(news(2, state=State.DEAD))
+    members.apply(news(2, state=MemberState.DEAD))
     ack = hear(members, news(2), Ping(4))[0].message
-    assert news(2, state=State.DEAD) in ack.news and 2 not in members.ring
+    assert news(2, state=MemberState.DEAD) in ack.news and 2 not in members.ring
     hear(members, news(2, refuted=1), Ping(5))
     assert 2 in members.ring
 
@@ -204,13 +203,15 @@
 def test_what_was_meant_for_a_former_life_changes_nothing():
     members = instance(life=2)
     before = dict(members.table)
-    orders = hear(members, news(9), Ping(1, (news(2, state=State.DEAD),)), to=news(1, life=1).door)
+    orders = hear(members, news(9), Ping(1, (news(2, state=MemberState.DEAD),)), to=news(1, life=1).door)
     assert members.table == before and [type(o.message) for o in orders] == [Hello]
     assert members.counts["misaddressed"] == 1
     again = hear(members, news(9), Ping(2), to=5)
     assert again == []  # one Hello to one address in a span, however many come
     hear(members, news(2, life=5), Ping(3))
-    hear(members, news(2, life=4), Ping(4, (news(3, state=State.LEFT),)))  # late, of a life that is over
+    hear(
+        members, news(2, life=4), Ping(4, (news(3, state=MemberState.LEFT),))
+    )  # late, of a life that is over
     assert members.table[2].life == 5 and 3 in members.ring and members.counts["former"] == 1
 
 
@@ -223,34 +224,44 @@
 def test_of_two_with_one_name_the_younger_gives_way_and_at_one_address_the_new_one_replaces():
     members = instance(birth=5)
     *farewells, way = hear(members, news(7, name="n1", birth=3), Ping(1))
-    assert {o.message.news[0].state for o in farewells} == {State.LEFT}
+    assert {o.message.news[0].state for o in farewells} == {MemberState.LEFT}
     assert way.why == DOUBLED and members.handle(2 * SECOND, ()) == []
     elder = instance(birth=2)
-    assert not [o for o in hear(elder, news(7, name="n1", birth=3), Ping(1)) if isinstance(o, GiveWay)]
+    assert not [o for o in hear(elder, news(7, name="n1", birth=3), Ping(1)) if isinstance(o, YieldIdentity)]
     third = instance(token=3, others=(1, 2))
     hear(third, news(1), Ping(1))
     hear(third, news(70, name="n1", port=1001), Ping(1))  # started anew with a new store, at its old address
-    assert third.table[1].state == State.DEAD and 70 in third.ring
+    assert third.table[1].state == MemberState.DEAD and 70 in third.ring
 
 
 def test_of_two_with_one_store_the_later_life_goes_on():
     woken = instance(life=1, birth=1)  # stopped, while a new process was started on its store
-    (way,) = [o for o in hear(woken, news(2), Ping(1, (news(1, life=2, birth=9),))) if isinstance(o, GiveWay)]
+    (way,) = [
+        o for o in hear(woken, news(2), Ping(1, (news(1, life=2, birth=9),))) if isinstance(o, YieldIdentity)
+    ]
     assert way.why == REPLACED
     copied = instance(life=4, birth=9)
-    (way,) = [o for o in hear(copied, news(1, life=4, birth=8), Ping(1)) if isinstance(o, GiveWay)]
+    (way,) = [o for o in hear(copied, news(1, life=4, birth=8), Ping(1)) if isinstance(o, YieldIdentity)]
     assert way.other.birth == 8
     first = instance(life=4, birth=8)
-    assert not [o for o in hear(first, news(1, life=4, birth=9), Ping(1)) if isinstance(o, GiveWay)]
+    assert not [o for o in hear(first, news(1, life=4, birth=9), Ping(1)) if isinstance(o, YieldIdentity)]
     restarted = instance(life=4, birth=9)
     assert not [
-        o for o in hear(restarted, news(2), Ping(1, (news(1, life=3, birth=8),))) if isinstance(o, GiveWay)
+        o
+        for o in hear(restarted, news(2), Ping(1, (news(1, life=3, birth=8),)))
+        if isinstance(o, YieldIdentity)
     ]
 
 
 def small(instances, seed, **network):
     world = World(
-        instances, 10, (Plan("probe", Mode.AT_LEAST_ONCE, 5 * SECOND),), SPANS, Leasing(), seed, **network
+        instances,
+        10,
+        (DutySettings("probe", DutyMode.AT_LEAST_ONCE, 5 * SECOND),),
+        SPANS,
+        LeaseSettings(),
+        seed,
+        **network,
     )
     return world
 
@@ -337,7 +348,13 @@
 def test_messages_are_the_same_after_the_wire():
     encoder = msgspec.msgpack.Encoder()
     guard = Guard(keys_of(OLD), MESSAGES + DUTY_MESSAGES)
-    for message in (Ping(1, (news(3),), 5), Ack(2), Page((news(4),), True), Pull(6), Welcome((news(7),))):
+    for message in (
+        Ping(1, (news(3),), 5),
+        Ack(2),
+        MemberPage((news(4),), True),
+        Pull(6),
+        Welcome((news(7),)),
+    ):
         assert guard.message.decode(encoder.encode(message)) == message
 
 
@@ -345,7 +362,7 @@
     (tmp_path / "keys").write_text(OLD)
     (tmp_path / "keys").chmod(0o600)
     clock, log = Clock(), Log("n1", 0, 1)
-    line = Line(clock, ("127.0.0.1", 1), str(tmp_path / "keys"), MESSAGES, log, lambda note: None)
+    line = DatagramSocket(clock, ("127.0.0.1", 1), str(tmp_path / "keys"), MESSAGES, log, lambda note: None)
     reads = []
     line.port = type(
         "Port",
@@ -370,7 +387,7 @@
     path = tmp_path / "keys"
     path.write_text(OLD)
     path.chmod(0o600)
-    line = Line(Clock(), ("127.0.0.1", 1), str(path), MESSAGES, Log("n1", 0, 1), lambda note: None)
+    line = DatagramSocket(Clock(), ("127.0.0.1", 1), str(path), MESSAGES, Log("n1", 0, 1), lambda note: None)
     for text, mode, keys in (
         ("noise", 0o600, OLD),
         (NEW + "\n" + OLD, 0o644, OLD),
@@ -384,7 +401,10 @@
 
 
 def test_the_shortest_suspicion_grows_with_the_digits_of_the_fleet():
-    assert (shortest(Spans(), 5), shortest(Spans(), 1000)) == (4_000_000, 12_000_000)
+    assert (shortest(MembershipTimeouts(), 5), shortest(MembershipTimeouts(), 1000)) == (
+        4_000_000,
+        12_000_000,
+    )
 
 
 def test_the_buckets_of_tokens_go_from_the_first_to_the_last():
@@ -413,7 +433,7 @@
     buckets = tuple(digest ^ (at not in same) for at, digest in enumerate(members.view.digests.buckets))
     pull = Pull(after, buckets if told else ())
     asker = news(5, name="asks")
-    (page,) = [sent.message for sent in hear(members, asker, pull) if isinstance(sent.message, Page)]
+    (page,) = [sent.message for sent in hear(members, asker, pull) if isinstance(sent.message, MemberPage)]
     # who asks is a member by now
     assert ([one.token for one in page.news], page.last) == pages_by_search(members, after, pull.buckets)
 
@@ -430,14 +450,14 @@
         view.put(news(token))
     for now, token in enumerate((3, 2)):
         view.timers.now = now
-        view.put(news(token, state=State.DEAD))
+        view.put(news(token, state=MemberState.DEAD))
     view.timers.now = 10
     view.forget(10)
     assert list(view.buried) == [3, 2]
     view.forget(9)
     assert list(view.buried) == list(view.buried_since) == [2] and set(view.table) == {2, 4}
     for token in range(10, 10 + MOST_BURIED):
-        view.put(news(token, state=State.DEAD))
+        view.put(news(token, state=MemberState.DEAD))
     view.forget(100)
     assert len(view.buried) == len(view.buried_since) == MOST_BURIED and 2 not in view.table
     assert view.ring == [4]
@@ -456,7 +476,7 @@
     members.apply(news(2, life=3))
     members.joins.seek()
     assert sought == [seed] * 2
-    members.apply(news(2, life=3, state=State.LEFT))
+    members.apply(news(2, life=3, state=MemberState.LEFT))
     members.joins.seek()
     assert sought == [seed] * 3
 
--- a/tests/test_ring.py
+++ b/tests/test_ring.py
@@ -2,10 +2,10 @@
 
 import pytest
 
+from limepath.configuration.sharing_settings import LeaseSettings, MembershipTimeouts
 from limepath.duties.instance import FEW, REBUILD, Instance
-from limepath.duties.interface import Leasing
 from limepath.duties.ring import EMPTY, KEPT, KEPT_PLACES, POINTS, Ring, key_of
-from limepath.membership.interface import REFUTALS, News, Spans, State
+from limepath.membership.interface import REFUTATION_BITS, MemberRecord, MemberState
 
 
 @pytest.fixture(autouse=True)
@@ -56,12 +56,19 @@
 
 @pytest.mark.parametrize("changes", [1, FEW, FEW + 1, 600 // REBUILD, 600 // REBUILD + 1, 60])
 def test_the_ring_of_a_view_that_changes_is_the_one_built_of_its_members(changes):
-    others = [News(token, f"n{token}", "h", 1, 1 << REFUTALS, 1) for token in range(2, 601)]
+    others = [MemberRecord(token, f"n{token}", "h", 1, 1 << REFUTATION_BITS, 1) for token in range(2, 601)]
     late = others[:changes]
-    instance = Instance(News(1, "n1", "h", 1, 1 << REFUTALS, 1), (), Spans(), (), Leasing(), 1)
+    instance = Instance(
+        MemberRecord(1, "n1", "h", 1, 1 << REFUTATION_BITS, 1),
+        (),
+        MembershipTimeouts(),
+        (),
+        LeaseSettings(),
+        1,
+    )
     instance.set_out(others[changes:])
     assert instance.ring is Ring.of([1, *instance.members.ring])
-    instance.set_out([*late, *(one._replace(state=State.DEAD) for one in others[-changes // 2 :])])
+    instance.set_out([*late, *(one._replace(state=MemberState.DEAD) for one in others[-changes // 2 :])])
     for one in others[-changes // 2 :]:
         instance.parted(one)
     seen = instance.ring
--- a/tests/test_scale_faults.py
+++ b/tests/test_scale_faults.py
@@ -7,8 +7,7 @@
 import pytest
 from twisted.internet.testing import MemoryReactorClock, StringTransport
 
-from limepath.discovery.interface import Terms
-from limepath.membership.interface import Spans
+from limepath.configuration.sharing_settings import DiscoverySettings, MembershipTimeouts
 from limepath.scale import bounds, faults, plan
 from limepath.scale.control import Arrival, FrontReport, Subsystem, Traffic
 from limepath.scale.faults import Kind, UnknownFault
@@ -254,7 +253,7 @@
 
 
 def promise_of(listing, kinds=(), purge=7_300_000):
-    peers = SimpleNamespace(listing=listing, spans=Spans())
+    peers = SimpleNamespace(listing=listing, spans=MembershipTimeouts())
     made = faults.schedule(LAYOUT, kinds, 100 * SECOND, 1)
     phases = ["calm", *(kind.value for kind in kinds)]
     shape = bounds.Shape(40, 4, 8, 36.0)
@@ -262,19 +261,21 @@
 
 
 def test_an_event_has_the_time_that_the_settings_promise_and_never_more_than_the_operators():
-    promise = promise_of(Terms(fronts=40), (Kind.LOSS, Kind.RACK))
+    promise = promise_of(DiscoverySettings(fronts=40), (Kind.LOSS, Kind.RACK))
     assert promise.event["calm"] < promise.event["loss"] < promise.event["rack"] == 7_300_000
     assert set(promise.whole_again) == {Kind.LOSS, Kind.RACK}
-    assert promise_of(Terms(fronts=40), purge=1_000_000).event == {"calm": 1_000_000}
+    assert promise_of(DiscoverySettings(fronts=40), purge=1_000_000).event == {"calm": 1_000_000}
 
 
 def test_a_longer_heartbeat_is_a_longer_bound():
-    quick, slow = (promise_of(Terms(fronts=40, beat=beat), (Kind.LOSS,)) for beat in (100_000, 400_000))
+    quick, slow = (
+        promise_of(DiscoverySettings(fronts=40, beat=beat), (Kind.LOSS,)) for beat in (100_000, 400_000)
+    )
     assert quick.event["loss"] < slow.event["loss"]
 
 
 def test_a_star_states_nothing_of_children_and_windows():
-    promise = promise_of(Terms(fronts=40))
+    promise = promise_of(DiscoverySettings(fronts=40))
     assert promise.children is None and promise.list_bytes is None and promise.window is None
 
 
@@ -282,7 +283,7 @@
     run = SimpleNamespace(
         seen=Observations(["a"]), schedule=faults.Schedule((), SECOND, SECOND), fleet=None, plan=LAYOUT
     )
-    promise = promise_of(Terms(fronts=40))
+    promise = promise_of(DiscoverySettings(fronts=40))
     felt, unfelt = (fault_rows(run, promise, {Kind.LOSS: count}) for count in (3, 0))
     assert all(row.holds for row in felt) and not any(row.holds for row in unfelt)
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -8,7 +8,7 @@
 import pytest
 
 from limepath.configuration.addresses import address_of
-from limepath.configuration.platform import BadConfiguration, opening_of
+from limepath.configuration.platform import ConfigurationError, front_settings
 from limepath.interface.settings import Idempotency
 from tests.stand_ins import MS, SETTINGS, Site, configuration, free_address
 
@@ -79,8 +79,8 @@
 
 @pytest.mark.parametrize(("path", "value", "named"), BAD)
 def test_a_setting_that_cannot_be_used_is_named(path, value, named):
-    with pytest.raises(BadConfiguration, match=named):
-        opening_of(told(path, value), {})
+    with pytest.raises(ConfigurationError, match=named):
+        front_settings(told(path, value), {})
 
 
 @pytest.mark.parametrize(
@@ -99,20 +99,20 @@
     ],
 )
 def test_zero_and_absent_are_taken_where_they_have_a_meaning(path, value):
-    assert opening_of(told(path, value), {}).arguments
+    assert front_settings(told(path, value), {}).arguments
 
 
 def test_a_fleet_in_which_nothing_topples_has_no_cold_budget():
     for key in ("overload-factor", "tip-after"):
-        arguments = opening_of(told(("safety", key), 0), {}).arguments
+        arguments = front_settings(told(("safety", key), 0), {}).arguments
         assert (
             arguments["cache_warmup"].duration == 0
         )  # once a division by zero at the first forward to a new cache
-    assert opening_of(told(("safety", "tip-after"), MS), {}).arguments["cache_warmup"].duration > 0
+    assert front_settings(told(("safety", "tip-after"), MS), {}).arguments["cache_warmup"].duration > 0
 
 
 def test_times_are_whole_microseconds_however_they_are_told():
-    service = opening_of(told(("classes", 0, "deadline"), 2.5e9), {}).arguments["services"][0]
+    service = front_settings(told(("classes", 0, "deadline"), 2.5e9), {}).arguments["services"][0]
     assert service.deadline == 2_500_000 and isinstance(service.deadline, int)
     assert service.idempotency is Idempotency.IDEMPOTENT
 
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -8,7 +8,7 @@
 
 from twisted.internet.task import Clock
 
-from limepath.configuration.platform import opening_of
+from limepath.configuration.platform import front_settings
 from limepath.front.caches import Caches
 from limepath.front.changelog import ChangeLog
 from limepath.front.turn import Turn
@@ -91,7 +91,7 @@
 
 def work_of_a_list(members, phase):
     """Take in a list of which every other member is in this phase, then a second one without those."""
-    told = opening_of(configuration("127.0.0.1:9"), {})
+    told = front_settings(configuration("127.0.0.1:9"), {})
     log = Log("n1", told.limits.log_lines, told.limits.log_span, "person")
     turn = Turn(Clock(), FakeHost(fleet=()).front, told.limits, log)
     caches = Caches(turn.reactor, turn, None, told.limits, log, b"INFO")
--- a/tests/test_terms_folder.py
+++ b/tests/test_terms_folder.py
@@ -11,11 +11,11 @@
 from types import SimpleNamespace
 
 from limepath.discovery.host import GuidedChangeLog
-from limepath.discovery.interface import Save
+from limepath.discovery.interface import SaveSnapshot
 from limepath.duties.host import Cooperation
-from limepath.duties.interface import Keep, Vote
+from limepath.duties.interface import LeaseGrant, PersistEpochCeiling
 from limepath.log import Log
-from limepath.membership.interface import Send
+from limepath.membership.interface import SendMessage
 from limepath.store import PendingWrites, Store
 
 FAILING = """
@@ -79,15 +79,15 @@
     """A voter's ceiling has to outlive a crash before the vote is sent; all else is said as ever."""
     store = FailingStore()
     one, sent = cooperation_on(store, Log("n1", 5, 10**6))
-    vote, ping = Send("127.0.0.1", 9, 1, Vote(0, 1, (0,))), Send("127.0.0.1", 9, 1, None)
-    one.execute(Keep(4096))
+    vote, ping = SendMessage("127.0.0.1", 9, 1, LeaseGrant(0, 1, (0,))), SendMessage("127.0.0.1", 9, 1, None)
+    one.execute(PersistEpochCeiling(4096))
     one.execute(vote)
     one.execute(ping)
     assert sent == [ping] and store.rows == {}
     one.writes.retry()
     one.execute(vote)
     assert sent == [ping] and store.tried == 2
-    one.execute(Keep(8192))  # stands for both
+    one.execute(PersistEpochCeiling(8192))  # stands for both
     store.fails = False
     one.writes.retry()
     one.execute(vote)
@@ -101,9 +101,9 @@
     store = FailingStore()
     changes = GuidedChangeLog.__new__(GuidedChangeLog)
     changes.cooperation, sent = cooperation_on(store, Log("n1", 0, 10**6))
-    changes.execute(Save(b"first"))
-    changes.execute(Save(b"second"))
-    changes.cooperation.execute(Send("127.0.0.1", 9, 1, Vote(0, 1, (0,))))
+    changes.execute(SaveSnapshot(b"first"))
+    changes.execute(SaveSnapshot(b"second"))
+    changes.cooperation.execute(SendMessage("127.0.0.1", 9, 1, LeaseGrant(0, 1, (0,))))
     assert len(sent) == 1  # a vote rests on no list
     store.fails = False
     changes.cooperation.writes.retry()
--- a/tests/test_terms_shutdown.py
+++ b/tests/test_terms_shutdown.py
@@ -5,7 +5,7 @@
 import select
 import time
 
-from limepath.configuration.platform import opening_of
+from limepath.configuration.platform import front_settings
 from tests.stand_ins import BOUND, MS, SETTINGS, Site, configuration, until
 from tests.test_endings import NOW
 
@@ -25,7 +25,7 @@
 def test_a_front_that_ends_takes_no_more_well_before_it_may_be_killed():
     for deadline in (20, 100, 300, 1000, 2990, 3000, 5000):
         told = configuration("127.0.0.1:9", settings=with_deadline(deadline), limits={})
-        limits = opening_of(told, {}).limits
+        limits = front_settings(told, {}).limits
         killed = (min(deadline, 3000) + 700) * 1000
         assert REQUESTS_COME < limits.leaving <= killed - 100_000, deadline
         assert limits.leaving <= limits.last_answer <= killed - 100_000, deadline
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -12,14 +12,13 @@
 from hypothesis import strategies as st
 
 from limepath.cli import root
+from limepath.configuration.tls_settings import HandshakePace, RetryDelays
 from limepath.tls.admission import HEAD_START, Admission
 from limepath.tls.interface import (
     Begin,
     Broken,
     Failure,
-    Pace,
     Refuse,
-    RetryDelays,
     Session,
     Shaken,
     Swapped,
@@ -152,7 +151,7 @@
 
 
 def test_500_wanted_at_once_begin_at_the_pace_and_the_rest_is_refused_in_time():
-    pace = Pace(rate=20.0, burst=10, at_once=4)
+    pace = HandshakePace(rate=20.0, burst=10, at_once=4)
     doors, now, started, refused = Admission(1, pace), 0, [], []
     orders = doors.handle(0, [want(ident, until=2 * SECOND) for ident in range(500)])
     while now < 3 * SECOND:
@@ -169,7 +168,7 @@
 
 
 def test_the_nearest_objective_goes_first_and_who_can_resume_has_a_head_start_only():
-    pace = Pace(rate=1.0, burst=1, at_once=1)
+    pace = HandshakePace(rate=1.0, burst=1, at_once=1)
     doors = Admission(1, pace)
     doors.handle(0, [want(0, objective=0)])
     later = doors.handle(
@@ -191,7 +190,7 @@
 
 
 def test_a_resumed_handshake_gives_back_what_it_did_not_cost():
-    pace = Pace(rate=1.0, burst=4, at_once=100, resumed_share=0.25)
+    pace = HandshakePace(rate=1.0, burst=4, at_once=100, resumed_share=0.25)
     full, light = Admission(1, pace), Admission(1, pace)
     notes = [want(ident) for ident in range(20)]
     assert len(begun(full.handle(0, notes))) == len(begun(light.handle(0, notes))) == 4
@@ -200,7 +199,7 @@
 
 
 def test_a_server_is_left_alone_longer_each_time_and_returns_slowly():
-    doors, now, spans = Admission(1, Pace(rate=1000.0, burst=1000, at_once=8)), 0, []
+    doors, now, spans = Admission(1, HandshakePace(rate=1000.0, burst=1000, at_once=8)), 0, []
     for turn in range(5):
         ident = 100 * turn
         orders = doors.handle(now, [want(ident + n, until=now + 100 * SECOND) for n in range(8)])
@@ -261,7 +260,7 @@
     ),
 )
 def test_the_budget_is_never_overdrawn_and_nobody_waits_for_ever(seed, history):
-    pace = Pace(rate=5.0, burst=3, at_once=2, all_rate=8.0, all_burst=4, all_at_once=3)
+    pace = HandshakePace(rate=5.0, burst=3, at_once=2, all_rate=8.0, all_burst=4, all_at_once=3)
     doors, now, ident, out, ended, full, gave_back = Admission(seed, pace), 0, 0, {}, {}, [], 0.0
     waiting = {}
 
--- a/tests/test_topology.py
+++ b/tests/test_topology.py
@@ -7,7 +7,7 @@
 from hypothesis import example, given, settings
 from hypothesis import strategies as st
 
-from limepath.discovery.interface import Terms
+from limepath.configuration.sharing_settings import DiscoverySettings
 from limepath.discovery.relay import Listing
 from limepath.discovery.topology import Scope, Zone, longest_path, position
 
@@ -157,7 +157,9 @@
 def test_roots_are_those_that_older_programs_follow(scopes, relays):
     all_positions = positions(scopes, relays)
     me = next(iter(scopes))
-    older = Listing(me, Terms(zone="sur", relays=relays), 1, lambda: [one for one in scopes if one != me])
+    older = Listing(
+        me, DiscoverySettings(zone="sur", relays=relays), 1, lambda: [one for one in scopes if one != me]
+    )
     assert {token for token, at in all_positions.items() if at.is_root} == set(older.upstream.ranked(relays))
 
 
