--- a/limepath/tls/admission.py
+++ b/limepath/tls/admission.py
@@ -202,6 +202,9 @@
             if wait := self.bucket.wait(now):
                 return self.look_at(now + wait)
             (_, want), ident = min(able)
+            if self.wants[want].until <= now:  # its own timer is due as well, behind this one
+                self.overdue(want)
+                continue
             server = self.servers[ident]
             server.line.pop(0)
             del self.wants[want]
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -247,6 +247,16 @@
     assert begun(doors.handle(3, [want(4, 9)])) == [4]
 
 
+def test_no_handshake_begins_for_a_request_whose_time_ended_while_the_process_stood_still():
+    doors = Admission(0)
+    doors.handle(0, [want(1)])
+    doors.handle(0, [Broken(1, Failure.REFUSED)])
+    (pause_ends,) = [doors.next()]
+    doors.handle(0, [want(2, until=pause_ends + 10_000)])
+    orders = doors.handle(pause_ends + SECOND, [])
+    assert begun(orders) == [] and Refuse(2, "too late") in orders
+
+
 @settings(derandomize=True, deadline=None, max_examples=150)
 @given(
     st.integers(0, 99),
