--- a/tests/soak.py
+++ b/tests/soak.py
@@ -111,7 +111,7 @@
     def take(self, asked):
         if asked.word != "ASK":
             return
-        attempt = Attempt(asked.at, asked.cache, asked.fields)
+        attempt = Attempt(asked.arrival, asked.cache, asked.fields)
         self.judge.attempted(asked.id, attempt)
         name = f"{asked.fields['queue']}/{asked.fields['path']}"
         tag, body = body_of(name)
@@ -215,7 +215,8 @@
         self.soak.judge.sent(txn, request)
         if self.chance.random() < 0.06:
             time.sleep(self.chance.random() * 0.2)
-            request.left = time.monotonic()
+            viewer.close()
+            request.left = time.monotonic()  # before the close it had not gone, however long that took
             return False
         return self.answer(viewer, request)
 
@@ -225,7 +226,7 @@
             answer = viewer.answer()
         except (OSError, AssertionError, ValueError):
             answer = None
-        request.ended = time.monotonic()
+        request.ended = viewer.answered_at() if answer else time.monotonic()
         if answer is None:
             return False
         request.status, told, request.got = answer
@@ -415,7 +416,7 @@
     rig = (
         f"the rig late by {soak.judge.late:.3f} s, {soak.judge.within_stops} acts that a standstill fell into"
     )
-    return seed, lines, f"{requests}, {attempts} attempts, {rig}"
+    return seed, lines, f"{requests}, {attempts} attempts, {soak.judge.untimed()} untimed, {rig}"
 
 
 def main():
--- a/tests/soak_rules.py
+++ b/tests/soak_rules.py
@@ -18,10 +18,13 @@
 
 
 class Attempt:
-    """One ASK as a cache read it."""
+    """One ASK as it arrived at a cache. What comes too late is judged by `earliest`, what it comes before by
+    `latest`: the two are the same where the system has told the time of its arrival.
+    """
 
-    def __init__(self, at, cache, fields):
-        self.at, self.cache, self.fields = at, cache, fields
+    def __init__(self, arrival, cache, fields):
+        self.earliest, self.latest = arrival
+        self.cache, self.fields = cache, fields
         self.never_ran, self.named = False, set()
 
 
@@ -74,7 +77,7 @@
         """Whether a standstill fell between the front's last look and its send: with one thread that can be
         one attempt a standstill, which arrives as soon as the front goes on. No check could prevent it.
         """
-        return self.fell_into(lambda began, _: request.sent <= began + AT_ONCE, attempt.at)
+        return self.fell_into(lambda began, _: request.sent <= began + AT_ONCE, attempt.earliest)
 
     def was_being_ended(self, request):
         """The same of a resting connection: the request came while the front stood still between its last
@@ -108,10 +111,15 @@
         statuses = Counter(request.status for request in self.requests.values() if request.left is None)
         return statuses, sum(map(len, self.attempts.values()))
 
+    def untimed(self):
+        """How many attempts were read along with later bytes, which hide the time of their arrival."""
+        attempts = (attempt for some in self.attempts.values() for attempt in some)
+        return sum(attempt.earliest < attempt.latest for attempt in attempts)
+
     def broken(self, told_to_end, killed_at, said):
         self.lines = []
         for txn, request in list(self.requests.items()):
-            attempts = sorted(self.attempts[txn], key=lambda one: one.at)
+            attempts = sorted(self.attempts[txn], key=lambda one: one.latest)
             self.check_answer(txn, request, attempts, killed_at)
             self.check_effect(txn, request, attempts)
             for attempt in attempts:
@@ -148,10 +156,9 @@
             if ran is not None and request.service == "tarea":
                 self.lines.append(f"duplicate: {txn} sent again to {attempt.cache} after {ran.cache}")
             if ran is not None and request.service == "entrega":
-                if attempt.at - ran.at > self.window + ON_SOCKETS + self.late:
-                    self.lines.append(
-                        f"duplicate: {txn} repeated {attempt.at - ran.at:.3f} s after it may have run"
-                    )
+                after = attempt.earliest - ran.latest
+                if after > self.window + ON_SOCKETS + self.late:
+                    self.lines.append(f"duplicate: {txn} repeated {after:.3f} s after it may have run")
             if ran is None and not attempt.never_ran:
                 ran = attempt
         if ran is not None and request.service == "tarea" and request.status in (429, 503):
@@ -161,23 +168,23 @@
         """Rules 3 and 5, clients that have gone, and the time passed on."""
         for drain in self.drains:
             if drain.member in (attempt.cache, attempt.fields.get("up")):
-                late = attempt.at - drain.counts_from() - GRACE_DRAIN
+                late = attempt.earliest - drain.counts_from() - GRACE_DRAIN
                 if late > ON_SOCKETS + self.late:
                     self.lines.append(f"drain: {txn} to {attempt.cache} {late:.3f} s past the grace")
         for purge in self.purges:
             concerned = request.name == purge.object or request.group == purge.group
-            late = attempt.at - purge.counts_from() - GRACE_PURGE
-            alive = attempt.at - purge.purged < self.gone_everywhere
+            late = attempt.earliest - purge.counts_from() - GRACE_PURGE
+            alive = attempt.latest - purge.purged < self.gone_everywhere
             if concerned and request.service == "video" and late > ON_SOCKETS + self.late and alive:
-                age = attempt.at - purge.purged + self.late
+                age = attempt.latest - purge.purged + self.late
                 if int(attempt.fields.get("cap", 10**9)) / 1000 > age:
                     self.lines.append(
                         f"purge: {txn} takes copies of {attempt.fields.get('cap')} ms, {age:.3f} s old"
                     )
-        gone = attempt.at - request.left if request.left is not None else 0
+        gone = attempt.earliest - request.left if request.left is not None else 0
         if gone > GONE + self.late and not self.was_being_sent(request, attempt):
             self.lines.append(f"lost: {txn} sent on {gone:.3f} s after its client had gone")
-        left = request.ttl - (attempt.at - request.sent)
+        left = request.ttl - (attempt.earliest - request.sent)
         over = int(attempt.fields["budget"]) / 1000 > left + PASSED_ON + self.late
         if over and not self.was_being_sent(request, attempt):
             self.lines.append(f"deadline: {txn} passes {attempt.fields['budget']} ms, {left:.3f} s are left")
--- a/tests/stand_ins.py
+++ b/tests/stand_ins.py
@@ -1,5 +1,6 @@
 """Stand-ins for all that a real front speaks to: caches, the change log and clients, on loopback sockets."""
 
+import io
 import json
 import os
 import queue
@@ -12,6 +13,7 @@
 import time
 
 from limepath.testbed.process import free_ports
+from tests.arrival_times import CommandReader, StampedStream, stamp_arrivals
 
 BOUND = 60  # seconds that anything may take before a story has failed
 MS = 1_000_000
@@ -97,8 +99,8 @@
 class Asked:
     """One command that a cache got."""
 
-    def __init__(self, cache, connection, words, body):
-        self.cache, self.connection, self.body, self.at = cache, connection, body, time.monotonic()
+    def __init__(self, cache, connection, words, body, arrival):
+        self.cache, self.connection, self.body, self.arrival = cache, connection, body, arrival
         self.word, self.id = words[:2]
         told = words[2] if len(words) > 2 else "-"
         self.fields = dict(field.split("=") for field in told.split(",")) if told != "-" else {}
@@ -121,6 +123,7 @@
         self.listener, self.asked, self.deaf, self.connected = listening(), queue.Queue(), False, 0
         self.cut_off, self.crowding, self.crowded = set(), [], False
         self.accepted_last = threading.Event()
+        stamp_arrivals(self.listener)
         accepting(self.listener, self.serve)
 
     def entry(self, phase="in_service", **changes):
@@ -149,13 +152,11 @@
             except (OSError, ValueError):
                 return
             self.reused.append(connection.session_reused)
-        stream = connection.makefile("rb")
         try:
-            while line := stream.readline():
-                words = line.decode().split()
-                body = stream.read(int(words[3]) + 2)[:-2] if words[0] == "ASK" else b""
-                asked = Asked(self.name, connection, words, body)
-                if words[0] not in ("INFO", "NOOP"):
+            commands = CommandReader(connection)
+            while command := commands.next():
+                asked = Asked(self.name, connection, *command)
+                if asked.word not in ("INFO", "NOOP"):
                     self.asked.put(asked)
                 elif not (self.deaf or connection in self.cut_off):
                     asked.answer("FIT", "use=inflight:1;util:0.1")
@@ -254,7 +255,8 @@
     def __init__(self, where):
         host, port = where.split(":")
         self.socket = socket.create_connection((host, int(port)), timeout=BOUND)
-        self.stream = self.socket.makefile("rb")
+        self.stamps = StampedStream(self.socket)
+        self.stream = io.BufferedReader(self.stamps)
 
     def send(
         self,
@@ -292,6 +294,10 @@
         assert len(body) == size, "a short body"
         return status, fields, body
 
+    def answered_at(self):
+        """When the last byte that was read arrived, on the monotonic clock."""
+        return self.stamps.latest
+
     def ended(self):
         try:
             return self.stream.read() == b""
