--- a/tests/stand_ins.py
+++ b/tests/stand_ins.py
@@ -243,7 +243,10 @@
             if not data:
                 return  # the front has let it go
             head += data
-        connection.sendall(b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n: here\n\n")
+        try:
+            connection.sendall(b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n: here\n\n")
+        except (BrokenPipeError, ConnectionResetError):
+            return  # it has let it go meanwhile
         self.stream = connection
         (last,) = [line.split(b":")[1] for line in head.split(b"\r\n") if line.startswith(b"Last-Event-ID")]
         self.calls.put(int(last))
