--- a/tests/stand_ins.py
+++ b/tests/stand_ins.py
@@ -1,5 +1,6 @@
 """Stand-ins for all that a real front speaks to: caches, the change log and clients, on loopback sockets."""
 
+import io
 import json
 import os
 import queue
@@ -12,9 +13,11 @@
 import time
 
 from limepath.testbed.process import free_ports
+from tests.arrival_times import CommandReader, StampedStream, stamp_arrivals
 
 BOUND = 60  # seconds that anything may take before a story has failed
 MS = 1_000_000
+LISTEN = "0A"  # tcp_states.h, as /proc/net/tcp shows it
 SETTINGS = {
     "az": 0,
     "replicas-of-me": 1,
@@ -79,6 +82,18 @@
         return [line.split() for line in file.readlines()[1:]]
 
 
+def listens_at(process, where):
+    """Whether this process holds a listener at this address."""
+    port = f":{int(where.rpartition(':')[2]):04X}"
+    inodes = {words[9] for words in connections() if words[1].endswith(port) and words[3] == LISTEN}
+    descriptors = f"/proc/{process.pid}/fd"
+    try:
+        held = {os.readlink(f"{descriptors}/{number}") for number in os.listdir(descriptors)}
+    except OSError:  # it opens and closes files meanwhile, or has ended
+        return False
+    return any(f"socket:[{inode}]" in held for inode in inodes)
+
+
 def accepting(listener, serve):
     """Hand each connection that comes to `serve`, until that says to accept no more."""
 
@@ -97,8 +112,8 @@
 class Asked:
     """One command that a cache got."""
 
-    def __init__(self, cache, connection, words, body):
-        self.cache, self.connection, self.body, self.at = cache, connection, body, time.monotonic()
+    def __init__(self, cache, connection, words, body, arrival):
+        self.cache, self.connection, self.body, self.arrival = cache, connection, body, arrival
         self.word, self.id = words[:2]
         told = words[2] if len(words) > 2 else "-"
         self.fields = dict(field.split("=") for field in told.split(",")) if told != "-" else {}
@@ -121,6 +136,7 @@
         self.listener, self.asked, self.deaf, self.connected = listening(), queue.Queue(), False, 0
         self.cut_off, self.crowding, self.crowded = set(), [], False
         self.accepted_last = threading.Event()
+        stamp_arrivals(self.listener)
         accepting(self.listener, self.serve)
 
     def entry(self, phase="in_service", **changes):
@@ -149,13 +165,11 @@
             except (OSError, ValueError):
                 return
             self.reused.append(connection.session_reused)
-        stream = connection.makefile("rb")
         try:
-            while line := stream.readline():
-                words = line.decode().split()
-                body = stream.read(int(words[3]) + 2)[:-2] if words[0] == "ASK" else b""
-                asked = Asked(self.name, connection, words, body)
-                if words[0] not in ("INFO", "NOOP"):
+            commands = CommandReader(connection)
+            while command := commands.next():
+                asked = Asked(self.name, connection, *command)
+                if asked.word not in ("INFO", "NOOP"):
                     self.asked.put(asked)
                 elif not (self.deaf or connection in self.cut_off):
                     asked.answer("FIT", "use=inflight:1;util:0.1")
@@ -229,7 +243,10 @@
             if not data:
                 return  # the front has let it go
             head += data
-        connection.sendall(b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n: here\n\n")
+        try:
+            connection.sendall(b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n: here\n\n")
+        except (BrokenPipeError, ConnectionResetError):
+            return  # it has let it go meanwhile
         self.stream = connection
         (last,) = [line.split(b":")[1] for line in head.split(b"\r\n") if line.startswith(b"Last-Event-ID")]
         self.calls.put(int(last))
@@ -254,7 +271,8 @@
     def __init__(self, where):
         host, port = where.split(":")
         self.socket = socket.create_connection((host, int(port)), timeout=BOUND)
-        self.stream = self.socket.makefile("rb")
+        self.stamps = StampedStream(self.socket)
+        self.stream = io.BufferedReader(self.stamps)
 
     def send(
         self,
@@ -292,6 +310,10 @@
         assert len(body) == size, "a short body"
         return status, fields, body
 
+    def answered_at(self):
+        """When the last byte that was read arrived, on the monotonic clock."""
+        return self.stamps.latest
+
     def ended(self):
         try:
             return self.stream.read() == b""
@@ -376,14 +398,9 @@
         threading.Thread(target=self.listen, daemon=True).start()
         end = time.monotonic() + BOUND
         while time.monotonic() < end and self.process.poll() is None:
-            try:
-                answer = self.health()
-                if answer is None:  # somebody else's listener has the port, and closed the connection
-                    self.process.kill()
-                    self.process.wait()
-                return answer is not None and answer[0] == 200
-            except ConnectionRefusedError:
-                time.sleep(0.02)
+            if listens_at(self.process, self.where):  # not another test's front: that would answer as well
+                return self.health()[0] == 200
+            time.sleep(0.02)
 
     def listen(self):
         for line in self.process.stderr:
