--- /dev/null
+++ b/limepath/cli/membership.py
@@ -0,0 +1,77 @@
+"""`limepath membership`: the instances that a running one knows."""
+
+import json
+import sys
+from typing import Any
+
+import click
+
+from limepath.configuration import peers_file
+from limepath.configuration.ini import SettingError
+from limepath.membership.control import NoAnswerError, ask
+
+
+@click.group("membership")
+def command() -> None:
+    """The instances that know each other and share work."""
+
+
+def columns(rows: list[dict[str, Any]], names: list[str]) -> str:
+    """Return a table of the named fields of `rows`, with a heading and aligned columns."""
+    lines = [names, *([str(row.get(name, "")) for name in names] for row in rows)]
+    widths = [max(len(line[column]) for line in lines) for column in range(len(names))]
+    return "\n".join(
+        "  ".join(f"{cell:<{width}}" for cell, width in zip(line, widths, strict=True)).rstrip()
+        for line in lines
+    )
+
+
+@command.command("show")
+@click.argument("where", type=click.Path())
+@click.option("--json", "as_json", is_flag=True, help="Print the whole view as JSON.")
+def show(where: str, as_json: bool) -> None:
+    """Show what a running instance knows: members, states, incarnations, duties owned, epochs.
+
+    WHERE is the instance's control socket, or its peers file, which names the socket. Status 1 when nothing
+    answers there.
+    """
+    try:
+        view = ask(control_socket(where), "peers")
+    except SettingError as error:
+        print(f"limepath: configuration: {error}", file=sys.stderr)
+        sys.exit(2)
+    except NoAnswerError as error:
+        print(f"limepath: {error}", file=sys.stderr)
+        sys.exit(1)
+    if as_json:
+        click.echo(json.dumps(view, indent=1))
+    else:
+        print_view(view)
+
+
+def control_socket(where: str) -> str:
+    """Return the control socket's path; `where` is that path, or a peers file that names it.
+
+    Raises SettingError where the peers file can't be used or names no control socket.
+    """
+    if not where.endswith(".ini"):
+        return where
+    settings = peers_file.read(where)
+    if not settings.control:
+        raise SettingError(f"{where}: [instance] control: missing; this instance has no control socket")
+    return settings.control
+
+
+def print_view(view: dict[str, Any]) -> None:
+    """Print a view of the membership, as the control socket gives it, for people to read."""
+    me = view["me"]
+    click.echo(
+        f"{me['name']} ({me['token']}), life {me['life']}"
+        + (", leaving" if me["leaving"] else "")
+        + ("" if me["joined"] else ", not joined yet")
+        + (", votes" if me["votes"] else "")
+    )
+    click.echo("\n" + columns(view["members"], ["name", "state", "address", "life", "incarnation", "token"]))
+    click.echo("\n" + columns(view["duties"], ["name", "mode", "targets", "owned", "epoch"]))
+    counts = [{"count": name, "value": value} for name, value in view["counts"].items()]
+    click.echo("\n" + columns(counts, ["count", "value"]))
--- /dev/null
+++ b/limepath/cli/settings.py
@@ -0,0 +1,58 @@
+"""`limepath settings`: check settings files."""
+
+import json
+import os
+import sys
+from typing import Any
+
+import click
+
+from limepath.configuration import peers_file, platform
+from limepath.configuration.ini import SettingError
+
+
+@click.group("settings")
+def command() -> None:
+    """Settings files: what they contain, and whether they can be used."""
+
+
+@command.command("check")
+@click.argument("file", type=click.Path(dir_okay=False))
+@click.option("--json", "as_json", is_flag=True, help="Print what was read as JSON.")
+def check(file: str, as_json: bool) -> None:
+    """Check a settings FILE: a peers file (INI), or a front's JSON where its name ends in .json.
+
+    No socket is opened and nothing is written. Status 2, and one line that names section and key, at the
+    first error.
+    """
+    try:
+        values = front_values(file) if file.endswith(".json") else peers_values(file)
+    except (SettingError, platform.ConfigurationError) as error:
+        print(f"limepath: configuration: {error}", file=sys.stderr)
+        sys.exit(2)
+    if as_json:
+        click.echo(json.dumps(values, indent=1))
+        return
+    click.echo(f"{file}: can be used")
+    for name, value in values.items():
+        click.echo(f"  {name}: {json.dumps(value)}")
+
+
+def front_values(file: str) -> dict[str, Any]:
+    """Read a front's JSON file; return the part of it that is printed."""
+    settings = platform.read(os.environ | {platform.CONFIGURATION: file})
+    return {
+        "name": settings.name,
+        "listen": settings.listen,
+        "services": [name.decode() for name in settings.services],
+    }
+
+
+def peers_values(file: str) -> dict[str, Any]:
+    """Read a peers file; return all settings as plain values."""
+    settings = peers_file.read(file)
+    return settings._asdict() | {
+        "spans": settings.spans._asdict(),
+        "leasing": settings.leasing._asdict(),
+        "plans": [plan._asdict() | {"mode": plan.mode.name} for plan in settings.plans],
+    }
--- a/limepath/scale/capacity_roles.py
+++ b/limepath/scale/capacity_roles.py
@@ -124,7 +124,7 @@
     """The lines of an operator's console."""
     lines = Lines("an operator's console")
     text, cpu = figures.at("console", "shown", SIZE.fronts), figures.at("console", "cpu", SIZE.fronts)
-    shown = "cli/peers.py, membership/control.py"
+    shown = "cli/membership.py, membership/control.py"
     lines.add(Kind.MESSAGES, "one front's view shown", text, shown)
     lines.add(Kind.PROCESSOR, "the same, at the front, which stands meanwhile", cpu, shown)
     if text.value is not None:
--- a/limepath/scale/roles_console.py
+++ b/limepath/scale/roles_console.py
@@ -1,4 +1,4 @@
-"""What an operator is shown of one front: `limepath peers show --json` by the size of its view."""
+"""What an operator is shown of one front: `limepath membership show --json` by the size of its view."""
 
 import json
 from functools import partial
--- a/tests/test_event_tree.py
+++ b/tests/test_event_tree.py
@@ -675,6 +675,6 @@
 def test_the_bounds_of_the_tree_are_shown_with_a_site(tmp_path):
     file = tmp_path / "peers.ini"
     file.write_text(PEERS + "[listing]\nfronts = 5200\nsite = a\n")
-    done = command("listing", "bounds", str(file), "--zones", "20", "--sites", "240", "--json")
+    done = command("discovery", "bounds", str(file), "--zones", "20", "--sites", "240", "--json")
     rows = {row["what"]: row["measured"] for row in json.loads(done.stdout)["rows"]}
     assert rows["fronts that one sends events to, at the most"] == 8
--- a/tests/test_listing.py
+++ b/tests/test_listing.py
@@ -463,10 +463,10 @@
 def test_the_bounds_are_shown_and_what_is_missing_is_named(tmp_path):
     file = tmp_path / "peers.ini"
     file.write_text(PEERS)
-    done = command("listing", "bounds", str(file))
+    done = command("discovery", "bounds", str(file))
     assert done.returncode == 2 and "[listing]: missing" in done.stderr
     file.write_text(PEERS + "[listing]\nfronts = 200\n")
-    done = command("listing", "bounds", str(file), "--zones", "2", "--json")
+    done = command("discovery", "bounds", str(file), "--zones", "2", "--json")
     assert (
         done.returncode == 0
         and json.loads(done.stdout)["rows"][0]["measured"]
--- a/tests/test_opening.py
+++ b/tests/test_opening.py
@@ -241,10 +241,10 @@
         ("duties", "simulate"),
         ("duties", "check"),
         ("duties", "bounds"),
-        ("peers",),
-        ("peers", "show"),
-        ("opening",),
-        ("opening", "check"),
+        ("membership",),
+        ("membership", "show"),
+        ("settings",),
+        ("settings", "check"),
     ):
         shown = told(*words, "--help")
         assert shown.exit_code == 0 and "Usage" in shown.output and len(shown.output) > 100, words
@@ -267,16 +267,16 @@
     good, bad = tmp_path / "good.ini", tmp_path / "bad.ini"
     good.write_text(WHOLE)
     bad.write_text(WHOLE.replace("5s", "5 fortnights"))
-    assert told("opening", "check", str(good)).exit_code == 0
-    shown = told("opening", "check", str(bad))
+    assert told("settings", "check", str(good)).exit_code == 0
+    shown = told("settings", "check", str(bad))
     assert shown.exit_code == 2 and "[duty probe] interval" in shown.output
     front = tmp_path / "front.json"
     front.write_text(json.dumps(configuration(free_address())))
-    assert told("opening", "check", str(front)).exit_code == 0
+    assert told("settings", "check", str(front)).exit_code == 0
     front.write_text("{}")
-    assert told("opening", "check", str(front)).exit_code == 2
-    assert told("peers", "show", str(tmp_path / "none.sock")).exit_code == 1
-    assert told("peers", "show", str(good)).exit_code == 2
+    assert told("settings", "check", str(front)).exit_code == 2
+    assert told("membership", "show", str(tmp_path / "none.sock")).exit_code == 1
+    assert told("membership", "show", str(good)).exit_code == 2
     assert told("duties", "bounds", str(good)).exit_code == 0
 
 
