--- a/tests/test_pages.py
+++ b/tests/test_pages.py
@@ -1,5 +1,6 @@
 """What the pages name exists: files of the program on the architecture page, tests in the audit's table."""
 
+import ast
 import re
 from pathlib import Path
 
@@ -12,6 +13,9 @@
 # A path of a file or folder: `store.py`, `front/start.py`, `discovery/`, also with `limepath/` before it.
 FILE = re.compile(r"(?<![\w/.-])((?:[a-z_]+/)*[a-z_]+\.(?:py|ini|toml|md)|(?:[a-z_]+/)+)(?![\w/])")
 
+# A test file, a test with its file before it, or a test of the file that was named last in the line.
+TEST = re.compile(r"\b(?:(test_\w+)::)?(test_\w+)")
+
 
 def paths_named(text: str) -> set[str]:
     """Return the paths in backticks and in drawings, which are lines that are indented by four spaces."""
@@ -65,3 +69,52 @@
     assert exists("store.py", tmp_path)
     assert not exists("stores.py", tmp_path)
     assert not exists("decisions/engine.py", tmp_path)
+
+
+def names_by_file(folder: Path) -> dict[str, set[str]]:
+    """Return the names of all tests by the name of their file."""
+    return {
+        path.stem: {
+            node.name
+            for node in ast.walk(ast.parse(path.read_text(encoding="utf-8")))
+            if isinstance(node, ast.FunctionDef) and node.name.startswith("test_")
+        }
+        for path in folder.glob("test_*.py")
+    }
+
+
+def missing_tests(text: str, tests: dict[str, set[str]]) -> list[str]:
+    """Return each test that a page names and that is not there, as "line: name"."""
+    missing = []
+    for number, line in enumerate(text.splitlines(), 1):
+        file = ""
+        for named_file, name in TEST.findall(line):
+            file = named_file or (name if name in tests else file)
+            is_file = not named_file and name in tests
+            known = tests.get(file, set()) if file else set().union(*tests.values())
+            if not is_file and name not in known:
+                missing.append(f"{number}: {file}::{name}")
+    return missing
+
+
+def test_each_test_in_the_audit_exists():
+    text = AUDIT.read_text(encoding="utf-8")
+    assert len(TEST.findall(text)) > 100, "the page names its tests"
+    assert missing_tests(text, names_by_file(ROOT / "tests")) == []
+
+
+@pytest.mark.parametrize(
+    ("line", "missing"),
+    [
+        ("test_front::test_a, test_b", []),
+        ("test_front (all)", []),
+        ("`test_tls::test_c`, test_front::test_a, `test_b`", []),
+        ("test_a alone", []),
+        ("test_front::test_c", ["1: test_front::test_c"]),
+        ("test_front::test_a, test_c", ["1: test_front::test_c"]),
+        ("test_gone::test_a", ["1: test_gone::test_a"]),
+        ("test_gone (all)", ["1: ::test_gone"]),
+    ],
+)
+def test_a_test_that_is_not_there_is_noticed(line, missing):
+    assert missing_tests(line, {"test_front": {"test_a", "test_b"}, "test_tls": {"test_c"}}) == missing
