--- a/limepath/cli/discovery.py
+++ b/limepath/cli/discovery.py
@@ -1,12 +1,12 @@
 """`limepath discovery`: the endpoint list that the fronts of a fleet share."""
 
 import json
-import sys
 from typing import Any
 
 import click
 
-from limepath.cli.duties import conclude, json_option
+from limepath.cli.options import json_option
+from limepath.cli.output import STATUS_FAILED, conclude, fail, fail_configuration
 from limepath.configuration import peers_file
 from limepath.configuration.ini import SettingError
 from limepath.configuration.peers_file import PeersSettings
@@ -27,8 +27,7 @@
         if not settings.listing:
             raise SettingError(f"{file}: [listing]: missing; each front follows the change log by itself")
     except SettingError as error:
-        print(f"limepath: configuration: {error}", file=sys.stderr)
-        sys.exit(2)
+        fail_configuration(error)
     return settings
 
 
@@ -94,8 +93,7 @@
     try:
         view = ask(read_settings(where).control if where.endswith(".ini") else where, "listing")
     except NoAnswerError as error:
-        print(f"limepath: {error}", file=sys.stderr)
-        sys.exit(1)
+        fail(error, STATUS_FAILED)
     if as_json:
         click.echo(json.dumps(view, indent=1))
     else:
--- a/limepath/cli/keys.py
+++ b/limepath/cli/keys.py
@@ -1,43 +1,49 @@
-"""limepath keys"""
+"""`limepath keys`: certificates and keys for TLS to servers."""
 
 import json
 import os
 import sys
 import time
+from typing import Any, NoReturn, cast
 
 import click
+from cryptography.x509 import CertificateRevocationList
 
+from limepath.cli.output import STATUS_FAILED, fail
 from limepath.configuration import ini, tls_file
 from limepath.tls import making
-from limepath.tls.files import key_set, read, write
+from limepath.tls.files import Trusted, key_set, read, write
 from limepath.tls.making import Made
-from limepath.tls.material import BadMaterial, certificates, shown
+from limepath.tls.material import BadMaterial, Chain, certificates, shown
 
 kind_option = click.option(
     "--kind", type=click.Choice(making.KINDS), default="ec", show_default=True, help="Of the key."
 )
 CA, CA_KEY = "ca.pem", "ca.key"
+SECONDS_A_DAY = 86_400
 
 
-def wall():
+def unix_clock() -> int:
+    """Return the wall clock, in microseconds of Unix time."""
     return time.time_ns() // 1000
 
 
-def fail(flaw):
-    print(f"limepath: keys: {flaw}", file=sys.stderr)
-    sys.exit(2)
+def fail_keys(error: object) -> NoReturn:
+    """End with status 2 over a file that cannot be used."""
+    fail(f"keys: {error}")
 
 
 @click.group("keys")
-def command():
-    """Certificates and keys: make, look at, check. Private keys are written for their owner alone."""
+def command() -> None:
+    """Certificates and keys: make, inspect, check. Private keys are readable by their owner only."""
 
 
-def put(folder, stem, made, overwrite):
+def write_pair(folder: str, stem: str, made: Made, overwrite: bool) -> None:
+    """Write a certificate and its key, the key first and for its owner only; print both paths."""
     paths = [os.path.join(folder, f"{stem}.pem"), os.path.join(folder, f"{stem}.key")]
     for path in paths:
         if os.path.exists(path) and not overwrite:
-            fail(f"{path}: is there already; --overwrite replaces it")
+            fail_keys(f"{path}: is there already; --overwrite replaces it")
     os.makedirs(folder, exist_ok=True)
     write(paths[1], made.key, secret=True)
     write(paths[0], made.certificate)
@@ -51,9 +57,9 @@
 @click.option("--days", type=click.IntRange(1, 36_500), default=3650, show_default=True)
 @kind_option
 @click.option("--overwrite", is_flag=True)
-def make_ca(folder, name, days, kind, overwrite):
+def make_ca(folder: str, name: str, days: int, kind: str, overwrite: bool) -> None:
     """Make a certificate authority in FOLDER: ca.pem (for roots =) and ca.key (keep it off the fronts)."""
-    put(folder, "ca", making.authority(name, wall(), days, kind), overwrite)
+    write_pair(folder, "ca", making.authority(name, unix_clock(), days, kind), overwrite)
 
 
 @command.command("issue")
@@ -63,29 +69,34 @@
 @kind_option
 @click.option("--file", "stem", help="Name of the two files; the first name otherwise.")
 @click.option("--overwrite", is_flag=True)
-def issue(folder, names, days, kind, stem, overwrite):
+def issue(
+    folder: str, names: tuple[str, ...], days: float, kind: str, stem: str | None, overwrite: bool
+) -> None:
     """Issue a certificate for NAMES (DNS names or addresses), signed by the CA in FOLDER."""
     try:
-        above = Made(read(os.path.join(folder, CA), "ca"), read(os.path.join(folder, CA_KEY), "ca key", True))
-        made = making.issue(above, names, wall(), days, kind)
-    except (BadMaterial, ValueError) as flaw:
-        fail(flaw)
-    put(folder, (stem or names[0]).replace("/", "_").replace("*", "_"), made, overwrite)
+        authority = Made(
+            read(os.path.join(folder, CA), "ca"), read(os.path.join(folder, CA_KEY), "ca key", True)
+        )
+        made = making.issue(authority, names, unix_clock(), days, kind)
+    except (BadMaterial, ValueError) as error:
+        fail_keys(error)
+    write_pair(folder, (stem or names[0]).replace("/", "_").replace("*", "_"), made, overwrite)
 
 
 @command.command("inspect")
 @click.argument("file", type=click.Path(dir_okay=False))
 @click.option("--json", "as_json", is_flag=True, help="Print as JSON.")
-def inspect(file, as_json):
+def inspect(file: str, as_json: bool) -> None:
     """Show the certificates in FILE."""
     try:
-        found = [shown(one, wall())._asdict() for one in certificates(read(file, "certificate"))]
-    except BadMaterial as flaw:
-        fail(flaw)
+        found = [shown(each, unix_clock())._asdict() for each in certificates(read(file, "certificate"))]
+    except BadMaterial as error:
+        fail_keys(error)
     if as_json:
-        return click.echo(json.dumps(found, indent=1))
-    for one in found:
-        for name, value in one.items():
+        click.echo(json.dumps(found, indent=1))
+        return
+    for certificate in found:
+        for name, value in certificate.items():
             click.echo(f"{name + ':':<14}{', '.join(value) if isinstance(value, tuple) else value}")
         click.echo("")
 
@@ -100,54 +111,72 @@
     help="Status 1 when something ends sooner.",
 )
 @click.option("--json", "as_json", is_flag=True, help="Print as JSON.")
-def check(file, days, as_json):
-    """Check a TLS settings FILE with all that it names, without traffic: identity, chain, trust, lists, days
-    left.
+def check(file: str, days: float, as_json: bool) -> None:
+    """Check a TLS settings FILE with all that it names, without traffic.
 
-    Status 2 with section and reason where a front would refuse the set; 1 where something ends within --days.
+    Identity, chain, trust, revocation lists and days left are checked. Status 2 with section and reason where
+    a front would refuse the set; 1 where something ends within --days.
     """
-    now = wall()
+    now = unix_clock()
     try:
-        read_in = tls_file.read(file)
-        found = key_set(read_in, now)
-    except (ini.SettingError, BadMaterial) as flaw:
-        fail(flaw if isinstance(flaw, ini.SettingError) else f"{file}: {flaw}")
-    rows = []
-    if found.chain:
-        for place, one in enumerate((found.chain.leaf, *found.chain.above)):
-            rows.append(
-                {"what": "[client] certificate" if not place else "  hangs on"} | shown(one, now)._asdict()
-            )
-    for trust in found.trusts:
-        rows += [{"what": f"[trust {trust.title}] root"} | shown(one, now)._asdict() for one in trust.roots]
-        for one in trust.lists:
-            left = (
-                round((one.next_update_utc.timestamp() - now / 1e6) / 86_400, 2)
-                if one.next_update_utc
-                else None
-            )
-            rows.append(
-                {
-                    "what": f"[trust {trust.title}] list",
-                    "subject": one.issuer.rfc4514_string(),
-                    "key": f"{len(one)} revoked" + (", stale" if trust.stale else ""),
-                    "days_left": left,
-                }
-            )
+        settings = tls_file.read(file)
+        found = key_set(settings, now)
+    except ini.SettingError as error:
+        fail_keys(error)
+    except BadMaterial as error:
+        fail_keys(f"{file}: {error}")
+    rows = chain_rows(cast("Chain | None", found.chain), now) + [
+        row for trust in found.trusts for row in trust_rows(trust, now)
+    ]
     warnings = [
         f"[trust {entry.title}] verify: off; whoever answers for {', '.join(entry.members)} is believed"
-        for entry in read_in.trusts
+        for entry in settings.trusts
         if not entry.verify
     ]
-    short = [row for row in rows if row["days_left"] is not None and row["days_left"] < days]
+    ending = [row for row in rows if row["days_left"] is not None and row["days_left"] < days]
     if as_json:
-        click.echo(json.dumps({"rows": rows, "warnings": warnings, "holds": not short}, indent=1))
+        click.echo(json.dumps({"rows": rows, "warnings": warnings, "holds": not ending}, indent=1))
     else:
-        for row in rows:
-            click.echo(
-                f"{row['what']:<24}{row['subject']:<32}{row['key']:<16}{row['days_left']} days left"
-                + (" SOON" if row in short else "")
-            )
-        for warning in warnings:
-            click.echo(f"warning: {warning}")
-    sys.exit(1 if short else 0)
+        print_rows(rows, ending, warnings)
+    sys.exit(STATUS_FAILED if ending else 0)
+
+
+def chain_rows(chain: Chain | None, now: int) -> list[dict[str, Any]]:
+    """Return a row for the front's own certificate and for each that it hangs on; none without a key."""
+    if not chain:
+        return []
+    own = {"what": "[client] certificate"} | shown(chain.leaf, now)._asdict()
+    return [own, *({"what": "  hangs on"} | shown(issuer, now)._asdict() for issuer in chain.above)]
+
+
+def trust_rows(trust: Trusted, now: int) -> list[dict[str, Any]]:
+    """Return a row for each root and each revocation list of a trust section."""
+    rows = [{"what": f"[trust {trust.title}] root"} | shown(root, now)._asdict() for root in trust.roots]
+    for revoked in trust.lists:
+        rows.append(
+            {
+                "what": f"[trust {trust.title}] list",
+                "subject": revoked.issuer.rfc4514_string(),
+                "key": f"{len(revoked)} revoked" + (", stale" if trust.stale else ""),
+                "days_left": days_left(revoked, now),
+            }
+        )
+    return rows
+
+
+def days_left(revoked: CertificateRevocationList, now: int) -> float | None:
+    """Return the days until a revocation list's next update; None where it names none."""
+    if not revoked.next_update_utc:
+        return None
+    return round((revoked.next_update_utc.timestamp() - now / 1e6) / SECONDS_A_DAY, 2)
+
+
+def print_rows(rows: list[dict[str, Any]], ending: list[dict[str, Any]], warnings: list[str]) -> None:
+    """Print the rows for people to read, those that end soon marked, and the warnings."""
+    for row in rows:
+        click.echo(
+            f"{row['what']:<24}{row['subject']:<32}{row['key']:<16}{row['days_left']} days left"
+            + (" SOON" if row in ending else "")
+        )
+    for warning in warnings:
+        click.echo(f"warning: {warning}")
--- a/limepath/cli/membership.py
+++ b/limepath/cli/membership.py
@@ -1,11 +1,11 @@
 """`limepath membership`: the instances that a running one knows."""
 
 import json
-import sys
 from typing import Any
 
 import click
 
+from limepath.cli.output import STATUS_FAILED, fail, fail_configuration
 from limepath.configuration import peers_file
 from limepath.configuration.ini import SettingError
 from limepath.membership.control import NoAnswerError, ask
@@ -38,11 +38,9 @@
     try:
         view = ask(control_socket(where), "peers")
     except SettingError as error:
-        print(f"limepath: configuration: {error}", file=sys.stderr)
-        sys.exit(2)
+        fail_configuration(error)
     except NoAnswerError as error:
-        print(f"limepath: {error}", file=sys.stderr)
-        sys.exit(1)
+        fail(error, STATUS_FAILED)
     if as_json:
         click.echo(json.dumps(view, indent=1))
     else:
--- /dev/null
+++ b/limepath/cli/options.py
@@ -0,0 +1,72 @@
+"""Parameter types and options that several command groups have in common."""
+
+from collections.abc import Sequence
+
+import click
+
+from limepath.configuration import ini
+from limepath.configuration.peers_file import MODES
+
+
+class Duration(click.ParamType):
+    """A duration with its unit, such as `250ms`; whole microseconds as a value."""
+
+    name = "duration"
+
+    def convert(self, value: object, param: click.Parameter | None, ctx: click.Context | None) -> int:
+        """Return microseconds; fail with a usage error where the text is no duration."""
+        if isinstance(value, int):
+            return value
+        try:
+            return ini.span(value)
+        except ValueError as error:
+            self.fail(str(error), param, ctx)
+
+
+class Share(click.ParamType):
+    """A share from 0 to below 1, or as a percentage."""
+
+    name = "share"
+
+    def convert(self, value: object, param: click.Parameter | None, ctx: click.Context | None) -> float:
+        """Return the share; fail with a usage error where the text is none."""
+        try:
+            share = value if isinstance(value, float) else ini.share(value)
+        except ValueError as error:
+            self.fail(str(error), param, ctx)
+        if not 0 <= share < 1:
+            self.fail("a share lies between 0 and 1", param, ctx)
+        return share
+
+
+mode_option = click.option(
+    "--mode", type=click.Choice(list(MODES)), default="at-least-once", show_default=True
+)
+seed_option = click.option("--seed", type=int, default=1, show_default=True, help="Chooses the faults.")
+json_option = click.option("--json", "as_json", is_flag=True, help="Print as JSON.")
+faults_option = click.option(
+    "--faults", "kinds", help="Kinds, separated by commas, or 'none'; --faults help lists them. Default: all."
+)
+folder_option = click.option(
+    "--keep", "folder", type=click.Path(file_okay=False), help="Keep settings and logs in this folder."
+)
+
+
+def chosen_kinds(text: str | None, kinds: Sequence[str], option: str) -> tuple[str, ...]:
+    """Return the kinds of faults that `option` names, all of them where it is left out.
+
+    Raises click.BadParameter for a name that is not in `kinds`.
+    """
+    chosen = tuple(text.split(",")) if text else tuple(kinds)
+    for kind in chosen:
+        if kind not in kinds:
+            raise click.BadParameter(f"{kind!r}: no such kind{ini.near(kind, kinds)}", param_hint=option)
+    return chosen
+
+
+def integers(text: str) -> tuple[int, ...]:
+    """Return the whole numbers of a list with commas; raises click.BadParameter where one is none."""
+    try:
+        return tuple(int(number) for number in text.split(","))
+    except ValueError:
+        raise click.BadParameter("whole numbers with commas are wanted") from None
--- a/limepath/cli/run.py
+++ b/limepath/cli/run.py
@@ -1,4 +1,4 @@
-"""limepath run"""
+"""`limepath run`: one real front."""
 
 import os
 import sys
@@ -10,25 +10,27 @@
 
 @click.command("run", short_help="Run one front.")
 @click.option(
-    "--config", type=click.Path(dir_okay=False), help="The front's JSON; ROUTER_CONFIG names it otherwise."
+    "--config",
+    type=click.Path(dir_okay=False),
+    help="The front's JSON; by default the file that ROUTER_CONFIG names.",
 )
 @click.option(
     "--peers",
     envvar="LIMEPATH_PEERS",
     type=click.Path(dir_okay=False),
-    help="A peers file (deploy/peers.ini): share duties with other fronts. Else LIMEPATH_PEERS names it.",
+    help="A peers file (deploy/peers.ini): share work with other fronts. Default: LIMEPATH_PEERS.",
 )
 @click.option(
     "--tls",
     envvar="LIMEPATH_TLS",
     type=click.Path(dir_okay=False),
-    help="A TLS file (deploy/tls.ini): verified TLS to servers. LIMEPATH_TLS names it otherwise.",
+    help="A TLS file (deploy/tls.ini): verified TLS to servers. Default: LIMEPATH_TLS.",
 )
 @click.option(
-    "--log", "form", type=click.Choice(FORMS), help="Form of log lines; the peers file's otherwise."
+    "--log", "form", type=click.Choice(FORMS), help="Form of log lines; by default as the peers file says."
 )
-def command(config, peers, tls, form):
-    """Run one front until SIGTERM. SIGHUP reads the configuration and the keys again."""
+def command(config: str | None, peers: str | None, tls: str | None, form: str | None) -> None:
+    """Run one front until SIGTERM. SIGHUP reads the configuration and keys again."""
     if config:
         os.environ["ROUTER_CONFIG"] = config
     from limepath.front.start import main
--- a/limepath/cli/scale.py
+++ b/limepath/cli/scale.py
@@ -1,10 +1,12 @@
-"""limepath scale"""
+"""`limepath scale`: what a size costs."""
 
 from importlib import import_module
 from importlib.util import find_spec
 
 import click
 
+from limepath.cli.output import fail
+
 RUN = "limepath.cli.scale_run"  # `run`; it stands in a file of its own
 DAMAGED, DIFFERS = 2, 1  # exit statuses
 FILE, PAGE, RUNS = "docs/measurements/scale.json", "docs/CAPACITY.md", "docs/measurements/scale"
@@ -13,19 +15,21 @@
 class ScaleGroup(click.Group):
     """Loads `run` when it is asked for, and works without it."""
 
-    def list_commands(self, context):
-        names = super().list_commands(context)
+    def list_commands(self, ctx: click.Context) -> list[str]:
+        """Return all names, `run` among them where its file is there."""
+        names = super().list_commands(ctx)
         return sorted([*names, "run"] if find_spec(RUN) else names)
 
-    def get_command(self, context, name):
-        if name == "run" and find_spec(RUN):
+    def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:
+        """Return the command with that name, or None where there is none."""
+        if cmd_name == "run" and find_spec(RUN):
             module = import_module(RUN)
             return getattr(module, "run", None) or module.command
-        return super().get_command(context, name)
+        return super().get_command(ctx, cmd_name)
 
 
 @click.group("scale", cls=ScaleGroup)
-def command():
+def command() -> None:
     """What a size costs: hollow fronts beside real ones, slopes of each role, the capacity page."""
 
 
@@ -44,11 +48,11 @@
 
 @command.command("measure")
 @click.option("--role", "roles", multiple=True, help="Only this role, merged into the file; repeatable.")
-@click.option("--list", "listing", is_flag=True, help="Tell the roles and end.")
+@click.option("--list", "list_roles", is_flag=True, help="List the roles and end.")
 @file_option
 @page_option
 @runs_option
-def measure(roles, listing, file, page, runs):
+def measure(roles: tuple[str, ...], list_roles: bool, file: str, page: str, runs: str) -> None:
     """Measure each role alone at five sizes or more; write the file, its charts and the page.
 
     One measurement runs at a time. Processor times are user and system time of the measured process. Needs
@@ -59,8 +63,9 @@
     from limepath.scale.measured import DamagedFile
     from limepath.scale.roles import ROLES
 
-    if listing:
-        return click.echo("\n".join(f"{name:12} {role.purpose}" for name, role in ROLES.items()))
+    if list_roles:
+        click.echo("\n".join(f"{name:12} {role.purpose}" for name, role in ROLES.items()))
+        return
     for name in roles:
         if name not in ROLES:
             raise click.BadParameter(
@@ -69,8 +74,8 @@
     try:
         measure_roles(file, roles or tuple(ROLES), say=lambda line: click.echo(line, err=True))
         write_page(file, page, runs)
-    except DamagedFile as flaw:
-        fail(flaw, DAMAGED)
+    except DamagedFile as error:
+        fail(error, DAMAGED)
     click.echo(page)
 
 
@@ -79,8 +84,8 @@
 @file_option
 @page_option
 @runs_option
-def check(write, file, page, runs):
-    """Work the capacity page out again from the measured file.
+def check(write: bool, file: str, page: str, runs: str) -> None:
+    """Compute the capacity page again from the measured file.
 
     Status 1 where page and file differ, with the first line that does; 2 for a missing or damaged file.
     """
@@ -90,15 +95,11 @@
     try:
         if write:
             write_page(file, page, runs)
-            return click.echo(page)
+            click.echo(page)
+            return
         difference = first_difference(file, page, runs)
-    except DamagedFile as flaw:
-        fail(flaw, DAMAGED)
+    except DamagedFile as error:
+        fail(error, DAMAGED)
     if difference:
         fail(difference, DIFFERS)
     click.echo(f"{page} is what {file} gives")
-
-
-def fail(flaw, status):
-    click.echo(f"limepath: {flaw}", err=True)
-    raise click.exceptions.Exit(status)
--- a/limepath/cli/scale_run.py
+++ b/limepath/cli/scale_run.py
@@ -1,25 +1,29 @@
-"""limepath scale run"""
+"""`limepath scale run`: hollow fronts and real processes on one machine."""
 
 import json
 import os
 import sys
 import tempfile
+from typing import TYPE_CHECKING, NoReturn
 
 import click
 
-from limepath.cli.duties import Span, json_option, seed_option
+from limepath.cli.options import Duration, folder_option, json_option, seed_option
+from limepath.cli.output import STATUS_FAILED, fail
 
+if TYPE_CHECKING:
+    from limepath.scale.faults import Kind, Schedule
+    from limepath.scale.plan import Machine, Plan
+    from limepath.scale.run import Options
+
+SHORTEST = 5_000_000  # microseconds of a run
 MOST_STRETCH = 20  # at which the longest span of the settings is still one that they take
 LONGEST_FOLDER = 80  # characters: a control socket's path below it must fit the system's 107
 MEMORY_FOLDER = "/dev/shm"  # where it is there: a thousand stores on one disk would measure that disk
 
 
-def refuse(error):
-    print(f"limepath: {error}", file=sys.stderr)
-    sys.exit(2)
-
-
-def this_machine():
+def this_machine() -> "Machine":
+    """Return what this machine has: cores, memory, file descriptors; their limit is raised first."""
     import psutil
 
     from limepath.scale.plan import Machine
@@ -46,7 +50,7 @@
     "--churn", is_flag=True, help="Restart fronts at an ordinary day's rate, sped up; as --faults churn."
 )
 @click.option("--faults", "kinds", default="", help="Kinds with commas, one after another, or 'all'.")
-@click.option("--duration", type=Span(), default="60s", show_default=True, help="Of the measured time.")
+@click.option("--duration", type=Duration(), default="60s", show_default=True, help="Of the measured time.")
 @click.option(
     "--stretch",
     type=click.IntRange(1, MOST_STRETCH),
@@ -58,9 +62,28 @@
 @click.option("--budget-bytes", type=float, help="That a front may send a second, in place of 24,000.")
 @seed_option
 @json_option
-@click.option("--keep", type=click.Path(file_okay=False), help="Keep settings and logs in this folder.")
-def command(kinds, churn, duration, stretch, broken, budget_bytes, seed, as_json, keep, **sizes):
-    """Run hollow fronts and real processes on loopback, tell events, cause faults, judge by the bounds.
+@folder_option
+def command(
+    fronts: int,
+    real: int,
+    caches: int,
+    regions: int,
+    zones: int,
+    sites: int,
+    processes: int,
+    purges: float,
+    settings_changes: float,
+    kinds: str,
+    churn: bool,
+    duration: int,
+    stretch: int,
+    broken: str | None,
+    budget_bytes: float | None,
+    seed: int,
+    as_json: bool,
+    folder: str | None,
+) -> None:
+    """Run hollow fronts and real processes on loopback, send events, cause faults, check the bounds.
 
     Status 1 when a bound breaks, 2 for sizes or faults that cannot be.
     """
@@ -68,28 +91,49 @@
     from limepath.scale.run import Options
 
     try:
-        layout = plan.plan_of(plan.Sizes(**sizes), this_machine())
-        chosen = faults.kinds_of(kinds)
-        if churn and faults.Kind.CHURN not in chosen:
-            chosen = (faults.Kind.CHURN, *chosen)
-        if duration < 5_000_000:
-            raise plan.BadSize("--duration: at least 5s is wanted")
-        if budget_bytes is not None and budget_bytes <= 0:
-            raise plan.BadSize(f"--budget-bytes {budget_bytes:g}: over 0 is wanted")
-        if keep and len(os.path.abspath(keep)) > LONGEST_FOLDER:
-            raise plan.BadSize(f"--keep {keep}: a path of at most {LONGEST_FOLDER} characters is wanted")
-        if keep and os.path.isdir(keep) and os.listdir(keep):
-            raise plan.BadSize(f"--keep {keep}: an empty or a new folder is wanted")
+        sizes = plan.Sizes(fronts, real, caches, regions, zones, sites, purges, settings_changes, processes)
+        layout = plan.plan_of(sizes, this_machine())
+        chosen = chosen_faults(kinds, churn)
+        check_options(duration, budget_bytes, folder)
         schedule = faults.schedule(layout, chosen, duration, seed)
         settings.broken_of(broken, len(layout.fronts))
     except (plan.BadSize, faults.UnknownFault, settings.UnknownSetting) as error:
-        refuse(error)
-    options = Options(seed, broken or "", stretch, bool(keep))
-    played_and_told(layout, schedule, options, budget_bytes, as_json, keep)
-
-
-def played_and_told(layout, schedule, options, budget_bytes, as_json, keep):
-    """Play, print, end with the status."""
+        fail(error)
+    options = Options(seed, broken or "", stretch, bool(folder))
+    run_and_report(layout, schedule, options, budget_bytes, as_json, folder)
+
+
+def chosen_faults(kinds: str, churn: bool) -> "tuple[Kind, ...]":
+    """Return the kinds that the options name, churn first where only --churn asks for it."""
+    from limepath.scale.faults import Kind, kinds_of
+
+    chosen = kinds_of(kinds)
+    return (Kind.CHURN, *chosen) if churn and Kind.CHURN not in chosen else chosen
+
+
+def check_options(duration: int, budget_bytes: float | None, folder: str | None) -> None:
+    """Raise BadSize where one of these options cannot be, with what is wanted."""
+    from limepath.scale.plan import BadSize
+
+    if duration < SHORTEST:
+        raise BadSize("--duration: at least 5s is wanted")
+    if budget_bytes is not None and budget_bytes <= 0:
+        raise BadSize(f"--budget-bytes {budget_bytes:g}: over 0 is wanted")
+    if folder and len(os.path.abspath(folder)) > LONGEST_FOLDER:
+        raise BadSize(f"--keep {folder}: a path of at most {LONGEST_FOLDER} characters is wanted")
+    if folder and os.path.isdir(folder) and os.listdir(folder):
+        raise BadSize(f"--keep {folder}: an empty or a new folder is wanted")
+
+
+def run_and_report(
+    layout: "Plan",
+    schedule: "Schedule",
+    options: "Options",
+    budget_bytes: float | None,
+    as_json: bool,
+    log_folder: str | None,
+) -> NoReturn:
+    """Run the fleet, print the report, end with its status."""
     from limepath.report_table import hold
     from limepath.scale import report
     from limepath.scale.bounds import Budget
@@ -100,21 +144,20 @@
     budget = Budget() if budget_bytes is None else Budget(bytes_sent=budget_bytes)
     parent = MEMORY_FOLDER if os.path.isdir(MEMORY_FOLDER) else None
     with tempfile.TemporaryDirectory(prefix="limepath-scale-", dir=parent) as scratch:
-        if keep:
-            os.makedirs(keep, exist_ok=True)
-        folder = os.path.abspath(keep) if keep else scratch
+        if log_folder:
+            os.makedirs(log_folder, exist_ok=True)
+        folder = os.path.abspath(log_folder) if log_folder else scratch
         try:
             run = played(layout, schedule, options, folder, lambda line: click.echo(line, err=True))
         except (HollowFailed, NotStarted, Stopped) as error:
-            print(f"limepath: {error}", file=sys.stderr)
-            sys.exit(1)
+            fail(error, STATUS_FAILED)
         result = report.result_of(run, budget)
     if as_json:
-        told = report.plain_of(result, " ".join(["limepath", "scale", "run", *sys.argv[1:]]))
-        click.echo(json.dumps(told, indent=1, default=str))
+        values = report.plain_of(result, " ".join(["limepath", "scale", "run", *sys.argv[1:]]))
+        click.echo(json.dumps(values, indent=1, default=str))
     else:
         click.echo("\n".join(report.text_of(result)))
-    sys.exit(0 if hold(result.rows) else 1)
+    sys.exit(0 if hold(result.rows) else STATUS_FAILED)
 
 
 if __name__ == "__main__":
--- a/limepath/cli/settings.py
+++ b/limepath/cli/settings.py
@@ -2,11 +2,11 @@
 
 import json
 import os
-import sys
 from typing import Any
 
 import click
 
+from limepath.cli.output import fail_configuration
 from limepath.configuration import peers_file, platform
 from limepath.configuration.ini import SettingError
 
@@ -28,8 +28,7 @@
     try:
         values = front_values(file) if file.endswith(".json") else peers_values(file)
     except (SettingError, platform.ConfigurationError) as error:
-        print(f"limepath: configuration: {error}", file=sys.stderr)
-        sys.exit(2)
+        fail_configuration(error)
     if as_json:
         click.echo(json.dumps(values, indent=1))
         return
