--- a/limepath/configuration/decision_settings.py
+++ b/limepath/configuration/decision_settings.py
@@ -1,4 +1,4 @@
-"""From the settings, as JSON gives them, to the arguments of `limepath.choice.Front`; all hosts use this."""
+"""From the settings, as JSON gives them, to the arguments of `DecisionEngine`; all hosts use this."""
 
 from limepath.interface.settings import (
     DeliveryService,
--- /dev/null
+++ b/limepath/decisions/__init__.py
@@ -0,0 +1,1 @@
+"""All decisions of a front, free of input and output. Read `engine` first."""
--- a/limepath/duties/saving.py
+++ b/limepath/duties/saving.py
@@ -8,7 +8,7 @@
 
 from typing import NamedTuple
 
-from limepath.choice import Front
+from limepath.decisions.engine import DecisionEngine
 from limepath.duties.interface import Leasing, Mode, Plan, Served
 from limepath.duties.world import World
 from limepath.interface.commands import CancelAttempt, ForwardRequest, ScheduleWakeup, SendProbe
@@ -77,7 +77,7 @@
         self.way, self.rate = way, rate
         self.silent, self.seen, self.met, self.gets = (20 * SECOND, 40 * SECOND), {}, 0, 0
         self.fronts = [
-            Front(
+            DecisionEngine(
                 seed=seed + index,
                 services=(SERVICE,),
                 footprint=Topology(0, (0,), (), fronts, fronts, 2, 3, 0.0, False),
--- a/limepath/front/start.py
+++ b/limepath/front/start.py
@@ -13,9 +13,9 @@
 from twisted.logger import globalLogBeginner
 
 from limepath import early_signals
-from limepath.choice import Front
 from limepath.configuration import platform as opening
 from limepath.configuration.ini import BadSetting
+from limepath.decisions.engine import DecisionEngine
 from limepath.front.caches import Caches
 from limepath.front.changelog import BadEvent, ChangeLog
 from limepath.front.clients import Clients
@@ -42,7 +42,7 @@
     limits = told.limits
     log = Log(told.name, limits.log_lines, limits.log_span, form)
     globalLogBeginner.beginLoggingTo([log.observe], discardBuffer=True, redirectStandardIO=False)
-    turn = Turn(reactor, Front(seed=told.seed, **told.arguments), limits, log)
+    turn = Turn(reactor, DecisionEngine(seed=told.seed, **told.arguments), limits, log)
     clients = Clients(reactor, turn, limits, log, told.services)
     clients.lateness = lateness_of(reactor)
     probe_word = b"INFO" if told.reports else b"NOOP"
--- a/limepath/scale/capacity_front.py
+++ b/limepath/scale/capacity_front.py
@@ -64,13 +64,13 @@
         Kind.PROCESSOR,
         f"decisions with {SIZE.parents} parents in place of {FEW_PARENTS}",
         parents,
-        "hash order over all parents, choice.py",
+        "hash order over all parents, decisions/",
     )
     lines.add(
         Kind.PROCESSOR,
         f"decisions with all {SIZE.caches:,} caches in place of {FEW_CACHES}",
         caches,
-        "hash order over the zone's caches, choice.py",
+        "hash order over the zone's caches, decisions/",
     )
     for what, seen in (("its zone's", SIZE.caches // SIZE.zones), ("all", SIZE.caches)):
         whole = cores(figures, seen).times(100, CORE)
@@ -114,7 +114,7 @@
     loops = figures.at("idle", "cpu", SIZE.caches)
     view, results = figures.at("view", "cpu", SIZE.fronts), probes(figures, "cpu")
     added = [
-        (f"idle, a list of {SIZE.caches:,}", loops, "choice.py handle, front/caches.py sweep"),
+        (f"idle, a list of {SIZE.caches:,}", loops, "decisions/engine.py handle, front/caches.py sweep"),
         ("membership", view, SWIM),
         (f"check results of {SIZE.caches:,} targets", results, RESULTS),
         ("these together, events of the list not in it", total([loops, view, results], CORE), ""),
@@ -129,7 +129,7 @@
     shared = figures.at("listing", "shared memory", SIZE.caches)
     sharing = code_of_sharing(figures)
     added = [
-        (f"resident, idle, a list of {SIZE.caches:,}", resident, "front/, choice.py"),
+        (f"resident, idle, a list of {SIZE.caches:,}", resident, "front/, decisions/"),
         (
             "the sharing's code and store",
             sharing,
--- a/limepath/scale/capacity_roles.py
+++ b/limepath/scale/capacity_roles.py
@@ -99,7 +99,7 @@
     each = Limits._field_defaults["cache_connections"]
     by_front = f"{each} by front"
     requests = assumed(SIZE.requests / SIZE.caches, "a second", "shared evenly among all")
-    lines.add(Kind.MESSAGES, "requests", requests, "hash order, choice.py")
+    lines.add(Kind.MESSAGES, "requests", requests, "hash order, decisions/")
     checks = assumed(1 / INTERVAL, "a second", "duties shared by the whole fleet")
     lines.add(Kind.MESSAGES, "checks", checks, "duties/rounds.py")
     for what, fronts in (("its site", SIZE.site_fronts), ("its zone", SIZE.zone_fronts)):
--- a/limepath/scale/roles_decision.py
+++ b/limepath/scale/roles_decision.py
@@ -1,13 +1,13 @@
 """The decision module alone: processor time a request, by caches seen by one front and by parents seen.
 
-The real `choice.Front` gets requests and the ends of its attempts; nothing else runs. Three of ten requests
+The real `DecisionEngine` gets requests and the ends of its attempts; nothing else runs. Three of ten requests
 miss at their cache and are filled from a parent.
 """
 
 from random import Random
 
-from limepath.choice import Front
 from limepath.configuration.decision_settings import start_of
+from limepath.decisions.engine import DecisionEngine
 from limepath.interface.commands import ForwardRequest
 from limepath.interface.events import (
     AttemptEnded,
@@ -40,8 +40,8 @@
 
 
 def front_of(caches, parents):
-    """A Front that has heard of so many members."""
-    front = Front(seed=1, **start_of(settings()))
+    """An engine that has heard of so many members."""
+    front = DecisionEngine(seed=1, **start_of(settings()))
     members = [member(1 + index, CACHE_KIND) for index in range(caches)]
     members += [member(100_000 + index, PARENT_KIND) for index in range(parents)]
     members.append(member(200_000, ORIGIN_KIND))
--- a/limepath/scale/roles_listing.py
+++ b/limepath/scale/roles_listing.py
@@ -8,8 +8,8 @@
 import tracemalloc
 from functools import partial
 
-from limepath.choice import Front
 from limepath.configuration.decision_settings import start_of
+from limepath.decisions.engine import DecisionEngine
 from limepath.discovery import state
 from limepath.discovery.state import List, parsed, unpacked
 from limepath.front.changelog import Entry
@@ -47,7 +47,7 @@
     told = json.loads(text)
     reference = ReferenceClock(skew=0)
     entries = {one["id"]: Entry(one, ZONES, KINDS, {}, reference) for one in told["fleet"]["members"]}
-    front = Front(seed=1, **start_of(settings()))
+    front = DecisionEngine(seed=1, **start_of(settings()))
     members = tuple(entry.member for entry in entries.values())
     front.handle(1_000_000, (EndpointListUpdated(UpdateKind.FULL, 1, members),))
     return entries, front
--- a/limepath/simulator_host/host.py
+++ b/limepath/simulator_host/host.py
@@ -2,8 +2,8 @@
 
 import json
 
-from limepath.choice import Front
 from limepath.configuration import decision_settings
+from limepath.decisions.engine import DecisionEngine
 from limepath.simulator_host import dialect
 from limepath.simulator_host.frames import Cursor, WireError, read_frame, write_frame
 
@@ -23,7 +23,7 @@
             self.fields[instance] = decision_settings.load_fields(settings)
         except (ValueError, KeyError, TypeError, AttributeError, IndexError) as flaw:
             raise WireError(f"settings of instance {instance}: {type(flaw).__name__}: {flaw}") from None
-        self.fronts[instance] = Front(seed=seed, **arguments)
+        self.fronts[instance] = DecisionEngine(seed=seed, **arguments)
 
     def answer(self, sequence, clock, body):
         """Give the records that answer one batch."""
--- a/tests/cold_ramp.py
+++ b/tests/cold_ramp.py
@@ -1,4 +1,4 @@
-"""Many real `choice.Front`s before one cold member, in virtual time: what they send it together, by window.
+"""Many real `DecisionEngine`s before one cold member, in virtual time: what they send it together, by window.
 
 Every front is offered more than it may send, so that its part of the budget is all that holds it back. A
 draw is a seed; it draws what differs between the fronts of a fleet: their seeds, the moment of their
@@ -13,7 +13,8 @@
 from random import Random
 from typing import NamedTuple
 
-from limepath.choice import MARGIN, Front
+from limepath.decisions.engine import DecisionEngine
+from limepath.decisions.guard import MARGIN
 from limepath.interface.commands import ForwardRequest
 from limepath.interface.events import (
     AttemptEnded,
@@ -74,7 +75,7 @@
 
 
 def front_of(ramp, seed):
-    return Front(
+    return DecisionEngine(
         seed=seed,
         services=tuple(service(latency_objective=work) for work in ramp.works),
         footprint=Topology(
--- a/tests/decision_trace.py
+++ b/tests/decision_trace.py
@@ -18,7 +18,7 @@
 from pathlib import Path
 from typing import Any
 
-from limepath.choice import Front
+from limepath.decisions.engine import DecisionEngine
 from limepath.interface.commands import (
     CancelAttempt,
     FailRequest,
@@ -112,10 +112,10 @@
             segmented=False,
         )
 
-    def make_front(self, seed: int) -> Front:
+    def make_front(self, seed: int) -> DecisionEngine:
         """A front with random permissions among a handful of others."""
         draw = self.random
-        return Front(
+        return DecisionEngine(
             seed=seed * 7919 + 17,
             services=self.services,
             footprint=Topology(
--- a/tests/fake_host.py
+++ b/tests/fake_host.py
@@ -1,6 +1,6 @@
 """A tiny fake host: builds one front, hands it notes at chosen times, keeps its orders."""
 
-from limepath.choice import Front
+from limepath.decisions.engine import DecisionEngine
 from limepath.interface.commands import ScheduleWakeup
 from limepath.interface.events import (
     AttemptEnded,
@@ -87,7 +87,7 @@
             lateral="none",
             subscribe=False,
         )
-        self.front = Front(
+        self.front = DecisionEngine(
             seed=seed,
             services=services,
             footprint=Topology(
--- a/tests/fleet_host.py
+++ b/tests/fleet_host.py
@@ -8,7 +8,7 @@
 from heapq import heappop, heappush
 from random import Random
 
-from limepath.choice import Front
+from limepath.decisions.engine import DecisionEngine
 from limepath.interface.commands import FailRequest, ForwardRequest, RejectRequest, ScheduleWakeup, SendProbe
 from limepath.interface.events import (
     AttemptEnded,
@@ -98,7 +98,7 @@
             subscribe=False,
         )
         self.fronts = [
-            Front(
+            DecisionEngine(
                 seed=seed * 1000 + i,
                 services=services,
                 allowance=allowance,
--- a/tests/test_cold_ramp.py
+++ b/tests/test_cold_ramp.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from limepath.choice import LANES
+from limepath.decisions.engine import LANES
 from limepath.hashing import mix64
 from limepath.interface.commands import ForwardRequest
 from limepath.interface.settings import SlowStart
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from limepath.choice import hash_order
+from limepath.decisions.rendezvous import hash_order
 from tests.fake_host import SECOND
 from tests.fleet_host import Fleet
 
