--- a/limepath/decisions/engine.py
+++ b/limepath/decisions/engine.py
@@ -1,20 +1,28 @@
-"""The decisions of one front, wired together: events in, commands out."""
+"""The engine of one front's decisions: events in, commands out.
 
-from collections import deque
+It wires the parts together and is the one place where an event is matched to its handler.
+"""
 
-from limepath.decisions.event_queue import Loop
-from limepath.decisions.frequency_table import Shelf
-from limepath.decisions.guard import Gate
-from limepath.decisions.router import Door
-from limepath.decisions.server import Cache
-from limepath.interface.commands import ScheduleWakeup, SetSubscription
+from collections.abc import Callable, Iterable, Sequence
+from typing import Any
+
+from limepath.decisions.endpoints import Endpoints
+from limepath.decisions.event_queue import EventQueue
+from limepath.decisions.fetch_window import FetchWindow
+from limepath.decisions.frequency_table import FrequencyTable
+from limepath.decisions.guard import Guard
+from limepath.decisions.purges import Purges
+from limepath.decisions.router import Router
+from limepath.decisions.sending_times import SendingTimes
+from limepath.decisions.server import Server
+from limepath.decisions.slow_start import SlowStartBudgets
+from limepath.interface.commands import ScheduleWakeup
 from limepath.interface.events import (
     AttemptEnded,
     ClientDisconnected,
     ConnectionAvailabilityChanged,
     EndpointListFreshnessChanged,
     EndpointListUpdated,
-    EndpointState,
     ProbeEnded,
     PurgeAnnounced,
     RequestArrived,
@@ -23,120 +31,105 @@
     ResponseStarted,
     ShutdownStarted,
     TimerFired,
-    UpdateKind,
 )
+from limepath.interface.settings import DeliveryService, GracePeriods, Permissions, SlowStart, Topology
 
-LANES = 5.0  # transfers at full pace that a member of untold size is taken for
-TICK = 50_000  # between two looks at the members with something out or in doubt
+HEALTH_CHECK_INTERVAL_US = 50_000  # between two looks at servers with attempts in flight or suspected
+WAKEUP_COOKIE = 0  # there is one wakeup at a time; a host hands its cookie back
 
 
 class DecisionEngine:
-    """One instance: the parts above, wired together, and the list of members as this front holds it."""
-
-    def __init__(self, *, seed, services, footprint, allowance, cache_warmup, parent_warmup, grace):
-        self.loop, self.footprint, self.allowance = Loop(seed), footprint, allowance
-        self.warmups = {False: cache_warmup, True: parent_warmup}
-        self.door = Door(self.loop, services, allowance, footprint)
-        self.gate = self.door.gate = Gate(self.loop, self.door, allowance, self.warmups, grace)
-        self.shelf = self.door.shelf = Shelf(self.loop, self.door)
-        self.caches, self.next_tick, self.armed, self.inbox = {}, 0, None, deque()
-        self.desks = {
-            RequestArrived: (self.door, "arrived"),
-            AttemptEnded: (self.door, "ended"),
-            ClientDisconnected: (self.door, "left"),
-            ResponseStarted: (self.door, "left"),
-            ShutdownStarted: (self.door, "shutting_down"),
-            PurgeAnnounced: (self.gate, "purged"),
-            EndpointListUpdated: (self, "roster"),
-            ProbeEnded: (self, "probed"),
-            ConnectionAvailabilityChanged: (self, "room"),
-            EndpointListFreshnessChanged: (self.gate, "lateness"),
-            RequestCountsReceived: (self.shelf, "learnt"),
-            RequestCountsWanted: (self.shelf, "tell"),
-        }
+    """One front: all parts of its decisions. A host makes one and hands it all events.
 
-    def handle(self, now, notes):
-        """Take in what the host heard at `now`; give the orders that follow."""
-        self.loop.now, self.loop.orders = now, []
-        for note in notes:
-            if isinstance(note, TimerFired):
-                self.armed = None
-            elif type(note) in self.desks:
-                self.loop.put(*self.desks[type(note)], note)
-                self.loop.run()
-        if now >= self.next_tick:
-            self.next_tick = now + TICK
-            for cache in self.caches.values():
-                if cache.out or cache.missed or cache.suspect:
-                    self.loop.put(cache, "tick")
-        self.loop.run()
-        due = min(self.next_tick, self.loop.calendar[0][0]) if self.loop.calendar else self.next_tick
-        if self.armed is None or due < self.armed:
-            self.armed = due
-            self.loop.orders.append(ScheduleWakeup(0, max(1, due - now)))
-        return self.loop.orders
+    Args:
+        seed: of the random numbers; fronts of a fleet have different ones.
+        services: the delivery services; requests name them by index.
+        footprint: where this front stands.
+        allowance: what the deployment permits.
+        cache_warmup: capacity of caches that have started.
+        parent_warmup: the same of parents.
+        grace: periods of the rules.
+    """
 
-    def roster(self, note):
-        if self.allowance.subscribe and note.kind in (UpdateKind.CACHED, UpdateKind.UNAVAILABLE):
-            self.loop.orders.append(SetSubscription(True))
-        if note.kind == UpdateKind.UNAVAILABLE:
-            return
-        place = self.footprint  # caches elsewhere are none of this front's business
-        upper = (place.parent_kind, place.origin_kind)
-        gone = (
-            {}
-            if note.kind == UpdateKind.DELTA
-            else {
-                ident: cache.member._replace(state=EndpointState.REMOVED)
-                for ident, cache in self.caches.items()
-            }
+    def __init__(
+        self,
+        *,
+        seed: int,
+        services: Sequence[DeliveryService],
+        footprint: Topology,
+        allowance: Permissions,
+        cache_warmup: SlowStart,
+        parent_warmup: SlowStart,
+        grace: GracePeriods,
+    ) -> None:
+        slow_starts = {False: cache_warmup, True: parent_warmup}
+        servers: dict[int, Server] = {}
+        self.queue = EventQueue(seed)
+        self.frequency_table = FrequencyTable(self.queue)
+        self.sending_times = SendingTimes(services, footprint.transfer_kb_s)
+        self.fetch_window = FetchWindow(self.queue, footprint)
+        self.purges = Purges(self.queue, grace.purge_complete)
+        self.budgets = SlowStartBudgets(
+            self.queue, slow_starts, services, self.sending_times, allowance.direct
         )
-        members = gone | {
-            m.id: m
-            for m in note.endpoints
-            if m.id in self.caches
-            or m.state != EndpointState.REMOVED
-            and (m.zone == place.zone or m.kind in upper)
-        }
-        known = {i: cache.member for i, cache in self.caches.items()} | members
-        parents = sum(member.kind == place.parent_kind for member in known.values())
-        for member in members.values():
-            self.enlist(member, parents)
-        for ident in [
-            i for i, c in self.caches.items() if c.member.state == EndpointState.REMOVED and not c.out
-        ]:
-            del self.caches[ident], self.gate.members[ident]
-            self.gate.starts.pop(ident, None)
-        ready = [c for c in self.caches.values() if c.member.state == EndpointState.READY]
-        self.loop.put(
-            self.door,
-            "members",
-            [c for c in ready if c.member.zone == place.zone and c.member.kind not in upper],
-            [c for c in ready if c.member.kind == place.parent_kind],
-            next((c for c in ready if c.member.kind == place.origin_kind), None),
+        self.router = Router(
+            self.queue, services, allowance, self.frequency_table, self.sending_times, self.fetch_window
         )
+        self.guard = Guard(self.queue, self.router, allowance, servers, self.budgets, self.purges)
+        self.router.guard = self.guard
+        self.endpoints = Endpoints(
+            self.queue, footprint, allowance, slow_starts, self.budgets, servers, self.router
+        )
+        self._handlers = self._handlers_by_type()
+        self._next_health_check = 0
+        self._wakeup_due: int | None = None
+
+    def _handlers_by_type(self) -> dict[type, Callable[[Any], None]]:
+        return {
+            RequestArrived: self.router.handle_request_arrived,
+            AttemptEnded: self.router.handle_attempt_ended,
+            ClientDisconnected: self.router.handle_client_disconnected,
+            ResponseStarted: self.router.handle_response_started,
+            ShutdownStarted: self.router.handle_shutdown_started,
+            PurgeAnnounced: self.purges.handle_purge_announced,
+            EndpointListUpdated: self.endpoints.handle_list_updated,
+            EndpointListFreshnessChanged: self.guard.handle_freshness_changed,
+            ProbeEnded: self.endpoints.handle_probe_ended,
+            ConnectionAvailabilityChanged: self.endpoints.handle_availability_changed,
+            RequestCountsReceived: self.frequency_table.handle_counts_received,
+            RequestCountsWanted: self.frequency_table.handle_counts_wanted,
+            TimerFired: self._handle_timer_fired,
+        }
+
+    def handle(self, now: int, events: Iterable[Any]) -> list[Any]:
+        """Take in what the host heard until `now`; give the commands to carry out, in sequence.
 
-    def enlist(self, member, parents):
-        place = self.footprint
-        upper = member.kind in (place.parent_kind, place.origin_kind)
-        warming = 0 if member.kind == place.origin_kind else self.warmups[upper].duration
-        member = member if warming else member._replace(started_at=0)  # the origin is never cold
-        sharing = place.fronts if upper else place.fronts_in_zone
-        carried = sum(place.link_kb_s) / (parents or 1) if upper and place.transfer_kb_s else 0
-        lanes = member.weight if place.weighted else carried / place.transfer_kb_s if carried else LANES
-        if member.id not in self.caches:
-            self.caches[member.id] = Cache(
-                self.loop, self.door, self.gate, member.id, self.allowance.probing, upper, warming
-            )
-        cache = self.caches[member.id]
-        self.loop.put(cache, "listed", member, sharing, lanes, place.weighted)
-        self.loop.put(self.gate, "listed", member, sharing, lanes, upper)
-        self.loop.run()
+        Events of other types are ignored. `now` is in microseconds and never less than before.
+        """
+        queue = self.queue
+        queue.now = now
+        queue.commands = []
+        for event in events:
+            if handler := self._handlers.get(type(event)):
+                queue.put(handler, event)
+                queue.run()
+        if now >= self._next_health_check:
+            self._next_health_check = now + HEALTH_CHECK_INTERVAL_US
+            self.endpoints.check_health()
+        queue.run()
+        self._schedule_wakeup()
+        return queue.commands
 
-    def probed(self, note):
-        if note.endpoint in self.caches:
-            self.loop.put(self.caches[note.endpoint], "probed", note)
+    def _handle_timer_fired(self, event: TimerFired) -> None:
+        self._wakeup_due = None
 
-    def room(self, note):
-        if note.endpoint in self.caches:
-            self.caches[note.endpoint].way = note.available
+    def _schedule_wakeup(self) -> None:
+        """Have the host wake the engine when something is due, unless it will sooner."""
+        due = self._next_health_check
+        next_timer = self.queue.next_due()
+        if next_timer is not None:
+            due = min(due, next_timer)
+        if self._wakeup_due is None or due < self._wakeup_due:
+            self._wakeup_due = due
+            delay = max(1, due - self.queue.now)
+            self.queue.commands.append(ScheduleWakeup(WAKEUP_COOKIE, delay))
--- a/limepath/decisions/guard.py
+++ b/limepath/decisions/guard.py
@@ -1,159 +1,170 @@
-"""The five rules, checked at every attempt and every final answer."""
-
-from collections import deque
-from math import sqrt
-
-from limepath.decisions.event_queue import Actor
-from limepath.hashing import MASK_64, mix64
+"""The five rules, checked at every attempt and every final answer, and nowhere else.
+
+1. One final answer, and no attempt after it or after the client's deadline.
+2. No effect twice: what is not idempotent is repeated only where the repeat is known to do no harm.
+3. No attempt to a server that drains or is gone, nor with it as source.
+4. No more to a warming server than its slow start budget (`slow_start`).
+5. No copy older than a purge (`purges`).
+"""
+
+from collections.abc import Mapping
+from enum import Enum
+from typing import TYPE_CHECKING, NamedTuple
+
+from limepath.decisions.attempt import AttemptId
+from limepath.decisions.event_queue import EventQueue
+from limepath.decisions.purges import Purges
+from limepath.decisions.request import PendingRequest, Phase, PossibleExecution
+from limepath.decisions.slow_start import SlowStartBudgets
 from limepath.interface.commands import FailRequest, ForwardRequest, RejectRequest
-from limepath.interface.events import EndpointState
-from limepath.interface.settings import Idempotency, KeyScope
-
-MARGIN, SPREAD = 0.8, 5  # share of the cold budget spent; deviations kept to what topples a member
-DEARER = 0.75  # share of a cold budget and of its variance that a dearer class may take before cheaper ones
-
-
-class Gate(Actor):
-    """Every forward and every final answer passes here; the five rules are enforced here and nowhere else."""
-
-    def __init__(self, loop, door, allowance, warmups, grace):
-        super().__init__(loop)
-        self.door, self.allowance, self.warmups, self.grace = door, allowance, warmups, grace
-        self.members, self.purges, self.starts, self.stale = {}, {}, {}, False
-
-    def listed(self, member, sharing, lanes, upper):
-        old = self.members.get(member.id)
-        self.members[member.id] = (member, sharing, lanes, upper)
-        if member.started_at and (old is None or member.started_at > old[0].started_at):
-            self.started(member.id, member.started_at)
-
-    def purged(self, purge):
-        """Rule 5: remember the latest purge of an object or group until its copies are gone everywhere."""
-        name, when = (purge.object, 0) if purge.object else (None, purge.group), self.loop.now - purge.age
-        if when > self.purges.get(name, when - 1):
-            self.purges[name] = when
-            self.loop.put_at(when + self.grace.purge_complete + 1000, self, "forget", name, when)
-
-    def forget(self, name, when):
-        if self.purges.get(name) == when:
-            del self.purges[name]
-
-    def oldest(self, get):
-        """The oldest copy that will do: the tighter of freshness and purges; 0 (any) where neither is."""
-        limit = get.ds.max_age + (get.ds.stale_grace if get.stale else 0) if get.ds.max_age else 0
-        for name in ((get.name[0], 0), (None, get.group)):
-            if name in self.purges:
-                since = max(1, self.loop.now - self.purges[name] - 2)
-                limit = min(limit, since) if limit else since
-        return limit
-
-    def spared(self, ident, work):
-        """Rule 4: whether this front's part of what a warming member can still take has room for `work`."""
-        if ident not in self.starts:
-            return True
-        _, sharing, lanes, upper = self.members[ident]
-        (since, ledger), warmup = self.starts[ident], self.warmups[upper]
-        age = self.loop.now - since
-        if age > warmup.duration:
-            del self.starts[ident]
+from limepath.interface.events import EndpointListFreshnessChanged, EndpointState
+from limepath.interface.settings import Idempotency, KeyScope, Permissions
+
+if TYPE_CHECKING:
+    from limepath.decisions.router import Router
+    from limepath.decisions.server import Server
+
+NO_TIME_LIMIT = 0  # sending times are heavy-tailed: a limit by attempt would cut off good large transfers
+
+
+class Rule(Enum):
+    """What an attempt would break."""
+
+    ONE_ANSWER = 1
+    NO_EFFECT_TWICE = 2
+    DRAIN = 3
+    SLOW_START = 4
+    STALE_LIST = 5
+    """A drain or purge may not be known here."""
+
+    @property
+    def ends_request(self) -> bool:
+        """Whether no other server could take the request either."""
+        return self in (Rule.ONE_ANSWER, Rule.NO_EFFECT_TWICE)
+
+
+class Violation(NamedTuple):
+    """A rule that an attempt would break, and the server at which it would."""
+
+    rule: Rule
+    server: "Server"
+
+
+class Guard:
+    """Commands attempts and final answers, as far as the rules allow.
+
+    Attributes:
+        is_list_stale: whether drains and purges may be missing from the endpoint list.
+    """
+
+    def __init__(
+        self,
+        queue: EventQueue,
+        router: "Router",
+        permissions: Permissions,
+        servers: Mapping[int, "Server"],
+        budgets: SlowStartBudgets,
+        purges: Purges,
+    ) -> None:
+        self._queue = queue
+        self._router = router
+        self._permissions = permissions
+        self._servers = servers
+        self._budgets = budgets
+        self._purges = purges
+        self.is_list_stale: bool = False
+
+    def handle_freshness_changed(self, event: EndpointListFreshnessChanged) -> None:
+        """The endpoint list became stale, or is in time again."""
+        self.is_list_stale = event.is_stale
+
+    def find_violation(self, request: PendingRequest, server: "Server", source: "Server") -> Violation | None:
+        """The first rule that an attempt at `server` with this source would break."""
+        now = self._queue.now
+        exhausted = request.attempts >= self._permissions.max_attempts
+        if request.is_answered or now >= request.deadline or exhausted:
+            return Violation(Rule.ONE_ANSWER, server)
+        if request.active_attempt is not None and not self._permissions.hedging:
+            return Violation(Rule.NO_EFFECT_TWICE, server)
+        if not self._is_repeat_harmless(request, server):
+            return Violation(Rule.NO_EFFECT_TWICE, server)
+        for one in dict.fromkeys((server, source)):
+            if rule := self._rule_against(one, request):
+                return Violation(rule, one)
+        return None
+
+    def _is_repeat_harmless(self, request: PendingRequest, server: "Server") -> bool:
+        executed = request.possible_execution
+        if executed is None or request.idempotency == Idempotency.IDEMPOTENT:
             return True
-        risen = max(0, age - warmup.overload_window) / warmup.duration
-        able = lanes * (warmup.initial_share + (1 - warmup.initial_share) * risen)
-        whole = MARGIN * warmup.overload_factor * able * warmup.overload_window
-        while ledger and ledger[0][0] <= self.loop.now - warmup.overload_window:
-            ledger.popleft()
-        place = (
-            mix64(self.loop.seed ^ mix64(ident)) / MASK_64 * sharing
-        )  # for good: a new one is a second turn
-        return self.part(whole, sharing, place) - sum(spent for _, spent in ledger) >= work
-
-    def part(self, whole, sharing, place):
-        """What the front at this place among `sharing` may send in a window: as many of the dearest class as
-        all can; of the rest of `whole` those in the first places one more, those after them one of a class
-        at half of that or less, and so on. Who is there falls by chance: how many (docs/design.md)."""
-        straight = self.allowance.direct  # what is uncacheable then goes to the origin, never cold
-        works = zip(self.door.work, self.door.services, strict=True)
-        works = sorted({max(1, work) for work, ds in works if not (straight and ds.uncacheable)}) or [1]
-        each = whole / sharing // works[-1] * works[-1]
-        equal = whole / sharing if whole >= sharing * self.door.mean else 0  # few fronts: no matter of chance
-        left, grain, mean, limit = whole - each * sharing, 2 * works[-1], self.door.mean, whole / MARGIN
-        variance = ((limit - whole + 2 * sqrt(limit * mean) + 2 * mean) / SPREAD) ** 2
-        while works and left < sharing * works[-1]:
-            work = works.pop()
-            if 2 * work <= grain:
-                part = DEARER if works and 2 * works[0] <= work else 1
-                free = 1 - 4 * part * variance / work**2 / sharing  # over 0: not all may be drawn
-                drawn = min(part * left / work, sharing / 2 * (1 - sqrt(free)) if free > 0 else sharing)
-                if place < drawn:
-                    return max(equal, each + work)
-                variance = max(0, variance - drawn * (1 - drawn / sharing) * work**2)
-                left, sharing, place, grain = left - drawn * work, sharing - drawn, place - drawn, work
-        return max(equal, each + left / sharing)
-
-    def started(self, ident, when):
-        before, ledger = self.starts.get(ident, (when, deque()))
-        self.starts[ident] = max(when, before), ledger
-
-    def barred(self, get, cache, source):
-        """The rule that a forward would break and at which member, or None."""
-        now, ds = self.loop.now, get.ds
-        if get.closed or now >= get.due or get.sent >= self.allowance.max_attempts:
-            return "answer", cache
-        if get.out is not None and not self.allowance.hedging:
-            return "effect", cache
-        if get.ran_at is not None and get.repeats != Idempotency.IDEMPOTENT:
-            group = (cache.member.zone, cache.member.cell)[: ds.key_scope] == get.ran_in[: ds.key_scope]
-            if get.repeats == Idempotency.NON_IDEMPOTENT or not group or now - get.ran_at >= ds.retry_window:
-                return "effect", cache
-        for actor in dict.fromkeys((cache, source)):
-            if self.stale and actor is not self.door.origin:  # a drain or purge may not be known here
-                return "stale", actor
-            if actor.id not in self.members or self.members[actor.id][0].state != EndpointState.READY:
-                return "drain", actor  # the grace is not used: the list is late enough as it is
-            if not self.spared(actor.id, self.door.work[get.dsi]):
-                return "cold", actor
+        if request.idempotency == Idempotency.NON_IDEMPOTENT:
+            return False
+        service = request.service
+        scope = service.key_scope  # how many parts of a location must agree
+        if _location(server)[:scope] != executed.location[:scope]:
+            return False
+        return self._queue.now - executed.begun_at < service.retry_window
+
+    def _rule_against(self, server: "Server", request: PendingRequest) -> Rule | None:
+        if self.is_list_stale and server is not self._router.origin:
+            return Rule.STALE_LIST
+        listed = self._servers.get(server.id)
+        # The grace of a drain is not used: the endpoint list is late enough as it is.
+        if listed is None or listed.endpoint.state != EndpointState.READY:
+            return Rule.DRAIN
+        if not self._budgets.has_budget(listed, request.service_index):
+            return Rule.SLOW_START
         return None
 
-    def lateness(self, note):
-        self.stale = note.is_stale
-
-    def forward(self, get, cache, source):
-        if barred := self.barred(get, cache, source):
-            return self.loop.put(self.door, "barred", get, *barred)
-        for ident in dict.fromkeys((cache.id, source.id)):
-            if ident in self.starts:
-                self.starts[ident][1].append((self.loop.now, self.door.work[get.dsi]))
-        join = self.allowance.join_fills and source is not cache and not get.direct
-        member = self.members[cache.id][0]
-        get.out = (get.id, get.sent)
-        tokened = get.ran_at is not None and get.repeats == Idempotency.KEYED
-        within = get.ran_at + get.ds.retry_window - self.loop.now if tokened else 0
-        if get.ran_at is None:
-            get.ran_at, get.ran_by, get.ran_in = self.loop.now, get.sent, (member.zone, member.cell)
-        get.sent += 1
-        self.loop.orders.append(
-            ForwardRequest(
-                get.id,
-                cache.id,
-                0,
-                source.id,
-                get.rank,
-                self.oldest(get),
-                join,
-                get.held and not get.direct,
-                send_within=within,
-            )
+    def forward(self, request: PendingRequest, server: "Server", source: "Server") -> None:
+        """Command an attempt, or tell the router which rule it would break, no fill if both are one."""
+        if violation := self.find_violation(request, server, source):
+            self._queue.put(self._router.handle_violation, request, violation)
+            return
+        self._budgets.charge(dict.fromkeys((server.id, source.id)), request.service_index)
+        send_within = self._time_to_send(request)
+        attempt = AttemptId(request.id, request.attempts)
+        if request.possible_execution is None:
+            location = _location(self._servers[server.id])
+            request.possible_execution = PossibleExecution(self._queue.now, attempt.number, location)
+        request.active_attempt = attempt
+        request.attempts += 1
+        is_direct = request.phase is Phase.DIRECT
+        command = ForwardRequest(
+            request.id,
+            server.id,
+            NO_TIME_LIMIT,
+            source.id,
+            request.rank,
+            self._purges.oldest_copy_age(request),
+            self._permissions.join_fills and source is not server and not is_direct,
+            request.cached_only and not is_direct,
+            send_within=send_within,
         )
-        self.loop.put(self.door, "left_for", get, cache, source)
-
-    def final(self, get, come_back):
-        """Rule 1: one answer. Rule 2: shed says that asking again does no harm."""
-        if get.closed:
+        self._queue.commands.append(command)
+        self._queue.put(self._router.handle_attempt_started, request, server, source)
+
+    def _time_to_send(self, request: PendingRequest) -> int:
+        """How long a repeat by its idempotency key may wait to be sent, in microseconds; 0 without limit."""
+        executed = request.possible_execution
+        if executed is None or request.idempotency != Idempotency.KEYED:
+            return 0
+        return executed.begun_at + request.service.retry_window - self._queue.now
+
+    def finish(self, request: PendingRequest, retry_after: int) -> None:
+        """Command the one final answer: rejected where asking again does no harm, else failed."""
+        if request.is_answered:
             return
-        get.closed = True
-        harmless = (
-            get.ran_at is None
-            or get.repeats == Idempotency.IDEMPOTENT
-            or (get.repeats == Idempotency.KEYED and get.ds.key_scope == KeyScope.ALL)
+        request.is_answered = True
+        everywhere = request.idempotency == Idempotency.KEYED and request.service.key_scope == KeyScope.ALL
+        is_harmless = (
+            request.possible_execution is None or request.idempotency == Idempotency.IDEMPOTENT or everywhere
         )
-        self.loop.orders.append(RejectRequest(get.id, come_back) if harmless else FailRequest(get.id))
+        if is_harmless:
+            self._queue.commands.append(RejectRequest(request.id, retry_after))
+        else:
+            self._queue.commands.append(FailRequest(request.id))
+
+
+def _location(server: "Server") -> tuple[int, int]:
+    return server.endpoint.zone, server.endpoint.cell
--- a/limepath/decisions/router.py
+++ b/limepath/decisions/router.py
@@ -1,204 +1,287 @@
-"""The way of a request: look it up in a cache, fill it, fall back, retry, give it up."""
+"""The way of a request: look it up in a cache, fill it, go past the caches, retry, give it up.
 
-from limepath.decisions.event_queue import Actor
-from limepath.decisions.rendezvous import hash_order
-from limepath.decisions.request import OpenGet
-from limepath.decisions.server import BROKEN, QUIET
+The phases of a request are those of `request.Phase`. A lookup that misses becomes a fill through the same
+cache; a fill for which there is no source becomes a lookup again, for a stale copy; a lookup that no cache
+takes goes directly to a parent. What no server takes is answered at once, with a time to retry after.
+"""
+
+from collections.abc import Sequence
+from typing import TYPE_CHECKING
+
+from limepath.decisions.attempt import ActiveAttempt, AttemptId, AttemptResult, judge_attempt
+from limepath.decisions.event_queue import EventQueue
+from limepath.decisions.fetch_window import FetchWindow
+from limepath.decisions.frequency_table import FrequencyTable
+from limepath.decisions.guard import Violation
+from limepath.decisions.health import CONNECTION_FAILURES
+from limepath.decisions.rendezvous import rendezvous_order
+from limepath.decisions.request import PendingRequest, Phase
+from limepath.decisions.sending_times import SendingTimes
 from limepath.interface.commands import CancelAttempt
-from limepath.interface.events import NEVER_EXECUTED, AttemptOutcome, ClientDisconnected
-from limepath.interface.settings import Idempotency
-
-FILLS = 2.2  # fills out, in this front's share of the link: less sheds, more is late; 2 to 2.5 are alike
-GROW, USUAL = 5, 40  # a window gains GROW / window by a fetch in time, in proportion to a room over USUAL
-YIELD, LOST = 0.85, 0.1  # of it kept after a late fetch, or one lost among timely ones, and after others lost
-FIRST = 1  # window of a front that starts: all shares of many that start at once would sate the origin
-LEAST_FETCHES, DOUBLING = 4, 3_000_000  # least window of all fronts; time in which one below 1 doubles
-COME_BACK = 0.1  # of the longest wait, give or take half: a repeat is in time; 0.75 far worse
-STUCK = (AttemptOutcome.SUCCEEDED, AttemptOutcome.TIMED_OUT, AttemptOutcome.FAILED, AttemptOutcome.FULL)
-
-
-class Door(Actor):
-    """Keeps the open GETs and takes each from step to step."""
-
-    def __init__(self, loop, services, allowance, footprint):
-        super().__init__(loop)
-        self.services, self.allowance, self.flow_kb_s = services, allowance, footprint.transfer_kb_s
-        link = footprint.link_kb_s[footprint.zone] if footprint.zone < len(footprint.link_kb_s) else 0
-        self.fill_room = max(1, FILLS * link / self.flow_kb_s / footprint.fronts_in_zone) if link else 1e9
-        self.least, self.looked, self.fetched = min(1, LEAST_FETCHES / footprint.fronts), 0, 0
-        self.window, self.grow = min(FIRST, self.fill_room), GROW * max(1, min(link, self.fill_room) / USUAL)
-        self.open, self.flights, self.fills, self.fetches = {}, {}, set(), set()
-        self.caches, self.parents, self.origin, self.shelf, self.gate = [], [], None, None, None
-        self.work = [ds.latency_objective for ds in services]  # mean sending time, learned
-        self.mean = min(self.work, default=0)  # the same over all that go to caches
-
-    def members(self, caches, parents, origin):
-        self.caches, self.parents, self.origin = caches, parents, origin
-
-    def arrived(self, note):
-        ds, work = self.services[note.service], self.work[note.service]
-        own = int(note.size_kb / self.flow_kb_s * 1_000_000) if note.size_kb and self.flow_kb_s else work
-        self.work[note.service] += (own - work) // 32
-        self.mean += 0 if ds.uncacheable else (work - self.mean) / 32
-        get = self.open[note.id] = OpenGet(note, ds, self.loop.now + note.time_left, own)
-        self.loop.put(self.shelf, "count", get)
-
-    def ranked(self, get, rank):
-        get.rank = rank
-        get.walk, get.above = hash_order(get.name, self.caches), hash_order(get.name, self.parents)
-        if get.ds.uncacheable:  # passes through untouched: straight, or by a cache with the origin as source
-            get.above = [self.origin] if self.origin else []
-            get.walk = get.above if self.allowance.direct else get.walk
-        self.step(get)
-
-    def step(self, get):
-        """Offer the GET to the next in hash order: first a look at a cache, then a parent to fill from."""
-        above = get.filling or get.direct
-        if above and not get.ds.uncacheable and len(self.fills) >= self.fill_room * get.claim:
-            return self.fall_back(get)  # one more on a jammed link makes all fills late, whatever jams it
-        line = get.above if above else get.walk
-        left = next((m for m in line if m not in get.passed), None)
-        if left:
-            self.loop.put(left, "offer", get)
-        elif get.filling and self.origin not in {None, *line} | get.passed and self.may_fetch():
-            get.passed.add(self.origin)  # no parent is up, or none that is has room
-            self.loop.put(self.origin, "offer", get)
+from limepath.interface.events import (
+    NEVER_EXECUTED,
+    AttemptEnded,
+    AttemptOutcome,
+    ClientDisconnected,
+    RequestArrived,
+    ResponseStarted,
+    ShutdownStarted,
+)
+from limepath.interface.settings import DeliveryService, Idempotency, Permissions
+
+if TYPE_CHECKING:
+    from limepath.decisions.guard import Guard
+    from limepath.decisions.server import Server
+
+RETRY_AFTER_SHARE = 0.1  # of the longest wait, give or take half: a retry is in time; 0.75 is far worse
+
+
+class Router:
+    """Holds the open requests and takes each from step to step.
+
+    Attributes:
+        guard: set by the engine, which makes both.
+        caches, parents, origin: the servers that are ready; origin is None where there is none.
+        open: the requests that are owed an answer, by id.
+    """
+
+    guard: "Guard"
+
+    def __init__(
+        self,
+        queue: EventQueue,
+        services: Sequence[DeliveryService],
+        permissions: Permissions,
+        frequency_table: FrequencyTable,
+        sending_times: SendingTimes,
+        fetch_window: FetchWindow,
+    ) -> None:
+        self._queue = queue
+        self._services = services
+        self._permissions = permissions
+        self._frequency_table = frequency_table
+        self._sending_times = sending_times
+        self._fetch_window = fetch_window
+        self._active: dict[AttemptId, ActiveAttempt] = {}
+        self.open: dict[int, PendingRequest] = {}
+        self.caches: list[Server] = []
+        self.parents: list[Server] = []
+        self.origin: Server | None = None
+
+    def set_servers(self, caches: list["Server"], parents: list["Server"], origin: "Server | None") -> None:
+        """The servers that are ready have changed."""
+        self.caches = caches
+        self.parents = parents
+        self.origin = origin
+
+    # A request arrives, and is offered to one server after another.
+
+    def handle_request_arrived(self, event: RequestArrived) -> None:
+        """Rank the object, order the servers for it and take the first step."""
+        service = self._services[event.service]
+        sending_time = self._sending_times.count_arrival(event, service)
+        request = PendingRequest(event, service, self._queue.now + event.time_left, sending_time)
+        self.open[event.id] = request
+        object_part = request.object_part
+        request.caches = rendezvous_order(object_part, self.caches)
+        if service.uncacheable:  # it passes through: straight, or by a cache with the origin as source
+            request.sources = [self.origin] if self.origin else []
+            if self._permissions.direct:
+                request.caches = request.sources
         else:
-            self.fall_back(get)
-
-    def may_fetch(self):
-        if self.window < 1:  # a narrowed window opens again by itself, so that now and then a fetch tells
-            self.window = min(1, self.window * 2 ** min(9, (self.loop.now - self.looked) / DOUBLING))
-        self.looked = self.loop.now
-        return len(self.fetches) < self.window and (self.window >= 1 or self.loop.chance() < self.window)
-
-    def fall_back(self, get):
-        """No fill is to be had: an ageing copy will do. No cache has room: to a parent. Else give it up."""
-        if get.filling and get.ds.stale_grace and not get.stale:
-            get.stale, get.filling, get.passed = True, False, set()
-            self.step(get)
-        elif self.allowance.direct and self.origin and not (get.filling or get.direct or get.ds.uncacheable):
-            get.direct = True
-            self.step(get)
+            request.rank = self._frequency_table.count_request(object_part, request.size_kb)
+            request.sources = rendezvous_order(object_part, self.parents)
+        self._step(request)
+
+    def _step(self, request: PendingRequest) -> None:
+        """Offer the request to the next server in hash order: a cache for a lookup, else a parent."""
+        is_lookup = request.phase is Phase.LOOKUP
+        if not (is_lookup or request.service.uncacheable or self._fetch_window.may_fill(request)):
+            self._fall_back(request)
+            return
+        excluded = request.excluded
+        for server in request.caches if is_lookup else request.sources:
+            if server not in excluded:
+                self._queue.put(server.handle_offer, request)
+                return
+        if request.phase is Phase.FILL and self._may_fill_from_origin(request):
+            excluded.add(self.origin)
+            self._queue.put(self.origin.handle_offer, request)
         else:
-            self.give_up(get)
-
-    def declined(self, get, member):
-        get.passed.add(member)
-        self.step(get)
-
-    def accepted(self, get, member, sourced):
-        # Where fills do not come back, wherever above they stick: beyond the window ask for held copies only.
-        get.held = (get.filling or get.direct) and member is not self.origin and not self.may_fetch()
-        if get.filling:
-            self.loop.put(self.gate, "forward", get, get.at, member)
-        elif get.direct:
-            self.loop.put(self.gate, "forward", get, member, member if get.held else self.origin)
+            self._fall_back(request)
+
+    def _may_fill_from_origin(self, request: PendingRequest) -> bool:
+        """Whether the origin fills in a parent's place: no parent is up, or none that is has room."""
+        origin = self.origin
+        if origin is None or origin in request.sources or origin in request.excluded:
+            return False
+        return self._fetch_window.may_fetch()
+
+    def _fall_back(self, request: PendingRequest) -> None:
+        """No fill is to be had: a stale copy will do. No cache has room: to a parent. Else give up."""
+        if request.phase is Phase.FILL and request.service.stale_grace and not request.accepts_stale:
+            request.accepts_stale = True
+            request.phase = Phase.LOOKUP
+            request.excluded = set()
+            self._step(request)
+        elif self._may_go_direct(request):
+            request.phase = Phase.DIRECT
+            self._step(request)
         else:
-            get.at, get.filling = member, sourced or get.ds.uncacheable and member is not self.origin
-            following = (self, "step", get) if get.filling else (self.gate, "forward", get, member, member)
-            self.loop.put(*following)
-
-    def barred(self, get, rule, member):
-        get.filling = get.filling and member is not get.at  # a warming cache may have enough, not the source
-        if rule in ("answer", "effect") or get.direct and member is self.origin:
-            self.give_up(get)
+            self._give_up(request)
+
+    def _may_go_direct(self, request: PendingRequest) -> bool:
+        if request.phase is not Phase.LOOKUP or request.service.uncacheable:
+            return False
+        return self._permissions.direct and self.origin is not None
+
+    def _give_up(self, request: PendingRequest) -> None:
+        """Answer at once, with a time to retry after where that is permitted."""
+        self.open.pop(request.id, None)
+        random_part = 0.5 + self._queue.random_fraction()
+        retry_after = int(self._permissions.max_retry_after * RETRY_AFTER_SHARE * random_part)
+        self._queue.put(self.guard.finish, request, retry_after)
+
+    # A server has answered an offer, or the guard an attempt.
+
+    def handle_declined(self, request: PendingRequest, server: "Server") -> None:
+        """The server does not take the request now."""
+        request.excluded.add(server)
+        self._step(request)
+
+    def handle_accepted(self, request: PendingRequest, server: "Server", is_warming: bool) -> None:
+        """The server takes the request, as cache, as source or directly."""
+        # Where fetches do not come back, wherever above: beyond the window ask for held copies only.
+        request.cached_only = (
+            request.phase is not Phase.LOOKUP
+            and server is not self.origin
+            and not self._fetch_window.may_fetch()
+        )
+        if request.phase is Phase.FILL:
+            self._queue.put(self.guard.forward, request, request.cache, server)
+        elif request.phase is Phase.DIRECT:
+            source = server if request.cached_only else self.origin
+            self._queue.put(self.guard.forward, request, server, source)
+        else:
+            request.cache = server
+            # At a warming cache a lookup would cost as much of its budget as a fill: fill at once.
+            if is_warming or request.service.uncacheable and server is not self.origin:
+                request.phase = Phase.FILL
+                self._queue.put(self._step, request)
+            else:
+                self._queue.put(self.guard.forward, request, server, server)
+
+    def handle_violation(self, request: PendingRequest, violation: Violation) -> None:
+        """The attempt would break a rule: exclude the server at which it would, or give up."""
+        server = violation.server
+        if request.phase is Phase.FILL and server is request.cache:
+            request.phase = Phase.LOOKUP  # a warming cache may have had enough, not the source
+        is_last_way = request.phase is Phase.DIRECT and server is self.origin
+        if violation.rule.ends_request or is_last_way:
+            self._give_up(request)
+        else:
+            self.handle_declined(request, server)
+
+    def handle_attempt_started(self, request: PendingRequest, server: "Server", source: "Server") -> None:
+        """The guard has commanded the attempt."""
+        attempt = request.active_attempt
+        self._active[attempt] = ActiveAttempt(request, server, source)
+        for one in dict.fromkeys((server, source)):
+            self._queue.put(one.handle_attempt_started, attempt, request.sending_time)
+        if source is not server or request.phase is Phase.DIRECT:
+            self._fetch_window.add(attempt, request.cached_only)
+
+    # An attempt has ended.
+
+    def handle_attempt_ended(self, event: AttemptEnded) -> None:
+        """Tell the servers, learn from the outcome, and retry unless the request is answered."""
+        attempt = AttemptId(event.request, event.attempt)
+        if attempt not in self._active:
+            return
+        ended = self._active.pop(attempt)
+        request = ended.request
+        result = judge_attempt(event, request)
+        self._report_to_servers(attempt, ended, result)
+        request.active_attempt = None
+        self._fetch_window.handle_attempt_ended(attempt, ended, result)
+        is_hit = result.outcome == AttemptOutcome.SUCCEEDED and ended.source is ended.server
+        if is_hit and not request.size_kb:
+            self._sending_times.count_transfer(request.service_index, result.duration)
+        executed = request.possible_execution
+        if result.outcome in NEVER_EXECUTED and executed and executed.number == event.attempt:
+            request.possible_execution = None
+        if event.answered:
+            request.is_answered = True
+        if request.is_answered:
+            self.open.pop(request.id, None)
         else:
-            self.declined(get, member)
-
-    def left_for(self, get, cache, source):
-        self.flights[get.out] = (get, cache, source)
-        for member in dict.fromkeys((cache, source)):
-            self.loop.put(member, "took", get.out, get.own)
-        if source is not cache or get.direct:
-            self.fills.add(get.out)
-            if not get.held:
-                self.fetches.add(get.out)
-
-    def ended(self, note):
-        if (flight := (note.request, note.attempt)) not in self.flights:
+            self._retry(ended, result.outcome)
+
+    def _report_to_servers(self, attempt: AttemptId, ended: ActiveAttempt, result: AttemptResult) -> None:
+        server = ended.server
+        source = ended.source
+        overload = result.is_overloaded
+        if source is server:
+            self._queue.put(server.handle_attempt_ended, attempt, result.outcome, True, overload)
             return
-        get, cache, source = self.flights.pop(flight)
-        if note.outcome == AttemptOutcome.TIMED_OUT and note.duration < get.ds.latency_objective:
-            note = note._replace(
-                outcome=AttemptOutcome.CANCELLED
-            )  # its GET's time was short: nobody is at fault
-        in_time = (
-            note.outcome == AttemptOutcome.SUCCEEDED
-            and note.duration < get.ds.latency_objective + get.ds.objective_stretch * get.own
-        )
-        strained = note.outcome == AttemptOutcome.FULL or None
-        late = not in_time if note.outcome == AttemptOutcome.SUCCEEDED else strained
-        self.loop.put(cache, "ended", flight, note.outcome, True, late if source is cache else None)
-        if source is not cache:  # a late fill strains its source only once its own report has
-            strained = late if get.held and strained or source.ease < 1 and not strained else None
-            self.loop.put(source, "ended", flight, note.outcome, False, strained)
-        get.out = None
-        self.fills.discard(flight)
-        others = self.loop.now - self.fetched < QUIET  # fetches come in time beside this one
-        if flight in self.fetches:
-            self.fetches.remove(flight)
-            if in_time:
-                self.window = min(self.fill_room, self.window + min(self.window, self.grow / self.window))
-                self.fetched = self.loop.now
-            elif (
-                note.outcome in STUCK
-                and source.ease >= 1
-                and not source.missed
-                and cache.ease > 0.5
-                and not (others and note.outcome == AttemptOutcome.FAILED)
-            ):  # its object errs, or one parent
-                mild = (
-                    note.outcome == AttemptOutcome.SUCCEEDED
-                    or others
-                    and note.outcome == AttemptOutcome.TIMED_OUT
-                )
-                self.window = max(self.least, self.window * (YIELD if mild else LOST))
-        if (
-            note.outcome == AttemptOutcome.SUCCEEDED and source is cache and not get.size_kb
-        ):  # it was held there
-            self.work[get.dsi] += (note.duration - self.work[get.dsi]) // 32
-        if note.outcome in NEVER_EXECUTED and get.ran_by == note.attempt:
-            get.ran_at = None
-        get.closed |= note.answered
-        if get.closed:
-            return self.open.pop(get.id, None)
-        self.again(get, cache, source, note)
-
-    def again(self, get, cache, source, note):
-        if note.outcome == AttemptOutcome.MISS and get.held:
-            return self.fall_back(get)
-        get.filling = note.outcome == AttemptOutcome.MISS and source is cache
-        broken = note.outcome in BROKEN  # says nothing of the source, and once, nothing of the cache
-        moot = (
-            note.outcome == AttemptOutcome.SUPERSEDED
-        )  # called off by news before it was sent: nobody is at fault
-        if not get.filling and not moot and not (broken and cache.struck in (None, self.loop.now)):
-            get.passed.update((cache,) if broken else (cache, source))
-        self.step(get)
-
-    def give_up(self, get):
-        self.open.pop(get.id, None)  # answered at once, with a time to come back where that is heard
-        wait = int(self.allowance.max_retry_after * COME_BACK * (0.5 + self.loop.chance()))
-        self.loop.put(self.gate, "final", get, wait)
-
-    def recall(self, member):
-        for get, cache, source in list(self.flights.values()):
-            if member in (cache, source) and get.repeats == Idempotency.IDEMPOTENT and not get.closed:
-                self.withdraw(get)
-
-    def withdraw(self, get):
-        if self.allowance.cancellation and get.out:
-            self.loop.orders.append(CancelAttempt(*get.out))
-
-    def shutting_down(self, note):
-        for get in self.open.values():
-            get.due = min(get.due, self.loop.now + note.time_left)
-
-    def left(self, note):
-        if get := self.open.pop(note.request, None):
-            get.closed = True
-            if get.repeats == Idempotency.IDEMPOTENT and isinstance(
-                note, ClientDisconnected
-            ):  # a stream that began goes on
-                self.withdraw(get)
+        self._queue.put(server.handle_attempt_ended, attempt, result.outcome, True, None)
+        # A late fill shows overload of its source only once the source's own report has: the fault may lie
+        # above. A full source does where it was asked for a held copy.
+        if result.outcome == AttemptOutcome.FULL:
+            counts = ended.request.cached_only
+        else:
+            counts = source.limit.factor < 1
+        shown = overload if counts else None
+        self._queue.put(source.handle_attempt_ended, attempt, result.outcome, False, shown)
+
+    def _retry(self, ended: ActiveAttempt, outcome: AttemptOutcome) -> None:
+        """Fill after a miss; else go on with the servers that the outcome does not speak against."""
+        request = ended.request
+        server = ended.server
+        if outcome == AttemptOutcome.MISS and request.cached_only:
+            self._fall_back(request)
+            return
+        is_missed_lookup = outcome == AttemptOutcome.MISS and ended.source is server
+        if request.phase is not Phase.DIRECT:
+            request.phase = Phase.FILL if is_missed_lookup else Phase.LOOKUP
+        if not is_missed_lookup and outcome != AttemptOutcome.SUPERSEDED:
+            if outcome not in CONNECTION_FAILURES:
+                request.excluded.update((server, ended.source))
+            elif server.health.last_failure_at not in (None, self._queue.now):
+                request.excluded.add(server)  # a first failure may be the connection's; none is the source's
+        self._step(request)
+
+    def handle_server_failed(self, server: "Server") -> None:
+        """Cancel what is in flight at a failed server and may be repeated elsewhere."""
+        for request, asked, source in list(self._active.values()):
+            is_concerned = server in (asked, source) and not request.is_answered
+            if is_concerned and request.idempotency == Idempotency.IDEMPOTENT:
+                self._cancel(request)
+
+    def _cancel(self, request: PendingRequest) -> None:
+        if self._permissions.cancellation and request.active_attempt:
+            self._queue.commands.append(CancelAttempt(*request.active_attempt))
+
+    # A request ends otherwise.
+
+    def handle_shutdown_started(self, event: ShutdownStarted) -> None:
+        """No open request has longer than the front."""
+        deadline = self._queue.now + event.time_left
+        for request in self.open.values():
+            request.deadline = min(request.deadline, deadline)
+
+    def handle_response_started(self, event: ResponseStarted) -> None:
+        """The answer goes to the client: there is no other, and the attempt goes on."""
+        self._close(event.request)
+
+    def handle_client_disconnected(self, event: ClientDisconnected) -> None:
+        """Nobody waits for the answer: cancel the attempt where its effect does not matter."""
+        request = self._close(event.request)
+        if request and request.idempotency == Idempotency.IDEMPOTENT:
+            self._cancel(request)
+
+    def _close(self, request_id: int) -> PendingRequest | None:
+        request = self.open.pop(request_id, None)
+        if request:
+            request.is_answered = True
+        return request
--- a/limepath/decisions/server.py
+++ b/limepath/decisions/server.py
@@ -1,141 +1,187 @@
-"""One cache, parent or the origin: what is in flight there and whether it is healthy."""
+"""One cache, parent or the origin: what is in flight there, and whether it accepts an attempt.
 
-from limepath.decisions.event_queue import Actor
+Its health, its concurrency limit and its slow start are objects of their own.
+"""
+
+from typing import TYPE_CHECKING
+
+from limepath.decisions.attempt import AttemptId
+from limepath.decisions.concurrency_limit import ConcurrencyLimit
+from limepath.decisions.event_queue import EventQueue
+from limepath.decisions.health import CONNECTION_FAILURES, Health
+from limepath.decisions.request import PendingRequest, Phase
+from limepath.decisions.slow_start import SlowStartBudgets
 from limepath.hashing import mix64
 from limepath.interface.commands import SendProbe
-from limepath.interface.events import AttemptOutcome, EndpointState
-from limepath.interface.settings import Idempotency
-
-ROOM, LEAST_ROOM = 2.1, 2  # transfers a member may hold per lane, of one front at least, at parents one more
-EASED, LEAST_EASE = 0.7, 0.02  # share of its room that a strained member keeps each time, and at the least
-QUIET, PACE = 200_000, 1_000_000  # least silence with an answer owed before a probe, and between probes
-SILENCE = 2  # times that in which something out should be heard of, until silence is one
-UNPROBED = 4  # times that again where no probe can tell a slow answer from none
-DOUBT_AFTER, STRIKES = 2, 3  # probes unanswered in a row before a recall, connections broken before doubt
-SATED, LONG_GONE = 0.95, 2_000_000  # load above which room shrinks; silence after which one is back empty
-BROKEN = (AttemptOutcome.RESET, AttemptOutcome.CONNECT_FAILED)
-
-
-class Cache(Actor):
-    """One cache, parent or the origin: what it holds of ours, and whether it is to be trusted."""
-
-    def __init__(self, loop, door, gate, ident, probing, upper, warming):
-        super().__init__(loop)
-        self.upper, self.warming, self.warm_at, self.ease = upper, warming, 0, 1.0
-        self.door, self.gate, self.id, self.salt, self.probing = door, gate, ident, mix64(ident), probing
-        self.out, self.heard, self.probe_at, self.asked, self.suspect = {}, 0, None, 0, False
-        self.member, self.missed, self.strikes, self.struck, self.unsure = None, 0, 0, None, None
-        self.doubted, self.way = 0, True
-
-    def listed(self, member, sharing, lanes, weighted):
-        if member.started_at:
-            self.warm_at = max(self.warm_at, member.started_at + self.warming)
-        if self.member is None or member.started_at > self.member.started_at:
-            self.missed, self.strikes, self.struck, self.unsure, self.heard = 0, 0, None, None, self.loop.now
-        self.member, self.sharing, self.lanes, self.share = member, sharing, lanes, lanes if weighted else 1.0
-
-    def share_of_room(self):
-        return max(LEAST_ROOM + self.upper, ROOM * self.lanes / self.sharing)
-
-    def offer(self, get):
-        """Take the GET, as cache or source, unless in doubt or full; warming, spare the forward of a look."""
-        room = self.share_of_room()
-        if not get.ds.uncacheable:  # what can go nowhere else is not turned away for fills
-            room *= self.ease ** (1 / get.claim)
-        doubted = self.missed or self.unsure is not None and self.strikes > 1
-        away = doubted and not self.tries(get) or not (self.way or get.filling)
-        if away or len(self.out) >= room or room < 1 and self.loop.chance() > room:
-            self.loop.put(self.door, "declined", get, self)
+from limepath.interface.events import AttemptOutcome, Endpoint, EndpointState, ProbeEnded
+from limepath.interface.settings import Permissions
+
+if TYPE_CHECKING:
+    from limepath.decisions.router import Router
+
+OVERLOAD_UTILISATION = 0.95  # reported load above which a server counts as overloaded
+
+
+class Server:
+    """One endpoint of the list, as this front uses it.
+
+    Attributes:
+        endpoint: what the endpoint list told last.
+        is_upstream: whether it is a parent or the origin.
+        weight, hash_salt: for rendezvous hashing.
+        is_reachable: whether a connection is open or may be opened; fills reach a source without it.
+        active_attempts: the expected sending time of each attempt there, in microseconds.
+        slow_start_duration: microseconds; 0 where it is never cold.
+        warms_until: until when its copies are taken to be few, so that it is asked to fill at once.
+    """
+
+    def __init__(
+        self,
+        queue: EventQueue,
+        router: "Router",
+        budgets: SlowStartBudgets,
+        permissions: Permissions,
+        endpoint: Endpoint,
+        is_upstream: bool,
+        slow_start_duration: int,
+    ) -> None:
+        self._queue = queue
+        self._router = router
+        self._budgets = budgets
+        self._probing: bool = permissions.probing
+        self.id: int = endpoint.id
+        self.hash_salt: int = mix64(endpoint.id)
+        self.weight: float = 1.0
+        self.endpoint: Endpoint | None = None
+        self.is_upstream = is_upstream
+        self.is_reachable: bool = True
+        self.active_attempts: dict[AttemptId, int] = {}
+        self.slow_start_duration = slow_start_duration
+        self.warms_until: int = 0
+        self.health = Health(queue, permissions.probing)
+        self.limit = ConcurrencyLimit(is_upstream)
+
+    def update(self, endpoint: Endpoint, fronts: int, base_concurrency: float, is_weighted: bool) -> None:
+        """Take in what the endpoint list tells: the endpoint, and how many fronts share its capacity."""
+        has_started = self.endpoint is None or endpoint.started_at > self.endpoint.started_at
+        if endpoint.started_at:
+            self.warms_until = max(self.warms_until, endpoint.started_at + self.slow_start_duration)
+            if has_started:
+                self._budgets.record_start(self.id, endpoint.started_at)
+        if has_started:
+            self.health.restart()
+        self.endpoint = endpoint
+        self.limit.fronts = fronts
+        self.limit.base_concurrency = base_concurrency
+        self.weight = base_concurrency if is_weighted else 1.0
+
+    @property
+    def is_warming(self) -> bool:
+        """Whether a lookup should name a source at once."""
+        return self._queue.now < self.warms_until
+
+    def handle_offer(self, request: PendingRequest) -> None:
+        """Accept the request, as cache or source, or decline it."""
+        if self._accepts(request):
+            self._queue.put(self._router.handle_accepted, request, self, self.is_warming)
         else:
-            self.loop.put(self.door, "accepted", get, self, self.loop.now < self.warm_at)
+            self._queue.put(self._router.handle_declined, request, self)
 
-    def tries(self, get):
-        """Whether this GET goes to a doubted member in a probe's place, where there are none: now and then
-        one that may run again, more seldom the longer it is away. Nothing else would bring it back."""
-        due = max(self.asked, self.doubted) + (PACE << min(3, max(0, self.missed - 1)))
-        if self.probing or get.repeats != Idempotency.IDEMPOTENT or self.loop.now < due:
+    def _accepts(self, request: PendingRequest) -> bool:
+        limit = self.limit.limit_for(request)
+        if self.health.is_ejected and not self.health.take_trial(request):
+            return False
+        if not self.is_reachable and request.phase is not Phase.FILL:
             return False
-        self.asked = self.loop.now
-        return True
-
-    def took(self, flight, sending):
-        self.heard = self.heard if self.out else self.loop.now
-        self.out[flight] = sending
-
-    def ended(self, flight, verdict, mine, strained):
-        self.out.pop(flight, None)
-        if strained is not None:
-            self.eased(strained)
-        self.suspect |= (
-            verdict == AttemptOutcome.FULL and not mine
-        )  # down, sated, or its own fetches stick: ask
-        if verdict in BROKEN if mine else verdict == AttemptOutcome.TIMED_OUT:
-            self.broke(verdict)
-        elif (
-            verdict == AttemptOutcome.SUCCEEDED
-            or mine
-            and verdict in (AttemptOutcome.MISS, AttemptOutcome.FULL)
-        ):
-            self.alive(self.loop.now)
-
-    def broke(self, verdict):
-        self.strikes += self.struck != self.loop.now  # what breaks at one moment may be one connection
-        self.struck = self.loop.now
-        if verdict == AttemptOutcome.CONNECT_FAILED:  # ask until it answers, to know how long it was away
-            self.suspect, self.unsure = True, self.loop.now if self.unsure is None else self.unsure
-        if self.strikes >= STRIKES:
-            self.silent(verdict)
-
-    def eased(self, strained):
-        """What many fronts ask of one member shows in its answers: late, turned away, sated. What others
-        leave of a cache shows as well: one in time takes more than this front's share, up to all its room."""
-        if strained:
-            self.ease = max(LEAST_EASE, self.ease * EASED)
-        elif self.ease < 1 or self.upper:
-            self.ease = min(1, self.ease / EASED**0.3)
-        elif len(self.out) + 1 >= self.share_of_room() * self.ease:  # only a full one tells of more
-            self.ease = max(1, min(ROOM * self.lanes / self.share_of_room(), self.ease / EASED**0.1))
-
-    def alive(self, at):
-        self.heard = at
-        if self.warming and self.unsure is not None and self.heard - self.unsure > LONG_GONE:
-            self.warm_at = self.heard + self.warming
-            self.loop.put(self.gate, "started", self.id, self.heard)
-        self.missed, self.strikes, self.struck, self.unsure = 0, 0, None, None
-
-    def silent(self, verdict):
-        self.missed += 1
-        self.doubted = self.loop.now
-        if self.unsure is None:
-            self.unsure = self.loop.now
-        if self.missed >= DOUBT_AFTER or verdict in BROKEN:
-            self.loop.put(self.door, "recall", self)
-
-    def patience(self):
-        """Of so many out one ends in a part of its sending time: only well past that is silence a sign."""
-        return max(QUIET, SILENCE * sum(self.out.values()) // len(self.out) ** 2)
-
-    def tick(self):
-        now, able = self.loop.now, self.probing and self.member.state == EndpointState.READY
-        waiting = self.missed or self.suspect or self.out and now - self.heard > self.patience()
-        if able and waiting and self.probe_at is None and (self.missed == 1 or now - self.asked > PACE):
-            self.probe_at, self.asked, self.suspect = now, now, False
-            self.loop.orders.append(SendProbe(self.id, now - max(self.heard, self.doubted)))
-        elif not self.probing and self.out:  # nothing can be asked: the silence itself has to tell
-            if now - max(self.heard, self.doubted) > UNPROBED * self.patience():
-                self.silent(AttemptOutcome.TIMED_OUT)
-
-    def probed(self, report):
-        sent, self.probe_at = self.probe_at, None
-        at = self.loop.now - report.age
-        if report.age and at <= max(self.heard, self.doubted):
+        if len(self.active_attempts) >= limit:
+            return False
+        return limit >= 1 or self._queue.random_fraction() <= limit
+
+    def handle_attempt_started(self, attempt: AttemptId, sending_time: int) -> None:
+        """An attempt goes to this server, as cache or as source."""
+        if not self.active_attempts:
+            self.health.last_contact_at = self._queue.now  # it owed no answer until now
+        self.active_attempts[attempt] = sending_time
+
+    def handle_attempt_ended(
+        self, attempt: AttemptId, outcome: AttemptOutcome, was_asked: bool, is_overloaded: bool | None
+    ) -> None:
+        """An attempt ended.
+
+        Args:
+            attempt: the attempt, forgotten here now.
+            outcome: how it ended.
+            was_asked: whether the front asked this server itself; else it was the source of a fill.
+            is_overloaded: what the end tells of its load; None where it tells nothing.
+        """
+        self.active_attempts.pop(attempt, None)
+        if is_overloaded is not None:
+            self.limit.record_outcome(is_overloaded, len(self.active_attempts))
+        if was_asked:
+            self._judge_answer(outcome)
+        else:
+            self._judge_as_source(outcome)
+
+    def _judge_answer(self, outcome: AttemptOutcome) -> None:
+        if outcome in CONNECTION_FAILURES:
+            self._record_failure(outcome)
+        elif outcome in (AttemptOutcome.SUCCEEDED, AttemptOutcome.MISS, AttemptOutcome.FULL):
+            self._record_contact(self._queue.now)
+
+    def _judge_as_source(self, outcome: AttemptOutcome) -> None:
+        if outcome == AttemptOutcome.FULL:  # down, overloaded, or its own fetches do not come back
+            self.health.needs_probe = True
+        if outcome == AttemptOutcome.TIMED_OUT:
+            self._record_failure(outcome)
+        elif outcome == AttemptOutcome.SUCCEEDED:
+            self._record_contact(self._queue.now)
+
+    def _record_contact(self, at: int) -> None:
+        was_long_silent = self.health.record_contact(at)
+        if was_long_silent and self.slow_start_duration:
+            self.warms_until = at + self.slow_start_duration
+            self._queue.put(self._budgets.record_start, self.id, at)
+
+    def _record_failure(self, outcome: AttemptOutcome) -> None:
+        if self.health.record_failure(outcome):
+            self._queue.put(self._router.handle_server_failed, self)
+
+    def _record_silence(self, outcome: AttemptOutcome) -> None:
+        if self.health.record_silence(outcome):
+            self._queue.put(self._router.handle_server_failed, self)
+
+    def is_check_due(self) -> bool:
+        """Whether the periodic health check has anything to look at here."""
+        return bool(self.active_attempts or self.health.missed_probes or self.health.needs_probe)
+
+    def handle_health_check(self) -> None:
+        """Send a probe where one is due; where there are none, take a long silence for a failure."""
+        sending_times = self.active_attempts.values()
+        if not self._probing:
+            if self.active_attempts and self.health.is_silent_unprobed(sending_times):
+                self._record_silence(AttemptOutcome.TIMED_OUT)
+        elif self.endpoint.state == EndpointState.READY:
+            if self.health.needs_check(sending_times) and self.health.is_probe_allowed():
+                self._queue.commands.append(SendProbe(self.id, self.health.begin_probe()))
+
+    def handle_probe_ended(self, event: ProbeEnded) -> None:
+        """Take in the result of a probe, of this front or of another that shares its results."""
+        probe_sent_at = self.health.end_probe()
+        learnt_at = self._queue.now - event.age
+        if event.age and learnt_at <= self.health.last_evidence_at:
             return  # another front's, older than what this one has seen itself
-        if report.outcome == AttemptOutcome.SUCCEEDED:
-            self.eased(report.load.get("util", 0) > SATED)
-            self.alive(at)
-        elif report.outcome == AttemptOutcome.FULL:  # proves neither life nor silence, but strain
-            self.eased(True)
-        elif sent is None:  # nobody asked: another front's failure may be of its own way there, so see
-            self.suspect |= report.age > 0
-        elif self.heard <= (at if report.age else sent):
-            (self.broke if report.outcome in BROKEN else self.silent)(report.outcome)
+        if event.outcome == AttemptOutcome.SUCCEEDED:
+            self.limit.record_outcome(
+                event.load.get("util", 0) > OVERLOAD_UTILISATION, len(self.active_attempts)
+            )
+            self._record_contact(learnt_at)
+        elif event.outcome == AttemptOutcome.FULL:  # shows overload, neither life nor silence
+            self.limit.record_outcome(True, len(self.active_attempts))
+        elif probe_sent_at is None:
+            if event.age > 0:  # another front's failure may lie on its own way there: probe from here
+                self.health.needs_probe = True
+        elif self.health.last_contact_at <= (learnt_at if event.age else probe_sent_at):
+            if event.outcome in CONNECTION_FAILURES:
+                self._record_failure(event.outcome)
+            else:
+                self._record_silence(event.outcome)
--- a/tests/cold_ramp.py
+++ b/tests/cold_ramp.py
@@ -14,7 +14,7 @@
 from typing import NamedTuple
 
 from limepath.decisions.engine import DecisionEngine
-from limepath.decisions.guard import MARGIN
+from limepath.decisions.slow_start import BUDGET_MARGIN
 from limepath.interface.commands import ForwardRequest
 from limepath.interface.events import (
     AttemptEnded,
@@ -101,7 +101,7 @@
 
     def __init__(self, ramp, number, seed):
         self.ramp, self.number, self.front = ramp, number, front_of(ramp, seed)
-        self.front.door.mean = ramp.mean  # learnt before the member starts
+        self.front.sending_times.mean = ramp.mean  # learnt before the member starts
         self.ids, self.sent = 0, []
 
     def told(self, now, started):
@@ -200,13 +200,16 @@
     """For each draw the largest part of N + 2 x root of N + 2 that the fronts' parts of the budget come to,
     with all of them spent, over the ramp: what no demand can go beyond. Fronts' places fall by chance.
     """
-    gate, chance, worst_of = front_of(ramp, 1).gate, Random(seed), [0.0] * draws
-    gate.door.mean = ramp.mean
+    front, chance, worst_of = front_of(ramp, 1), Random(seed), [0.0] * draws
+    front.sending_times.mean = ramp.mean
     parts, limits, warmup = [], [], ramp.warmup
     for age in (warmup.duration * number / ages for number in range(ages)):
         allowed = ramp.allowed(age)
-        whole = MARGIN * allowed * ramp.mean
-        told = [gate.part(whole, ramp.fronts, (at + 0.5) / places * ramp.fronts) for at in range(places)]
+        whole = BUDGET_MARGIN * allowed * ramp.mean
+        told = [
+            front.budgets.share_of_budget(whole, ramp.fronts, (at + 0.5) / places * ramp.fronts)
+            for at in range(places)
+        ]
         parts.append([part if part >= min(ramp.works) else 0 for part in told])  # less takes no request
         limits.append((allowed + 2 * sqrt(allowed) + 2) * ramp.mean)
     for draw in range(draws):
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -219,7 +219,7 @@
 def test_a_parent_that_reports_itself_sated_gets_less_until_it_is_not():
     def taken(loads):
         host = FakeHost(fleet=tuple(m._replace(weight=40.0) for m in FLEET[:3]) + FLEET[4:])
-        host.front.door.fill_room = host.front.door.window = 100
+        host.front.fetch_window.max_fills = host.front.fetch_window.size = 100
         for util in loads:
             host.probe_report(12, util=util)
         return sum(o.source == 12 for obj in range(60) for o in forwards(host.end(host.get(obj)[0], V.MISS)))
@@ -269,47 +269,46 @@
 def test_a_budget_ends_when_its_cache_is_warm():
     host = FakeHost(fleet=(member(1, started=100 * SECOND), member(11, PARENT), member(21, ORIGIN)))
     host.wait(11 * SECOND)
-    assert [host.get(obj)[0].endpoint for obj in range(8)] == [1] * 8 and not host.front.gate.starts
+    assert [host.get(obj)[0].endpoint for obj in range(8)] == [1] * 8 and not host.front.budgets.warmups
 
 
 def push(host, get, cache=1):
     """Put a forward to the gate past all that would not ask for it; give what it lets through."""
     front = host.front
-    front.loop.orders = []
-    front.gate.inbox.clear()
-    front.gate.forward(get, front.caches[cache], front.caches[cache])
-    return forwards(front.loop.orders)
+    front.queue.commands = []
+    front.guard.forward(get, front.endpoints.servers[cache], front.endpoints.servers[cache])
+    return forwards(front.queue.commands)
 
 
 def test_the_gate_alone_bars_what_a_rule_forbids():
     host = FakeHost(services=(service(), service(idempotency=Idempotency.NON_IDEMPOTENT)))
     (look,) = host.get(patience=SECOND)
-    get = host.front.door.open[look.request]
+    get = host.front.router.open[look.request]
     assert not push(host, get)  # one is out
-    get.out = None
+    get.active_attempt = None
     assert push(host, get)
-    get.out, get.closed = None, True
+    get.active_attempt, get.is_answered = None, True
     assert not push(host, get)  # answered
-    get.closed, host.front.loop.now = False, host.now + SECOND
+    get.is_answered, host.front.queue.now = False, host.now + SECOND
     assert not push(host, get)  # too late
     (look,) = forwards(host.get(ds=1))
-    get = host.front.door.open[look.request]
-    get.out = None
+    get = host.front.router.open[look.request]
+    get.active_attempt = None
     assert not push(host, get)  # may have run
     (look,) = forwards(host.get())
-    get = host.front.door.open[look.request]
-    get.out = None
+    get = host.front.router.open[look.request]
+    get.active_attempt = None
     host.roster(member(1, standing=EndpointState.DRAINING))
     assert not push(host, get) and push(host, get, 2)  # draining
-    host.front.loop.orders = []
-    host.front.gate.final(get, 0)
-    host.front.gate.final(get, 0)
-    assert kinds(host.front.loop.orders) == ["RejectRequest"]
+    host.front.queue.commands = []
+    host.front.guard.finish(get, 0)
+    host.front.guard.finish(get, 0)
+    assert kinds(host.front.queue.commands) == ["RejectRequest"]
 
 
 def test_a_parent_left_alone_and_full_passes_fills_to_the_origin():
     host = FakeHost(fleet=tuple(m._replace(weight=40.0) for m in FLEET[:3]) + FLEET[4:])
-    host.front.door.fill_room = host.front.door.window = 100
+    host.front.fetch_window.max_fills = host.front.fetch_window.size = 100
     sources = [host.end(forwards(host.get(obj))[0], V.MISS)[0].source for obj in range(50)]
     assert sources[:20] == [12] * 20 and 21 in sources
 
@@ -368,19 +367,21 @@
 
 def test_lost_fetches_close_the_window_to_the_fleets_least_and_time_opens_it():
     host = opened(FakeHost(fronts=200))
-    door = host.front.door
+    window = host.front.fetch_window
     for obj in range(40):
         fill = forwards(host.end(host.get(obj)[0], V.MISS))[0]
         host.end(fill, V.FAILED, 1, closed=True)
-    assert door.window == 4 / 200
+    assert window.size == 4 / 200
     host.wait(5000 * SECOND)
-    assert door.may_fetch() and door.window == 1
-    assert FakeHost(fronts=400, nearby=200).front.door.may_fetch()  # its share of the link is under one fill
+    assert window.may_fetch() and window.size == 1
+    assert FakeHost(
+        fronts=400, nearby=200
+    ).front.fetch_window.may_fetch()  # its share of the link is under one fill
 
 
 def opened(host):
     """As after a while of timely fetches."""
-    host.front.door.window = host.front.door.fill_room
+    host.front.fetch_window.size = host.front.fetch_window.max_fills
     return host
 
 
@@ -408,7 +409,7 @@
     host = opened(FakeHost())
     for obj in range(20):
         fill(host, obj, V.TIMED_OUT, took=100_000)
-    assert host.front.door.window == host.front.door.fill_room
+    assert host.front.fetch_window.size == host.front.fetch_window.max_fills
     assert {forwards(host.end(host.get(obj)[0], V.MISS))[0].source for obj in range(20)} == {11, 12}
 
 
@@ -416,7 +417,7 @@
     host = opened(FakeHost())
     fill(host, 1, V.SUCCEEDED)
     fill(host, 2, V.TIMED_OUT, took=SECOND)
-    assert host.front.door.window > 0.8 * host.front.door.fill_room  # kept a tenth once
+    assert host.front.fetch_window.size > 0.8 * host.front.fetch_window.max_fills  # kept a tenth once
     windows = []
     for link in (9000.0, 90_000.0):
         host = opened(FakeHost(link=link))
@@ -425,7 +426,7 @@
             host.wait(SECOND)
         for obj in range(300):
             fill(host, obj, V.SUCCEEDED)
-        windows.append(host.front.door.window)
+        windows.append(host.front.fetch_window.size)
     assert windows[0] == 19.8 and windows[1] > 90  # was 55
 
 
@@ -433,10 +434,10 @@
     host = FakeHost(fleet=FLEET[:1] + FLEET[3:])
     for obj in range(3):
         host.end(host.get(obj)[0], V.SUCCEEDED, closed=True, took=4 * SECOND)
-    window = host.front.door.window
+    window = host.front.fetch_window.size
     fill = forwards(host.end(forwards(host.get(9))[0], V.MISS))[0]
     host.end(fill, V.TIMED_OUT, 1)
-    assert host.front.door.window == window
+    assert host.front.fetch_window.size == window
 
 
 def test_on_a_full_link_small_gets_go_first_and_large_ones_last():
@@ -452,12 +453,12 @@
 
 def test_late_answers_ease_a_cache_and_timely_ones_bring_it_back():
     host = FakeHost(fleet=FLEET[:1] + FLEET[3:])
-    eased = host.front.caches[1]
+    eased = host.front.endpoints.servers[1]
     for took in (4 * SECOND,) * 6 + (1000,) * 60:
         for forward in forwards(host.get()):
             host.end(forward, V.SUCCEEDED, closed=True, took=took)
-        assert eased.ease < 1 or took == 1000
-    assert eased.ease == 1
+        assert eased.limit.factor < 1 or took == 1000
+    assert eased.limit.factor == 1
 
 
 def test_a_write_is_not_turned_away_where_the_origin_is_eased_for_fills():
@@ -479,7 +480,7 @@
 def test_a_cache_that_turns_probes_away_is_taken_by_chance_once_its_room_is_under_one():
     host, looks = FakeHost(fleet=FLEET[:1] + FLEET[3:]), 0
     host.hear(*[ProbeEnded(1, V.FULL, 1000, {})] * 12)
-    assert host.front.caches[1].ease < 0.1
+    assert host.front.endpoints.servers[1].limit.factor < 0.1
     for obj in range(40):
         for forward in forwards(host.get(obj)):
             looks += forward.endpoint == 1
@@ -489,11 +490,11 @@
 
 def test_late_fills_strain_a_parent_only_once_its_own_report_has():
     host = FakeHost(fleet=FLEET[:3] + FLEET[4:])
-    parent, eases = host.front.caches[12], []
+    parent, eases = host.front.endpoints.servers[12], []
     for obj in range(2):
         (fill,) = host.end(host.get(obj)[0], V.MISS)
         host.end(fill, V.SUCCEEDED, 1, closed=True, took=4 * SECOND)
-        eases.append(parent.ease)
+        eases.append(parent.limit.factor)
         host.probe_report(12, util=1.0)
     assert eases[0] == 1 and eases[1] < 0.6
 
@@ -502,29 +503,31 @@
     for fleet in ((), FLEET[5:], FLEET[3:], FLEET[:3], (member(4)._replace(zone=1),)):
         assert [type(o) for o in FakeHost(fleet=fleet).get()] in ([ForwardRequest], [RejectRequest])
     host = FakeHost(fleet=FLEET + (member(4)._replace(zone=1),))
-    assert 4 not in host.front.caches
+    assert 4 not in host.front.endpoints.servers
     host.roster(member(1)._replace(zone=1))
     assert all(host.get(obj)[0].endpoint != 1 for obj in range(20))
 
 
 def test_a_parent_of_untold_size_is_taken_for_its_part_of_all_links():
     host = FakeHost(weighted=False)
-    assert [host.front.gate.members[ident][2] for ident in (11, 12)] == [4.5, 4.5]
+    assert [host.front.endpoints.servers[ident].limit.base_concurrency for ident in (11, 12)] == [4.5, 4.5]
 
 
 def test_counts_alone_ask_for_the_top_ranks_only_for_few():
     for size_kb, asked_twice in ((0.0, [3, 3, 2, 2, 2, 2, 1]), (8.0, [3] * 7)):
-        shelf = FakeHost().front.shelf
+        table = FakeHost().front.frequency_table
         for obj in range(40):
-            shelf.rank((obj, 0), size_kb)
-        assert [shelf.rank((obj, 0), size_kb) for obj in range(7)] == asked_twice
+            table.count_request((obj, 0), size_kb)
+        assert [table.count_request((obj, 0), size_kb) for obj in range(7)] == asked_twice
 
 
 def test_many_transfers_out_make_a_short_silence_a_sign_and_one_does_not():
     host = FakeHost(fleet=FLEET[:1] + FLEET[3:])
     for obj in range(6):
         host.get(obj)
-    assert len(host.front.caches[1].out) == 6 and probed(host.wait(SECOND // 4 + 50_000)) == [1]
+    assert len(host.front.endpoints.servers[1].active_attempts) == 6 and probed(
+        host.wait(SECOND // 4 + 50_000)
+    ) == [1]
 
 
 def test_a_front_that_starts_fetches_one_at_a_time_and_opens_as_they_come_in_time():
@@ -534,7 +537,7 @@
     host.end(first, V.SUCCEEDED, 1, closed=True)
     for obj in range(3, 40):
         fill(host, obj, V.SUCCEEDED)
-    assert host.front.door.window > 10
+    assert host.front.fetch_window.size > 10
 
 
 def test_without_probes_a_silent_cache_is_found_out_and_tried_again_more_and_more_seldom():
--- a/tests/test_cold_ramp.py
+++ b/tests/test_cold_ramp.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from limepath.decisions.engine import LANES
+from limepath.decisions.endpoints import UNKNOWN_CONCURRENCY
 from limepath.hashing import mix64
 from limepath.interface.commands import ForwardRequest
 from limepath.interface.settings import SlowStart
@@ -104,9 +104,9 @@
     for seed in range(50):
         one = OfferedFront(ramp, 0, seed)
         one.told(now, now - 1)
-        gate = one.front.gate
+        budgets = one.front.budgets
         whole = 3.2 * SECOND  # 1.07 s each: two of the dearest and a rest of 0.27 s
-        parts = [gate.part(whole, 3, place) for place in (0.0, 1.0, 2.9)]
+        parts = [budgets.share_of_budget(whole, 3, place) for place in (0.0, 1.0, 2.9)]
         assert min(parts) >= whole / 3
 
 
@@ -115,15 +115,15 @@
     sent = []
     for services in ((service(),), (service(), passing)):
         host = FakeHost(services=services, fronts=40, nearby=20)
-        host.front.door.mean = 600_000
-        sent.append(host.front.gate.part(10 * SECOND, 20, 1.0))
+        host.front.sending_times.mean = 600_000
+        sent.append(host.front.budgets.share_of_budget(10 * SECOND, 20, 1.0))
     assert sent[0] == sent[1] == 600_000
 
 
 def test_a_cold_budget_of_nothing_lets_nothing_pass():
     host = FakeHost(fronts=40, nearby=20)
     warmup = SlowStart(0.0, 10 * SECOND, 2.0, SECOND)
-    host.front.gate.warmups = {False: warmup, True: warmup}
+    host.front.budgets.settings = {False: warmup, True: warmup}
     host.roster(member(1, started=host.now))
     orders = [order for obj in range(40) for order in host.get(obj)]
     assert not any(order.endpoint == 1 for order in orders if isinstance(order, ForwardRequest))
@@ -134,7 +134,7 @@
     processes, cold_for = 20, 1000 * SECOND * 1000  # it stays at its least capacity
     safety = SETTINGS["safety"] | {"cold": cold_for, "overload-factor": 6}
     settings = SETTINGS | {"replicas-of-me": processes, "safety": safety}
-    allowed = 6 * 0.2 * LANES * 1.0 / 0.6  # N: multiple x share x lanes x window / mean work
+    allowed = 6 * 0.2 * UNKNOWN_CONCURRENCY * 1.0 / 0.6  # N: multiple x share x lanes x window / mean work
     cache, parent, log = StandInCache("s-1", "box", "sur"), StandInCache("p-1", "parent", "hub"), listening()
     began = int(time.time() * 1000)
     members = [cache.entry(up_since_ms=began), parent.entry()]
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -420,25 +420,25 @@
     asked = [o for o in host.wait(2 * SECOND) if isinstance(o, SendProbe)]
     assert asked[0].endpoint == forward.endpoint and 1_200_000 < asked[0].max_age <= 1_300_000
     host.probe_report(forward.endpoint, AttemptOutcome.TIMED_OUT)
-    cache = host.front.caches[forward.endpoint]
-    assert cache.missed == 1
+    cache = host.front.endpoints.servers[forward.endpoint]
+    assert cache.health.missed_probes == 1
     host.hear(ProbeEnded(forward.endpoint, AttemptOutcome.SUCCEEDED, 900, {}, 500_000))  # learnt before that
-    assert cache.missed == 1
+    assert cache.health.missed_probes == 1
     host.wait(SECOND // 5)
     host.hear(ProbeEnded(forward.endpoint, AttemptOutcome.SUCCEEDED, 900, {}, 100_000))
-    assert cache.missed == 0 and cache.heard == host.now - 100_000
+    assert cache.health.missed_probes == 0 and cache.health.last_contact_at == host.now - 100_000
 
 
 def test_another_s_failure_makes_the_module_see_for_itself_and_counts_when_it_answers():
     host = FakeHost()
     host.wait(SECOND)
     host.hear(ProbeEnded(1, AttemptOutcome.TIMED_OUT, 900, {}, 1000))
-    cache = host.front.caches[1]
-    assert cache.missed == 0 and cache.suspect
+    cache = host.front.endpoints.servers[1]
+    assert cache.health.missed_probes == 0 and cache.health.needs_probe
     asked = [o for o in host.wait(SECOND // 5) if isinstance(o, SendProbe)]
     assert [o.endpoint for o in asked] == [1]
     host.hear(ProbeEnded(1, AttemptOutcome.TIMED_OUT, 900, {}, 1000))  # the shared answer that serves
-    assert cache.missed == 1
+    assert cache.health.missed_probes == 1
 
 
 # Real fronts
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from limepath.decisions.rendezvous import hash_order
+from limepath.decisions.rendezvous import rendezvous_order
 from tests.fake_host import SECOND
 from tests.fleet_host import Fleet
 
@@ -37,8 +37,10 @@
 
     def watched(front, order):
         if not front and not fleet.gets[order.request][1] and fleet.now > 5 * SECOND:
-            door = fleet.fronts[0].door
-            home.append(order.endpoint == hash_order(door.open[order.request].name, door.caches)[0].id)
+            door = fleet.fronts[0].router
+            home.append(
+                order.endpoint == rendezvous_order(door.open[order.request].object_part, door.caches)[0].id
+            )
         forward(front, order)
 
     fleet.forward = watched
@@ -79,7 +81,12 @@
 def test_room_that_is_never_full_does_not_grow():
     fleet = Fleet(fronts=6, caches=12, rate=60, seed=1, held=1.0, uneven=0.0)
     fleet.run(30 * SECOND)
-    eases = [cache.ease for front in fleet.fronts for cache in front.caches.values() if cache.id >= 100]
+    eases = [
+        cache.limit.factor
+        for front in fleet.fronts
+        for cache in front.endpoints.servers.values()
+        if cache.id >= 100
+    ]
     assert (
         sum(ease > 1.2 for ease in eases) < len(eases) / 5
     )  # 69 of 72 where each hit in time counted, now 8
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -497,15 +497,15 @@
         )
         reactor.advance(0)
 
-    gate = host.front.gate
-    before = len(host.front.caches), len(gate.members), len(gate.starts)
+    servers, warmups = host.front.endpoints.servers, host.front.budgets.warmups
+    before = len(servers), len(warmups)
     for number in range(200):
         tell(f"s-{number}", "in_service")
         tell(f"s-{number - 1}", "terminating")
         tell(f"s-{number - 1}", "terminated")
         caches.sweep()
     assert len(changes.entries) == len(caches.peers) == len(caches.names) == 1
-    assert (len(host.front.caches), len(gate.members), len(gate.starts)) == tuple(n + 1 for n in before)
+    assert (len(servers), len(warmups)) == tuple(n + 1 for n in before)
 
 
 def test_too_many_connections_close_the_idle_ones_and_open_gets_live():
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -87,7 +87,9 @@
     host.hear(ConnectionAvailabilityChanged(home, True))
     assert forwards(host.hear(get(3)))[0].endpoint == home
     host = FakeHost()
-    host.hear(*(ConnectionAvailabilityChanged(cache.id, False) for cache in host.front.caches.values()))
+    host.hear(
+        *(ConnectionAvailabilityChanged(cache.id, False) for cache in host.front.endpoints.servers.values())
+    )
     told = host.hear(get(4))
     assert [type(order) for order in told] == [RejectRequest] and told[0].retry_after > 0
 
@@ -97,15 +99,15 @@
     host.hear(
         *(
             ConnectionAvailabilityChanged(cache.id, False)
-            for cache in host.front.caches.values()
-            if cache.upper
+            for cache in host.front.endpoints.servers.values()
+            if cache.is_upstream
         )
     )
     first = forwards(host.hear(get(1)))[0]
     told = host.hear(
         AttemptEnded(1, 0, AttemptOutcome.MISS, first.endpoint, 1000, 0, False, CacheStatus.NONE, {})
     )
-    assert host.front.caches[forwards(told)[0].source].member.kind == PARENT
+    assert host.front.endpoints.servers[forwards(told)[0].source].endpoint.kind == PARENT
 
 
 def test_counts_of_another_front_rank_what_this_one_has_not_counted():
@@ -125,10 +127,10 @@
     ranks = []
     for host in (new, blank):
         for obj in range(50, 110):
-            host.front.shelf.rank((obj, 0), 0)
-        ranks.append(host.front.shelf.rank((2, 0), 0))
+            host.front.frequency_table.count_request((obj, 0), 0)
+        ranks.append(host.front.frequency_table.count_request((2, 0), 0))
     assert ranks[0] == 3 > ranks[1]
-    assert len(new.front.shelf.side) < 10  # what was asked for has gone from the waiting ones
+    assert len(new.front.frequency_table.waiting) < 10  # what was asked for has gone from the waiting ones
 
 
 def newcomer(live=(2, 3)):
