--- a/tests/fake_host.py
+++ b/tests/fake_host.py
@@ -1,7 +1,7 @@
 """A tiny fake host: builds one front, hands it notes at chosen times, keeps its orders."""
 
 from limepath.decisions.engine import DecisionEngine
-from limepath.interface.commands import ScheduleWakeup
+from limepath.interface.commands import ForwardRequest, ScheduleWakeup, SendProbe
 from limepath.interface.events import (
     AttemptEnded,
     AttemptOutcome,
@@ -146,3 +146,18 @@
 
     def probe_report(self, cache, verdict=AttemptOutcome.SUCCEEDED, util=0.0):
         return self.hear(ProbeEnded(cache, verdict, 1000, {"util": util}))
+
+
+def forwards(commands):
+    """The attempts among `commands`."""
+    return [command for command in commands if isinstance(command, ForwardRequest)]
+
+
+def probed_endpoints(commands):
+    """The endpoints that `commands` have probed."""
+    return [command.endpoint for command in commands if isinstance(command, SendProbe)]
+
+
+def kinds(commands):
+    """The names of the commands' types."""
+    return [type(command).__name__ for command in commands]
