--- a/limepath/decisions/router.py
+++ b/limepath/decisions/router.py
@@ -160,8 +160,7 @@
         if request.phase is Phase.FILL:
             self._queue.put(self.guard.forward, request, request.cache, server)
         elif request.phase is Phase.DIRECT:
-            source = server if request.cached_only else self.origin
-            self._queue.put(self.guard.forward, request, server, source)
+            self._forward_directly(request, server)
         else:
             request.cache = server
             # At a warming cache a lookup would cost as much of its budget as a fill: fill at once.
@@ -171,6 +170,14 @@
             else:
                 self._queue.put(self.guard.forward, request, server, server)
 
+    def _forward_directly(self, request: PendingRequest, parent: "Server") -> None:
+        """Ask a parent past the caches, with the origin as its source unless a cached copy has to do."""
+        source = parent if request.cached_only else self.origin
+        if source is None:  # the origin drains, or is gone, since the first direct attempt
+            self._give_up(request)
+        else:
+            self._queue.put(self.guard.forward, request, parent, source)
+
     def handle_violation(self, request: PendingRequest, violation: Violation) -> None:
         """The attempt would break a rule: exclude the server at which it would, or give up."""
         server = violation.server
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -72,3 +72,12 @@
     (lookup,) = host.get()
     (again,) = forwards(host.end(lookup, AttemptOutcome.SUPERSEDED))
     assert again.endpoint == lookup.endpoint
+
+
+def test_a_direct_attempt_is_not_retried_where_the_origin_has_begun_to_drain():
+    host = FakeHost()
+    host.roster(*(member(cache, standing=EndpointState.REMOVED) for cache in (1, 2, 3)))
+    direct = host.get()[0]
+    assert direct.endpoint in (11, 12) and direct.source == 21
+    host.roster(member(21, ORIGIN, standing=EndpointState.DRAINING))
+    assert kinds(host.end(direct, AttemptOutcome.CONNECT_FAILED)) == ["RejectRequest"]
