--- a/limepath/decisions/endpoints.py
+++ b/limepath/decisions/endpoints.py
@@ -98,7 +98,7 @@
             )
         fronts = self._topology.fronts if is_upstream else self._topology.fronts_in_zone
         concurrency = self._base_concurrency(endpoint, is_upstream, parents)
-        self.servers[endpoint.id].update(endpoint, fronts, concurrency, self._topology.weighted)
+        self.servers[endpoint.id].update(endpoint, is_upstream, fronts, concurrency, self._topology.weighted)
 
     def _base_concurrency(self, endpoint: Endpoint, is_upstream: bool, parents: int) -> float:
         """Transfers at full rate; of unknown capacity, a parent has its part of what all links carry."""
--- a/limepath/decisions/server.py
+++ b/limepath/decisions/server.py
@@ -1,6 +1,7 @@
 """One cache, parent or the origin: what is in flight there, and whether it accepts an attempt.
 
-Its health, its concurrency limit and its slow start are objects of their own.
+Its health and its concurrency limit are objects of their own; the budgets of warming servers stand in
+`slow_start`.
 """
 
 from typing import TYPE_CHECKING
@@ -61,8 +62,11 @@
         self.health = Health(queue, permissions.probing)
         self.limit = ConcurrencyLimit(is_upstream)
 
-    def update(self, endpoint: Endpoint, fronts: int, base_concurrency: float, is_weighted: bool) -> None:
+    def update(
+        self, endpoint: Endpoint, is_upstream: bool, fronts: int, base_concurrency: float, is_weighted: bool
+    ) -> None:
         """Take in what the endpoint list tells: the endpoint, and how many fronts share its capacity."""
+        self.is_upstream = is_upstream
         has_started = self.endpoint is None or endpoint.started_at > self.endpoint.started_at
         if endpoint.started_at:
             self.warms_until = max(self.warms_until, endpoint.started_at + self.slow_start_duration)
