--- a/limepath/decisions/concurrency_limit.py
+++ b/limepath/decisions/concurrency_limit.py
@@ -10,7 +10,7 @@
 LEAST_ATTEMPTS = 2  # that it may hold of one front, at parents and the origin one more
 OVERLOAD_DECREASE = 0.7  # of its factor that an overloaded server retains each time
 LEAST_FACTOR = 0.02
-RECOVERY_EXPONENT = 0.3  # of the decrease that an answer in time takes back: three in time for one overload
+RECOVERY_EXPONENT = 0.3  # of the decrease that an answer in time takes back: some three for one overload
 GROWTH_EXPONENT = 0.1  # the same beyond the base limit, where it is slower
 
 
--- a/limepath/decisions/engine.py
+++ b/limepath/decisions/engine.py
@@ -16,13 +16,14 @@
 from limepath.decisions.sending_times import SendingTimes
 from limepath.decisions.server import Server
 from limepath.decisions.slow_start import SlowStartBudgets
-from limepath.interface.commands import ScheduleWakeup
+from limepath.interface.commands import Command, ScheduleWakeup
 from limepath.interface.events import (
     AttemptEnded,
     ClientDisconnected,
     ConnectionAvailabilityChanged,
     EndpointListFreshnessChanged,
     EndpointListUpdated,
+    Event,
     ProbeEnded,
     PurgeAnnounced,
     RequestArrived,
@@ -101,7 +102,7 @@
             TimerFired: self._handle_timer_fired,
         }
 
-    def handle(self, now: int, events: Iterable[Any]) -> list[Any]:
+    def handle(self, now: int, events: Iterable[Event]) -> list[Command]:
         """Take in what the host heard until `now`; give the commands to carry out, in sequence.
 
         Events of other types are ignored. `now` is in microseconds and never less than before.
--- a/limepath/decisions/event_queue.py
+++ b/limepath/decisions/event_queue.py
@@ -12,6 +12,8 @@
 
 from sortedcontainers import SortedList
 
+from limepath.interface.commands import Command
+
 
 class Timer(NamedTuple):
     """A call that is due at a time; those of one time run in the order in which they were put."""
@@ -34,7 +36,7 @@
     def __init__(self, seed: int) -> None:
         self.seed = seed
         self.now = 0
-        self.commands: list[Any] = []
+        self.commands: list[Command] = []
         self._calls: deque[tuple[Callable[..., None], tuple[Any, ...]]] = deque()
         self._timers: SortedList = SortedList()
         self._timers_put = 0
--- a/limepath/decisions/fetch_window.py
+++ b/limepath/decisions/fetch_window.py
@@ -20,7 +20,7 @@
 INITIAL_WINDOW = 1  # with all shares of many fronts that start at once the origin would be overloaded
 LEAST_FETCHES = 4  # least window of all fronts together
 RECOVERY_DOUBLING_US = 3_000_000  # time in which a window under 1 doubles
-MOST_DOUBLINGS = 9
+MOST_DOUBLINGS = 9  # at once, however long there was no fetch
 OVERLOADED_CACHE_FACTOR = 0.5  # limit factor up to which a lost fill is taken for the cache's own fault
 LOST_FETCH_OUTCOMES = (
     AttemptOutcome.SUCCEEDED,  # late
--- a/limepath/decisions/frequency_table.py
+++ b/limepath/decisions/frequency_table.py
@@ -24,16 +24,16 @@
 
 
 class TableEntry(NamedTuple):
-    """Count and priority of an object part in the table."""
+    """Request count and priority of an object part in the table."""
 
-    count: float
+    requests: float
     priority: float
 
 
 class WaitingCount(NamedTuple):
     """A count outside the table: it decays until the next request for its object part."""
 
-    count: float
+    requests: float
     seen_at: int
     """Number of requests that had been counted then."""
 
@@ -75,10 +75,10 @@
         """The count until now, taken out of the order by priority or out of the waiting counts."""
         if entry := self._entries.get(object_part):
             self._by_priority.remove((entry.priority, object_part))
-            return entry.count
+            return entry.requests
         if waiting := self.waiting.pop(object_part, None):
             age = self._requests_counted - waiting.seen_at
-            return waiting.count * 0.5 ** (age / WAITING_COUNT_HALVES_AFTER)
+            return waiting.requests * 0.5 ** (age / WAITING_COUNT_HALVES_AFTER)
         return 0.0
 
     def _put_waiting(self, object_part: ObjectPart, count: float) -> None:
@@ -104,7 +104,7 @@
         """Report the counts of the entries of highest priority, the highest first."""
         first = max(0, len(self._by_priority) - event.limit)
         counts = tuple(
-            (*object_part, self._entries[object_part].count)
+            (*object_part, self._entries[object_part].requests)
             for _, object_part in self._by_priority.islice(first, reverse=True)
         )
         self._queue.commands.append(ReportRequestCounts(event.cookie, counts))
--- a/limepath/decisions/guard.py
+++ b/limepath/decisions/guard.py
@@ -142,7 +142,7 @@
             send_within=send_within,
         )
         self._queue.commands.append(command)
-        self._queue.put(self._router.handle_attempt_started, request, server, source)
+        self._queue.put(self._router.handle_attempt_started, attempt, request, server, source)
 
     def _time_to_send(self, request: PendingRequest) -> int:
         """How long a repeat by its idempotency key may wait to be sent, in microseconds; 0 without limit."""
--- a/limepath/decisions/request.py
+++ b/limepath/decisions/request.py
@@ -62,6 +62,7 @@
 
     __slots__ = (
         "accepts_stale",
+        "active_attempt",
         "attempts",
         "cache",
         "cached_only",
@@ -71,12 +72,11 @@
         "group",
         "id",
         "idempotency",
-        "active_attempt",
         "is_answered",
-        "rank",
         "object_part",
         "phase",
         "possible_execution",
+        "rank",
         "sending_time",
         "service",
         "service_index",
--- a/limepath/decisions/router.py
+++ b/limepath/decisions/router.py
@@ -104,18 +104,18 @@
             if server not in excluded:
                 self._queue.put(server.handle_offer, request)
                 return
-        if request.phase is Phase.FILL and self._may_fill_from_origin(request):
-            excluded.add(self.origin)
-            self._queue.put(self.origin.handle_offer, request)
+        if request.phase is Phase.FILL and (origin := self._origin_for_fill(request)):
+            excluded.add(origin)
+            self._queue.put(origin.handle_offer, request)
         else:
             self._fall_back(request)
 
-    def _may_fill_from_origin(self, request: PendingRequest) -> bool:
-        """Whether the origin fills in a parent's place: no parent is up, or none that is has room."""
+    def _origin_for_fill(self, request: PendingRequest) -> "Server | None":
+        """The origin, to fill in a parent's place: no parent is up, or none that is has room."""
         origin = self.origin
         if origin is None or origin in request.sources or origin in request.excluded:
-            return False
-        return self._fetch_window.may_fetch()
+            return None
+        return origin if self._fetch_window.may_fetch() else None
 
     def _fall_back(self, request: PendingRequest) -> None:
         """No fill is to be had: a stale copy will do. No cache has room: to a parent. Else give up."""
@@ -164,7 +164,7 @@
         else:
             request.cache = server
             # At a warming cache a lookup would cost as much of its budget as a fill: fill at once.
-            if is_warming or request.service.uncacheable and server is not self.origin:
+            if is_warming or (request.service.uncacheable and server is not self.origin):
                 request.phase = Phase.FILL
                 self._queue.put(self._step, request)
             else:
@@ -189,9 +189,10 @@
         else:
             self.handle_declined(request, server)
 
-    def handle_attempt_started(self, request: PendingRequest, server: "Server", source: "Server") -> None:
+    def handle_attempt_started(
+        self, attempt: AttemptId, request: PendingRequest, server: "Server", source: "Server"
+    ) -> None:
         """The guard has commanded the attempt."""
-        attempt = request.active_attempt
         self._active[attempt] = ActiveAttempt(request, server, source)
         for one in dict.fromkeys((server, source)):
             self._queue.put(one.handle_attempt_started, attempt, request.sending_time)
--- a/limepath/decisions/server.py
+++ b/limepath/decisions/server.py
@@ -53,7 +53,7 @@
         self.id: int = endpoint.id
         self.hash_salt: int = mix64(endpoint.id)
         self.weight: float = 1.0
-        self.endpoint: Endpoint | None = None
+        self.endpoint: Endpoint = endpoint
         self.is_upstream = is_upstream
         self.is_reachable: bool = True
         self.active_attempts: dict[AttemptId, int] = {}
@@ -61,24 +61,28 @@
         self.warms_until: int = 0
         self.health = Health(queue, permissions.probing)
         self.limit = ConcurrencyLimit(is_upstream)
+        self._record_start()
 
     def update(
         self, endpoint: Endpoint, is_upstream: bool, fronts: int, base_concurrency: float, is_weighted: bool
     ) -> None:
         """Take in what the endpoint list tells: the endpoint, and how many fronts share its capacity."""
         self.is_upstream = is_upstream
-        has_started = self.endpoint is None or endpoint.started_at > self.endpoint.started_at
+        has_started = endpoint.started_at > self.endpoint.started_at
+        self.endpoint = endpoint
         if endpoint.started_at:
             self.warms_until = max(self.warms_until, endpoint.started_at + self.slow_start_duration)
-            if has_started:
-                self._budgets.record_start(self.id, endpoint.started_at)
         if has_started:
-            self.health.restart()
-        self.endpoint = endpoint
+            self._record_start()
         self.limit.fronts = fronts
         self.limit.base_concurrency = base_concurrency
         self.weight = base_concurrency if is_weighted else 1.0
 
+    def _record_start(self) -> None:
+        self.health.restart()
+        if self.endpoint.started_at:
+            self._budgets.record_start(self.id, self.endpoint.started_at)
+
     @property
     def is_warming(self) -> bool:
         """Whether a lookup should name a source at once."""
@@ -160,13 +164,16 @@
 
     def handle_health_check(self) -> None:
         """Send a probe where one is due; where there are none, take a long silence for a failure."""
-        sending_times = self.active_attempts.values()
         if not self._probing:
-            if self.active_attempts and self.health.is_silent_unprobed(sending_times):
+            if self.active_attempts and self.health.is_silent_unprobed(self.active_attempts.values()):
                 self._record_silence(AttemptOutcome.TIMED_OUT)
-        elif self.endpoint.state == EndpointState.READY:
-            if self.health.needs_check(sending_times) and self.health.is_probe_allowed():
-                self._queue.commands.append(SendProbe(self.id, self.health.begin_probe()))
+        elif self._is_probe_due():
+            self._queue.commands.append(SendProbe(self.id, self.health.begin_probe()))
+
+    def _is_probe_due(self) -> bool:
+        if self.endpoint.state != EndpointState.READY:
+            return False
+        return self.health.needs_check(self.active_attempts.values()) and self.health.is_probe_allowed()
 
     def handle_probe_ended(self, event: ProbeEnded) -> None:
         """Take in the result of a probe, of this front or of another that shares its results."""
--- a/limepath/interface/commands.py
+++ b/limepath/interface/commands.py
@@ -46,8 +46,9 @@
 
 
 class SendProbe(NamedTuple):
-    """Check an endpoint's health. Where fronts share results, one that another learnt within the last
-    `max_age` microseconds will do instead.
+    """Check an endpoint's health.
+
+    Where fronts share results, one that another learnt within the last `max_age` microseconds will do.
     """
 
     endpoint: int
@@ -95,3 +96,19 @@
     """Write a line to the log."""
 
     text: str
+
+
+Command = (
+    ForwardRequest
+    | RejectRequest
+    | FailRequest
+    | CancelAttempt
+    | SendProbe
+    | ScheduleWakeup
+    | SetSubscription
+    | QueryEndpointList
+    | CloseIdleConnections
+    | SendPeerMessage
+    | ReportRequestCounts
+    | WriteLog
+)
--- a/limepath/interface/events.py
+++ b/limepath/interface/events.py
@@ -162,8 +162,9 @@
 
 
 class ConnectionAvailabilityChanged(NamedTuple):
-    """Whether an endpoint can be reached now: a connection is open, or may be opened. It can until an event
-    says otherwise.
+    """Whether an endpoint can be reached now: a connection is open, or may be opened.
+
+    It can until an event says otherwise.
     """
 
     endpoint: int
@@ -177,16 +178,18 @@
 
 
 class RequestCountsReceived(NamedTuple):
-    """Another front's request counts: (object, part, count). They weigh as this front's own requests, for
-    objects that it has not counted itself.
+    """Another front's request counts: (object, part, count).
+
+    They weigh as this front's own requests, for objects that it has not counted itself.
     """
 
     counts: tuple[tuple[int, int, float], ...]
 
 
 class RequestCountsWanted(NamedTuple):
-    """Another front asks for the upper part of the frequency table; `ReportRequestCounts` answers with the
-    same cookie.
+    """Another front asks for the upper part of the frequency table.
+
+    `ReportRequestCounts` answers with the same cookie.
     """
 
     limit: int
@@ -204,3 +207,21 @@
 
     sender: int
     body: bytes
+
+
+Event = (
+    EndpointListUpdated
+    | RequestArrived
+    | ClientDisconnected
+    | ShutdownStarted
+    | PurgeAnnounced
+    | AttemptEnded
+    | ResponseStarted
+    | ProbeEnded
+    | ConnectionAvailabilityChanged
+    | EndpointListFreshnessChanged
+    | RequestCountsReceived
+    | RequestCountsWanted
+    | TimerFired
+    | PeerMessageReceived
+)
--- a/tests/test_concurrency_limit.py
+++ b/tests/test_concurrency_limit.py
@@ -17,7 +17,8 @@
             for command in forwards(host.end(host.get(obj)[0], AttemptOutcome.MISS))
         )
 
-    assert taken([1.0] * 9) < taken([]) / 2 and taken([1.0] * 9 + [0.5] * 40) == taken([])
+    assert taken([1.0] * 9) < taken([]) / 2
+    assert taken([1.0] * 9 + [0.5] * 40) == taken([])
 
 
 def test_late_answers_lower_the_limit_of_a_cache_and_answers_in_time_restore_it():
@@ -33,7 +34,8 @@
 def test_a_write_is_not_rejected_where_the_limit_of_the_origin_is_lowered_for_fills():
     host = FakeHost(services=(service(uncacheable=True, idempotency=Idempotency.NON_IDEMPOTENT),), fronts=200)
     host.hear(*[ProbeEnded(21, AttemptOutcome.SUCCEEDED, 1000, {"util": 1.0})] * 12)
-    assert forwards(host.get()) and forwards(host.get())
+    assert forwards(host.get())
+    assert forwards(host.get())
 
 
 def test_a_cache_that_rejects_probes_is_used_by_chance_once_its_limit_is_under_one():
@@ -55,4 +57,5 @@
         host.end(fill, AttemptOutcome.SUCCEEDED, 1, closed=True, took=4 * SECOND)
         eases.append(parent.limit.factor)
         host.probe_report(12, util=1.0)
-    assert eases[0] == 1 and eases[1] < 0.6
+    assert eases[0] == 1
+    assert eases[1] < 0.6
--- a/tests/test_fetch_window.py
+++ b/tests/test_fetch_window.py
@@ -36,7 +36,8 @@
     assert not fetch.cached_only
     (lookup,) = host.get(91)
     (held,) = host.end(lookup, AttemptOutcome.MISS)
-    assert held.cached_only and kinds(host.end(held, AttemptOutcome.MISS, 1)) == ["RejectRequest"]
+    assert held.cached_only
+    assert kinds(host.end(held, AttemptOutcome.MISS, 1)) == ["RejectRequest"]
     host.end(fetch, AttemptOutcome.SUCCEEDED, 1, closed=True)
     for turn in range(40):
         (lookup,) = host.get(100 + turn)
@@ -56,7 +57,8 @@
         host.end(fill, AttemptOutcome.FAILED, 1, closed=True)
     assert window.size == 4 / 200
     host.wait(5000 * SECOND)
-    assert window.may_fetch() and window.size == 1
+    assert window.may_fetch()
+    assert window.size == 1
     assert FakeHost(
         fronts=400, nearby=200
     ).front.fetch_window.may_fetch()  # its share of the link is under one fill
@@ -73,7 +75,8 @@
         held.append(fetch.cached_only)
         if obj >= 15:
             host.end(fetch, AttemptOutcome.SUCCEEDED, number, closed=True)
-    assert errs > 10 and not any(held)
+    assert errs > 10
+    assert not any(held)
 
 
 def test_a_time_out_before_the_latency_objective_counts_against_no_server():
@@ -101,7 +104,8 @@
         for obj in range(300):
             run_fetch(host, obj, AttemptOutcome.SUCCEEDED)
         windows.append(host.front.fetch_window.size)
-    assert windows[0] == 19.8 and windows[1] > 90  # was 55
+    assert windows[0] == 19.8
+    assert windows[1] > 90
 
 
 def test_a_fetch_lost_through_an_overloaded_cache_leaves_the_window_open():
@@ -130,7 +134,8 @@
 def test_a_front_that_starts_fetches_one_at_a_time_and_more_as_they_come_in_time():
     host = FakeHost()
     first, second = (forwards(host.end(host.get(obj)[0], AttemptOutcome.MISS))[0] for obj in (1, 2))
-    assert not first.cached_only and second.cached_only
+    assert not first.cached_only
+    assert second.cached_only
     host.end(first, AttemptOutcome.SUCCEEDED, 1, closed=True)
     for obj in range(3, 40):
         run_fetch(host, obj, AttemptOutcome.SUCCEEDED)
--- a/tests/test_guard.py
+++ b/tests/test_guard.py
@@ -18,14 +18,16 @@
     host = FakeHost()
     (lookup,) = host.get()
     host.hear(ClientDisconnected(lookup.request))
-    assert not forwards(host.end(lookup, AttemptOutcome.CANCELLED)) and not forwards(host.wait(6 * SECOND))
+    assert not forwards(host.end(lookup, AttemptOutcome.CANCELLED))
+    assert not forwards(host.wait(6 * SECOND))
     assert not any(isinstance(command, (RejectRequest, FailRequest)) for command in host.told)
 
 
 def test_a_non_idempotent_request_that_may_have_had_its_effect_fails():
     host = FakeHost(services=(service(idempotency=Idempotency.NON_IDEMPOTENT, uncacheable=True),))
     (only,) = host.get()
-    assert only.endpoint == 21 and only.keep_rank == 0
+    assert only.endpoint == 21
+    assert only.keep_rank == 0
     assert kinds(host.end(only, AttemptOutcome.RESET)) == ["FailRequest"]
     host = FakeHost(services=(service(idempotency=Idempotency.NON_IDEMPOTENT, uncacheable=True),))
     (second,) = host.get()
@@ -41,7 +43,8 @@
         (lookup,) = host.get(obj)
         (fill,) = host.end(lookup, AttemptOutcome.MISS)
         host.end(fill, AttemptOutcome.SUCCEEDED, 1, closed=True)
-        assert 1 not in (lookup.endpoint, fill.endpoint) and fill.source == 12
+        assert 1 not in (lookup.endpoint, fill.endpoint)
+        assert fill.source == 12
 
 
 def test_a_keyed_request_is_retried_only_within_its_scope_and_window():
@@ -86,7 +89,8 @@
     request = host.front.router.open[lookup.request]
     request.active_attempt = None
     host.roster(member(1, standing=EndpointState.DRAINING))
-    assert not forward_past_router(host, request) and forward_past_router(host, request, 2)  # draining
+    assert not forward_past_router(host, request)
+    assert forward_past_router(host, request, 2)
     host.front.queue.commands = []
     host.front.guard.finish(request, 0)
     host.front.guard.finish(request, 0)
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -9,9 +9,8 @@
 def test_a_silent_cache_is_probed_and_its_requests_are_cancelled():
     host = FakeHost()
     (lookup,) = host.get()
-    assert not probed_endpoints(host.wait(SECOND)) and probed_endpoints(host.wait(SECOND)) == [
-        lookup.endpoint
-    ]  # a transfer takes 0.6 s in the mean
+    assert not probed_endpoints(host.wait(SECOND))
+    assert probed_endpoints(host.wait(SECOND)) == [lookup.endpoint]
     host.probe_report(lookup.endpoint, AttemptOutcome.TIMED_OUT)
     host.wait(SECOND // 2)
     assert CancelAttempt(lookup.request, 0) in host.probe_report(lookup.endpoint, AttemptOutcome.TIMED_OUT)
@@ -37,7 +36,8 @@
     host = FakeHost()
     home = host.get()[0].endpoint
     assert probed_endpoints(host.wait(2 * SECOND)) == [home]
-    assert not host.probe_report(home, AttemptOutcome.RESET) and host.get()[0].endpoint == home
+    assert not host.probe_report(home, AttemptOutcome.RESET)
+    assert host.get()[0].endpoint == home
 
 
 def test_a_rejected_probe_proves_neither_health_nor_silence():
@@ -83,7 +83,8 @@
     host.wait(SECOND // 2)
     host.probe_report(lookup.endpoint)
     back = host.get()[0]
-    assert back.endpoint == lookup.endpoint and back.source in (11, 12)  # cold: no lookup
+    assert back.endpoint == lookup.endpoint
+    assert back.source in (11, 12)
     host.end(back, AttemptOutcome.SUCCEEDED, closed=True)
     host.wait(11 * SECOND)
     assert host.get()[0].source == lookup.endpoint
@@ -96,16 +97,16 @@
     assert probed_endpoints(host.wait(SECOND // 10)).count(fill.source) == 1
     host.probe_report(fill.source)
     (again,) = host.end(host.get()[0], AttemptOutcome.MISS)
-    assert again.source == fill.source and fill.source not in probed_endpoints(host.wait(SECOND // 2))
+    assert again.source == fill.source
+    assert fill.source not in probed_endpoints(host.wait(SECOND // 2))
 
 
 def test_with_many_transfers_in_flight_a_short_silence_calls_for_a_probe():
     host = FakeHost(fleet=FLEET[:1] + FLEET[3:])
     for obj in range(6):
         host.get(obj)
-    assert len(host.front.endpoints.servers[1].active_attempts) == 6 and probed_endpoints(
-        host.wait(SECOND // 4 + 50_000)
-    ) == [1]
+    assert len(host.front.endpoints.servers[1].active_attempts) == 6
+    assert probed_endpoints(host.wait(SECOND // 4 + 50_000)) == [1]
 
 
 def test_without_probes_a_silent_cache_is_ejected_and_tried_again_more_and_more_seldom():
@@ -114,7 +115,8 @@
     (back,) = [
         command for command in host.wait(12 * SECOND) if isinstance(command, CancelAttempt)
     ]  # its request is cancelled, nothing probed
-    assert back.request == lookup.request and not probed_endpoints(host.told)
+    assert back.request == lookup.request
+    assert not probed_endpoints(host.told)
     (again,) = forwards(host.end(lookup, AttemptOutcome.CANCELLED))
     assert again.endpoint != lookup.endpoint
     host.end(again, AttemptOutcome.SUCCEEDED, 1, closed=True)
@@ -149,11 +151,9 @@
         (forward,) = forwards(host.get())
         caches.append(forward.endpoint)
         host.end(forward, AttemptOutcome.SUCCEEDED, closed=True)
-    assert (
-        caches[0] != lookup.endpoint
-        and caches[-10:] == [lookup.endpoint] * 10
-        and not probed_endpoints(host.told)
-    )
+    assert caches[0] != lookup.endpoint
+    assert caches[-10:] == [lookup.endpoint] * 10
+    assert not probed_endpoints(host.told)
 
 
 def test_a_request_that_is_not_idempotent_is_never_the_trial_of_an_ejected_server():
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -10,7 +10,8 @@
     (lookup,) = host.get()
     assert lookup.source == lookup.endpoint
     (fill,) = host.end(lookup, AttemptOutcome.MISS)
-    assert fill.endpoint == lookup.endpoint and fill.source in (11, 12)
+    assert fill.endpoint == lookup.endpoint
+    assert fill.source in (11, 12)
     assert host.end(fill, AttemptOutcome.SUCCEEDED, 1, closed=True) == []
 
 
@@ -20,7 +21,8 @@
         member(11, PARENT, standing=EndpointState.REMOVED), member(12, PARENT, standing=EndpointState.REMOVED)
     )
     (lookup,) = host.get()
-    assert host.end(lookup, AttemptOutcome.MISS)[0].source == 21 and ORIGIN == 3
+    assert host.end(lookup, AttemptOutcome.MISS)[0].source == 21
+    assert ORIGIN == 3
 
 
 def test_a_full_origin_is_offered_a_request_once():
@@ -36,7 +38,9 @@
     assert kinds(last) == ["RejectRequest"]
     (lookup,) = host.get(70)
     (aged,) = host.end(lookup, AttemptOutcome.MISS)
-    assert aged.source == aged.endpoint and lookup.max_age == 8 * SECOND and aged.max_age == 38 * SECOND
+    assert aged.source == aged.endpoint
+    assert lookup.max_age == 8 * SECOND
+    assert aged.max_age == 38 * SECOND
     assert kinds(host.end(aged, AttemptOutcome.MISS, 1)) == ["RejectRequest"]
 
 
@@ -44,7 +48,8 @@
     host = FakeHost()
     host.roster(*(member(cache, standing=EndpointState.REMOVED) for cache in (1, 2, 3)))
     straight = host.get()[0]
-    assert straight.endpoint in (11, 12) and straight.source == 21
+    assert straight.endpoint in (11, 12)
+    assert straight.source == 21
     assert any(kinds(host.get(obj)) == ["RejectRequest"] for obj in range(60))
 
 
@@ -52,7 +57,8 @@
     host = FakeHost(fleet=tuple(m._replace(weight=40.0) for m in FLEET[:3]) + FLEET[4:])
     host.front.fetch_window.max_fills = host.front.fetch_window.size = 100
     sources = [host.end(forwards(host.get(obj))[0], AttemptOutcome.MISS)[0].source for obj in range(50)]
-    assert sources[:20] == [12] * 20 and 21 in sources
+    assert sources[:20] == [12] * 20
+    assert 21 in sources
 
 
 def test_a_broken_connection_to_a_cache_does_not_exclude_the_parent():
@@ -64,7 +70,8 @@
     assert lookup.endpoint == fill.endpoint
     host.wait(1000)
     (lookup,) = host.end(lookup, AttemptOutcome.RESET, 2)
-    assert lookup.endpoint != fill.endpoint and host.end(lookup, AttemptOutcome.MISS, 3)[0].source == 12
+    assert lookup.endpoint != fill.endpoint
+    assert host.end(lookup, AttemptOutcome.MISS, 3)[0].source == 12
 
 
 def test_a_superseded_attempt_excludes_no_server():
@@ -78,6 +85,7 @@
     host = FakeHost()
     host.roster(*(member(cache, standing=EndpointState.REMOVED) for cache in (1, 2, 3)))
     direct = host.get()[0]
-    assert direct.endpoint in (11, 12) and direct.source == 21
+    assert direct.endpoint in (11, 12)
+    assert direct.source == 21
     host.roster(member(21, ORIGIN, standing=EndpointState.DRAINING))
     assert kinds(host.end(direct, AttemptOutcome.CONNECT_FAILED)) == ["RejectRequest"]
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -27,7 +27,8 @@
 def test_a_budget_ends_with_the_slow_start():
     host = FakeHost(fleet=(member(1, started=100 * SECOND), member(11, PARENT), member(21, ORIGIN)))
     host.wait(11 * SECOND)
-    assert [host.get(obj)[0].endpoint for obj in range(8)] == [1] * 8 and not host.front.budgets.warmups
+    assert [host.get(obj)[0].endpoint for obj in range(8)] == [1] * 8
+    assert not host.front.budgets.warmups
 
 
 def test_an_origin_that_was_silent_has_no_slow_start():
@@ -46,7 +47,8 @@
     host = FakeHost()
     host.roster(member(1, started=host.now))
     firsts = [host.get(obj)[0] for obj in range(30)]
-    assert 0 < sum(first.endpoint == 1 for first in firsts) <= 3 and all(forwards(firsts))
+    assert 0 < sum(first.endpoint == 1 for first in firsts) <= 3
+    assert all(forwards(firsts))
 
 
 def test_many_fronts_spend_a_budget_together_and_stay_within_it():
