--- a/limepath/decisions/__init__.py
+++ b/limepath/decisions/__init__.py
@@ -8,15 +8,16 @@
 - A request: `router` ranks its object (`frequency_table`), orders the servers for it (`rendezvous`) and
   offers it to one after another. A `server` accepts or declines by its `health` and `concurrency_limit`.
   The `guard` checks the five rules (with `purges` and `slow_start`) and commands the attempt.
-- The end of an attempt: `router` tells the server and the `fetch_window`, then retries, fills or gives up.
+- The end of an attempt: `attempt` judges it, `router` tells the servers and the `fetch_window`, then retries,
+  fills or gives up.
 - An update of the endpoint list: `endpoints` makes, changes and drops servers.
 - A result of a health check goes to its server; a wakeup lets timers and health checks that are due run.
 
 State is owned as follows, and none of it outlives the process:
 
-- `router`: the open requests and their attempts in flight
+- `router`: the open requests (`request`) and their active attempts (`attempt`)
 - `frequency_table`: request counts by object
-- `endpoints`: the servers; each `server`: its attempts in flight, health and concurrency limit
+- `endpoints`: the servers; each `server`: its active attempts, health and concurrency limit
 - `slow_start`: the budgets of warming servers; `purges`: the purges in force
 - `fetch_window`: fills in flight and the window of fetches; `sending_times`: mean sending times by service
 - `event_queue`: the time, the timers and the state of the random numbers
