--- a/limepath/duties/saving.py
+++ b/limepath/duties/saving.py
@@ -8,8 +8,8 @@
 
 from typing import NamedTuple
 
-from limepath.choice import Front
 from limepath.configuration.sharing_settings import DutyMode, DutySettings, LeaseSettings, MembershipTimeouts
+from limepath.decisions.engine import DecisionEngine
 from limepath.duties.interface import TargetServed
 from limepath.duties.world import World
 from limepath.interface.commands import CancelAttempt, ForwardRequest, ScheduleWakeup, SendProbe
@@ -82,7 +82,7 @@
         self.way, self.rate = way, rate
         self.silent, self.seen, self.met, self.gets = (20 * SECOND, 40 * SECOND), {}, 0, 0
         self.fronts = [
-            Front(
+            DecisionEngine(
                 seed=seed + index,
                 services=(SERVICE,),
                 footprint=Topology(0, (0,), (), fronts, fronts, 2, 3, 0.0, False),
