--- a/limepath/duties/check.py
+++ b/limepath/duties/check.py
@@ -181,10 +181,15 @@
         return hash((tuple(one.mark(self.now) for one in self.all), way, self.doubled, self.crashed))
 
 
+def plain(value):
+    """A field for the trace: named tuples without their names."""
+    return tuple(map(plain, value)) if isinstance(value, tuple) else value
+
+
 def told(verb, one, names):
     source, to, _, message = one
     fields = ", ".join(
-        f"{name}={getattr(message, name)}" for name in message.__struct_fields__ if name != "duty"
+        f"{name}={plain(getattr(message, name))}" for name in message.__struct_fields__ if name != "duty"
     )
     return f"{verb} {type(message).__name__}({fields}) from {names[source]} to {names[to]}"
 
--- a/limepath/duties/host.py
+++ b/limepath/duties/host.py
@@ -264,10 +264,10 @@
 
     def report_of(self, result):
         try:
-            verdict = AttemptOutcome(result.verdict)
+            verdict = AttemptOutcome(result.outcome)
         except ValueError:
             verdict = AttemptOutcome.FAILED
-        return ProbeEnded(result.target, verdict, result.took, result.load, max(1, result.age))
+        return ProbeEnded(result.target, verdict, result.duration, result.load, max(1, result.age))
 
     # The front's own calls
 
--- a/limepath/duties/instance.py
+++ b/limepath/duties/instance.py
@@ -9,11 +9,7 @@
 
 from limepath.configuration.sharing_settings import DutyMode
 from limepath.duties.interface import (
-    EpochQuery,
-    EpochReport,
-    LeaseGrant,
-    LeaseRelease,
-    LeaseRequest,
+    LEASE_MESSAGES,
     ProbeResults,
     SendToMember,
     TargetServed,
@@ -39,7 +35,6 @@
 FEW = 3  # changes of the view that are taken in at once; for more it waits, as far as GATHERED goes
 REBUILD = 16  # changes cost less than a ring built anew up to this part of its members
 GATHERED = 100_000  # microseconds in which a view that changes much (a cold start) has its ring built once
-LEASE_MESSAGES = (LeaseRequest, LeaseGrant, LeaseRelease, EpochQuery, EpochReport)
 
 
 class View(NamedTuple):
@@ -272,8 +267,8 @@
 
     def served(self, note):
         """This instance's own result, of a round or because the decision module asked."""
-        self.learnt.own(note.duty, note.target, note.verdict, note.took, note.load)
-        self.shares[note.duty].rounds.served(note.target, self.timers.now - note.took)
+        self.learnt.own(note.duty, note.target, note.outcome, note.duration, note.load)
+        self.shares[note.duty].rounds.served(note.target, self.timers.now - note.duration)
 
     def leave(self):
         """Hand over before going: leases back, no more rounds."""
--- a/limepath/duties/learnt.py
+++ b/limepath/duties/learnt.py
@@ -130,8 +130,8 @@
             return None
         result, at = max(fresh, key=lambda kept: kept[1])
         if (
-            result.verdict != AttemptOutcome.SUCCEEDED
-            and sum(other.verdict != AttemptOutcome.SUCCEEDED for other, _ in fresh) < AGREED
+            result.outcome != AttemptOutcome.SUCCEEDED
+            and sum(other.outcome != AttemptOutcome.SUCCEEDED for other, _ in fresh) < AGREED
         ):
             return None
         return result._replace(age=now - at)
--- a/limepath/duties/leases.py
+++ b/limepath/duties/leases.py
@@ -10,12 +10,14 @@
 """
 
 from limepath.duties.interface import (
+    DeniedSlot,
     EpochQuery,
     EpochReport,
     LeaseGrant,
     LeaseRelease,
     LeaseRequest,
     PersistEpochCeiling,
+    SlotEpoch,
 )
 
 BLOCK = 1000  # epochs by which the ceiling is kept ahead
@@ -75,7 +77,7 @@
                 grant.until = now + self.leasing.span
                 granted.append(slot)
             elif grant and grant.holder != holder and self.stands(grant):
-                denied.append((slot, grant.epoch, grant.until - now))
+                denied.append(DeniedSlot(slot, grant.epoch, grant.until - now))
             elif epoch > highest:
                 if epoch > self.ceiling:
                     self.ceiling = epoch + BLOCK
@@ -83,7 +85,7 @@
                 self.grants[key] = Grant(holder, epoch, now + self.leasing.span)
                 granted.append(slot)
             else:
-                denied.append((slot, highest, 0))
+                denied.append(DeniedSlot(slot, highest, 0))
         return LeaseGrant(claim.duty, claim.round, tuple(granted), tuple(denied))
 
     def released(self, holder, message):
@@ -191,9 +193,9 @@
                 lease = self.held.get((duty, slot))
                 if lease:  # where a voter has started anew, a higher epoch is wanted to go on
                     seen = self.seen.get((duty, slot), 0)
-                    slots.append((slot, lease.epoch if seen <= lease.epoch else seen + 1))
+                    slots.append(SlotEpoch(slot, lease.epoch if seen <= lease.epoch else seen + 1))
                 elif slot not in under_way and self.blocked.get((duty, slot), 0) <= now:
-                    slots.append((slot, self.seen.get((duty, slot), 0) + 1))
+                    slots.append(SlotEpoch(slot, self.seen.get((duty, slot), 0) + 1))
             if slots:
                 self.ask(duty, slots)
 
@@ -210,7 +212,9 @@
         one = self.claims.pop(number, None)
         if one is None:
             return
-        lost = [(slot, epoch) for slot, epoch in one.slots.items() if (one.duty, slot) not in self.held]
+        lost = [
+            SlotEpoch(slot, epoch) for slot, epoch in one.slots.items() if (one.duty, slot) not in self.held
+        ]
         for slot, epoch in lost:
             self.seen[one.duty, slot] = max(epoch, self.seen.get((one.duty, slot), 0))
             wait = int(self.timers.random_fraction() * claim_every(self.leasing))
@@ -223,7 +227,7 @@
                 self.reach(voter, LeaseRelease(duty, tuple(slots)))
 
     def give_back(self, duty, slots):
-        given = [(slot, self.held.pop((duty, slot)).epoch) for slot in sorted(slots)]
+        given = [SlotEpoch(slot, self.held.pop((duty, slot)).epoch) for slot in sorted(slots)]
         for slot, epoch in given:
             self.seen[duty, slot] = max(epoch, self.seen.get((duty, slot), 0))
         if given:
--- a/limepath/duties/saving.py
+++ b/limepath/duties/saving.py
@@ -197,7 +197,9 @@
             self.tell(node.index, self.report_of(result))
 
     def report_of(self, result):
-        return ProbeEnded(result.target, AttemptOutcome(result.verdict), result.took, {}, max(1, result.age))
+        return ProbeEnded(
+            result.target, AttemptOutcome(result.outcome), result.duration, {}, max(1, result.age)
+        )
 
 
 def saved(way, fronts, caches=20, interval=2 * SECOND, rate=20.0, seed=1):
--- a/tests/byte_records.py
+++ b/tests/byte_records.py
@@ -61,9 +61,9 @@
 # Messages
 PROBE_RESULTS = (
     leases.ProbeResult(
-        duty=77, target=78, prober=76, serial=79, age=80, verdict=81, took=82, load={"x": 0.5}
+        duty=77, target=78, prober=76, serial=79, age=80, outcome=81, duration=82, load={"x": 0.5}
     ),
-    leases.ProbeResult(duty=83, target=84, prober=TOKENS[1], serial=85, age=86, verdict=87, took=88),
+    leases.ProbeResult(duty=83, target=84, prober=TOKENS[1], serial=85, age=86, outcome=87, duration=88),
 )
 CONFIRMED = {"generation": 28, "number": 29, "digest": (1 << 64) - 1, "age": -1, "reaches": 33, "stamp": 34}
 HEARTBEAT = endpoints.Heartbeat(
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -402,7 +402,7 @@
     known.heard((result(verdict=int(AttemptOutcome.TIMED_OUT)),))
     assert known.answer(5, 3 * SECOND) is None
     known.heard((result(prober=3, verdict=int(AttemptOutcome.TIMED_OUT), age=SECOND // 2),))
-    assert known.answer(5, 3 * SECOND).verdict == AttemptOutcome.TIMED_OUT
+    assert known.answer(5, 3 * SECOND).outcome == AttemptOutcome.TIMED_OUT
 
 
 def test_a_result_goes_to_all_nearby_with_its_age_and_is_passed_on_in_large_fleets():
