--- a/limepath/duties/bounds.py
+++ b/limepath/duties/bounds.py
@@ -8,7 +8,7 @@
 from typing import NamedTuple
 
 from limepath.configuration.sharing_settings import DutyMode
-from limepath.duties.leases import claim_every, silence
+from limepath.duties.lease_timing import renewal_interval, startup_silence
 from limepath.membership.members import detection, spread
 
 
@@ -31,11 +31,11 @@
         )
     # the last lease of the dead may outlast its detection; two rounds of claims may be split; then the
     # handover
-    handing = 3 * claim_every(leasing) + spread(spans, live)
-    free = max(found, silence(leasing)) + handing
+    handing = 3 * renewal_interval(leasing) + spread(spans, live)
+    free = max(found, startup_silence(leasing)) + handing
     return Bounds(
         gap=2 * plan.interval + free,
-        restart=2 * plan.interval + free + silence(leasing),
+        restart=2 * plan.interval + free + startup_silence(leasing),
         take_over=free + plan.interval,
         disagreement=found + handing,
     )
--- a/limepath/duties/check.py
+++ b/limepath/duties/check.py
@@ -14,7 +14,8 @@
 
 from limepath.configuration.sharing_settings import LeaseSettings
 from limepath.duties.interface import PersistEpochCeiling
-from limepath.duties.leases import Leases, Voter
+from limepath.duties.leases import LeaseManager
+from limepath.duties.voter import Grant, Voter
 from limepath.report_table import Row, at_most
 from limepath.timer_queue import TimerQueue
 
@@ -33,7 +34,7 @@
 class Careless(Voter):
     """The rule broken on purpose: what another holds is granted all the same."""
 
-    def stands(self, grant):
+    def is_valid(self, grant: Grant) -> bool:
         return False
 
 
@@ -50,7 +51,7 @@
         self.life += 1
         self.timers = Even(0)
         self.timers.now = self.clock(now)
-        self.leases = Leases(
+        self.leases = LeaseManager(
             self.timers,
             self.names[self.index],
             self.index * 100 + self.life,
@@ -66,7 +67,7 @@
             self.leases.voter.__class__ = Careless
         self.leases.start()
         if not restarted:  # as after a quiet time
-            self.leases.voter.mute_until = 0
+            self.leases.voter.silent_until = 0
         self.settle()
 
     def clock(self, now):
@@ -79,14 +80,14 @@
         pass
 
     def reach(self, name, message):
-        self.out.append((self.index, self.names.index(name), self.leases.door, message))
+        self.out.append((self.index, self.names.index(name), self.leases.session, message))
 
     def settle(self):
         """Messages to itself arrive at once; give what goes to others."""
         while own := [one for one in self.out if one[1] == self.index]:
             self.out = [one for one in self.out if one[1] != self.index]
             for _, _, door, message in own:
-                self.leases.heard(self.names[self.index], door, message)
+                self.leases.handle_message(self.names[self.index], door, message)
         for order in self.timers.take_commands():
             if isinstance(order, PersistEpochCeiling):
                 self.ceiling = order.ceiling
@@ -103,12 +104,12 @@
 
     def hear(self, now, source, door, message):
         self.timers.now = self.clock(now)
-        self.leases.heard(self.names[source], door, message)
+        self.leases.handle_message(self.names[source], door, message)
         return self.settle()
 
     def holds(self, now):
         self.timers.now = self.clock(now)
-        return self.leases.may(*SLOT) is not None
+        return self.leases.valid_lease(*SLOT) is not None
 
     def mark(self, now):
         """What its future depends on, times as spans from now, rounds as steps back."""
@@ -117,23 +118,28 @@
         return (
             self.life,
             self.ceiling,
-            tuple(sorted((lease.epoch, max(-1, lease.until - here)) for lease in leases.held.values())),
+            tuple(
+                sorted(
+                    (lease.epoch, max(-1, lease.expires_at - here)) for lease in leases.held_leases.values()
+                )
+            ),
             tuple(
                 (
                     number - of,
-                    one.sent - here,
-                    tuple(one.slots.items()),
+                    one.sent_at - here,
+                    tuple(one.epochs.items()),
                     tuple(sorted(map(tuple, map(sorted, one.votes.values())))),
                 )
-                for of, one in sorted(leases.claims.items())
+                for of, one in sorted(leases.pending_requests.items())
             ),
-            tuple(leases.seen.items()),
-            tuple(max(0, until - here) for until in leases.blocked.values()),
+            tuple(leases.highest_epochs.items()),
+            tuple(max(0, until - here) for until in leases.retry_at.values()),
             tuple(
-                (grant.holder, grant.epoch, max(-1, grant.until - here)) for grant in voter.grants.values()
+                (grant.holder, grant.epoch, max(-1, grant.expires_at - here))
+                for grant in voter.grants.values()
             ),
-            max(0, voter.mute_until - here),
-            voter.floor,
+            max(0, voter.silent_until - here),
+            voter.epoch_floor,
             tuple(
                 sorted(
                     (
--- a/limepath/duties/instance.py
+++ b/limepath/duties/instance.py
@@ -16,9 +16,9 @@
     TargetsUpdated,
 )
 from limepath.duties.learnt import Learnt
-from limepath.duties.leases import Leases
+from limepath.duties.leases import LeaseManager
 from limepath.duties.ring import Ring, key_of
-from limepath.duties.rounds import Rounds
+from limepath.duties.schedule import DutySchedule, ServePermission
 from limepath.membership.interface import (
     NEWEST_VERSION,
     LeaveCompleted,
@@ -52,19 +52,20 @@
     def __init__(self, timers, duty, plan, slots, leases):
         self.duty, self.plan, self.slots, self.leases = duty, plan, slots, leases
         self.keyed, self.stale = [], True
-        self.rounds = Rounds(timers, duty, plan, self.allowed)
+        self.schedule = DutySchedule(timers, duty, plan, self.allowed)
 
     def allowed(self, target):
         if self.plan.mode == DutyMode.AT_LEAST_ONCE:
-            return 0, 0
-        return self.leases.may(self.duty, self.slot_of(target))
+            return ServePermission(0, 0)
+        lease = self.leases.valid_lease(self.duty, self.slot_of(target))
+        return ServePermission(lease.epoch, lease.expires_at) if lease else None
 
     def slot_of(self, target):
         return key_of(target) % self.slots
 
     def targets(self, targets):
         self.keyed = sorted((key_of(target), target) for target in set(targets))
-        self.rounds.only(targets)
+        self.schedule.retain(targets)
         self.stale = True
 
     def divide(self, ring, token):
@@ -75,7 +76,7 @@
         else:
             held = self.leases.slots_held(self.duty)
             own = [target for _, target in self.keyed if self.slot_of(target) in held]
-        self.rounds.own(own)
+        self.schedule.set_owned(own)
 
 
 class Instance:
@@ -94,7 +95,7 @@
         leased = [duty for duty, plan in enumerate(plans) if plan.mode == DutyMode.ONE_OWNER]
         self.slot_keys = [(key_of(slot + 1), slot) for slot in range(leasing.slots)]
         self.leases = (
-            Leases(
+            LeaseManager(
                 self.timers,
                 me.name,
                 me.door,
@@ -186,7 +187,7 @@
                 return out
             while self.looped:
                 message = self.looped.pop(0)
-                self.leases.heard(self.members.me.name, self.members.me.door, message)
+                self.leases.handle_message(self.members.me.name, self.members.me.door, message)
             self.timers.run_due(now)
             for share in self.shares:
                 if share.stale and not self.leaving and self.may_divide():
@@ -214,9 +215,9 @@
         """Take a message in; False where it is not of the duties, and goes on to the host."""
         if isinstance(message, ProbeResults):
             for result, at in self.learnt.heard(message.results):
-                self.shares[result.duty].rounds.served(result.target, at)
+                self.shares[result.duty].schedule.record_served(result.target, at)
         elif self.leases and isinstance(message, LEASE_MESSAGES):
-            self.leases.heard(sender.name, sender.door, message)
+            self.leases.handle_message(sender.name, sender.door, message)
         else:
             return False
         return True
@@ -268,7 +269,7 @@
     def served(self, note):
         """This instance's own result, of a round or because the decision module asked."""
         self.learnt.own(note.duty, note.target, note.outcome, note.duration, note.load)
-        self.shares[note.duty].rounds.served(note.target, self.timers.now - note.duration)
+        self.shares[note.duty].schedule.record_served(note.target, self.timers.now - note.duration)
 
     def leave(self):
         """Hand over before going: leases back, no more rounds."""
@@ -276,7 +277,7 @@
         if self.leases:
             self.leases.leave()
         for share in self.shares:
-            share.rounds.own(())
+            share.schedule.set_owned(())
 
     def view(self):
         """The instance's view as plain values, for the control socket."""
@@ -288,11 +289,11 @@
                 "mode": share.plan.mode.name.lower().replace("_", "-"),
                 "interval_us": share.plan.interval,
                 "targets": len(share.keyed),
-                "owned": len(share.rounds.owned),
+                "owned": len(share.schedule.owned),
             }
             if share.plan.mode == DutyMode.ONE_OWNER:
                 told["slots"] = {
-                    slot: self.leases.held[share.duty, slot].epoch
+                    slot: self.leases.held_leases[share.duty, slot].epoch
                     for slot in sorted(self.leases.slots_held(share.duty))
                 }
                 told["epoch"] = max(told["slots"].values(), default=0)
@@ -307,7 +308,7 @@
                 "incarnation": members.me.incarnation,
                 "joined": not members.joining,
                 "leaving": self.leaving,
-                "votes": voter.votes() if voter else False,
+                "votes": voter.can_vote() if voter else False,
                 "epoch_ceiling": voter.ceiling if voter else 0,
                 "now_us": now,
             },
@@ -326,7 +327,7 @@
             members.counts
             | {"view": len(members.ring) + 1}
             | {f"results {k}": v for k, v in self.learnt.counts.items()}
-            | {"rounds missed": sum(share.rounds.missed for share in self.shares)},
+            | {"rounds missed": sum(share.schedule.missed_rounds for share in self.shares)},
         )
 
 
--- a/limepath/duties/leases.py
+++ b/limepath/duties/leases.py
@@ -1,14 +1,13 @@
-"""At most one owner: leases on slots of targets, granted by a majority of fixed voters, with epochs.
-
-As Gray and Cheriton's leases (1989), with the majority of Paxos in place of one server. A voter's grant
-counts from when the claim came, the holder's lease from when the claim was sent and by `drift` less: it ends
-first, whatever wall clocks do. An epoch is granted to one holder only and above all that were granted before.
-What must survive a crash is the ceiling of epochs: it is kept in blocks, before any grant above it. A voter
-that has just started grants nothing for a span, since its former life may have; one whose store is new or
-lost grants nothing either until it has learnt from so many others that every majority is among them. Free of
-I/O.
+"""At most one owner: an instance's leases on slots of targets, granted by a majority of fixed voters.
+
+A lease runs from when its request was sent and is shorter than the voters' grants by `drift`: it ends first,
+whatever wall clocks do (see `lease_timing` and `voter`). An epoch is granted to one holder only and above all
+that were granted before, so it fences off a former holder. Free of I/O.
 """
 
+from collections.abc import Callable, Collection, Iterable, Sequence
+
+from limepath.configuration.sharing_settings import LeaseSettings
 from limepath.duties.interface import (
     DeniedSlot,
     EpochQuery,
@@ -16,283 +15,264 @@
     LeaseGrant,
     LeaseRelease,
     LeaseRequest,
-    PersistEpochCeiling,
     SlotEpoch,
 )
+from limepath.duties.lease_timing import holder_duration, renewal_interval
+from limepath.duties.voter import SendToVoter, Voter
+from limepath.membership.interface import Message
+from limepath.timer_queue import TimerQueue
 
-BLOCK = 1000  # epochs by which the ceiling is kept ahead
-
-
-def held_for(leasing):
-    """How long a holder may act on a lease, from when it sent the claim."""
-    return int(leasing.span * (1 - leasing.drift))
-
-
-def silence(leasing):
-    """How long a voter grants nothing after a start."""
-    return int(leasing.span * (1 + leasing.drift))
-
-
-def claim_every(leasing):
-    return leasing.span // 4
-
-
-class Grant:
-    __slots__ = ("holder", "epoch", "until")
-
-    def __init__(self, holder, epoch, until):
-        self.holder, self.epoch, self.until = holder, epoch, until
-
-
-class Voter:
-    """Grants and denies. `ceiling` and `sure` come from the store; `holder` names one life of an instance."""
-
-    def __init__(self, timers, leasing, others, ceiling, sure):
-        self.timers, self.leasing, self.others, self.sure = timers, leasing, others, sure
-        self.floor = self.ceiling = ceiling
-        self.grants, self.mute_until = {}, None
-        self.asked, self.told = 0, {}
-
-    def begin(self, reach):
-        """A lease that was granted before this start may hold: grant nothing for as long."""
-        self.mute_until = self.timers.now + silence(self.leasing)
-        self.ask(reach)
-
-    def votes(self):
-        return self.sure and self.timers.now >= self.mute_until
-
-    def stands(self, grant):
-        return self.timers.now < grant.until
-
-    def claimed(self, holder, claim):
-        """Give the Vote on a claim, or None while this voter grants nothing."""
-        if not self.votes():
-            return None
-        now, granted, denied = self.timers.now, [], []
-        for slot, epoch in claim.slots:
-            key = claim.duty, slot
-            grant = self.grants.get(key)
-            highest = max(grant.epoch if grant else 0, self.floor)
-            if grant and (grant.holder, grant.epoch) == (holder, epoch):
-                grant.until = now + self.leasing.span
-                granted.append(slot)
-            elif grant and grant.holder != holder and self.stands(grant):
-                denied.append(DeniedSlot(slot, grant.epoch, grant.until - now))
-            elif epoch > highest:
-                if epoch > self.ceiling:
-                    self.ceiling = epoch + BLOCK
-                    self.timers.emit(PersistEpochCeiling(self.ceiling))
-                self.grants[key] = Grant(holder, epoch, now + self.leasing.span)
-                granted.append(slot)
-            else:
-                denied.append(DeniedSlot(slot, highest, 0))
-        return LeaseGrant(claim.duty, claim.round, tuple(granted), tuple(denied))
-
-    def released(self, holder, message):
-        for slot, epoch in message.slots:
-            grant = self.grants.get((message.duty, slot))
-            if grant and (grant.holder, grant.epoch) == (holder, epoch):
-                grant.until = self.timers.now
-
-    def highest(self):
-        return max([self.ceiling, *(grant.epoch for grant in self.grants.values())])
-
-    def ask(self, reach):
-        """Ask the other voters for their ceilings, again and again until enough have told."""
-        if self.sure:
-            return
-        if not self.others:
-            return self.learn()
-        self.asked += 1
-        for name in self.others:
-            reach(name, EpochQuery(self.asked))
-        self.timers.schedule(self.timers.now + claim_every(self.leasing), self.ask, reach)
-
-    def answered(self, name, message):
-        """Enough: so many sure ones that each majority holds one of them, or all there are (a new fleet)."""
-        if self.sure or name not in self.others:
-            return
-        self.told[name] = message
-        voters = len(self.others) + 1
-        enough = voters - (voters // 2 + 1) + 1
-        if sum(one.sure for one in self.told.values()) >= enough or len(self.told) == len(self.others):
-            self.learn()
 
-    def learn(self):
-        self.ceiling = max([self.ceiling, *(one.ceiling for one in self.told.values())])
-        self.floor, self.sure = self.ceiling, True
-        self.timers.emit(PersistEpochCeiling(self.ceiling))
+class Lease:
+    """A lease that this instance holds until it expires."""
 
+    __slots__ = ("epoch", "expires_at")
 
-class Lease:
-    __slots__ = ("epoch", "until")
+    def __init__(self, epoch: int, expires_at: int):
+        self.epoch = epoch
+        self.expires_at = expires_at
 
-    def __init__(self, epoch, until):
-        self.epoch, self.until = epoch, until
 
+class PendingRequest:
+    """A lease request whose votes are being counted."""
 
-class Claiming:
-    """One round of claims on its way."""
+    __slots__ = ("duty", "epochs", "sent_at", "votes")
 
-    __slots__ = ("sent", "duty", "slots", "votes")
+    def __init__(self, sent_at: int, duty: int, slots: Iterable[SlotEpoch]):
+        self.sent_at = sent_at
+        self.duty = duty
+        self.epochs: dict[int, int] = dict(slots)
+        """The requested epoch by slot."""
+        self.votes: dict[int, set[str]] = {}
+        """The voters that granted, by slot."""
 
-    def __init__(self, sent, duty, slots):
-        self.sent, self.duty, self.slots, self.votes = sent, duty, dict(slots), {}
 
+class LeaseManager:
+    """Holder of one instance's leases, and owner of its voter if it is one.
 
-class Leases:
-    """Holder and voter of one instance. `wanted(duty)` gives the slots that it should hold as it sees the
-    view; `changed(duty)` is called when what it holds has changed; `reach(name, message)` sends to a
-    voter.
+    `wanted_slots(duty)` gives the slots that it should hold by its view of the fleet. `on_change(duty)` is
+    called when the slots that it holds have changed. `send(name, message)` sends to a voter, itself included.
     """
 
-    def __init__(self, timers, name, door, leasing, duties, wanted, changed, reach, ceiling=0, sure=True):
-        self.timers, self.name, self.door, self.leasing, self.duties = (
-            timers,
-            name,
-            door,
-            leasing,
-            tuple(duties),
-        )
-        self.wanted, self.changed, self.reach = wanted, changed, reach
-        others = [voter for voter in leasing.voters if voter != name]
-        self.voter = Voter(timers, leasing, others, ceiling, sure) if name in leasing.voters else None
-        self.majority = len(leasing.voters) // 2 + 1
-        self.held, self.claims, self.seen, self.blocked, self.round = {}, {}, {}, {}, 0
+    def __init__(
+        self,
+        timers: TimerQueue,
+        name: str,
+        session: int,
+        settings: LeaseSettings,
+        duties: Iterable[int],
+        wanted_slots: Callable[[int], Collection[int]],
+        on_change: Callable[[int], object],
+        send: SendToVoter,
+        ceiling: int = 0,
+        sure: bool = True,
+    ):
+        self.timers = timers
+        self.name = name
+        self.session = session
+        """Names this incarnation of the instance to the voters."""
+        self.settings = settings
+        self.duties = tuple(duties)
+        self.wanted_slots = wanted_slots
+        self.on_change = on_change
+        self.send = send
+        self.voter: Voter | None = None
+        if name in settings.voters:
+            other_voters = [voter for voter in settings.voters if voter != name]
+            self.voter = Voter(timers, settings, other_voters, ceiling, sure)
+        self.majority = len(settings.voters) // 2 + 1
+        self.held_leases: dict[tuple[int, int], Lease] = {}
+        """By duty and slot, as all below; expired ones stay until the next renewal."""
+        self.highest_epochs: dict[tuple[int, int], int] = {}
+        """The highest epoch that this instance knows to have been requested by anyone."""
+        self.retry_at: dict[tuple[int, int], int] = {}
+        """When a slot that was denied may be requested again."""
+        self.pending_requests: dict[int, PendingRequest] = {}
+        """By round."""
+        self.round = 0
         self.leaving = False
 
-    def start(self):
+    def start(self) -> None:
+        """Start the voter and the renewals, the first of them at a random time."""
         if self.voter:
-            self.voter.begin(self.reach)
-        first = int(self.timers.random_fraction() * claim_every(self.leasing))
-        self.timers.schedule(self.timers.now + first, self.claim)
+            self.voter.start(self.send)
+        delay = int(self.timers.random_fraction() * renewal_interval(self.settings))
+        self.timers.schedule(self.timers.now + delay, self.renew)
 
-    def may(self, duty, slot):
-        """(epoch, until) of the lease that holds now, else None."""
-        lease = self.held.get((duty, slot))
-        return (lease.epoch, lease.until) if lease and self.timers.now < lease.until else None
+    def valid_lease(self, duty: int, slot: int) -> Lease | None:
+        """Return the lease that this instance holds now."""
+        lease = self.held_leases.get((duty, slot))
+        return lease if lease and self.timers.now < lease.expires_at else None
 
-    def slots_held(self, duty):
+    def slots_held(self, duty: int) -> set[int]:
+        """Return the slots of a duty that this instance holds now."""
         now = self.timers.now
-        return {slot for (of, slot), lease in self.held.items() if of == duty and now < lease.until}
+        return {
+            slot for (of, slot), lease in self.held_leases.items() if of == duty and now < lease.expires_at
+        }
 
-    def claim(self):
-        """Go on with what is held and still ours, claim what is ours and free, give back what is
-        another's.
-        """
+    # Acquire and renew
+
+    def renew(self) -> None:
+        """Renew what is held and still wanted, acquire what is wanted and free, release the rest."""
         if self.leaving:
             return
-        now = self.timers.now
-        self.timers.schedule(now + claim_every(self.leasing), self.claim)
-        self.lapse()
+        self.timers.schedule(self.timers.now + renewal_interval(self.settings), self.renew)
+        self._expire_leases()
         for duty in self.duties:
-            wanted, slots = set(self.wanted(duty)), []
-            under_way = {slot for one in self.claims.values() if one.duty == duty for slot in one.slots}
-            self.give_back(duty, self.slots_held(duty) - wanted)
-            for slot in sorted(wanted):
-                lease = self.held.get((duty, slot))
-                if lease:  # where a voter has started anew, a higher epoch is wanted to go on
-                    seen = self.seen.get((duty, slot), 0)
-                    slots.append(SlotEpoch(slot, lease.epoch if seen <= lease.epoch else seen + 1))
-                elif slot not in under_way and self.blocked.get((duty, slot), 0) <= now:
-                    slots.append(SlotEpoch(slot, self.seen.get((duty, slot), 0) + 1))
+            wanted = set(self.wanted_slots(duty))
+            pending = {
+                slot
+                for request in self.pending_requests.values()
+                if request.duty == duty
+                for slot in request.epochs
+            }
+            self._release_held(duty, self.slots_held(duty) - wanted)
+            slots = self._slots_to_request(duty, wanted, pending)
             if slots:
-                self.ask(duty, slots)
-
-    def ask(self, duty, slots):
+                self._send_request(duty, slots)
+
+    def _slots_to_request(self, duty: int, wanted: set[int], pending: set[int]) -> list[SlotEpoch]:
+        slots: list[SlotEpoch] = []
+        for slot in sorted(wanted):
+            key = duty, slot
+            lease = self.held_leases.get(key)
+            highest = self.highest_epochs.get(key, 0)
+            if lease and highest <= lease.epoch:
+                slots.append(SlotEpoch(slot, lease.epoch))
+            elif lease:
+                # A voter that has started anew grants no former epoch: go on with a higher one.
+                slots.append(SlotEpoch(slot, highest + 1))
+            elif slot not in pending and self.retry_at.get(key, 0) <= self.timers.now:
+                slots.append(SlotEpoch(slot, highest + 1))
+        return slots
+
+    def _send_request(self, duty: int, slots: Sequence[SlotEpoch]) -> None:
         self.round += 1
-        self.claims[self.round] = Claiming(self.timers.now, duty, slots)
-        message = LeaseRequest(duty, self.round, tuple(slots))
-        for voter in self.leasing.voters:
-            self.reach(voter, message)
-        self.timers.schedule(self.timers.now + claim_every(self.leasing) - 1, self.closed, self.round)
-
-    def closed(self, number):
-        """What no majority has granted by now is given back, so that a split vote does not block the slot."""
-        one = self.claims.pop(number, None)
-        if one is None:
+        self.pending_requests[self.round] = PendingRequest(self.timers.now, duty, slots)
+        request = LeaseRequest(duty, self.round, tuple(slots))
+        for voter in self.settings.voters:
+            self.send(voter, request)
+        ends_at = self.timers.now + renewal_interval(self.settings) - 1
+        self.timers.schedule(ends_at, self.end_request, self.round)
+
+    def end_request(self, request_round: int) -> None:
+        """Release what no majority has granted by now, so that a split vote does not block the slot."""
+        request = self.pending_requests.pop(request_round, None)
+        if request is None:
             return
         lost = [
-            SlotEpoch(slot, epoch) for slot, epoch in one.slots.items() if (one.duty, slot) not in self.held
+            SlotEpoch(slot, epoch)
+            for slot, epoch in request.epochs.items()
+            if (request.duty, slot) not in self.held_leases
         ]
         for slot, epoch in lost:
-            self.seen[one.duty, slot] = max(epoch, self.seen.get((one.duty, slot), 0))
-            wait = int(self.timers.random_fraction() * claim_every(self.leasing))
-            self.blocked[one.duty, slot] = max(self.blocked.get((one.duty, slot), 0), self.timers.now + wait)
-        self.release(one.duty, lost)
+            key = request.duty, slot
+            self._note_epoch(key, epoch)
+            delay = int(self.timers.random_fraction() * renewal_interval(self.settings))
+            self._postpone(key, self.timers.now + delay)
+        self._send_release(request.duty, lost)
 
-    def release(self, duty, slots):
-        if slots:
-            for voter in self.leasing.voters:
-                self.reach(voter, LeaseRelease(duty, tuple(slots)))
-
-    def give_back(self, duty, slots):
-        given = [SlotEpoch(slot, self.held.pop((duty, slot)).epoch) for slot in sorted(slots)]
-        for slot, epoch in given:
-            self.seen[duty, slot] = max(epoch, self.seen.get((duty, slot), 0))
-        if given:
-            self.changed(duty)
-            self.release(duty, given)
-
-    def voted(self, name, vote):
-        one = self.claims.get(vote.round)
-        if one is None or one.duty != vote.duty or name not in self.leasing.voters:
+    def _note_epoch(self, key: tuple[int, int], epoch: int) -> None:
+        self.highest_epochs[key] = max(epoch, self.highest_epochs.get(key, 0))
+
+    def _postpone(self, key: tuple[int, int], until: int) -> None:
+        self.retry_at[key] = max(self.retry_at.get(key, 0), until)
+
+    # Votes
+
+    def handle_grant(self, voter: str, grant: LeaseGrant) -> None:
+        """Count a voter's answer to a request that is pending."""
+        request = self.pending_requests.get(grant.round)
+        if request is None or request.duty != grant.duty or voter not in self.settings.voters:
             return
-        for slot, epoch, left in vote.denied:
-            if slot in one.slots:
-                key = vote.duty, slot
-                self.seen[key] = max(epoch, self.seen.get(key, 0))
-                self.blocked[key] = max(
-                    self.blocked.get(key, 0), self.timers.now + min(left, self.leasing.span)
-                )
-        fresh, until = False, one.sent + held_for(self.leasing)
-        for slot in vote.granted:
-            if slot not in one.slots:
-                continue
-            voters = one.votes.setdefault(slot, set())
-            voters.add(name)
-            if len(voters) < self.majority or until <= self.timers.now or self.leaving:
-                continue
-            key, epoch = (vote.duty, slot), one.slots[slot]
-            lease = self.held.get(key)
-            if lease is None:
-                if epoch > self.seen.get(key, 0):  # not one that was given back meanwhile
-                    self.held[key] = Lease(epoch, until)
-                    self.seen[key] = epoch
-                    self.blocked.pop(key, None)
-                    fresh = True
-            elif lease.epoch == epoch or epoch > self.seen.get(key, 0):
-                lease.epoch = self.seen[key] = epoch
-                lease.until = max(lease.until, until)
-        if fresh:
-            self.changed(vote.duty)
-
-    def lapse(self):
-        """Leases that have run out are gone, and with them their epochs."""
-        over = [key for key, lease in self.held.items() if lease.until <= self.timers.now]
-        for key in over:
-            self.seen[key] = max(self.held.pop(key).epoch, self.seen.get(key, 0))
-        for duty in sorted({duty for duty, _ in over}):
-            self.changed(duty)
-
-    def heard(self, name, door, message):
-        """A message of another instance, or of this one to itself; `door` names its life."""
+        self._record_denials(request, grant.denied)
+        acquired = False
+        for slot in grant.granted:
+            if slot in request.epochs:
+                acquired |= self._count_vote(request, slot, voter)
+        if acquired:
+            self.on_change(grant.duty)
+
+    def _record_denials(self, request: PendingRequest, denied: Iterable[DeniedSlot]) -> None:
+        for slot, epoch, remaining in denied:
+            if slot in request.epochs:
+                key = request.duty, slot
+                self._note_epoch(key, epoch)
+                self._postpone(key, self.timers.now + min(remaining, self.settings.span))
+
+    def _count_vote(self, request: PendingRequest, slot: int, voter: str) -> bool:
+        """Count one vote; with a majority acquire or renew the lease. Return whether it was acquired."""
+        voters = request.votes.setdefault(slot, set())
+        voters.add(voter)
+        expires_at = request.sent_at + holder_duration(self.settings)
+        if len(voters) < self.majority or expires_at <= self.timers.now or self.leaving:
+            return False
+        key = request.duty, slot
+        epoch = request.epochs[slot]
+        lease = self.held_leases.get(key)
+        is_new_epoch = epoch > self.highest_epochs.get(key, 0)
+        if lease is None:
+            if not is_new_epoch:  # it was released meanwhile
+                return False
+            self.held_leases[key] = Lease(epoch, expires_at)
+            self.highest_epochs[key] = epoch
+            self.retry_at.pop(key, None)
+            return True
+        if lease.epoch == epoch or is_new_epoch:
+            lease.epoch = epoch
+            lease.expires_at = max(lease.expires_at, expires_at)
+            self.highest_epochs[key] = epoch
+        return False
+
+    # Expire and release
+
+    def _expire_leases(self) -> None:
+        """Forget leases that have expired; their epochs are not used again."""
+        expired = [key for key, lease in self.held_leases.items() if lease.expires_at <= self.timers.now]
+        for key in expired:
+            self._note_epoch(key, self.held_leases.pop(key).epoch)
+        for duty in sorted({duty for duty, _ in expired}):
+            self.on_change(duty)
+
+    def _release_held(self, duty: int, slots: Collection[int]) -> None:
+        released = [SlotEpoch(slot, self.held_leases.pop((duty, slot)).epoch) for slot in sorted(slots)]
+        for slot, epoch in released:
+            self._note_epoch((duty, slot), epoch)
+        if released:
+            self.on_change(duty)
+            self._send_release(duty, released)
+
+    def _send_release(self, duty: int, slots: Sequence[SlotEpoch]) -> None:
+        if slots:
+            for voter in self.settings.voters:
+                self.send(voter, LeaseRelease(duty, tuple(slots)))
+
+    def leave(self) -> None:
+        """Release all leases and request none any more."""
+        self.leaving = True
+        for duty in self.duties:
+            self._release_held(duty, {slot for of, slot in self.held_leases if of == duty})
+
+    # Messages
+
+    def handle_message(self, name: str, session: int, message: Message) -> None:
+        """Take in a lease message of another instance, or of this one to itself.
+
+        `name` and `session` are those of the sender and of its incarnation.
+        """
         if isinstance(message, LeaseGrant):
-            self.voted(name, message)
+            self.handle_grant(name, message)
         elif self.voter is None:
             return
         elif isinstance(message, LeaseRequest):
-            if (vote := self.voter.claimed(door, message)) is not None:
-                self.reach(name, vote)
+            grant = self.voter.handle_request(session, message)
+            if grant is not None:
+                self.send(name, grant)
         elif isinstance(message, LeaseRelease):
-            self.voter.released(door, message)
+            self.voter.handle_release(session, message)
         elif isinstance(message, EpochQuery):
-            self.reach(name, EpochReport(message.round, self.voter.highest(), self.voter.sure))
+            report = EpochReport(message.round, self.voter.highest_epoch(), self.voter.sure)
+            self.send(name, report)
         elif isinstance(message, EpochReport):
-            self.voter.answered(name, message)
-
-    def leave(self):
-        """Give all back; nothing is claimed any more."""
-        self.leaving = True
-        for duty in self.duties:
-            self.give_back(duty, {slot for of, slot in self.held if of == duty})
+            self.voter.handle_report(name, message)
--- a/limepath/duties/world.py
+++ b/limepath/duties/world.py
@@ -143,9 +143,9 @@
         if world.leased:
             self.note_leases(
                 {
-                    key: self.world_time(lease.until)
-                    for key, lease in self.instance.leases.held.items()
-                    if lease.until > self.clock()
+                    key: self.world_time(lease.expires_at)
+                    for key, lease in self.instance.leases.held_leases.items()
+                    if lease.expires_at > self.clock()
                 }
             )
         if (due := self.instance.next()) is not None:
--- a/limepath/scale/capacity_roles.py
+++ b/limepath/scale/capacity_roles.py
@@ -83,11 +83,11 @@
     lines = Lines("a voter")
     reason = f"at most {SLOTS} owners by duty, each renews every {RENEWAL} s"
     claims = assumed(SLOTS / RENEWAL, "a second by duty", reason)
-    lines.add(Kind.MESSAGES, "claims answered", claims, "duties/leases.py")
+    lines.add(Kind.MESSAGES, "claims answered", claims, "duties/voter.py")
     each = figures.at("voter", "claim", 1)
     if each.value is not None:
         each = each.times(claims.value / 1e4, "% of a core by duty", f"{claims.value:.1f} claims a second")
-    lines.add(Kind.PROCESSOR, "claims answered", each, "duties/leases.py", BUDGET.cpu)
+    lines.add(Kind.PROCESSOR, "claims answered", each, "duties/voter.py", BUDGET.cpu)
     fixed = missing("a fixed list of names; a change wants a restart of every front")
     lines.add(Kind.STATE, "a voter's machine replaced", fixed, "configuration/peers.py")
     return lines.lines
@@ -101,7 +101,7 @@
     requests = assumed(SIZE.requests / SIZE.caches, "a second", "shared evenly among all")
     lines.add(Kind.MESSAGES, "requests", requests, "hash order, choice.py")
     checks = assumed(1 / INTERVAL, "a second", "duties shared by the whole fleet")
-    lines.add(Kind.MESSAGES, "checks", checks, "duties/rounds.py")
+    lines.add(Kind.MESSAGES, "checks", checks, "duties/schedule.py")
     for what, fronts in (("its site", SIZE.site_fronts), ("its zone", SIZE.zone_fronts)):
         figure = assumed(fronts * each, "at most", by_front)
         lines.add(Kind.STATE, f"connections of the fronts of {what}", figure, "front/caches.py")
--- a/limepath/scale/roles_voter.py
+++ b/limepath/scale/roles_voter.py
@@ -6,7 +6,7 @@
 from limepath.configuration.sharing_settings import LeaseSettings
 from limepath.duties.interface import MESSAGES as DUTY_MESSAGES
 from limepath.duties.interface import LeaseRequest
-from limepath.duties.leases import Voter
+from limepath.duties.voter import Voter
 from limepath.membership.guard import Guard, Key
 from limepath.membership.interface import MESSAGES, REFUTATION_BITS, MemberRecord
 from limepath.scale.measured import Found, Series
@@ -25,7 +25,7 @@
         types, key = (*MESSAGES, *DUTY_MESSAGES), (Key(b"abcd", os.urandom(32)),)
         self.mine, self.theirs = Guard(key, types), Guard(key, types)
         self.voter = Voter(TimerQueue(1), LeaseSettings(), (), 0, True)
-        self.voter.mute_until = 0
+        self.voter.silent_until = 0
         self.news = MemberRecord(7, HOLDER, "127.0.0.1", 7946, 1 << REFUTATION_BITS, 1)
         self.claim, self.granted = LeaseRequest(0, 1, tuple((slot, 1) for slot in range(slots))), 0
         self.run(WARM)
@@ -36,7 +36,7 @@
 
     def one(self, datagram):
         sender, _, claim = self.mine.open(datagram)
-        vote = self.voter.claimed((sender.name, sender.door), claim)
+        vote = self.voter.handle_request((sender.name, sender.door), claim)
         self.mine.seal(self.news, sender.door, vote)
         self.granted += len(vote.granted) == len(claim.slots)
 
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -25,9 +25,11 @@
     ServeTarget,
 )
 from limepath.duties.learnt import CARRIED, IN_FLIGHT, Learnt
-from limepath.duties.leases import Leases, Voter, held_for, silence
-from limepath.duties.rounds import Rounds
+from limepath.duties.lease_timing import holder_duration, startup_silence
+from limepath.duties.leases import LeaseManager
+from limepath.duties.schedule import DutySchedule, ServePermission
 from limepath.duties.simulate import Day, Fault, findings, simulated
+from limepath.duties.voter import Voter
 from limepath.duties.world import World
 from limepath.interface.commands import ForwardRequest, SendProbe
 from limepath.interface.events import AttemptOutcome, ProbeEnded
@@ -121,7 +123,7 @@
     world.open(True)
     world.run(12 * SECOND)
     node = world.nodes[0]
-    before = {slot for _, slot in node.instance.leases.held}
+    before = {slot for _, slot in node.instance.leases.held_leases}
     assert before
     node.paused = True
     world.run(52 * SECOND)
@@ -158,7 +160,7 @@
     short, long = (
         bounds(MembershipTimeouts(), leased, LEASING._replace(span=span * SECOND), 5) for span in (3, 60)
     )
-    assert long.gap - short.gap >= 25 * SECOND and long.restart - long.gap == silence(
+    assert long.gap - short.gap >= 25 * SECOND and long.restart - long.gap == startup_silence(
         LEASING._replace(span=60 * SECOND)
     )
     assert doubles(plan, plain, [0]) < doubles(plan, plain, [60 * SECOND]) and doubles(plan, plain, []) == 0
@@ -184,7 +186,7 @@
         self.now, self.out, self.all, self.wants = 0, [], {}, {name: set() for name in names}
         for name in names:
             timers = TimerQueue(ord(name))
-            one = self.all[name] = Leases(
+            one = self.all[name] = LeaseManager(
                 timers,
                 name,
                 ord(name),
@@ -207,16 +209,16 @@
             while self.out:
                 source, to, message = self.out.pop(0)
                 if not lost(source, to) and to in self.all:
-                    self.all[to].heard(source, ord(source), message)
+                    self.all[to].handle_message(source, ord(source), message)
 
     def holders(self, slot=0):
-        return [name for name, one in self.all.items() if one.may(0, slot)]
+        return [name for name, one in self.all.items() if one.valid_lease(0, slot)]
 
 
 def test_a_voter_grants_nothing_for_a_span_after_its_start():
     world = FakeAll()
     world.wants["a"] = {0}
-    world.run(silence(LEASING) - 20_000)
+    world.run(startup_silence(LEASING) - 20_000)
     assert world.holders() == []
     world.run(2 * SECOND)
     assert world.holders() == ["a"]
@@ -226,12 +228,12 @@
     world = FakeAll()
     world.wants["a"] = {0}
     world.run(8 * SECOND)
-    epoch = world.all["a"].may(0, 0)[0]
-    world.run(held_for(LEASING) + 20_000, lost=lambda source, to: source != to)
+    epoch = world.all["a"].valid_lease(0, 0).epoch
+    world.run(holder_duration(LEASING) + 20_000, lost=lambda source, to: source != to)
     assert world.holders() == []
     world.wants["b"], world.wants["a"] = {0}, set()
     world.run(8 * SECOND)
-    assert world.holders() == ["b"] and world.all["b"].may(0, 0)[0] > epoch
+    assert world.holders() == ["b"] and world.all["b"].valid_lease(0, 0).epoch > epoch
 
 
 def test_two_that_want_one_slot_never_both_hold_it_and_it_is_handed_over_at_once():
@@ -254,7 +256,7 @@
     for name in ("b", "c"):
         old = world.all[name].voter
         old.grants.clear()
-        old.floor, old.mute_until = old.ceiling, world.now + silence(LEASING)
+        old.epoch_floor, old.silent_until = old.ceiling, world.now + startup_silence(LEASING)
         for _ in range(50):
             world.run(100_000)
             assert world.holders() == ["a"]
@@ -263,29 +265,32 @@
 def test_the_ceiling_is_kept_before_an_epoch_above_it_is_granted():
     timers = TimerQueue(1)
     voter = Voter(timers, LEASING, ("b", "c"), 500, True)
-    voter.mute_until = 0
-    low = voter.claimed(1, LeaseRequest(0, 1, ((0, 500),)))
+    voter.silent_until = 0
+    low = voter.handle_request(1, LeaseRequest(0, 1, ((0, 500),)))
     assert low.denied == ((0, 500, 0),) and not timers.take_commands()
-    assert voter.claimed(1, LeaseRequest(0, 1, ((0, 501),))).granted == (0,)
+    assert voter.handle_request(1, LeaseRequest(0, 1, ((0, 501),))).granted == (0,)
     (keep,) = timers.take_commands()
     assert isinstance(keep, PersistEpochCeiling) and keep.ceiling > 501
-    assert voter.claimed(1, LeaseRequest(0, 2, ((1, 502),))).granted == (1,) and not timers.take_commands()
+    assert (
+        voter.handle_request(1, LeaseRequest(0, 2, ((1, 502),))).granted == (1,)
+        and not timers.take_commands()
+    )
 
 
 def test_a_voter_that_lost_its_store_asks_so_many_that_every_majority_is_among_them():
     timers, asked = TimerQueue(1), []
     voter = Voter(timers, LEASING._replace(voters=tuple("abcde")), tuple("bcde"), 0, False)
-    voter.begin(lambda name, message: asked.append(name))
-    assert asked == list("bcde") and not voter.votes()
-    voter.answered("b", EpochReport(1, 7000, True))
-    voter.answered("x", EpochReport(1, 9999, True))
-    voter.answered("c", EpochReport(1, 100, False))
-    voter.answered("d", EpochReport(1, 100, True))
+    voter.start(lambda name, message: asked.append(name))
+    assert asked == list("bcde") and not voter.can_vote()
+    voter.handle_report("b", EpochReport(1, 7000, True))
+    voter.handle_report("x", EpochReport(1, 9999, True))
+    voter.handle_report("c", EpochReport(1, 100, False))
+    voter.handle_report("d", EpochReport(1, 100, True))
     assert not voter.sure
-    voter.answered("e", EpochReport(1, 300, True))
-    assert voter.sure and voter.floor == 7000
-    timers.run_due(silence(LEASING) + 1)
-    assert voter.claimed(1, LeaseRequest(0, 1, ((0, 7000),))).denied == ((0, 7000, 0),)
+    voter.handle_report("e", EpochReport(1, 300, True))
+    assert voter.sure and voter.epoch_floor == 7000
+    timers.run_due(startup_silence(LEASING) + 1)
+    assert voter.handle_request(1, LeaseRequest(0, 1, ((0, 7000),))).denied == ((0, 7000, 0),)
 
 
 def test_a_new_fleet_begins_once_all_voters_have_told_that_they_know_nothing():
@@ -298,13 +303,13 @@
 def test_a_split_vote_frees_the_slot_again():
     timers = TimerQueue(1)
     voter = Voter(timers, LEASING, (), 0, True)
-    voter.mute_until = 0
-    assert voter.claimed(1, LeaseRequest(0, 1, ((0, 1),))).granted
-    assert voter.claimed(2, LeaseRequest(0, 1, ((0, 2),))).denied[0][2] == LEASING.span
-    voter.released(2, LeaseRelease(0, ((0, 1),)))  # not the holder's
-    assert not voter.claimed(2, LeaseRequest(0, 1, ((0, 2),))).granted
-    voter.released(1, LeaseRelease(0, ((0, 1),)))
-    assert voter.claimed(2, LeaseRequest(0, 1, ((0, 2),))).granted
+    voter.silent_until = 0
+    assert voter.handle_request(1, LeaseRequest(0, 1, ((0, 1),))).granted
+    assert voter.handle_request(2, LeaseRequest(0, 1, ((0, 2),))).denied[0][2] == LEASING.span
+    voter.handle_release(2, LeaseRelease(0, ((0, 1),)))  # not the holder's
+    assert not voter.handle_request(2, LeaseRequest(0, 1, ((0, 2),))).granted
+    voter.handle_release(1, LeaseRelease(0, ((0, 1),)))
+    assert voter.handle_request(2, LeaseRequest(0, 1, ((0, 2),))).granted
 
 
 def test_the_checker_finds_no_order_that_breaks_the_rule_and_the_broken_rule_at_once():
@@ -320,10 +325,13 @@
 # Rounds and results
 
 
-def rounds_of(seed=1, interval=4 * SECOND):
+def schedule_of(seed=1, interval=4 * SECOND):
     timers = TimerQueue(seed)
-    return timers, Rounds(
-        timers, 0, DutySettings("probe", DutyMode.AT_LEAST_ONCE, interval), lambda target: (0, 0)
+    return timers, DutySchedule(
+        timers,
+        0,
+        DutySettings("probe", DutyMode.AT_LEAST_ONCE, interval),
+        lambda target: ServePermission(0, 0),
     )
 
 
@@ -338,8 +346,8 @@
 
 
 def test_one_interval_s_rounds_are_spread_and_missed_ones_not_made_up_at_once():
-    timers, rounds = rounds_of()
-    rounds.own(range(200))
+    timers, schedule = schedule_of()
+    schedule.set_owned(range(200))
     first = served(timers, 4 * SECOND)
     assert sorted(target for _, target in first) == list(range(200))
     halves = [sum(at <= 2 * SECOND for at, _ in first), sum(at > 2 * SECOND for at, _ in first)]
@@ -351,19 +359,19 @@
 
 
 def test_what_another_has_served_is_due_an_interval_later_and_what_goes_to_and_fro_is_served():
-    timers, rounds = rounds_of()
+    timers, schedule = schedule_of()
     timers.run_due(10 * SECOND)
-    rounds.served(7, 9 * SECOND)
-    rounds.own([7])
+    schedule.record_served(7, 9 * SECOND)
+    schedule.set_owned([7])
     assert served(timers, 6 * SECOND)[0][0] == 13 * SECOND
-    timers, rounds = rounds_of()
-    rounds.own([7])
+    timers, schedule = schedule_of()
+    schedule.set_owned([7])
     told = []
     for _ in range(40):  # owned for half a second at a time
         told += served(timers, SECOND // 2)
-        rounds.own([])
+        schedule.set_owned([])
         timers.run_due(timers.now + SECOND // 2)
-        rounds.own([7])
+        schedule.set_owned([7])
     times = [at for at, _ in told]
     assert len(times) >= 4 and max(b - a for a, b in pairwise(times)) <= 10 * SECOND
 
