--- a/limepath/duties/host.py
+++ b/limepath/duties/host.py
@@ -250,7 +250,7 @@
         """The module asks for a probe: what is learnt already serves, as far as the module takes it."""
         self.counts["probes_asked"] += 1
         self.instance.timers.now = clock()
-        if shared := self.instance.answer(order.endpoint, order.max_age):
+        if shared := self.instance.find_answer(order.endpoint, order.max_age):
             self.counts["probes_shared"] += 1
             self.turn.gather(self.report_of(shared))
         else:
--- a/limepath/duties/instance.py
+++ b/limepath/duties/instance.py
@@ -15,10 +15,10 @@
     TargetServed,
     TargetsUpdated,
 )
-from limepath.duties.learnt import Learnt
 from limepath.duties.leases import LeaseManager
 from limepath.duties.ring import Ring, key_of
 from limepath.duties.schedule import DutySchedule, ServePermission
+from limepath.duties.shared_results import SharedResults
 from limepath.membership.interface import (
     NEWEST_VERSION,
     LeaveCompleted,
@@ -113,7 +113,7 @@
         self.shares = [
             Shares(self.timers, duty, plan, leasing.slots, self.leases) for duty, plan in enumerate(plans)
         ]
-        self.learnt = Learnt(
+        self.shared_results = SharedResults(
             self.timers,
             me.token,
             [plan.interval for plan in plans],
@@ -152,9 +152,9 @@
         dues = [due for due in (self.members.next(), self.timers.next_due()) if due is not None]
         return min(dues) if dues and not self.over else None
 
-    def answer(self, target, oldest):
-        """A shared result for one who asks for a probe (see Learnt.answer)."""
-        return self.learnt.answer(target, oldest)
+    def find_answer(self, target, max_age):
+        """A shared result for one who asks for a probe (see SharedResults.find_answer)."""
+        return self.shared_results.find_answer(target, max_age)
 
     def set_out(self, others):
         """Know these from the start, without joining by messages."""
@@ -214,7 +214,7 @@
     def passed(self, sender, message):
         """Take a message in; False where it is not of the duties, and goes on to the host."""
         if isinstance(message, ProbeResults):
-            for result, at in self.learnt.heard(message.results):
+            for result, at in self.shared_results.receive(message.results):
                 self.shares[result.duty].schedule.record_served(result.target, at)
         elif self.leases and isinstance(message, LEASE_MESSAGES):
             self.leases.handle_message(sender.name, sender.door, message)
@@ -264,11 +264,11 @@
 
     def targets(self, note):
         self.shares[note.duty].targets(note.targets)
-        self.learnt.only(note.duty, note.targets)
+        self.shared_results.retain(note.duty, note.targets)
 
     def served(self, note):
         """This instance's own result, of a round or because the decision module asked."""
-        self.learnt.own(note.duty, note.target, note.outcome, note.duration, note.load)
+        self.shared_results.add_own(note.duty, note.target, note.outcome, note.duration, note.load)
         self.shares[note.duty].schedule.record_served(note.target, self.timers.now - note.duration)
 
     def leave(self):
@@ -326,7 +326,7 @@
             duties,
             members.counts
             | {"view": len(members.ring) + 1}
-            | {f"results {k}": v for k, v in self.learnt.counts.items()}
+            | {f"results {k}": v for k, v in self.shared_results.counts.items()}
             | {"rounds missed": sum(share.schedule.missed_rounds for share in self.shares)},
         )
 
--- a/limepath/duties/lease_timing.py
+++ b/limepath/duties/lease_timing.py
@@ -1,8 +1,8 @@
 """The spans of time that keep two instances from holding one lease.
 
 All are microseconds on each instance's own clock. Clocks run apart by at most `drift` of a span. A holder
-counts `holder_duration` from when it sent its request; the voters count the longer `span` from when that arrived. So
-the holder always stops first.
+counts `holder_duration` from when it sent its request; the voters count the longer `span` from when that
+arrived. So the holder always stops first.
 """
 
 from limepath.configuration.sharing_settings import LeaseSettings
--- a/limepath/duties/saving.py
+++ b/limepath/duties/saving.py
@@ -172,7 +172,7 @@
         node = self.nodes[index]
         if self.way == SHARED:
             node.instance.timers.now = node.clock()
-            if shared := node.instance.answer(order.endpoint, order.max_age):
+            if shared := node.instance.find_answer(order.endpoint, order.max_age):
                 return self.at(self.now + 1, self.tell, index, self.report_of(shared))
         self.asked[index].add(order.endpoint)
         self.sent(index, order.endpoint)
--- a/limepath/scale/capacity_front.py
+++ b/limepath/scale/capacity_front.py
@@ -11,7 +11,7 @@
 FEW_LISTED = 8  # members of the list that sharing was measured with
 THREAD = 100.0  # % of a core, the most of a process
 CLIENTS = "front/clients.py, front/caches.py"
-RESULTS = "results told to all, duties/learnt.py"
+RESULTS = "results told to all, duties/shared_results.py"
 SWIM = "SWIM with suspicion, membership/members.py"
 
 
--- a/limepath/scale/hollow.py
+++ b/limepath/scale/hollow.py
@@ -165,7 +165,7 @@
         self.reactor.kill()
         self.cooperation.store.close()
         instance, changes = self.cooperation.instance, self.changes
-        parts = (self.caches, self.turn, changes.logic, changes.tallies, changes, instance.learnt)
+        parts = (self.caches, self.turn, changes.logic, changes.tallies, changes, instance.shared_results)
         parts += (instance.members.timers, instance.members, instance)
         parts += (self.cooperation.line, self.cooperation, self)
         for part in parts:  # they hold each other: freed now, without a walk over all fronts of the process
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -24,10 +24,10 @@
     SendToMember,
     ServeTarget,
 )
-from limepath.duties.learnt import CARRIED, IN_FLIGHT, Learnt
 from limepath.duties.lease_timing import holder_duration, startup_silence
 from limepath.duties.leases import LeaseManager
 from limepath.duties.schedule import DutySchedule, ServePermission
+from limepath.duties.shared_results import RESULTS_PER_MESSAGE, TRANSIT_TIME, SharedResults
 from limepath.duties.simulate import Day, Fault, findings, simulated
 from limepath.duties.voter import Voter
 from limepath.duties.world import World
@@ -376,10 +376,10 @@
     assert len(times) >= 4 and max(b - a for a, b in pairwise(times)) <= 10 * SECOND
 
 
-def learnt(live=(2, 3), interval=4 * SECOND):
+def shared_results(live=(2, 3), interval=4 * SECOND):
     timers = TimerQueue(1)
     timers.now = 100 * SECOND
-    return timers, Learnt(
+    return timers, SharedResults(
         timers, 1, [interval], LEASING, lambda: list(live), lambda token: token in (1, *live)
     )
 
@@ -389,42 +389,42 @@
 
 
 def test_old_results_and_those_of_the_dead_are_dropped():
-    timers, known = learnt()
-    known.heard((result(), result(prober=9), result(target=6, age=5 * SECOND), result(), result(serial=0)))
+    timers, known = shared_results()
+    known.receive((result(), result(prober=9), result(target=6, age=5 * SECOND), result(), result(serial=0)))
     assert dict(known.counts) == {"new": 1, "dead prober": 1, "too old": 1, "known": 2}
     (shared,) = [o for o in timers.take_commands() if isinstance(o, ResultShared)]
-    assert shared.result.target == 5 and shared.result.age == SECOND + IN_FLIGHT
+    assert shared.result.target == 5 and shared.result.age == SECOND + TRANSIT_TIME
 
 
 def test_an_answer_serves_who_asks_as_long_as_it_is_new_enough():
-    timers, known = learnt()
-    known.heard((result(),))
-    assert known.answer(5, 3 * SECOND).age == SECOND + IN_FLIGHT
-    assert known.answer(5, SECOND) is None and known.answer(6, 3 * SECOND) is None
+    timers, known = shared_results()
+    known.receive((result(),))
+    assert known.find_answer(5, 3 * SECOND).age == SECOND + TRANSIT_TIME
+    assert known.find_answer(5, SECOND) is None and known.find_answer(6, 3 * SECOND) is None
     timers.now += 4 * SECOND
-    assert known.answer(5, 60 * SECOND) is None  # older than the interval
+    assert known.find_answer(5, 60 * SECOND) is None  # older than the interval
 
 
 def test_one_prober_s_failure_does_not_serve_but_two_agreeing_do():
-    timers, known = learnt()
-    known.heard((result(verdict=int(AttemptOutcome.TIMED_OUT)),))
-    assert known.answer(5, 3 * SECOND) is None
-    known.heard((result(prober=3, verdict=int(AttemptOutcome.TIMED_OUT), age=SECOND // 2),))
-    assert known.answer(5, 3 * SECOND).outcome == AttemptOutcome.TIMED_OUT
+    timers, known = shared_results()
+    known.receive((result(verdict=int(AttemptOutcome.TIMED_OUT)),))
+    assert known.find_answer(5, 3 * SECOND) is None
+    known.receive((result(prober=3, verdict=int(AttemptOutcome.TIMED_OUT), age=SECOND // 2),))
+    assert known.find_answer(5, 3 * SECOND).outcome == AttemptOutcome.TIMED_OUT
 
 
 def test_a_result_goes_to_all_nearby_with_its_age_and_is_passed_on_in_large_fleets():
-    timers, known = learnt()
-    known.own(0, 5, 0, 900, {})
+    timers, known = shared_results()
+    known.add_own(0, 5, 0, 900, {})
     timers.run_due(timers.now + LEASING.batch)
     sent = [o for o in timers.take_commands() if isinstance(o, SendToMember)]
     assert {o.token for o in sent} == {2, 3} and sent[0].message.results[0].age == LEASING.batch
-    timers, known = learnt(live=tuple(range(2, 60)))
-    known.heard(tuple(result(target=target) for target in range(40)))
+    timers, known = shared_results(live=tuple(range(2, 60)))
+    known.receive(tuple(result(target=target) for target in range(40)))
     timers.run_due(timers.now + LEASING.batch)
     sent = [o for o in timers.take_commands() if isinstance(o, SendToMember)]
     assert len({o.token for o in sent}) == LEASING.copies
-    assert all(len(o.message.results) <= CARRIED for o in sent)
+    assert all(len(o.message.results) <= RESULTS_PER_MESSAGE for o in sent)
 
 
 # What a shared report means to the decision module
