--- a/limepath/duties/instance.py
+++ b/limepath/duties/instance.py
@@ -16,7 +16,7 @@
     TargetsUpdated,
 )
 from limepath.duties.leases import LeaseManager
-from limepath.duties.ring import Ring, key_of
+from limepath.duties.ring import KeyedTarget, Ring, key_of
 from limepath.duties.schedule import DutySchedule, ServePermission
 from limepath.duties.shared_results import SharedResults
 from limepath.membership.interface import (
@@ -64,7 +64,7 @@
         return key_of(target) % self.slots
 
     def targets(self, targets):
-        self.keyed = sorted((key_of(target), target) for target in set(targets))
+        self.keyed = sorted(KeyedTarget(key_of(target), target) for target in set(targets))
         self.schedule.retain(targets)
         self.stale = True
 
@@ -72,7 +72,7 @@
         """Whose targets are whose has changed: take and leave what follows."""
         self.stale = False
         if self.plan.mode == DutyMode.AT_LEAST_ONCE:
-            own = ring.own(token, self.keyed)
+            own = ring.targets_of(token, self.keyed)
         else:
             held = self.leases.slots_held(self.duty)
             own = [target for _, target in self.keyed if self.slot_of(target) in held]
@@ -93,7 +93,7 @@
         self.whole, self.names, self.over, self.leaving = Ring.of([me.token]), {}, False, False
         self.came, self.went, self.divided = [], [], None
         leased = [duty for duty, plan in enumerate(plans) if plan.mode == DutyMode.ONE_OWNER]
-        self.slot_keys = [(key_of(slot + 1), slot) for slot in range(leasing.slots)]
+        self.slot_keys = [KeyedTarget(key_of(slot + 1), slot) for slot in range(leasing.slots)]
         self.leases = (
             LeaseManager(
                 self.timers,
@@ -234,7 +234,7 @@
         if len(self.came) + len(self.went) > max(FEW, self.whole.members // REBUILD):
             self.whole = Ring.of([self.token, *self.members.ring])
         elif self.came or self.went:
-            self.whole = self.whole.changed(self.went, self.came)
+            self.whole = self.whole.with_changes(self.went, self.came)
         self.came, self.went = [], []
         return self.whole
 
@@ -256,7 +256,7 @@
 
     def wanted(self, duty):
         if self.slots_wanted is None:
-            self.slots_wanted = self.ring.own(self.token, sorted(self.slot_keys))
+            self.slots_wanted = self.ring.targets_of(self.token, sorted(self.slot_keys))
         return self.slots_wanted
 
     def lease_changed(self, duty):
--- a/tests/test_ring.py
+++ b/tests/test_ring.py
@@ -4,16 +4,16 @@
 
 from limepath.configuration.sharing_settings import LeaseSettings, MembershipTimeouts
 from limepath.duties.instance import FEW, REBUILD, Instance
-from limepath.duties.ring import EMPTY, KEPT, KEPT_PLACES, POINTS, Ring, key_of
+from limepath.duties.ring import EMPTY, MAX_CACHED_PLACES, MAX_CACHED_RINGS, POINTS, Ring, key_of
 from limepath.membership.interface import REFUTATION_BITS, MemberRecord, MemberState
 
 
 @pytest.fixture(autouse=True)
-def none_kept():
+def no_cached_rings():
     """Each test begins without rings of another."""
-    Ring.kept.clear()
+    Ring.cached.clear()
     yield
-    Ring.kept.clear()
+    Ring.cached.clear()
 
 
 def test_rings_of_the_same_members_are_one():
@@ -31,27 +31,27 @@
     assert [target for target in stayed if ring.owner(key_of(target)) != left.owner(key_of(target))] == []
 
 
-def test_small_rings_are_kept_up_to_a_number():
-    for token in range(2 * KEPT):
+def test_small_rings_are_cached_up_to_a_number():
+    for token in range(2 * MAX_CACHED_RINGS):
         Ring.of([token])
-    assert len(Ring.kept) == KEPT
+    assert len(Ring.cached) == MAX_CACHED_RINGS
 
 
-def test_large_rings_are_kept_up_to_a_number_of_places():
+def test_large_rings_are_cached_up_to_a_number_of_places():
     fits = 4
-    members = KEPT_PLACES // POINTS // fits
+    members = MAX_CACHED_PLACES // POINTS // fits
     ring = Ring.of(range(members - fits))
     for token in range(members, members + 2 * fits):
         ring = ring.minus(token - members).plus(token)
-        assert sum(len(one.places) for one in Ring.kept.values()) <= KEPT_PLACES
-    assert len(Ring.kept) == fits and next(reversed(Ring.kept.values())) is ring
+        assert sum(len(one.places) for one in Ring.cached.values()) <= MAX_CACHED_PLACES
+    assert len(Ring.cached) == fits and next(reversed(Ring.cached.values())) is ring
 
 
-def test_a_ring_beyond_all_bounds_is_kept_while_it_is_the_newest():
-    members = KEPT_PLACES // POINTS + 1
+def test_a_ring_beyond_all_bounds_is_cached_while_it_is_the_newest():
+    members = MAX_CACHED_PLACES // POINTS + 1
     ring = Ring.of(range(members))
-    assert list(Ring.kept.values()) == [ring]
-    assert Ring.of([1, 2]) is Ring.of([2, 1]) and ring not in Ring.kept.values()
+    assert list(Ring.cached.values()) == [ring]
+    assert Ring.of([1, 2]) is Ring.of([2, 1]) and ring not in Ring.cached.values()
 
 
 @pytest.mark.parametrize("changes", [1, FEW, FEW + 1, 600 // REBUILD, 600 // REBUILD + 1, 60])
@@ -72,7 +72,7 @@
     for one in others[-changes // 2 :]:
         instance.parted(one)
     seen = instance.ring
-    Ring.kept.clear()
+    Ring.cached.clear()
     whole = Ring.of([1, *instance.members.ring])
     assert whole.members == len(instance.members.ring) + 1 < 600
     assert (seen.places, seen.owners, seen.digest) == (whole.places, whole.owners, whole.digest)
