--- a/limepath/duties/instance.py
+++ b/limepath/duties/instance.py
@@ -1,23 +1,32 @@
-"""One instance whole: membership and duties in one `handle`, for the host, the virtual-time run and the drill
-alike.
+"""One instance: membership and duties behind one `handle`, for the host, the simulation and the tests alike.
 
-Notes in are those of `peers.interface` and `duties.interface`; orders out too. Free of I/O.
+Events and commands are those of `membership.interface` and `duties.interface`. Free of I/O.
 """
 
-from collections import Counter
-from typing import NamedTuple
-
-from limepath.configuration.sharing_settings import DutyMode
+from collections import deque
+from collections.abc import Iterable, Sequence
+from typing import Any
+
+from limepath.configuration.sharing_settings import DutyMode, DutySettings, LeaseSettings, MembershipTimeouts
+from limepath.duties.instance_view import (
+    InstanceView,
+    describe_counts,
+    describe_duty,
+    describe_members,
+    describe_self,
+)
 from limepath.duties.interface import (
     LEASE_MESSAGES,
+    ProbeResult,
     ProbeResults,
     SendToMember,
     TargetServed,
     TargetsUpdated,
 )
 from limepath.duties.leases import LeaseManager
-from limepath.duties.ring import KeyedTarget, Ring, key_of
-from limepath.duties.schedule import DutySchedule, ServePermission
+from limepath.duties.live_ring import LiveRing
+from limepath.duties.ring import KeyedTarget, key_of
+from limepath.duties.share import DutyShare
 from limepath.duties.shared_results import SharedResults
 from limepath.membership.interface import (
     NEWEST_VERSION,
@@ -25,6 +34,8 @@
     LeaveRequested,
     MemberJoined,
     MemberLeft,
+    MemberRecord,
+    Message,
     MessageReceived,
     MessageRelayed,
     YieldIdentity,
@@ -32,304 +43,256 @@
 from limepath.membership.members import Members
 from limepath.timer_queue import TimerQueue
 
-FEW = 3  # changes of the view that are taken in at once; for more it waits, as far as GATHERED goes
-REBUILD = 16  # changes cost less than a ring built anew up to this part of its members
-GATHERED = 100_000  # microseconds in which a view that changes much (a cold start) has its ring built once
-
-
-class View(NamedTuple):
-    """What a running instance tells of itself: plain values."""
-
-    me: dict
-    members: list
-    duties: list
-    counts: dict
-
-
-class Shares:
-    """One duty's share: the targets, whose they are, the rounds."""
-
-    def __init__(self, timers, duty, plan, slots, leases):
-        self.duty, self.plan, self.slots, self.leases = duty, plan, slots, leases
-        self.keyed, self.stale = [], True
-        self.schedule = DutySchedule(timers, duty, plan, self.allowed)
-
-    def allowed(self, target):
-        if self.plan.mode == DutyMode.AT_LEAST_ONCE:
-            return ServePermission(0, 0)
-        lease = self.leases.valid_lease(self.duty, self.slot_of(target))
-        return ServePermission(lease.epoch, lease.expires_at) if lease else None
-
-    def slot_of(self, target):
-        return key_of(target) % self.slots
-
-    def targets(self, targets):
-        self.keyed = sorted(KeyedTarget(key_of(target), target) for target in set(targets))
-        self.schedule.retain(targets)
-        self.stale = True
-
-    def divide(self, ring, token):
-        """Whose targets are whose has changed: take and leave what follows."""
-        self.stale = False
-        if self.plan.mode == DutyMode.AT_LEAST_ONCE:
-            own = ring.targets_of(token, self.keyed)
-        else:
-            held = self.leases.slots_held(self.duty)
-            own = [target for _, target in self.keyed if self.slot_of(target) in held]
-        self.schedule.set_owned(own)
+DUTIES_SEED = 0x5EED
+"""Keeps the random numbers of the duties apart from those of the membership."""
 
 
 class Instance:
-    """`me` is its News; `ceiling` and `sure` are the store's word on epochs."""
-
-    def __init__(self, me, seeds, spans, plans, leasing, seed, ceiling=0, sure=True, speaks=NEWEST_VERSION):
-        self.members = Members(me, seeds, spans, seed, speaks)
-        self.timers, self.plans, self.leasing, self.token = (
-            TimerQueue(seed ^ 0x5EED),
-            plans,
-            leasing,
-            me.token,
-        )
-        self.whole, self.names, self.over, self.leaving = Ring.of([me.token]), {}, False, False
-        self.came, self.went, self.divided = [], [], None
-        leased = [duty for duty, plan in enumerate(plans) if plan.mode == DutyMode.ONE_OWNER]
-        self.slot_keys = [KeyedTarget(key_of(slot + 1), slot) for slot in range(leasing.slots)]
-        self.leases = (
-            LeaseManager(
-                self.timers,
-                me.name,
-                me.door,
-                leasing,
-                leased,
-                self.wanted,
-                self.lease_changed,
-                self.to_voter,
-                ceiling,
-                sure,
-            )
-            if leased
-            else None
-        )
+    """An instance's membership, leases, schedules and shared results.
+
+    `me` is its own record, `ceiling` and `sure` are what its store knows of epochs (see `voter`), `speaks` is
+    the newest protocol version that it uses.
+    """
+
+    def __init__(
+        self,
+        me: MemberRecord,
+        seeds: Sequence[tuple[str, int]],
+        timeouts: MembershipTimeouts,
+        duties: Sequence[DutySettings],
+        lease_settings: LeaseSettings,
+        seed: int,
+        ceiling: int = 0,
+        sure: bool = True,
+        speaks: int = NEWEST_VERSION,
+    ):
+        self.members = Members(me, seeds, timeouts, seed, speaks)
+        self.timers = TimerQueue(seed ^ DUTIES_SEED)
+        self.token = me.token
+        self.tokens_by_name: dict[str, int] = {}
+        """Of the live members; the voters are configured by name."""
+        self.is_draining = False
+        self.has_ended = False
+        """Whether this instance has left or yielded its identity."""
+        self.live_ring = LiveRing(me.token, lambda: self.members.ring)
+        self.slot_keys = sorted(KeyedTarget(key_of(slot + 1), slot) for slot in range(lease_settings.slots))
+        self.wanted_slots: list[int] | None = None
+        """The slots that the ring assigns to this instance; None while they are to be computed."""
+        self.loopback: deque[Message] = deque()
+        """Lease messages of this instance to its own voter, and back."""
+        self.lease_manager = self._make_lease_manager(me, duties, lease_settings, ceiling, sure)
         self.shares = [
-            Shares(self.timers, duty, plan, leasing.slots, self.leases) for duty, plan in enumerate(plans)
+            DutyShare(self.timers, duty, settings, lease_settings.slots, self.lease_manager)
+            for duty, settings in enumerate(duties)
         ]
         self.shared_results = SharedResults(
             self.timers,
             me.token,
-            [plan.interval for plan in plans],
-            leasing,
+            [settings.interval for settings in duties],
+            lease_settings,
             lambda: self.members.ring,
             self.members.is_live,
         )
-        self.looped, self.counts, self.slots_wanted = [], Counter(), None
 
-    # The host's side
+    def _make_lease_manager(
+        self,
+        me: MemberRecord,
+        duties: Sequence[DutySettings],
+        settings: LeaseSettings,
+        ceiling: int,
+        sure: bool,
+    ) -> LeaseManager | None:
+        leased = [duty for duty, plan in enumerate(duties) if plan.mode == DutyMode.ONE_OWNER]
+        if not leased:
+            return None
+        return LeaseManager(
+            self.timers,
+            me.name,
+            me.door,
+            settings,
+            leased,
+            self._find_wanted_slots,
+            self._on_leases_changed,
+            self._send_to_voter,
+            ceiling,
+            sure,
+        )
 
-    def start(self, now):
+    # What the host calls
+
+    def start(self, now: int) -> list[Any]:
+        """Start membership and leases; return the commands that follow."""
         self.timers.now = now
-        if self.leases:
-            self.leases.start()
-        return self.settle(now, self.members.start(now))
-
-    def handle(self, now, notes):
-        """Take in what the host heard at `now`; give the orders that follow, in sequence."""
-        peers = [note for note in notes if isinstance(note, (MessageReceived, LeaveRequested))]
-        if any(isinstance(note, LeaveRequested) for note in peers) and not self.leaving:
-            self.leave()
-        orders = self.settle(now, self.members.handle(now, peers))
-        if len(peers) == len(notes):
-            return orders
+        if self.lease_manager:
+            self.lease_manager.start()
+        return self._settle(now, self.members.start(now))
+
+    def handle(self, now: int, events: Sequence[Any]) -> list[Any]:
+        """Take in events at `now` and do what is due; return the commands that follow, in their order."""
+        member_events = [event for event in events if isinstance(event, (MessageReceived, LeaveRequested))]
+        if any(isinstance(event, LeaveRequested) for event in member_events) and not self.is_draining:
+            self._leave()
+        commands = self._settle(now, self.members.handle(now, member_events))
+        if len(member_events) == len(events):
+            return commands
         self.timers.now = now
-        for note in notes:
-            if isinstance(note, TargetServed):
-                self.served(note)
-            elif isinstance(note, TargetsUpdated):
-                self.targets(note)
-        return orders + self.settle(now, [])
-
-    def next(self):
+        for event in events:
+            if isinstance(event, TargetServed):
+                self._handle_target_served(event)
+            elif isinstance(event, TargetsUpdated):
+                self._handle_targets_updated(event)
+        return commands + self._settle(now, [])
+
+    def next(self) -> int | None:
         """When to call `handle` again at the latest, or None."""
-        dues = [due for due in (self.members.next(), self.timers.next_due()) if due is not None]
-        return min(dues) if dues and not self.over else None
+        due_times = [due for due in (self.members.next(), self.timers.next_due()) if due is not None]
+        return min(due_times) if due_times and not self.has_ended else None
 
-    def find_answer(self, target, max_age):
-        """A shared result for one who asks for a probe (see SharedResults.find_answer)."""
+    def find_answer(self, target: int, max_age: int) -> ProbeResult | None:
+        """Return a shared result that stands in for a probe (see `SharedResults.find_answer`)."""
         return self.shared_results.find_answer(target, max_age)
 
-    def set_out(self, others):
-        """Know these from the start, without joining by messages."""
-        self.members.known(others)
-        for one in self.members.timers.take_commands():
-            if isinstance(one, MemberJoined):
-                self.joined(one.news)
+    def preload_members(self, records: Iterable[MemberRecord]) -> None:
+        """Know these members from the start, without joining by messages."""
+        self.members.known(records)
+        for command in self.members.timers.take_commands():
+            if isinstance(command, MemberJoined):
+                self.add_member(command.news)
+
+    def view(self) -> InstanceView:
+        """Return what the control socket reports of this instance."""
+        return InstanceView(
+            describe_self(self.members, self.lease_manager, self.timers.now, self.is_draining),
+            describe_members(self.members),
+            [describe_duty(share) for share in self.shares],
+            describe_counts(self.members, self.shared_results, self.shares),
+        )
+
+    # Events of the duties
+
+    def _handle_targets_updated(self, event: TargetsUpdated) -> None:
+        self.shares[event.duty].set_targets(event.targets)
+        self.shared_results.retain(event.duty, event.targets)
+
+    def _handle_target_served(self, event: TargetServed) -> None:
+        """Share this instance's own result, of a scheduled round or of a probe that the front asked for."""
+        self.shared_results.add_own(event.duty, event.target, event.outcome, event.duration, event.load)
+        served_at = self.timers.now - event.duration
+        self.shares[event.duty].schedule.record_served(event.target, served_at)
+
+    def _leave(self) -> None:
+        """Hand over before leaving: release the leases, serve no target any more."""
+        self.is_draining = True
+        if self.lease_manager:
+            self.lease_manager.leave()
+        for share in self.shares:
+            share.schedule.set_owned(())
 
-    # Inside
+    # Membership and duties in turn
 
-    def settle(self, now, orders):
-        """Take the orders of the membership in turn, then do what the duties have due, until nothing is
-        left.
-        """
-        out = []
+    def _settle(self, now: int, commands: Iterable[Any]) -> list[Any]:
+        """Apply the membership's commands and do what the duties have due, until nothing is left."""
+        settled: list[Any] = []
         self.timers.now = now
         while True:
-            for order in orders:
-                if isinstance(order, MessageRelayed) and self.passed(order.sender, order.message):
-                    pass
-                elif isinstance(order, MemberJoined):
-                    self.joined(order.news)
-                elif isinstance(order, MemberLeft):
-                    self.parted(order.news)
-                else:
-                    if isinstance(order, (YieldIdentity, LeaveCompleted)):
-                        self.over = True
-                    out.append(order)
-            if self.over:
-                return out
-            while self.looped:
-                message = self.looped.pop(0)
-                self.leases.handle_message(self.members.me.name, self.members.me.door, message)
+            settled += self._apply_member_commands(commands)
+            if self.has_ended:
+                return settled
+            self._deliver_loopback()
             self.timers.run_due(now)
-            for share in self.shares:
-                if share.stale and not self.leaving and self.may_divide():
-                    share.divide(self.ring, self.token)
+            self._divide_stale_shares(now)
             self.timers.run_due(now)
-            for order in self.timers.take_commands():
-                if isinstance(order, SendToMember):
-                    self.members.reach(order.token, order.message)
-                else:
-                    out.append(order)
-            orders = self.members.timers.take_commands()
-            if not orders and not self.looped:
-                return out
-
-    def may_divide(self):
-        now = self.timers.now
-        if len(self.came) + len(self.went) > FEW:
-            if self.divided is not None and now < self.divided + GATHERED:
-                self.timers.schedule(self.divided + GATHERED, int)  # looked at again then
-                return False
-            self.divided = now
-        return True
-
-    def passed(self, sender, message):
-        """Take a message in; False where it is not of the duties, and goes on to the host."""
+            settled += self._send_commands()
+            commands = self.members.timers.take_commands()
+            if not commands and not self.loopback:
+                return settled
+
+    def _apply_member_commands(self, commands: Iterable[Any]) -> list[Any]:
+        """Take in what concerns the duties; return the commands that the host carries out."""
+        remaining: list[Any] = []
+        for command in commands:
+            if isinstance(command, MessageRelayed) and self._handle_message(command.sender, command.message):
+                continue
+            if isinstance(command, MemberJoined):
+                self.add_member(command.news)
+            elif isinstance(command, MemberLeft):
+                self.remove_member(command.news)
+            else:
+                if isinstance(command, (YieldIdentity, LeaveCompleted)):
+                    self.has_ended = True
+                remaining.append(command)
+        return remaining
+
+    def _handle_message(self, sender: MemberRecord, message: Message) -> bool:
+        """Take a message in; return False for one of another logic, which the host hands on."""
         if isinstance(message, ProbeResults):
-            for result, at in self.shared_results.receive(message.results):
-                self.shares[result.duty].schedule.record_served(result.target, at)
-        elif self.leases and isinstance(message, LEASE_MESSAGES):
-            self.leases.handle_message(sender.name, sender.door, message)
-        else:
-            return False
-        return True
-
-    def to_voter(self, name, message):
-        if name == self.members.me.name:
-            self.looped.append(message)
-        elif (token := self.names.get(name)) is not None:
-            self.members.reach(token, message)
-
-    @property
-    def ring(self):
-        """The ring of the view as it is now."""
-        if len(self.came) + len(self.went) > max(FEW, self.whole.members // REBUILD):
-            self.whole = Ring.of([self.token, *self.members.ring])
-        elif self.came or self.went:
-            self.whole = self.whole.with_changes(self.went, self.came)
-        self.came, self.went = [], []
-        return self.whole
-
-    def joined(self, news):
-        (self.went.remove if news.token in self.went else self.came.append)(news.token)
-        self.names[news.name] = news.token
-        self.view_changed()
-
-    def parted(self, news):
-        (self.came.remove if news.token in self.came else self.went.append)(news.token)
-        if self.names.get(news.name) == news.token:
-            del self.names[news.name]
-        self.view_changed()
-
-    def view_changed(self):
-        self.slots_wanted = None
+            for known in self.shared_results.receive(message.results):
+                schedule = self.shares[known.result.duty].schedule
+                schedule.record_served(known.result.target, known.served_at)
+            return True
+        if self.lease_manager and isinstance(message, LEASE_MESSAGES):
+            self.lease_manager.handle_message(sender.name, sender.door, message)
+            return True
+        return False
+
+    def _deliver_loopback(self) -> None:
+        me = self.members.me
+        while self.loopback:
+            self.lease_manager.handle_message(me.name, me.door, self.loopback.popleft())
+
+    def _divide_stale_shares(self, now: int) -> None:
         for share in self.shares:
-            share.stale = True
-
-    def wanted(self, duty):
-        if self.slots_wanted is None:
-            self.slots_wanted = self.ring.targets_of(self.token, sorted(self.slot_keys))
-        return self.slots_wanted
-
-    def lease_changed(self, duty):
-        self.shares[duty].stale = True
-
-    def targets(self, note):
-        self.shares[note.duty].targets(note.targets)
-        self.shared_results.retain(note.duty, note.targets)
-
-    def served(self, note):
-        """This instance's own result, of a round or because the decision module asked."""
-        self.shared_results.add_own(note.duty, note.target, note.outcome, note.duration, note.load)
-        self.shares[note.duty].schedule.record_served(note.target, self.timers.now - note.duration)
-
-    def leave(self):
-        """Hand over before going: leases back, no more rounds."""
-        self.leaving = True
-        if self.leases:
-            self.leases.leave()
+            if not share.is_stale or self.is_draining:
+                continue
+            settles_at = self.live_ring.settles_at(now)
+            if settles_at is None:
+                share.divide(self.live_ring.current(), self.token)
+            else:
+                self.timers.schedule(settles_at, self._look_again)
+
+    def _look_again(self) -> None:
+        """Nothing to do: stale shares are looked at whenever a timer has run."""
+
+    def _send_commands(self) -> list[Any]:
+        """Send the duties' messages through the membership; return the other commands."""
+        remaining: list[Any] = []
+        for command in self.timers.take_commands():
+            if isinstance(command, SendToMember):
+                self.members.reach(command.token, command.message)
+            else:
+                remaining.append(command)
+        return remaining
+
+    # The view and the leases
+
+    def add_member(self, record: MemberRecord) -> None:
+        """Take in a member that has joined."""
+        self.live_ring.add(record.token)
+        self.tokens_by_name[record.name] = record.token
+        self._on_view_changed()
+
+    def remove_member(self, record: MemberRecord) -> None:
+        """Take off a member that has left or died."""
+        self.live_ring.remove(record.token)
+        if self.tokens_by_name.get(record.name) == record.token:
+            del self.tokens_by_name[record.name]
+        self._on_view_changed()
+
+    def _on_view_changed(self) -> None:
+        self.wanted_slots = None
         for share in self.shares:
-            share.schedule.set_owned(())
+            share.is_stale = True
 
-    def view(self):
-        """The instance's view as plain values, for the control socket."""
-        members, now = self.members, self.timers.now
-        duties = []
-        for share in self.shares:
-            told = {
-                "name": share.plan.name,
-                "mode": share.plan.mode.name.lower().replace("_", "-"),
-                "interval_us": share.plan.interval,
-                "targets": len(share.keyed),
-                "owned": len(share.schedule.owned),
-            }
-            if share.plan.mode == DutyMode.ONE_OWNER:
-                told["slots"] = {
-                    slot: self.leases.held_leases[share.duty, slot].epoch
-                    for slot in sorted(self.leases.slots_held(share.duty))
-                }
-                told["epoch"] = max(told["slots"].values(), default=0)
-            duties.append(told)
-        rows = [members.me, *members.table.values()]
-        voter = self.leases.voter if self.leases else None
-        return View(
-            {
-                "name": members.me.name,
-                "token": f"{members.me.token:016x}",
-                "life": members.me.life,
-                "incarnation": members.me.incarnation,
-                "joined": not members.joining,
-                "leaving": self.leaving,
-                "votes": voter.can_vote() if voter else False,
-                "epoch_ceiling": voter.ceiling if voter else 0,
-                "now_us": now,
-            },
-            [
-                {
-                    "name": row.name,
-                    "token": f"{row.token:016x}",
-                    "address": f"{row.host}:{row.port}",
-                    "state": members_state(row),
-                    "incarnation": row.incarnation,
-                    "life": row.life,
-                }
-                for row in sorted(rows, key=lambda row: (row.name, row.token))
-            ],
-            duties,
-            members.counts
-            | {"view": len(members.ring) + 1}
-            | {f"results {k}": v for k, v in self.shared_results.counts.items()}
-            | {"rounds missed": sum(share.schedule.missed_rounds for share in self.shares)},
-        )
+    def _on_leases_changed(self, duty: int) -> None:
+        self.shares[duty].is_stale = True
 
+    def _find_wanted_slots(self, duty: int) -> list[int]:
+        if self.wanted_slots is None:
+            self.wanted_slots = self.live_ring.current().targets_of(self.token, self.slot_keys)
+        return self.wanted_slots
 
-def members_state(news):
-    return ("alive", "suspect", "dead", "left")[news.state]
+    def _send_to_voter(self, name: str, message: Message) -> None:
+        if name == self.members.me.name:
+            self.loopback.append(message)
+        elif (token := self.tokens_by_name.get(name)) is not None:
+            self.members.reach(token, message)
--- a/limepath/duties/leases.py
+++ b/limepath/duties/leases.py
@@ -90,7 +90,7 @@
         self.pending_requests: dict[int, PendingRequest] = {}
         """By round."""
         self.round = 0
-        self.leaving = False
+        self.is_draining = False
 
     def start(self) -> None:
         """Start the voter and the renewals, the first of them at a random time."""
@@ -115,7 +115,7 @@
 
     def renew(self) -> None:
         """Renew what is held and still wanted, acquire what is wanted and free, release the rest."""
-        if self.leaving:
+        if self.is_draining:
             return
         self.timers.schedule(self.timers.now + renewal_interval(self.settings), self.renew)
         self._expire_leases()
@@ -168,12 +168,12 @@
         ]
         for slot, epoch in lost:
             key = request.duty, slot
-            self._note_epoch(key, epoch)
+            self._record_epoch(key, epoch)
             delay = int(self.timers.random_fraction() * renewal_interval(self.settings))
             self._postpone(key, self.timers.now + delay)
         self._send_release(request.duty, lost)
 
-    def _note_epoch(self, key: tuple[int, int], epoch: int) -> None:
+    def _record_epoch(self, key: tuple[int, int], epoch: int) -> None:
         self.highest_epochs[key] = max(epoch, self.highest_epochs.get(key, 0))
 
     def _postpone(self, key: tuple[int, int], until: int) -> None:
@@ -198,7 +198,7 @@
         for slot, epoch, remaining in denied:
             if slot in request.epochs:
                 key = request.duty, slot
-                self._note_epoch(key, epoch)
+                self._record_epoch(key, epoch)
                 self._postpone(key, self.timers.now + min(remaining, self.settings.span))
 
     def _count_vote(self, request: PendingRequest, slot: int, voter: str) -> bool:
@@ -206,7 +206,7 @@
         voters = request.votes.setdefault(slot, set())
         voters.add(voter)
         expires_at = request.sent_at + holder_duration(self.settings)
-        if len(voters) < self.majority or expires_at <= self.timers.now or self.leaving:
+        if len(voters) < self.majority or expires_at <= self.timers.now or self.is_draining:
             return False
         key = request.duty, slot
         epoch = request.epochs[slot]
@@ -231,14 +231,14 @@
         """Forget leases that have expired; their epochs are not used again."""
         expired = [key for key, lease in self.held_leases.items() if lease.expires_at <= self.timers.now]
         for key in expired:
-            self._note_epoch(key, self.held_leases.pop(key).epoch)
+            self._record_epoch(key, self.held_leases.pop(key).epoch)
         for duty in sorted({duty for duty, _ in expired}):
             self.on_change(duty)
 
     def _release_held(self, duty: int, slots: Collection[int]) -> None:
         released = [SlotEpoch(slot, self.held_leases.pop((duty, slot)).epoch) for slot in sorted(slots)]
         for slot, epoch in released:
-            self._note_epoch((duty, slot), epoch)
+            self._record_epoch((duty, slot), epoch)
         if released:
             self.on_change(duty)
             self._send_release(duty, released)
@@ -250,7 +250,7 @@
 
     def leave(self) -> None:
         """Release all leases and request none any more."""
-        self.leaving = True
+        self.is_draining = True
         for duty in self.duties:
             self._release_held(duty, {slot for of, slot in self.held_leases if of == duty})
 
--- a/limepath/duties/shared_results.py
+++ b/limepath/duties/shared_results.py
@@ -26,8 +26,8 @@
 """Microseconds added to an age for the network's delay, which nobody measures."""
 AGREEING_PROBERS = 2
 """Probers whose failures must agree before they stand in for a probe of another instance."""
-RESULTS_KEPT = 2
-"""Results kept of one target, of different probers."""
+RESULTS_PER_TARGET = 2
+"""Results stored of one target, of different probers."""
 
 
 class KnownResult(NamedTuple):
@@ -76,14 +76,14 @@
         """Keep a result of this instance itself and begin to spread it."""
         self.serial += 1
         result = ProbeResult(duty, target, self.token, self.serial, 0, outcome, duration, load)
-        self._keep(result, self.timers.now)
+        self._store(result, self.timers.now)
         self._spread(result)
 
-    def _keep(self, result: ProbeResult, served_at: int) -> None:
-        """Keep it in place of the same prober's last one, beside the newest of another prober."""
+    def _store(self, result: ProbeResult, served_at: int) -> None:
+        """Store it in place of the same prober's last one, beside the newest of another prober."""
         key = result.duty, result.target
         others = [known for known in self.known.get(key, ()) if known.result.prober != result.prober]
-        kept = [KnownResult(result, served_at), *others[: RESULTS_KEPT - 1]]
+        kept = [KnownResult(result, served_at), *others[: RESULTS_PER_TARGET - 1]]
         self.known[key] = sorted(kept, key=lambda known: -known.served_at)
 
     def _spread(self, result: ProbeResult) -> None:
@@ -136,7 +136,7 @@
                 continue
             served_at = arrived_at - result.age
             aged = result._replace(age=result.age + TRANSIT_TIME)
-            self._keep(aged, served_at)
+            self._store(aged, served_at)
             if self.known[aged.duty, aged.target][0].result is aged:
                 self._spread(aged)
             self.counts["new"] += 1
--- a/limepath/duties/world.py
+++ b/limepath/duties/world.py
@@ -144,7 +144,7 @@
             self.note_leases(
                 {
                     key: self.world_time(lease.expires_at)
-                    for key, lease in self.instance.leases.held_leases.items()
+                    for key, lease in self.instance.lease_manager.held_leases.items()
                     if lease.expires_at > self.clock()
                 }
             )
@@ -205,7 +205,7 @@
         known = [node.start(seeds) for node in self.nodes]
         if preset:
             for node in self.nodes:
-                node.instance.set_out([news for news in known if news.name != node.name])
+                node.instance.preload_members([news for news in known if news.name != node.name])
         for node in self.nodes:
             node.begin()
 
--- a/limepath/scale/roles_console.py
+++ b/limepath/scale/roles_console.py
@@ -17,7 +17,7 @@
     me, *others = fleet(size)
     plan = DutySettings("probe", DutyMode.AT_LEAST_ONCE, INTERVAL)
     one = Instance(me, (), MembershipTimeouts(), (plan,), LeaseSettings(), 1)
-    one.set_out(others)
+    one.preload_members(others)
     return one
 
 
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -123,15 +123,15 @@
     world.open(True)
     world.run(12 * SECOND)
     node = world.nodes[0]
-    before = {slot for _, slot in node.instance.leases.held_leases}
+    before = {slot for _, slot in node.instance.lease_manager.held_leases}
     assert before
     node.paused = True
     world.run(52 * SECOND)
     node.resume()
-    assert not node.instance.leases.slots_held(0)  # the epochs it held are gone with its leases
+    assert not node.instance.lease_manager.slots_held(0)  # the epochs it held are gone with its leases
     world.run(92 * SECOND)
     assert not world.both_held and world.turned_away == 0
-    assert node.instance.leases.slots_held(0)
+    assert node.instance.lease_manager.slots_held(0)
 
 
 def test_a_minority_stops_and_a_majority_goes_on():
--- a/tests/test_ring.py
+++ b/tests/test_ring.py
@@ -3,11 +3,16 @@
 import pytest
 
 from limepath.configuration.sharing_settings import LeaseSettings, MembershipTimeouts
-from limepath.duties.instance import FEW, REBUILD, Instance
+from limepath.duties.instance import Instance
+from limepath.duties.live_ring import FEW_CHANGES, REBUILD_PART
 from limepath.duties.ring import EMPTY, MAX_CACHED_PLACES, MAX_CACHED_RINGS, POINTS, Ring, key_of
 from limepath.membership.interface import REFUTATION_BITS, MemberRecord, MemberState
 
 
+FLEET = 600
+"""Instances of a view whose changes are tried."""
+
+
 @pytest.fixture(autouse=True)
 def no_cached_rings():
     """Each test begins without rings of another."""
@@ -54,9 +59,13 @@
     assert Ring.of([1, 2]) is Ring.of([2, 1]) and ring not in Ring.cached.values()
 
 
-@pytest.mark.parametrize("changes", [1, FEW, FEW + 1, 600 // REBUILD, 600 // REBUILD + 1, 60])
+@pytest.mark.parametrize(
+    "changes", [1, FEW_CHANGES, FEW_CHANGES + 1, FLEET // REBUILD_PART, FLEET // REBUILD_PART + 1, 60]
+)
 def test_the_ring_of_a_view_that_changes_is_the_one_built_of_its_members(changes):
-    others = [MemberRecord(token, f"n{token}", "h", 1, 1 << REFUTATION_BITS, 1) for token in range(2, 601)]
+    others = [
+        MemberRecord(token, f"n{token}", "h", 1, 1 << REFUTATION_BITS, 1) for token in range(2, FLEET + 1)
+    ]
     late = others[:changes]
     instance = Instance(
         MemberRecord(1, "n1", "h", 1, 1 << REFUTATION_BITS, 1),
@@ -66,13 +75,15 @@
         LeaseSettings(),
         1,
     )
-    instance.set_out(others[changes:])
-    assert instance.ring is Ring.of([1, *instance.members.ring])
-    instance.set_out([*late, *(one._replace(state=MemberState.DEAD) for one in others[-changes // 2 :])])
+    instance.preload_members(others[changes:])
+    assert instance.live_ring.current() is Ring.of([1, *instance.members.ring])
+    instance.preload_members(
+        [*late, *(one._replace(state=MemberState.DEAD) for one in others[-changes // 2 :])]
+    )
     for one in others[-changes // 2 :]:
-        instance.parted(one)
-    seen = instance.ring
+        instance.remove_member(one)
+    seen = instance.live_ring.current()
     Ring.cached.clear()
     whole = Ring.of([1, *instance.members.ring])
-    assert whole.members == len(instance.members.ring) + 1 < 600
+    assert whole.members == len(instance.members.ring) + 1 < FLEET
     assert (seen.places, seen.owners, seen.digest) == (whole.places, whole.owners, whole.digest)
