--- a/limepath/duties/simulate.py
+++ b/limepath/duties/simulate.py
@@ -8,7 +8,7 @@
 from typing import NamedTuple
 
 from limepath.configuration.sharing_settings import DutyMode, DutySettings, LeaseSettings, MembershipTimeouts
-from limepath.duties.bounds import bounds, doubles
+from limepath.duties.bounds import bounds, most_duplicates
 from limepath.duties.world import World
 from limepath.membership.interface import LeaveRequested
 from limepath.membership.members import spread
@@ -238,7 +238,7 @@
         Row("ring neighbours away at once, most", day.together),
         Row("rounds served", serves),
         at_most("longest gap, s", seconds(longest), seconds(gap_bound)),
-        at_most("most doubles of one target", most, doubles(plan, bound, changes)),
+        at_most("most doubles of one target", most, most_duplicates(plan, bound, changes)),
         at_most("doubles while nothing had changed", undisturbed_doubles, 0),
         at_most("rounds at targets gone, after the grace", world.after_gone, 0),
     ]
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -12,7 +12,7 @@
 
 from limepath.configuration.sharing_settings import DutyMode, DutySettings, LeaseSettings, MembershipTimeouts
 from limepath.duties import simulate
-from limepath.duties.bounds import bounds, doubles
+from limepath.duties.bounds import bounds, most_duplicates
 from limepath.duties.check import explored
 from limepath.duties.interface import (
     EpochReport,
@@ -163,7 +163,10 @@
     assert long.gap - short.gap >= 25 * SECOND and long.restart - long.gap == startup_silence(
         LEASING._replace(span=60 * SECOND)
     )
-    assert doubles(plan, plain, [0]) < doubles(plan, plain, [60 * SECOND]) and doubles(plan, plain, []) == 0
+    assert (
+        most_duplicates(plan, plain, [0]) < most_duplicates(plan, plain, [60 * SECOND])
+        and most_duplicates(plan, plain, []) == 0
+    )
 
 
 def test_a_bound_that_is_broken_is_told():
