--- a/limepath/duties/host.py
+++ b/limepath/duties/host.py
@@ -1,11 +1,17 @@
-"""Beside a front: the instance's timer, store and datagrams; its rounds are probes, its results the module's
-reports.
+"""An instance of the duties beside a front: its store, its datagrams, its timer and its control socket.
+
+Its commands are carried out here; what concerns the front's probes is handed to `probe_sharing`. The front
+goes on by itself where this fails.
 """
 
 import os
 import sqlite3
 import time
+from collections.abc import Callable
+from typing import Any
 
+from limepath.configuration.peers_file import PeersSettings
+from limepath.configuration.platform import FrontSettings
 from limepath.duties.instance import Instance
 from limepath.duties.interface import MESSAGES as DUTY_MESSAGES
 from limepath.duties.interface import (
@@ -14,21 +20,13 @@
     PersistEpochCeiling,
     ResultShared,
     ServeTarget,
-    TargetServed,
-    TargetsUpdated,
-)
-from limepath.interface.commands import SendProbe
-from limepath.interface.events import (
-    AttemptOutcome,
-    EndpointListUpdated,
-    EndpointState,
-    ProbeEnded,
-    UpdateKind,
 )
+from limepath.duties.probe_sharing import DecisionLoop, ProbeSender, ProbeSharing, kinds_by_duty
+from limepath.log import Log
 from limepath.logic_host import LogicHost
 from limepath.membership import control
 from limepath.membership.host import DatagramSocket, StartError
-from limepath.membership.identity import CEILING, identity_of, kept_ceiling
+from limepath.membership.identity import CEILING, Identity, identity_of, kept_ceiling
 from limepath.membership.interface import (
     MESSAGES,
     REFUTATION_BITS,
@@ -36,280 +34,277 @@
     LeaveRequested,
     LogEvent,
     MemberRecord,
+    Message,
     MessageRelayed,
     SendMessage,
     YieldIdentity,
 )
 from limepath.store import DAMAGED, NEW, PendingWrites, Store, StoreLockedError, StoreUnusableError
 
-REPORT = 10_000_000  # between lines on what was dropped
+REPORT_INTERVAL = 10_000_000
+"""Microseconds between log lines on dropped datagrams."""
+TOKEN_BITS = 63
 
 
-def clock():
-    """Whole microseconds that go on while the machine sleeps: a lease must not outlive a suspended holder's
-    sleep.
+def clock() -> int:
+    """Return whole microseconds of a clock that goes on while the machine sleeps.
+
+    A lease must not outlive its holder's sleep.
     """
     return time.clock_gettime_ns(time.CLOCK_BOOTTIME) // 1000
 
 
-def drawn():
-    return int.from_bytes(os.urandom(8), "big") >> 1
+def random_token() -> int:
+    """Return TOKEN_BITS of the system's randomness, for an instance's identity."""
+    return int.from_bytes(os.urandom(8), "big") >> (64 - TOKEN_BITS)
+
+
+def message_types(settings: PeersSettings) -> tuple[type[Message], ...]:
+    """Return the types of all messages that instances exchange under these settings."""
+    types = MESSAGES + DUTY_MESSAGES
+    if settings.listing:  # loaded only where it is used
+        from limepath.discovery.interface import MESSAGES as DISCOVERY_MESSAGES
+        from limepath.frequency_exchange.interface import MESSAGES as FREQUENCY_MESSAGES
+
+        types += DISCOVERY_MESSAGES + FREQUENCY_MESSAGES
+    return types
 
 
 class Cooperation:
-    """One instance of limepath.duties at one front. `told` is its PeersOpening, `front` the front's
-    Opening.
+    """One instance of the duties at one front, and the owner of its store and socket.
+
+    Raises StartError where store, keys or address cannot be used.
     """
 
-    def __init__(self, reactor, turn, caches, log, told, front):
-        self.reactor, self.turn, self.caches, self.log, self.told = reactor, turn, caches, log, told
+    def __init__(
+        self,
+        reactor: Any,
+        loop: DecisionLoop,
+        probes: ProbeSender,
+        log: Log,
+        settings: PeersSettings,
+        front: FrontSettings,
+    ):
+        self.reactor = reactor
+        self.log = log
+        self.told = settings
+        self.store: Store
+        """The identity, the ceiling of epochs, and what other parts of the front keep."""
+        self.line: DatagramSocket
+        self._open_files()
+        self.identity: Identity = self._load_identity()
+        self.writes = PendingWrites(self.store, log)
+        """Rows that are to be written before what rests on them goes out."""
+        self.store_state = self.store.found
+        """Whether the store was there, new or damaged at the start."""
+        self.instance = self._make_instance(front.seed)
+        self.logic_host = LogicHost(reactor, clock, self.instance, self.execute, self._fail)
+        self.probe_sharing = ProbeSharing(
+            loop, probes, self.instance, self._target_kinds(front), self.submit, clock
+        )
+        self.control: Any = None
+        """The listening control socket."""
+        self.over = False
+        """Whether nothing is shared any more."""
+        self.keys_read_at = clock()
+        self.reported_at = clock()
+        self.guests: list[Any] = []
+        """Their `heard(sender, message)` is called with messages of other logics, from live members."""
+        self.hearers = self.probe_sharing.event_listeners
+        self.views: dict[str, Callable[[], Any]] = {"peers": self.view}
+        """What the control socket answers, by the name asked for."""
+        self.at_stop: list[Callable[[], object]] = []
+        """Called once nothing is shared any more."""
+        self.counts = {"held_back": 0}
+        self.probe_sharing.attach()
+
+    def _open_files(self) -> None:
+        settings = self.told
         try:
-            self.store = Store(told.store)
-            types = MESSAGES + DUTY_MESSAGES
-            if told.listing:
-                from limepath.discovery.interface import MESSAGES as LISTING_MESSAGES
-                from limepath.frequency_exchange.interface import MESSAGES as TALLY_MESSAGES
-
-                types += LISTING_MESSAGES + TALLY_MESSAGES
-            self.line = DatagramSocket(reactor, told.listen, told.keys, types, log, self.gather)
+            self.store = Store(settings.store)
+            self.line = DatagramSocket(
+                self.reactor,
+                settings.listen,
+                settings.keys,
+                message_types(settings),
+                self.log,
+                self.submit,
+            )
         except (StoreLockedError, StoreUnusableError, OSError) as error:
             raise StartError(str(error)) from None
-        identity, rows = identity_of(self.store.all(), drawn)
+
+    def _load_identity(self) -> Identity:
+        """Read this instance's identity and write it for the new incarnation, before it is used."""
+        identity, rows = identity_of(self.store.all(), random_token)
         try:
             self.store.put(rows)
         except sqlite3.Error as error:
-            raise StartError(f"{told.store}: {error}") from None
-        self.writes = PendingWrites(self.store, log)
-        self.found, self.identity = self.store.found, identity
+            raise StartError(f"{self.told.store}: {error}") from None
+        return identity
+
+    def _make_instance(self, seed: int) -> Instance:
+        settings = self.told
         me = MemberRecord(
-            identity.token,
-            told.name,
-            *told.advertise,
-            identity.life << REFUTATION_BITS,
+            self.identity.token,
+            settings.name,
+            *settings.advertise,
+            self.identity.life << REFUTATION_BITS,
             time.time_ns() // 1000,
         )
-        self.instance = Instance(
-            me, told.seeds, told.spans, told.plans, told.leasing, front.seed, identity.ceiling, identity.sure
+        return Instance(
+            me,
+            settings.seeds,
+            settings.spans,
+            settings.plans,
+            settings.leasing,
+            seed,
+            self.identity.ceiling,
+            self.identity.sure,
         )
-        self.logic_host = LogicHost(reactor, clock, self.instance, self.execute, self.failed)
-        self.kinds = self.kinds_of(front)
-        self.members, self.over = {}, False
-        self.serving, self.asked, self.control, self.looked, self.said = {}, set(), None, clock(), clock()
-        self.plain_probe = turn.carriers[SendProbe]
-        self.guests, self.views = (
-            [],
-            {"peers": self.shown},
-        )  # who hears other messages; what the control socket tells
-        self.hearers = []  # who hears what the module is told
-        self.at_stop = []  # called once nothing is shared any more
-        self.counts = {"probes_asked": 0, "probes_shared": 0, "probes_sent": 0, "rounds": 0, "too_late": 0}
-        self.counts["held_back"] = 0
-        turn.listener = self.overheard
-        turn.carriers[SendProbe] = self.probe
-
-    def kinds_of(self, front):
-        """For each duty, the module's kinds of its targets."""
-        place = front.arguments["footprint"]
-        upper = {"parents": place.parent_kind, "origin": place.origin_kind}
-        caches = set(range(len(front.settings["models"]))) - set(upper.values())
-        return [
-            set().union(
-                *(caches if kind == "caches" else {upper[kind]} for kind in self.told.kinds[plan.name])
-            )
-            for plan in self.told.plans
-        ]
 
-    def start(self):
+    def _target_kinds(self, front: FrontSettings) -> list[set[int]]:
+        topology = front.arguments["footprint"]
+        upper_kinds = {"parents": topology.parent_kind, "origin": topology.origin_kind}
+        return kinds_by_duty(self.told.plans, self.told.kinds, upper_kinds, len(front.settings["models"]))
+
+    # Start and stop
+
+    def start(self) -> None:
+        """Open socket and control socket and join; where they cannot be opened, share nothing."""
         try:
             self.line.open()
             if self.told.control:
                 self.control = control.listen(self.reactor, self.told.control, self.views)
         except Exception as error:  # the front goes on alone; whoever reads the log mends the file
             self.log.say("sharing-off", str(error), file=self.told.file)
-            return self.stop()
-        if self.found == DAMAGED:
+            self.stop()
+            return
+        self._log_start()
+        self.logic_host.carry_out(self.instance.start(clock()))
+        self.submit(*self.probe_sharing.all_targets())
+
+    def _log_start(self) -> None:
+        if self.store_state == DAMAGED:
             self.log.say("store-damaged", "joins as a new instance", put_aside=self.store.aside)
-        elif self.found == NEW:
+        elif self.store_state == NEW:
             self.log.say("store-new", "joins as a new instance", store=self.told.store)
+        host, port = self.told.listen
         self.log.say(
             "sharing",
             name=self.told.name,
-            listening="{}:{}".format(*self.told.listen),
+            listening=f"{host}:{port}",
             life=self.identity.life,
             token=f"{self.identity.token:016x}",
             duties=len(self.told.plans),
         )
-        self.logic_host.carry_out(self.instance.start(clock()))
-        self.gather(*self.all_targets())
 
-    def gather(self, *notes):
-        """Keep notes until all that this pass of the reactor has ready is read."""
-        self.logic_host.submit(*notes)
+    def stop(self) -> None:
+        """Share nothing any more; the front goes on by itself."""
+        self.over = True
+        self.probe_sharing.detach()
+        self.line.close()
+        self.line.report()
+        self.logic_host.close()
+        for callback in self.at_stop:
+            callback()
+        if self.control:
+            self.control.stopListening()
+        self.store.close()
 
-    def failed(self, error):
-        """GETs go on whatever happens here."""
+    def _fail(self, error: Exception) -> None:
+        """Stop after an error of the logic; requests go on whatever happens here."""
         self.log.fault("sharing", error)
         self.stop()
 
-    def execute(self, order):
-        me = self.instance.members.me
-        if self.rests_on_unwritten(order):
+    # Events and commands
+
+    def submit(self, *events: object) -> None:
+        """Keep events until all that this pass of the reactor has ready is read."""
+        self.logic_host.submit(*events)
+
+    def execute(self, command: object) -> None:
+        """Carry out one command of the instance."""
+        if self._rests_on_unwritten(command):
             self.counts["held_back"] += 1
-        elif isinstance(order, SendMessage):
-            self.line.send(me, order)
-        elif isinstance(order, ServeTarget):
-            self.serve(order)
-        elif isinstance(order, ResultShared):
-            self.learnt(order.result)
-        elif isinstance(order, PersistEpochCeiling):
-            self.writes.put(kept_ceiling(order.ceiling))
-        elif isinstance(order, LogEvent):
-            self.log.say(order.event, **order.fields)
-        elif isinstance(order, MessageRelayed):
-            for guest in self.guests:
-                guest.heard(order.sender, order.message)
-        elif isinstance(order, YieldIdentity):
-            self.log.say(
-                "gives-way",
-                order.why + "; this front shares nothing any more",
-                name=order.other.name,
-                other=f"{order.other.host}:{order.other.port}",
-                life=order.other.life,
-            )
-            self.stop()
-        elif isinstance(order, LeaveCompleted):
+        elif isinstance(command, SendMessage):
+            self.line.send(self.instance.members.me, command)
+        elif isinstance(command, ServeTarget):
+            self.probe_sharing.serve(command)
+        elif isinstance(command, ResultShared):
+            self.probe_sharing.report(command.result)
+        elif isinstance(command, PersistEpochCeiling):
+            self.writes.put(kept_ceiling(command.ceiling))
+        elif isinstance(command, LogEvent):
+            self.log.say(command.event, **command.fields)
+        elif isinstance(command, MessageRelayed):
+            for handler in self.guests:
+                handler.heard(command.sender, command.message)
+        elif isinstance(command, YieldIdentity):
+            self._yield_identity(command)
+        elif isinstance(command, LeaveCompleted):
             self.stop()
 
-    def rests_on_unwritten(self, order):
-        """Whether a crash could forget what this order rests on: votes, what is told of epochs and rounds
-        under a lease wait (as if the network had lost them) until the ceiling of epochs is on the disk.
+    def _yield_identity(self, command: YieldIdentity) -> None:
+        other = command.other
+        self.log.say(
+            "gives-way",
+            command.why + "; this front shares nothing any more",
+            name=other.name,
+            other=f"{other.host}:{other.port}",
+            life=other.life,
+        )
+        self.stop()
+
+    def _rests_on_unwritten(self, command: object) -> bool:
+        """Return whether a crash could forget what this command rests on.
+
+        Grants, epoch reports and rounds under a lease are dropped (as if the network had lost them) until the
+        ceiling of epochs is on the disk.
         """
         if CEILING not in self.writes.rows:
             return False
-        if isinstance(order, ServeTarget):
-            return bool(order.epoch)
-        return isinstance(order, SendMessage) and isinstance(order.message, (LeaseGrant, EpochReport))
+        if isinstance(command, ServeTarget):
+            return bool(command.epoch)
+        return isinstance(command, SendMessage) and isinstance(command.message, (LeaseGrant, EpochReport))
 
-    def reach(self, token, message):
-        """Send a message of another logic to one that lives."""
+    def reach(self, token: int, message: Message) -> None:
+        """Send a message of another logic to the live member with this token."""
         members = self.instance.members
         members.timers.now = clock()
         members.reach(token, message)
-        for order in members.timers.take_commands():
-            self.line.send(members.me, order)
-
-    # Between the instance and the front
-
-    def overheard(self, notes):
-        """What the front's parts tell the module: the list of members, and how probes ended."""
-        for guest in self.hearers:
-            guest.saw(notes)
-        for note in notes:
-            if isinstance(note, EndpointListUpdated):
-                self.roster(note)
-            elif isinstance(note, ProbeEnded) and not note.age:
-                self.asked.discard(note.endpoint)
-                duty = self.serving.pop(note.endpoint, self.duty_of(note.endpoint))
-                if duty is not None and note.outcome != AttemptOutcome.SUPERSEDED:
-                    load = {
-                        name: float(value) for name, value in list(note.load.items())[:8] if len(name) <= 12
-                    }
-                    self.gather(TargetServed(duty, note.endpoint, int(note.outcome), note.duration, load))
-
-    def duty_of(self, cache):
-        kind = self.members.get(cache)
-        return next((duty for duty, kinds in enumerate(self.kinds) if kind in kinds), None)
-
-    def roster(self, note):
-        if note.kind == UpdateKind.UNAVAILABLE:
-            return
-        if note.kind != UpdateKind.DELTA:
-            self.members = {}
-        for member in note.endpoints:
-            if member.state == EndpointState.READY:
-                self.members[member.id] = member.kind
-            else:
-                self.members.pop(member.id, None)
-        self.gather(*self.all_targets())
-
-    def all_targets(self):
-        return [
-            TargetsUpdated(duty, tuple(cache for cache, kind in self.members.items() if kind in kinds))
-            for duty, kinds in enumerate(self.kinds)
-        ]
-
-    def serve(self, order):
-        if order.until and clock() >= order.until:
-            self.counts["too_late"] += 1
-        elif order.target in self.caches.peers:
-            self.counts["rounds"] += 1
-            self.serving[order.target] = order.duty
-            self.caches.probe(SendProbe(order.target), order.epoch)
-
-    def probe(self, order):
-        """The module asks for a probe: what is learnt already serves, as far as the module takes it."""
-        self.counts["probes_asked"] += 1
-        self.instance.timers.now = clock()
-        if shared := self.instance.find_answer(order.endpoint, order.max_age):
-            self.counts["probes_shared"] += 1
-            self.turn.gather(self.report_of(shared))
-        else:
-            self.counts["probes_sent"] += 1
-            self.asked.add(order.cache)
-            self.plain_probe(order)
-
-    def learnt(self, result):
-        if result.target not in self.asked:  # its own answer is on its way
-            self.turn.gather(self.report_of(result))
-
-    def report_of(self, result):
-        try:
-            verdict = AttemptOutcome(result.outcome)
-        except ValueError:
-            verdict = AttemptOutcome.FAILED
-        return ProbeEnded(result.target, verdict, result.duration, result.load, max(1, result.age))
+        for command in members.timers.take_commands():
+            self.line.send(members.me, command)
 
-    # The front's own calls
+    # What the front calls
 
-    def sweep(self):
+    def sweep(self) -> None:
+        """Retry writes, reread the keys and log what was dropped, each when it is time."""
         if self.over:
             return
         self.writes.retry()
         now = clock()
-        if now - self.looked > self.told.keys_reread:
-            self.looked = now
+        if now - self.keys_read_at > self.told.keys_reread:
+            self.keys_read_at = now
             self.line.reread()
-        if now - self.said > REPORT:
-            self.said = now
+        if now - self.reported_at > REPORT_INTERVAL:
+            self.reported_at = now
             self.line.report()
 
-    def reload(self):
+    def reload(self) -> None:
+        """Reread the keys."""
         if not self.over:
             self.line.reread()
 
-    def leave(self):
-        self.gather(LeaveRequested())
-
-    def stop(self):
-        """Share nothing any more; the front goes on by itself."""
-        self.over = True
-        self.turn.listener, self.turn.carriers[SendProbe] = None, self.plain_probe
-        self.line.close()
-        self.line.report()
-        self.logic_host.close()
-        for stopped in self.at_stop:
-            stopped()
-        if self.control:
-            self.control.stopListening()
-        self.store.close()
+    def leave(self) -> None:
+        """Begin to leave: hand over the duties and tell the other members."""
+        self.submit(LeaveRequested())
 
-    def shown(self):
-        """What `limepath peers show` asks for."""
+    def view(self) -> dict[str, Any]:
+        """Return what `limepath membership show` asks for."""
         self.instance.timers.now = clock()
         view = self.instance.view()._asdict()
-        view["counts"] |= (
-            self.counts
-            | {"datagrams_sent": self.line.sent}
-            | {f"datagrams {kind}": count for kind, count in self.line.guard.counts.items()}
-        )
+        view["counts"] |= self.probe_sharing.counts
+        view["counts"] |= self.counts
+        view["counts"]["datagrams_sent"] = self.line.sent
+        view["counts"] |= {f"datagrams {kind}": count for kind, count in self.line.guard.counts.items()}
         return view
--- /dev/null
+++ b/limepath/duties/probe_sharing.py
@@ -0,0 +1,195 @@
+"""Between the duties and a front's decision module: scheduled rounds are probes, shared results are reports.
+
+The endpoint list that the front receives gives the targets. The outcomes of its probes are this instance's
+results. Where the decision module asks for a probe, a shared result that is new enough stands in.
+"""
+
+from collections.abc import Callable, Mapping, Sequence
+from typing import Any, Protocol
+
+from limepath.configuration.sharing_settings import DutySettings
+from limepath.duties.instance import Instance
+from limepath.duties.interface import ProbeResult, ServeTarget, TargetServed, TargetsUpdated
+from limepath.interface.commands import SendProbe
+from limepath.interface.events import (
+    AttemptOutcome,
+    EndpointListUpdated,
+    EndpointState,
+    ProbeEnded,
+    UpdateKind,
+)
+
+MAX_LOAD_VALUES = 8
+"""Values of a load report that are shared."""
+MAX_LOAD_NAME = 12
+"""Characters of a value's name; those with a longer one are not shared."""
+
+
+class DecisionLoop(Protocol):
+    """What is used of the front's loop around its decision module (`front.turn.Turn`)."""
+
+    listener: Callable[[Sequence[Any]], object] | None
+    carriers: dict[type, Callable[[Any], object]]
+
+    def gather(self, *events: object) -> None:
+        """Hand events to the decision module in the next pass."""
+
+
+class ProbeSender(Protocol):
+    """What is used of the front's connections to its servers (`front.caches.Caches`)."""
+
+    peers: Mapping[int, object]
+
+    def probe(self, command: SendProbe, epoch: int = 0) -> object:
+        """Send a probe to an endpoint."""
+
+
+def kinds_by_duty(
+    duties: Sequence[DutySettings],
+    names_by_duty: Mapping[str, Sequence[str]],
+    upper_kinds: Mapping[str, int],
+    kind_count: int,
+) -> list[set[int]]:
+    """Return for each duty the decision module's kinds of its targets.
+
+    `names_by_duty` has the names that the settings give for a duty: those of `upper_kinds` (parents and
+    origin), or "caches" for all other kinds.
+    """
+    caches = set(range(kind_count)) - set(upper_kinds.values())
+    found: list[set[int]] = []
+    for duty in duties:
+        kinds: set[int] = set()
+        for name in names_by_duty[duty.name]:
+            kinds |= caches if name == "caches" else {upper_kinds[name]}
+        found.append(kinds)
+    return found
+
+
+class ProbeSharing:
+    """Serves targets by probing them, and shares what the probes of this front and of others tell.
+
+    `kinds` are the targets' kinds by duty, `submit` hands events to the instance, `clock` is its clock.
+    """
+
+    def __init__(
+        self,
+        loop: DecisionLoop,
+        probes: ProbeSender,
+        instance: Instance,
+        kinds: Sequence[set[int]],
+        submit: Callable[..., None],
+        clock: Callable[[], int],
+    ):
+        self.loop = loop
+        self.probes = probes
+        self.instance = instance
+        self.kinds = kinds
+        self.submit = submit
+        self.clock = clock
+        self.endpoint_kinds: dict[int, int] = {}
+        """The kinds of the endpoints that are ready."""
+        self.serving: dict[int, int] = {}
+        """The duty for which an endpoint is being probed."""
+        self.awaited: set[int] = set()
+        """Endpoints whose probe the decision module asked for and that are to answer themselves."""
+        self.event_listeners: list[Any] = []
+        """Their `saw(events)` is called with all events that the decision module receives."""
+        self.counts = {"probes_asked": 0, "probes_shared": 0, "probes_sent": 0, "rounds": 0, "too_late": 0}
+        self.send_probe_unshared = loop.carriers[SendProbe]
+
+    def attach(self) -> None:
+        """Listen to the decision module's events and take over its probes."""
+        self.loop.listener = self.handle_front_events
+        self.loop.carriers[SendProbe] = self.send_probe
+
+    def detach(self) -> None:
+        """Leave the probes to the front alone again."""
+        self.loop.listener = None
+        self.loop.carriers[SendProbe] = self.send_probe_unshared
+
+    # From the front to the instance
+
+    def handle_front_events(self, events: Sequence[Any]) -> None:
+        """Take in what the decision module is told: endpoint list updates, and how probes ended."""
+        for listener in self.event_listeners:
+            listener.saw(events)
+        for event in events:
+            if isinstance(event, EndpointListUpdated):
+                self._handle_list_updated(event)
+            elif isinstance(event, ProbeEnded) and not event.age:
+                self._handle_probe_ended(event)
+
+    def _handle_probe_ended(self, event: ProbeEnded) -> None:
+        """Share the outcome of a probe of this front itself."""
+        self.awaited.discard(event.endpoint)
+        duty = self.serving.pop(event.endpoint, self._duty_of(event.endpoint))
+        if duty is None or event.outcome == AttemptOutcome.SUPERSEDED:
+            return
+        load = {
+            name: float(value)
+            for name, value in list(event.load.items())[:MAX_LOAD_VALUES]
+            if len(name) <= MAX_LOAD_NAME
+        }
+        self.submit(TargetServed(duty, event.endpoint, int(event.outcome), event.duration, load))
+
+    def _duty_of(self, endpoint: int) -> int | None:
+        kind = self.endpoint_kinds.get(endpoint)
+        return next((duty for duty, kinds in enumerate(self.kinds) if kind in kinds), None)
+
+    def _handle_list_updated(self, event: EndpointListUpdated) -> None:
+        if event.kind == UpdateKind.UNAVAILABLE:
+            return
+        if event.kind != UpdateKind.DELTA:
+            self.endpoint_kinds = {}
+        for endpoint in event.endpoints:
+            if endpoint.state == EndpointState.READY:
+                self.endpoint_kinds[endpoint.id] = endpoint.kind
+            else:
+                self.endpoint_kinds.pop(endpoint.id, None)
+        self.submit(*self.all_targets())
+
+    def all_targets(self) -> list[TargetsUpdated]:
+        """Return the targets of each duty as the endpoint list has them now."""
+        return [
+            TargetsUpdated(
+                duty, tuple(endpoint for endpoint, kind in self.endpoint_kinds.items() if kind in kinds)
+            )
+            for duty, kinds in enumerate(self.kinds)
+        ]
+
+    # From the instance to the front
+
+    def serve(self, command: ServeTarget) -> None:
+        """Probe a target that is due, unless its lease has expired meanwhile."""
+        if command.until and self.clock() >= command.until:
+            self.counts["too_late"] += 1
+        elif command.target in self.probes.peers:
+            self.counts["rounds"] += 1
+            self.serving[command.target] = command.duty
+            self.probes.probe(SendProbe(command.target), command.epoch)
+
+    def send_probe(self, command: SendProbe) -> None:
+        """Carry out a probe that the decision module asks for, or let a new enough shared result stand in."""
+        self.counts["probes_asked"] += 1
+        self.instance.timers.now = self.clock()
+        if shared := self.instance.find_answer(command.endpoint, command.max_age):
+            self.counts["probes_shared"] += 1
+            self.loop.gather(report_of(shared))
+        else:
+            self.counts["probes_sent"] += 1
+            self.awaited.add(command.cache)
+            self.send_probe_unshared(command)
+
+    def report(self, result: ProbeResult) -> None:
+        """Report another instance's result to the decision module, unless it awaits the endpoint's own."""
+        if result.target not in self.awaited:
+            self.loop.gather(report_of(result))
+
+
+def report_of(result: ProbeResult) -> ProbeEnded:
+    """Return the decision module's event for a shared result; its age is never 0, which is a front's own."""
+    try:
+        outcome = AttemptOutcome(result.outcome)
+    except ValueError:  # of a later version
+        outcome = AttemptOutcome.FAILED
+    return ProbeEnded(result.target, outcome, result.duration, result.load, max(1, result.age))
--- a/tests/test_ring.py
+++ b/tests/test_ring.py
@@ -8,7 +8,6 @@
 from limepath.duties.ring import EMPTY, MAX_CACHED_PLACES, MAX_CACHED_RINGS, POINTS, Ring, key_of
 from limepath.membership.interface import REFUTATION_BITS, MemberRecord, MemberState
 
-
 FLEET = 600
 """Instances of a view whose changes are tried."""
 
