--- a/limepath/discovery/host.py
+++ b/limepath/discovery/host.py
@@ -181,7 +181,7 @@
     changes = GuidedChangeLog(
         reactor, turn, caches, limits, log, front.settings, front.seed, cooperation, terms
     )
-    cooperation.guests.append(changes)
+    cooperation.message_handlers.append(changes)
     changes.tallies = Tallies(reactor, turn, cooperation, front.seed ^ 0x7A11)
     cooperation.hearers.append(changes.tallies)
     if cooperation.told.connections:
--- a/limepath/duties/host.py
+++ b/limepath/duties/host.py
@@ -108,7 +108,7 @@
         """Whether nothing is shared any more."""
         self.keys_read_at = clock()
         self.reported_at = clock()
-        self.guests: list[Any] = []
+        self.message_handlers: list[Any] = []
         """Their `heard(sender, message)` is called with messages of other logics, from live members."""
         self.hearers = self.probe_sharing.event_listeners
         self.views: dict[str, Callable[[], Any]] = {"peers": self.view}
@@ -237,7 +237,7 @@
         elif isinstance(command, LogEvent):
             self.log.say(command.event, **command.fields)
         elif isinstance(command, MessageRelayed):
-            for handler in self.guests:
+            for handler in self.message_handlers:
                 handler.heard(command.sender, command.message)
         elif isinstance(command, YieldIdentity):
             self._yield_identity(command)
