--- a/limepath/discovery/host.py
+++ b/limepath/discovery/host.py
@@ -183,7 +183,7 @@
     )
     cooperation.message_handlers.append(changes)
     changes.tallies = Tallies(reactor, turn, cooperation, front.seed ^ 0x7A11)
-    cooperation.hearers.append(changes.tallies)
+    cooperation.event_listeners.append(changes.tallies)
     if cooperation.told.connections:
         from limepath.connection_pacing.host import Paced
 
--- a/limepath/duties/host.py
+++ b/limepath/duties/host.py
@@ -110,7 +110,7 @@
         self.reported_at = clock()
         self.message_handlers: list[Any] = []
         """Their `heard(sender, message)` is called with messages of other logics, from live members."""
-        self.hearers = self.probe_sharing.event_listeners
+        self.event_listeners = self.probe_sharing.event_listeners
         self.views: dict[str, Callable[[], Any]] = {"peers": self.view}
         """What the control socket answers, by the name asked for."""
         self.at_stop: list[Callable[[], object]] = []
