--- a/limepath/discovery/host.py
+++ b/limepath/discovery/host.py
@@ -184,7 +184,7 @@
     cooperation.message_handlers.append(changes)
     changes.tallies = Tallies(reactor, turn, cooperation, front.seed ^ 0x7A11)
     cooperation.event_listeners.append(changes.tallies)
-    if cooperation.told.connections:
+    if cooperation.settings.connections:
         from limepath.connection_pacing.host import Paced
 
         members = cooperation.instance.members
@@ -192,7 +192,7 @@
             reactor,
             turn,
             caches,
-            float(cooperation.told.connections),
+            float(cooperation.settings.connections),
             lambda: max(terms.fronts, len(members.ring) + 1),
             changes.logic.timers.random_fraction,
         )
--- a/limepath/duties/host.py
+++ b/limepath/duties/host.py
@@ -12,6 +12,7 @@
 
 from limepath.configuration.peers_file import PeersSettings
 from limepath.configuration.platform import FrontSettings
+from limepath.duties.boot_clock import clock
 from limepath.duties.instance import Instance
 from limepath.duties.interface import MESSAGES as DUTY_MESSAGES
 from limepath.duties.interface import (
@@ -46,14 +47,6 @@
 TOKEN_BITS = 63
 
 
-def clock() -> int:
-    """Return whole microseconds of a clock that goes on while the machine sleeps.
-
-    A lease must not outlive its holder's sleep.
-    """
-    return time.clock_gettime_ns(time.CLOCK_BOOTTIME) // 1000
-
-
 def random_token() -> int:
     """Return TOKEN_BITS of the system's randomness, for an instance's identity."""
     return int.from_bytes(os.urandom(8), "big") >> (64 - TOKEN_BITS)
@@ -87,7 +80,7 @@
     ):
         self.reactor = reactor
         self.log = log
-        self.told = settings
+        self.settings = settings
         self.store: Store
         """The identity, the ceiling of epochs, and what other parts of the front keep."""
         self.line: DatagramSocket
@@ -99,9 +92,8 @@
         """Whether the store was there, new or damaged at the start."""
         self.instance = self._make_instance(front.seed)
         self.logic_host = LogicHost(reactor, clock, self.instance, self.execute, self._fail)
-        self.probe_sharing = ProbeSharing(
-            loop, probes, self.instance, self._target_kinds(front), self.submit, clock
-        )
+        kinds = self._target_kinds(front)
+        self.probe_sharing = ProbeSharing(loop, probes, self.instance, kinds, self.submit, clock)
         self.control: Any = None
         """The listening control socket."""
         self.over = False
@@ -119,16 +111,12 @@
         self.probe_sharing.attach()
 
     def _open_files(self) -> None:
-        settings = self.told
+        settings = self.settings
         try:
             self.store = Store(settings.store)
+            types = message_types(settings)
             self.line = DatagramSocket(
-                self.reactor,
-                settings.listen,
-                settings.keys,
-                message_types(settings),
-                self.log,
-                self.submit,
+                self.reactor, settings.listen, settings.keys, types, self.log, self.submit
             )
         except (StoreLockedError, StoreUnusableError, OSError) as error:
             raise StartError(str(error)) from None
@@ -139,11 +127,11 @@
         try:
             self.store.put(rows)
         except sqlite3.Error as error:
-            raise StartError(f"{self.told.store}: {error}") from None
+            raise StartError(f"{self.settings.store}: {error}") from None
         return identity
 
     def _make_instance(self, seed: int) -> Instance:
-        settings = self.told
+        settings = self.settings
         me = MemberRecord(
             self.identity.token,
             settings.name,
@@ -165,7 +153,9 @@
     def _target_kinds(self, front: FrontSettings) -> list[set[int]]:
         topology = front.arguments["footprint"]
         upper_kinds = {"parents": topology.parent_kind, "origin": topology.origin_kind}
-        return kinds_by_duty(self.told.plans, self.told.kinds, upper_kinds, len(front.settings["models"]))
+        return kinds_by_duty(
+            self.settings.plans, self.settings.kinds, upper_kinds, len(front.settings["models"])
+        )
 
     # Start and stop
 
@@ -173,10 +163,10 @@
         """Open socket and control socket and join; where they cannot be opened, share nothing."""
         try:
             self.line.open()
-            if self.told.control:
-                self.control = control.listen(self.reactor, self.told.control, self.views)
+            if self.settings.control:
+                self.control = control.listen(self.reactor, self.settings.control, self.views)
         except Exception as error:  # the front goes on alone; whoever reads the log mends the file
-            self.log.say("sharing-off", str(error), file=self.told.file)
+            self.log.say("sharing-off", str(error), file=self.settings.file)
             self.stop()
             return
         self._log_start()
@@ -187,15 +177,15 @@
         if self.store_state == DAMAGED:
             self.log.say("store-damaged", "joins as a new instance", put_aside=self.store.aside)
         elif self.store_state == NEW:
-            self.log.say("store-new", "joins as a new instance", store=self.told.store)
-        host, port = self.told.listen
+            self.log.say("store-new", "joins as a new instance", store=self.settings.store)
+        host, port = self.settings.listen
         self.log.say(
             "sharing",
-            name=self.told.name,
+            name=self.settings.name,
             listening=f"{host}:{port}",
             life=self.identity.life,
             token=f"{self.identity.token:016x}",
-            duties=len(self.told.plans),
+            duties=len(self.settings.plans),
         )
 
     def stop(self) -> None:
@@ -283,7 +273,7 @@
             return
         self.writes.retry()
         now = clock()
-        if now - self.keys_read_at > self.told.keys_reread:
+        if now - self.keys_read_at > self.settings.keys_reread:
             self.keys_read_at = now
             self.line.reread()
         if now - self.reported_at > REPORT_INTERVAL:
