--- /dev/null
+++ b/tests/test_duty_drill.py
@@ -0,0 +1,69 @@
+"""Duties of real fronts with real datagrams on loopback, under faults."""
+
+import json
+import os
+import subprocess
+import sys
+
+import pytest
+
+
+def drill(*words):
+    done = subprocess.run(
+        [sys.executable, "-m", "limepath", "duties", "drill", "--json", *words],
+        capture_output=True,
+        text=True,
+        timeout=600,
+        env=os.environ | {"PYTHONPATH": os.getcwd()},
+    )
+    assert done.returncode in (0, 1), done.stderr
+    return json.loads(done.stdout)
+
+
+@pytest.mark.parametrize("mode", ("at-least-once", "one-owner"))
+def test_real_fronts_share_their_rounds_while_one_is_killed_and_stopped(mode):
+    told = drill(
+        "--instances",
+        "3",
+        "--targets",
+        "12",
+        "--interval",
+        "1s",
+        "--faults",
+        "2",
+        "--seed",
+        "4",
+        "--mode",
+        mode,
+        "--only",
+        "kill,stop",
+    )
+    rows = {row["what"]: row["measured"] for row in told["rows"]}
+    assert rows["views agree at the end"] is True and rows["rounds served"] >= 12 and rows["gave way"] == 0
+    assert rows["rounds at targets gone, after the grace"] == 0
+    assert rows.get("moments at which two held one slot", 0) == 0
+
+
+def test_a_delayed_round_of_a_former_lease_holder_is_rejected_by_its_epoch():
+    told = drill(
+        "--instances",
+        "3",
+        "--targets",
+        "24",
+        "--interval",
+        "500ms",
+        "--faults",
+        "1",
+        "--seed",
+        "2",
+        "--mode",
+        "one-owner",
+        "--only",
+        "held",
+    )
+    rows = {row["what"]: row["measured"] for row in told["rows"]}
+    assert rows["faults of the ways that took no effect"] == 0
+    assert (
+        rows["rounds turned away for an older epoch"] > 0 and rows["moments at which two held one slot"] == 0
+    )
+    assert rows["views agree at the end"] is True
--- /dev/null
+++ b/tests/test_duty_simulation.py
@@ -0,0 +1,124 @@
+"""Duties in virtual time: each kind of fault, alone and with loss, keeps the bounds."""
+
+from itertools import pairwise
+
+import pytest
+
+from limepath.configuration.sharing_settings import DutyMode, DutySettings, LeaseSettings, MembershipTimeouts
+from limepath.duties import simulate
+from limepath.duties.bounds import bounds
+from limepath.duties.simulate import Day, Fault, findings, simulated
+from limepath.duties.world import World
+from limepath.report_table import hold
+
+SECOND = 1_000_000
+LEASING = LeaseSettings(("a", "b", "c"), 3 * SECOND, 0.01, 4)
+MODES = (DutyMode.AT_LEAST_ONCE, DutyMode.ONE_OWNER)
+
+
+def broken(found):
+    return [(row.what, row.measured, row.bound) for row in found.rows if not row.holds]
+
+
+@pytest.mark.parametrize("mode", MODES)
+@pytest.mark.parametrize("kind", simulate.KINDS)
+def test_each_fault_keeps_the_bounds(kind, mode):
+    found = simulated(5, 40, mode, 5 * SECOND, 80 * SECOND, seed=11, kinds=(kind,))
+    assert [fault.kind for fault in found.faults] and not broken(found)
+
+
+@pytest.mark.parametrize("mode", MODES)
+def test_loss_doubles_and_reordering_keep_the_bounds(mode):
+    found = simulated(
+        5,
+        40,
+        mode,
+        5 * SECOND,
+        120 * SECOND,
+        seed=5,
+        loss=0.3,
+        doubled=0.1,
+        late=0.1,
+        kinds=("kill", "minority"),
+    )
+    assert found.faults and not broken(found)
+
+
+def test_200_targets_replaced_within_seconds_are_served_and_the_removed_are_not():
+    plan, spans = DutySettings("probe", DutyMode.AT_LEAST_ONCE, 5 * SECOND), MembershipTimeouts()
+    world = World(4, 200, (plan,), spans, LEASING._replace(voters=("n0", "n1", "n2")), 3)
+    faults = [Fault(at * SECOND, "targets", (0,), 0) for at in (11, 12, 13, 14, 15)]
+    day = Day(world, faults, 40 * SECOND)
+    world.open(True)
+    world.run(40 * SECOND)
+    rows = findings(day, plan)
+    assert hold(rows) and len(world.gone) == 200 and len(world.targets) == 200
+    assert all(len(world.serves[0, target]) >= 4 for target in world.targets)
+
+
+def test_the_same_seed_gives_the_same_run():
+    one, again, other = (
+        simulated(3, 10, DutyMode.ONE_OWNER, length=50 * SECOND, seed=seed, loss=0.1, kinds=("kill",))
+        for seed in (4, 4, 5)
+    )
+    assert one.rows == again.rows and one.faults == again.faults
+    assert other.world.messages != one.world.messages
+
+
+def test_the_owner_may_die_before_during_and_after_its_round():
+    plan = DutySettings("probe", DutyMode.ONE_OWNER, 5 * SECOND)
+    leasing = LEASING._replace(voters=("n0", "n1", "n2"))
+    bound = bounds(MembershipTimeouts(), plan, leasing, 3).gap
+    quiet = World(3, 6, (plan,), MembershipTimeouts(), leasing, 9)
+    quiet.open(True)
+    quiet.run(30 * SECOND)
+    at, who = quiet.serves[0, 1][2]
+    for dies in (at - 1, at, at + 400, at + 900):  # the answer comes 800 us after the round began
+        world = World(3, 6, (plan,), MembershipTimeouts(), leasing, 9)
+        world.open(True)
+        world.at(dies, world.nodes[who].stop)
+        world.run(at + 60 * SECOND)
+        times = [when for when, _ in world.serves[0, 1]]
+        assert max(b - a for a, b in pairwise(times)) <= bound and not world.both_held
+        assert world.serves[0, 1][-1][1] != who
+
+
+def test_an_instance_that_resumes_after_its_lease_expired_serves_nothing_under_it():
+    plan = DutySettings("probe", DutyMode.ONE_OWNER, 2 * SECOND)
+    world = World(3, 30, (plan,), MembershipTimeouts(), LEASING._replace(voters=("n0", "n1", "n2")), 2)
+    world.open(True)
+    world.run(12 * SECOND)
+    node = world.nodes[0]
+    before = {slot for _, slot in node.instance.lease_manager.held_leases}
+    assert before
+    node.paused = True
+    world.run(52 * SECOND)
+    node.resume()
+    assert not node.instance.lease_manager.slots_held(0)  # the epochs it held are gone with its leases
+    world.run(92 * SECOND)
+    assert not world.both_held and world.turned_away == 0
+    assert node.instance.lease_manager.slots_held(0)
+
+
+def test_a_minority_stops_and_a_majority_goes_on():
+    plan = DutySettings("probe", DutyMode.ONE_OWNER, 2 * SECOND)
+    world = World(
+        5, 30, (plan,), MembershipTimeouts(), LEASING._replace(voters=tuple(f"n{i}" for i in range(5))), 6
+    )
+    world.open(True)
+    world.run(12 * SECOND)
+    few = frozenset({0, 1})
+    world.network.cuts = {1: (few, frozenset({2, 3, 4})), 2: (frozenset({2, 3, 4}), few)}
+    world.run(60 * SECOND)
+    late = {who for served in world.serves.values() for at, who in served if at > 17 * SECOND}
+    assert late == {2, 3, 4} and all(served[-1][0] > 55 * SECOND for served in world.serves.values())
+
+
+def test_a_broken_bound_is_reported():
+    found = simulated(3, 5, length=40 * SECOND, kinds=("kill",))
+    world, day = found.world, None
+    world.serves[0, 1] = world.serves[0, 1][:1]  # as if nobody had served it again
+    day = Day(World(3, 0, world.plans, world.spans, world.leasing, 1), [], 40 * SECOND)
+    day.world, day.end = world, world.now
+    rows = findings(day, world.plans[0])
+    assert [row.what for row in rows if not row.holds] == ["longest gap, s"]
--- /dev/null
+++ b/tests/test_leases.py
@@ -0,0 +1,103 @@
+"""Lease holders and voters of several instances, with messages that are lost where a test wants it."""
+
+from limepath.configuration.sharing_settings import LeaseSettings
+from limepath.duties.lease_timing import holder_duration, startup_silence
+from limepath.duties.leases import LeaseManager
+from limepath.timer_queue import TimerQueue
+
+SECOND = 1_000_000
+LEASING = LeaseSettings(("a", "b", "c"), 3 * SECOND, 0.01, 4)
+
+
+class LeaseFleet:
+    """Instances that are holders and voters; a test chooses which messages are lost."""
+
+    def __init__(self, names=("a", "b", "c"), sure=True, leasing=LEASING):
+        self.now = 0
+        self.sent = []
+        self.managers = {}
+        self.wanted = {name: set() for name in names}
+        for name in names:
+            timers = TimerQueue(ord(name))
+            manager = LeaseManager(
+                timers,
+                name,
+                ord(name),
+                leasing,
+                (0,),
+                lambda duty, name=name: self.wanted[name],
+                lambda duty: None,
+                lambda to, message, name=name: self.sent.append((name, to, message)),
+                0,
+                sure,
+            )
+            self.managers[name] = manager
+            manager.start()
+
+    def run(self, span, lost=lambda source, to: False):
+        end = self.now + span
+        while self.now < end:
+            self.now += 10_000
+            for manager in self.managers.values():
+                manager.timers.run_due(self.now)
+            while self.sent:
+                source, to, message = self.sent.pop(0)
+                if not lost(source, to) and to in self.managers:
+                    self.managers[to].handle_message(source, ord(source), message)
+
+    def holders(self, slot=0):
+        return [name for name, manager in self.managers.items() if manager.valid_lease(0, slot)]
+
+
+def test_a_voter_grants_nothing_for_its_startup_silence():
+    fleet = LeaseFleet()
+    fleet.wanted["a"] = {0}
+    fleet.run(startup_silence(LEASING) - 20_000)
+    assert fleet.holders() == []
+    fleet.run(2 * SECOND)
+    assert fleet.holders() == ["a"]
+
+
+def test_a_lease_expires_without_a_majority_and_its_epoch_is_not_granted_again():
+    fleet = LeaseFleet()
+    fleet.wanted["a"] = {0}
+    fleet.run(8 * SECOND)
+    epoch = fleet.managers["a"].valid_lease(0, 0).epoch
+    fleet.run(holder_duration(LEASING) + 20_000, lost=lambda source, to: source != to)
+    assert fleet.holders() == []
+    fleet.wanted["b"], fleet.wanted["a"] = {0}, set()
+    fleet.run(8 * SECOND)
+    assert fleet.holders() == ["b"] and fleet.managers["b"].valid_lease(0, 0).epoch > epoch
+
+
+def test_two_that_want_one_slot_never_both_hold_it_and_a_release_hands_it_over_at_once():
+    fleet = LeaseFleet()
+    fleet.wanted["a"] = fleet.wanted["b"] = {0}
+    for _ in range(1000):
+        fleet.run(10_000, lost=lambda source, to: fleet.now // 70_000 % 3 == 0)
+        assert len(fleet.holders()) < 2
+    (holder,) = fleet.holders()
+    other = "ab".replace(holder, "")
+    fleet.wanted[holder] = set()
+    fleet.run(2 * SECOND)
+    assert fleet.holders() == [other]  # sooner than the old lease would have ended
+
+
+def test_a_holder_renews_without_a_gap_while_the_voters_restart_one_after_another():
+    fleet = LeaseFleet()
+    fleet.wanted["a"] = {0}
+    fleet.run(8 * SECOND)
+    for name in ("b", "c"):
+        old = fleet.managers[name].voter
+        old.grants.clear()
+        old.epoch_floor, old.silent_until = old.ceiling, fleet.now + startup_silence(LEASING)
+        for _ in range(50):
+            fleet.run(100_000)
+            assert fleet.holders() == ["a"]
+
+
+def test_a_new_fleet_begins_once_all_voters_have_reported_that_they_know_nothing():
+    fleet = LeaseFleet(sure=False)
+    fleet.wanted["c"] = {0, 1}
+    fleet.run(10 * SECOND)
+    assert fleet.holders() == fleet.holders(1) == ["c"]
--- /dev/null
+++ b/tests/test_shared_results.py
@@ -0,0 +1,94 @@
+"""Results that instances share, and what they mean to the decision module."""
+
+from limepath.configuration.sharing_settings import LeaseSettings
+from limepath.duties.interface import (
+    ProbeResult,
+    ResultShared,
+    SendToMember,
+)
+from limepath.duties.shared_results import RESULTS_PER_MESSAGE, TRANSIT_TIME, SharedResults
+from limepath.interface.commands import ForwardRequest, SendProbe
+from limepath.interface.events import AttemptOutcome, ProbeEnded
+from limepath.timer_queue import TimerQueue
+from tests.fake_host import FakeHost
+
+SECOND = 1_000_000
+LEASING = LeaseSettings(("a", "b", "c"), 3 * SECOND, 0.01, 4)
+
+
+def shared_results(live=(2, 3), interval=4 * SECOND):
+    timers = TimerQueue(1)
+    timers.now = 100 * SECOND
+    return timers, SharedResults(
+        timers, 1, [interval], LEASING, lambda: list(live), lambda token: token in (1, *live)
+    )
+
+
+def result(target=5, prober=2, serial=1, age=SECOND, verdict=0):
+    return ProbeResult(0, target, prober, serial, age, verdict, 900, {"util": 0.3})
+
+
+def test_old_results_and_those_of_dead_probers_are_dropped():
+    timers, known = shared_results()
+    known.receive((result(), result(prober=9), result(target=6, age=5 * SECOND), result(), result(serial=0)))
+    assert dict(known.counts) == {"new": 1, "dead prober": 1, "too old": 1, "known": 2}
+    (shared,) = [o for o in timers.take_commands() if isinstance(o, ResultShared)]
+    assert shared.result.target == 5 and shared.result.age == SECOND + TRANSIT_TIME
+
+
+def test_a_result_stands_in_for_a_probe_while_it_is_new_enough():
+    timers, known = shared_results()
+    known.receive((result(),))
+    assert known.find_answer(5, 3 * SECOND).age == SECOND + TRANSIT_TIME
+    assert known.find_answer(5, SECOND) is None and known.find_answer(6, 3 * SECOND) is None
+    timers.now += 4 * SECOND
+    assert known.find_answer(5, 60 * SECOND) is None  # older than the interval
+
+
+def test_one_prober_s_failure_does_not_stand_in_but_two_agreeing_do():
+    timers, known = shared_results()
+    known.receive((result(verdict=int(AttemptOutcome.TIMED_OUT)),))
+    assert known.find_answer(5, 3 * SECOND) is None
+    known.receive((result(prober=3, verdict=int(AttemptOutcome.TIMED_OUT), age=SECOND // 2),))
+    assert known.find_answer(5, 3 * SECOND).outcome == AttemptOutcome.TIMED_OUT
+
+
+def test_a_result_goes_to_all_nearby_with_its_age_and_spreads_as_an_epidemic_in_large_fleets():
+    timers, known = shared_results()
+    known.add_own(0, 5, 0, 900, {})
+    timers.run_due(timers.now + LEASING.batch)
+    sent = [o for o in timers.take_commands() if isinstance(o, SendToMember)]
+    assert {o.token for o in sent} == {2, 3} and sent[0].message.results[0].age == LEASING.batch
+    timers, known = shared_results(live=tuple(range(2, 60)))
+    known.receive(tuple(result(target=target) for target in range(40)))
+    timers.run_due(timers.now + LEASING.batch)
+    sent = [o for o in timers.take_commands() if isinstance(o, SendToMember)]
+    assert len({o.token for o in sent}) == LEASING.copies
+    assert all(len(o.message.results) <= RESULTS_PER_MESSAGE for o in sent)
+
+
+def test_a_shared_result_newer_than_the_missed_probe_ends_the_suspicion_and_an_older_one_does_not():
+    host = FakeHost()
+    (forward,) = [o for o in host.get() if isinstance(o, ForwardRequest)]
+    asked = [o for o in host.wait(2 * SECOND) if isinstance(o, SendProbe)]
+    assert asked[0].endpoint == forward.endpoint and 1_200_000 < asked[0].max_age <= 1_300_000
+    host.probe_report(forward.endpoint, AttemptOutcome.TIMED_OUT)
+    cache = host.front.caches[forward.endpoint]
+    assert cache.missed == 1
+    host.hear(ProbeEnded(forward.endpoint, AttemptOutcome.SUCCEEDED, 900, {}, 500_000))  # learnt before that
+    assert cache.missed == 1
+    host.wait(SECOND // 5)
+    host.hear(ProbeEnded(forward.endpoint, AttemptOutcome.SUCCEEDED, 900, {}, 100_000))
+    assert cache.missed == 0 and cache.heard == host.now - 100_000
+
+
+def test_another_s_failure_makes_the_module_probe_and_counts_as_its_answer():
+    host = FakeHost()
+    host.wait(SECOND)
+    host.hear(ProbeEnded(1, AttemptOutcome.TIMED_OUT, 900, {}, 1000))
+    cache = host.front.caches[1]
+    assert cache.missed == 0 and cache.suspect
+    asked = [o for o in host.wait(SECOND // 5) if isinstance(o, SendProbe)]
+    assert [o.endpoint for o in asked] == [1]
+    host.hear(ProbeEnded(1, AttemptOutcome.TIMED_OUT, 900, {}, 1000))  # the shared answer that serves
+    assert cache.missed == 1
