--- a/limepath/cli/duties.py
+++ b/limepath/cli/duties.py
@@ -179,9 +179,9 @@
     """Explore every order of delivery, loss, doubling, pause and expiry of the lease logic; one owner at
     most.
     """
-    from limepath.duties.check import explored
+    from limepath.duties.check import explore
 
-    found = explored(instances, depth, states, broken)
+    found = explore(instances, depth, states, broken)
     conclude(
         found.rows, as_json, found.trace, instances=instances, depth=depth, broken=broken, trace=found.trace
     )
--- a/limepath/duties/check.py
+++ b/limepath/duties/check.py
@@ -1,307 +1,211 @@
-"""Model checking of the lease logic: every order of delivery, loss, doubling, pause, expiry and crash, to a
-depth.
-
-The logic is the program's own (`leases`), two or three instances that all want one slot, all of them voters,
-their clocks apart by the drift that the settings allow. Time goes on only as far as what is done next wants
-it: an instance whose due time passes without a turn is a paused one. It begins where one instance holds the
-slot. Breadth first, so that a trace that breaks the rule is a shortest one. The rule: at no moment do two
-instances hold the slot, each by its own clock.
+"""Model checking of the leases: every order of delivery, loss, duplication, pause and crash, to a depth.
+
+Time goes on only as far as the next step needs it: an instance whose due time passes without a step is a
+paused one. Histories begin where one instance holds the slot. They are explored breadth first, so a history
+that violates the rule is a shortest one. The rule: at no moment do two instances hold the slot, each by its
+own clock. See `lease_model` for the states.
 """
 
 import pickle
 import time
-from typing import NamedTuple
+from collections.abc import Iterator
+from typing import Any, NamedTuple
 
-from limepath.configuration.sharing_settings import LeaseSettings
-from limepath.duties.interface import PersistEpochCeiling
-from limepath.duties.leases import LeaseManager
-from limepath.duties.voter import Grant, Voter
+from limepath.duties.lease_model import Envelope, ModelInstance, ModelState, message_fields
 from limepath.report_table import Row, at_most
-from limepath.timer_queue import TimerQueue
-
-SPAN, DRIFT = 1_000_000, 0.01
-DOUBLED, CRASHED = 1, 1  # how often in one history
-SLOT = (0, 0)
-
-
-class Even(TimerQueue):
-    """Chance is of no interest here: half, always."""
-
-    def random_fraction(self):
-        return 0.5
-
 
-class Careless(Voter):
-    """The rule broken on purpose: what another holds is granted all the same."""
+MAX_DUPLICATED = 1
+"""Messages of one history that are delivered twice."""
+MAX_CRASHED = 1
+"""Crashes in one history."""
+PICKLE_PROTOCOL = 5
 
-    def is_valid(self, grant: Grant) -> bool:
-        return False
 
+class Step(NamedTuple):
+    """One thing that may happen, and the state after it."""
 
-class One:
-    """One instance: its leases, its clock's rate, what it has to send."""
+    description: str
+    state: ModelState
 
-    def __init__(self, index, names, broken):
-        self.index, self.names, self.broken, self.life = index, names, broken, 0
-        self.rate = 1 - DRIFT * (index % 2)
-        self.ceiling, self.out = 0, []
-        self.begin(0, False)
 
-    def begin(self, now, restarted):
-        self.life += 1
-        self.timers = Even(0)
-        self.timers.now = self.clock(now)
-        self.leases = LeaseManager(
-            self.timers,
-            self.names[self.index],
-            self.index * 100 + self.life,
-            LeaseSettings(tuple(self.names), SPAN, DRIFT, 1),
-            (0,),
-            self.wanted,
-            self.changed,
-            self.reach,
-            self.ceiling,
-            True,
-        )
-        if self.broken:
-            self.leases.voter.__class__ = Careless
-        self.leases.start()
-        if not restarted:  # as after a quiet time
-            self.leases.voter.silent_until = 0
-        self.settle()
-
-    def clock(self, now):
-        return int(now * self.rate)
-
-    def wanted(self, duty):
-        return {0}
-
-    def changed(self, duty):
-        pass
-
-    def reach(self, name, message):
-        self.out.append((self.index, self.names.index(name), self.leases.session, message))
-
-    def settle(self):
-        """Messages to itself arrive at once; give what goes to others."""
-        while own := [one for one in self.out if one[1] == self.index]:
-            self.out = [one for one in self.out if one[1] != self.index]
-            for _, _, door, message in own:
-                self.leases.handle_message(self.names[self.index], door, message)
-        for order in self.timers.take_commands():
-            if isinstance(order, PersistEpochCeiling):
-                self.ceiling = order.ceiling
-        sent, self.out = self.out, []
-        return sent
-
-    def due(self):
-        """When it has something to do next, in the time that all share."""
-        return int(self.timers.next_due() / self.rate) + 1
-
-    def turn(self, now):
-        self.timers.run_due(self.clock(now))
-        return self.settle()
-
-    def hear(self, now, source, door, message):
-        self.timers.now = self.clock(now)
-        self.leases.handle_message(self.names[source], door, message)
-        return self.settle()
-
-    def holds(self, now):
-        self.timers.now = self.clock(now)
-        return self.leases.valid_lease(*SLOT) is not None
-
-    def mark(self, now):
-        """What its future depends on, times as spans from now, rounds as steps back."""
-        here, leases = self.clock(now), self.leases
-        voter, number = leases.voter, leases.round
-        return (
-            self.life,
-            self.ceiling,
-            tuple(
-                sorted(
-                    (lease.epoch, max(-1, lease.expires_at - here)) for lease in leases.held_leases.values()
-                )
-            ),
-            tuple(
-                (
-                    number - of,
-                    one.sent_at - here,
-                    tuple(one.epochs.items()),
-                    tuple(sorted(map(tuple, map(sorted, one.votes.values())))),
-                )
-                for of, one in sorted(leases.pending_requests.items())
-            ),
-            tuple(leases.highest_epochs.items()),
-            tuple(max(0, until - here) for until in leases.retry_at.values()),
-            tuple(
-                (grant.holder, grant.epoch, max(-1, grant.expires_at - here))
-                for grant in voter.grants.values()
-            ),
-            max(0, voter.silent_until - here),
-            voter.epoch_floor,
-            tuple(
-                sorted(
-                    (
-                        when - here,
-                        call.__name__,
-                        str([number - one if isinstance(one, int) else 0 for one in said]),
-                    )
-                    for when, call, said in self.timers.pending()
-                )
-            ),
-        )
-
-
-class Moment(NamedTuple):
-    now: int
-    all: tuple
-    way: tuple  # messages that are out
-    doubled: int
-    crashed: int
-
-    def mark(self):
-        rounds = [one.leases.round for one in self.all]
-        way = tuple(
-            sorted(
-                (
-                    source,
-                    to,
-                    door,
-                    type(message).__name__,
-                    str(
-                        (
-                            rounds[source if type(message).__name__ == "LeaseRequest" else to]
-                            - getattr(message, "round", 0),
-                            *list(
-                                getattr(message, name)
-                                for name in message.__struct_fields__
-                                if name != "round"
-                            ),
-                        )
-                    ),
-                )
-                for source, to, door, message in self.way
-            )
+class Explored(NamedTuple):
+    """What an exploration found."""
+
+    rows: list[Row]
+    trace: list[str]  # the history that violates the rule, a line a step; empty if none was found
+
+
+def plain_value(value: Any) -> Any:
+    """Return a field's value with plain tuples in place of named ones, as traces print it."""
+    return tuple(plain_value(item) for item in value) if isinstance(value, tuple) else value
+
+
+def describe(verb: str, envelope: Envelope, names: list[str]) -> str:
+    """Return what is done with a message, for the trace."""
+    fields = message_fields(envelope.message)
+    fields.pop("duty", None)
+    text = ", ".join(f"{name}={plain_value(value)}" for name, value in fields.items())
+    source = names[envelope.source]
+    destination = names[envelope.destination]
+    return f"{verb} {type(envelope.message).__name__}({text}) from {source} to {destination}"
+
+
+def next_steps(frozen: bytes) -> Iterator[Step]:
+    """Give everything that may happen next in a pickled state."""
+    state: ModelState = pickle.loads(frozen)
+    seen: set[bytes] = set()
+    for index, envelope in enumerate(state.under_way):
+        key = pickle.dumps(envelope)
+        if key not in seen:
+            seen.add(key)
+            yield from message_steps(frozen, state, index)
+    for index in range(len(state.instances)):
+        yield from instance_steps(frozen, state, index)
+
+
+def message_steps(frozen: bytes, state: ModelState, index: int) -> Iterator[Step]:
+    """Lose one message that is under way, deliver it, or deliver it and keep a duplicate under way."""
+    names = state.instances[0].names
+    envelope = state.under_way[index]
+    rest = state.under_way[:index] + state.under_way[index + 1 :]
+    yield Step(describe("lose", envelope, names), state._replace(under_way=rest))
+    for duplicate in (False, True) if state.duplicated < MAX_DUPLICATED else (False,):
+        after: ModelState = pickle.loads(frozen)
+        delivered = after.under_way[index]
+        sent = after.instances[delivered.destination].receive(after.now, delivered)
+        remaining = after.under_way
+        if not duplicate:
+            remaining = after.under_way[:index] + after.under_way[index + 1 :]
+        yield Step(
+            describe("deliver twice, first" if duplicate else "deliver", envelope, names),
+            after._replace(under_way=remaining + tuple(sent), duplicated=after.duplicated + duplicate),
         )
-        return hash((tuple(one.mark(self.now) for one in self.all), way, self.doubled, self.crashed))
-
 
-def plain(value):
-    """A field for the trace: named tuples without their names."""
-    return tuple(map(plain, value)) if isinstance(value, tuple) else value
 
-
-def told(verb, one, names):
-    source, to, _, message = one
-    fields = ", ".join(
-        f"{name}={plain(getattr(message, name))}" for name in message.__struct_fields__ if name != "duty"
+def instance_steps(frozen: bytes, state: ModelState, index: int) -> Iterator[Step]:
+    """Let one instance do what is due, or crash and start anew."""
+    name = state.instances[0].names[index]
+    after: ModelState = pickle.loads(frozen)
+    now = max(after.now, after.instances[index].next_due())
+    sent = after.instances[index].run_due(now)
+    yield Step(
+        f"{name} takes its turn at {now / 1e6:.3f} s",
+        after._replace(now=now, under_way=after.under_way + tuple(sent)),
     )
-    return f"{verb} {type(message).__name__}({fields}) from {names[source]} to {names[to]}"
-
-
-def steps(frozen):
-    """All that may happen next: (what is said of it, the Moment after it)."""
-    moment = pickle.loads(frozen)
-    names = moment.all[0].names
-    seen = set()
-    for at, one in enumerate(moment.way):
-        key = pickle.dumps(one)
-        if key in seen:
-            continue
-        seen.add(key)
-        rest = moment.way[:at] + moment.way[at + 1 :]
-        yield told("lose", one, names), moment._replace(way=rest)
-        for kept in (False, True) if moment.doubled < DOUBLED else (False,):
-            after = pickle.loads(frozen)
-            source, to, door, message = after.way[at]
-            sent = after.all[to].hear(after.now, source, door, message)
-            way = (after.way if kept else after.way[:at] + after.way[at + 1 :]) + tuple(sent)
-            yield (
-                told("deliver twice, first" if kept else "deliver", one, names),
-                after._replace(way=way, doubled=after.doubled + kept),
-            )
-    for index in range(len(names)):
+    if state.crashed < MAX_CRASHED:
         after = pickle.loads(frozen)
-        now = max(after.now, after.all[index].due())
-        sent = after.all[index].turn(now)
-        yield (
-            f"{names[index]} takes its turn at {now / 1e6:.3f} s",
-            after._replace(now=now, way=after.way + tuple(sent)),
-        )
-        if moment.crashed < CRASHED:
-            after = pickle.loads(frozen)
-            after.all[index].begin(after.now, True)
-            yield f"{names[index]} crashes and starts anew", after._replace(crashed=after.crashed + 1)
-
+        after.instances[index].start(after.now, restarted=True)
+        yield Step(f"{name} crashes and starts anew", after._replace(crashed=after.crashed + 1))
 
-def both_hold(moment):
-    return [one.names[one.index] for one in moment.all if one.holds(moment.now)]
 
-
-def opening(instances, broken):
-    """The Moment from which to explore: the last instance holds the slot, all messages of that have
-    arrived.
-    """
+def initial_state(instances: int, broken: bool) -> ModelState:
+    """Return the state in which the last instance has just acquired the slot and no message is under way."""
     names = [f"n{index}" for index in range(instances)]
-    moment = Moment(0, tuple(One(index, names, broken) for index in range(instances)), (), 0, 0)
-    holder = moment.all[-1]
-    now = holder.due()
-    way = list(holder.turn(now))
-    while way:
-        source, to, door, message = way.pop(0)
-        way += moment.all[to].hear(now, source, door, message)
-    return moment._replace(now=now)
-
-
-class Explored(NamedTuple):
-    rows: list
-    trace: list
-
-
-def explored(instances, depth, most, broken=False):
-    """Explore up to `depth` events and `most` states; give the rows and, where the rule breaks, a shortest
-    trace.
-    """
-    began, first = time.monotonic(), opening(instances, broken)
-    layer, seen, came = [(pickle.dumps(first, 5), None)], {first.mark()}, []
-    edges, reached, held, whole = 0, 0, 0, True
-    trace = []
-    while layer and reached < depth and not trace and whole:
-        after = []
-        for at, (frozen, _) in enumerate(layer):
-            for said, moment in steps(frozen):
-                edges += 1
-                holders = both_hold(moment)
-                if len(holders) > 1:
-                    trace = [said, f"now {' and '.join(holders)} both hold the slot"]
-                    back, level = at, len(came)
-                    line = layer[at][1]
-                    while line is not None:
-                        level -= 1
-                        back, said = line
-                        trace.insert(0, said)
-                        line = came[level][back]
-                    break
-                mark = moment.mark()
-                if mark not in seen:
-                    seen.add(mark)
-                    held += len(holders) == 1
-                    after.append((pickle.dumps(moment, 5), (at, said)))
-            if trace or len(seen) >= most:
-                whole = bool(trace)
+    models = tuple(ModelInstance(index, names, broken) for index in range(instances))
+    holder = models[-1]
+    now = holder.next_due()
+    under_way = list(holder.run_due(now))
+    while under_way:
+        envelope = under_way.pop(0)
+        under_way += models[envelope.destination].receive(now, envelope)
+    return ModelState(now, models, (), 0, 0)
+
+
+class Origin(NamedTuple):
+    """How a state was reached: from which state of the layer before, by which step."""
+
+    index: int
+    description: str
+
+
+class Node(NamedTuple):
+    """A state of the present layer, pickled; `origin` is None for the initial state."""
+
+    frozen: bytes
+    origin: Origin | None
+
+
+class Explorer:
+    """A breadth-first exploration of up to `max_states` states."""
+
+    def __init__(self, first: ModelState, max_states: int):
+        self.max_states = max_states
+        self.layer = [Node(pickle.dumps(first, PICKLE_PROTOCOL), None)]
+        """The states that are so many steps from the initial one as there are `past_layers`."""
+        self.past_layers: list[list[Origin | None]] = []
+        self.seen = {first.fingerprint()}
+        self.steps_tried = 0
+        self.depth = 0
+        """Steps in a row of which all orders were tried."""
+        self.states_with_holder = 0
+        self.trace: list[str] = []
+        """The steps to a state that violates the rule, if one was found."""
+
+    def explore(self, max_depth: int) -> None:
+        """Explore layer by layer until the depth, the last state, a violation or the most states."""
+        complete = True
+        while self.layer and self.depth < max_depth and not self.trace and complete:
+            complete = self._explore_layer()
+            self.depth += complete and not self.trace
+
+    def _explore_layer(self) -> bool:
+        """Try all steps from the present layer; return False where the most states were reached."""
+        next_layer: list[Node] = []
+        complete = True
+        for index, node in enumerate(self.layer):
+            self._explore_node(index, node, next_layer)
+            if self.trace or len(self.seen) >= self.max_states:
+                complete = bool(self.trace)
                 break
-        came.append([line for _, line in layer])
-        layer = after
-        reached += 1 if whole and not trace else 0
-    trace = [f"{first.all[-1].names[-1]} holds the slot at {first.now / 1e6:.3f} s", *trace] if trace else []
+        self.past_layers.append([node.origin for node in self.layer])
+        self.layer = next_layer
+        return complete
+
+    def _explore_node(self, index: int, node: Node, next_layer: list[Node]) -> None:
+        for step in next_steps(node.frozen):
+            self.steps_tried += 1
+            holders = step.state.holders()
+            if len(holders) > 1:
+                violation = f"now {' and '.join(holders)} both hold the slot"
+                self.trace = [*self._steps_to(node), step.description, violation]
+                return
+            fingerprint = step.state.fingerprint()
+            if fingerprint not in self.seen:
+                self.seen.add(fingerprint)
+                self.states_with_holder += len(holders) == 1
+                frozen = pickle.dumps(step.state, PICKLE_PROTOCOL)
+                next_layer.append(Node(frozen, Origin(index, step.description)))
+
+    def _steps_to(self, node: Node) -> list[str]:
+        """Return the descriptions of the steps from the initial state to a node of the present layer."""
+        steps: list[str] = []
+        origin = node.origin
+        for layer in reversed(self.past_layers):
+            steps.insert(0, origin.description)
+            origin = layer[origin.index]
+        return steps
+
+
+def explore(instances: int, depth: int, max_states: int, broken: bool = False) -> Explored:
+    """Explore up to `depth` steps and `max_states` states; return the rows and a shortest violation, if any.
+
+    `broken` breaks the rule of the leases on purpose, to see that the checker finds it.
+    """
+    began = time.monotonic()
+    first = initial_state(instances, broken)
+    explorer = Explorer(first, max_states)
+    explorer.explore(depth)
+    trace = explorer.trace
+    if trace:
+        holder = first.instances[-1].names[-1]
+        trace = [f"{holder} holds the slot at {first.now / 1e6:.3f} s", *trace]
     rows = [
         Row("instances", instances),
-        Row("states seen", len(seen)),
-        Row("steps tried", edges),
-        Row("states in which one holds the slot", held),
-        Row("events in a row, all orders of them", reached),
+        Row("states seen", len(explorer.seen)),
+        Row("steps tried", explorer.steps_tried),
+        Row("states in which one holds the slot", explorer.states_with_holder),
+        Row("events in a row, all orders of them", explorer.depth),
         Row("seconds", round(time.monotonic() - began, 1)),
         at_most("states in which two hold it", int(bool(trace)), 0),
     ]
-    return Explored(rows, [f"{number}. {said}" for number, said in enumerate(trace, 1)])
+    return Explored(rows, [f"{number}. {line}" for number, line in enumerate(trace, 1)])
--- a/tests/test_lease_check.py
+++ b/tests/test_lease_check.py
@@ -1,6 +1,6 @@
 """The model checker of the leases."""
 
-from limepath.duties.check import explored
+from limepath.duties.check import explore
 from limepath.report_table import hold
 
 
@@ -10,10 +10,10 @@
 
 
 def test_the_checker_finds_no_violation_and_finds_the_broken_rule_at_once():
-    good = explored(2, 5, 100_000)
+    good = explore(2, 5, 100_000)
     assert hold(good.rows) and not good.trace and value(good.rows, "events in a row, all orders of them") == 5
     assert value(good.rows, "states in which one holds the slot") > 100
-    three = explored(3, 3, 100_000)
+    three = explore(3, 3, 100_000)
     assert hold(three.rows)
-    bad = explored(2, 9, 100_000, broken=True)
+    bad = explore(2, 9, 100_000, broken=True)
     assert not hold(bad.rows) and bad.trace[-1].endswith("both hold the slot") and len(bad.trace) == 7
