--- a/limepath/cli/duties.py
+++ b/limepath/cli/duties.py
@@ -110,7 +110,8 @@
 @json_option
 def simulate(instances, targets, mode, interval, length, loss, doubled, late, kinds, cold, seed, as_json):
     """Run the logic of many instances in virtual time under faults; the same seed gives the same table."""
-    from limepath.duties.simulate import KINDS, simulated
+    from limepath.duties.simulate import KINDS
+    from limepath.duties.simulate import simulate as run_simulation
 
     if kinds == "help":
         return click.echo(", ".join(KINDS))
@@ -121,7 +122,7 @@
         if kinds == "none"
         else named_kinds(kinds if kinds != "every" else None, KINDS, "--faults")
     )
-    found = simulated(
+    found = run_simulation(
         instances, targets, MODES[mode], interval, length, seed, loss, doubled, late, chosen, cold=cold
     )
     conclude(
--- a/limepath/discovery/simulate.py
+++ b/limepath/discovery/simulate.py
@@ -278,7 +278,7 @@
         self.messages += 1
         self.list_messages += isinstance(order.message, MESSAGES)
         to = self.nodes[int(order.host)]
-        for delay in self.network.ways(node.index, to.index):
+        for delay in self.network.delays(node.index, to.index):
             self.at(self.now + delay, to.heard, MessageReceived(node.members.me, order.to, order.message))
 
     def took(self, node, told):
--- a/limepath/discovery/simulate_tree.py
+++ b/limepath/discovery/simulate_tree.py
@@ -263,7 +263,7 @@
         front.sent(self.size(front, order.message))
         if self.cut(front.region, to.region) or message is None:
             return
-        for delay in self.network.ways(front.index, to.index):
+        for delay in self.network.delays(front.index, to.index):
             note = PeerMessage(front.token, message)
             self.at(self.now + delay + front.delay, to.hear, (note,))
 
--- a/limepath/duties/measure.py
+++ b/limepath/duties/measure.py
@@ -12,7 +12,7 @@
 
 from limepath.configuration.sharing_settings import DutyMode
 from limepath.duties.saving import WAYS, saved
-from limepath.duties.simulate import SECOND, simulated
+from limepath.duties.simulate import SECOND, simulate
 
 SIZES, FRONTS = (3, 30, 300, 1000), (3, 10, 50)
 
@@ -39,7 +39,7 @@
     for instances in sizes:
         for targets in (0, 1000):
             began = time.monotonic()
-            found = simulated(instances, targets, DutyMode.AT_LEAST_ONCE, 10 * SECOND, 20 * SECOND, kinds=())
+            found = simulate(instances, targets, DutyMode.AT_LEAST_ONCE, 10 * SECOND, 20 * SECOND, kinds=())
             told.append(
                 {
                     "instances": instances,
--- /dev/null
+++ b/limepath/duties/node.py
@@ -0,0 +1,187 @@
+"""A simulated instance: the logic of the real program, with a clock and a store of its own."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable, Sequence
+from dataclasses import dataclass
+from typing import TYPE_CHECKING, Any
+
+from limepath.duties.instance import Instance
+from limepath.duties.interface import (
+    PersistEpochCeiling,
+    ResultShared,
+    ServeTarget,
+    TargetsUpdated,
+)
+from limepath.membership.interface import (
+    REFUTATION_BITS,
+    LeaveCompleted,
+    LogEvent,
+    MemberRecord,
+    SendMessage,
+    YieldIdentity,
+)
+
+if TYPE_CHECKING:
+    from limepath.duties.world import World
+
+PORT = 7946
+"""Of all instances; their host is their index."""
+SOCKET_BUFFER = 2000
+"""Events that a paused instance still receives when it resumes."""
+MAX_CLOCK_OFFSET = 10**12
+"""Microseconds."""
+
+
+@dataclass
+class NodeStore:
+    """What outlives a crash."""
+
+    token: int
+    incarnation: int = 0
+    ceiling: int = 0
+    sure: bool = False
+
+
+class Node:
+    """One instance, running or not, at its place in a world."""
+
+    def __init__(self, world: World, index: int):
+        self.world = world
+        self.index = index
+        self.name = f"n{index}"
+        self.clock_offset = world.random.randrange(MAX_CLOCK_OFFSET)
+        self.clock_rate = 1 + world.random.uniform(-1, 1) * world.drift
+        self.store = NodeStore(world.random.getrandbits(63))
+        self.instance: Instance | None = None
+        """None while it does not run."""
+        self.paused = False
+        self.received: list[Any] = []
+        """Events that came while it was paused."""
+        self.wake_at: int | None = None
+        """The world's time at which the instance is to be called next."""
+        self.yielded: str | None = None
+        """Why the instance yielded its identity, if it did."""
+        self.leases: dict[tuple[int, int], int] = {}
+        """When the leases that it holds expire, in the world's time."""
+
+    def clock(self) -> int:
+        """Return what its own clock shows."""
+        return self.clock_offset + int(self.world.now * self.clock_rate)
+
+    def world_time(self, local_time: int) -> int:
+        """Return the world's time at which its own clock has reached `local_time`."""
+        return int((local_time - self.clock_offset) / self.clock_rate) + 1
+
+    def start(self, seeds: Sequence[tuple[str, int]]) -> MemberRecord:
+        """Make the instance of a new incarnation; return its record. It runs from `begin` on."""
+        world = self.world
+        self.store.incarnation += 1
+        me = MemberRecord(
+            self.store.token,
+            self.name,
+            str(self.index),
+            PORT,
+            self.store.incarnation << REFUTATION_BITS,
+            world.now + world.wall_clock_step,
+        )
+        self.instance = Instance(
+            me,
+            seeds,
+            world.timeouts,
+            world.duties,
+            world.lease_settings,
+            world.random.getrandbits(32),
+            self.store.ceiling,
+            self.store.sure,
+        )
+        self.received = []
+        self.paused = False
+        self.wake_at = None
+        return me
+
+    def begin(self) -> None:
+        """Start the instance's work, with all targets of the world."""
+        self._carry_out(self.instance.start(self.clock()))
+        targets = tuple(self.world.targets)
+        self.handle([TargetsUpdated(duty, targets) for duty in range(len(self.world.duties))])
+
+    def stop(self) -> None:
+        """End the instance as a crash does."""
+        self.instance = None
+        self.received = []
+        self.wake_at = None
+        self._note_leases({})
+
+    def lose_store(self) -> None:
+        """Begin with an empty store next time."""
+        self.store = NodeStore(self.world.random.getrandbits(63))
+
+    def handle(self, events: Iterable[Any]) -> None:
+        """Hand events to the instance; a paused one receives them when it resumes."""
+        if self.paused:
+            self.received += events
+        elif self.instance:
+            self._carry_out(self.instance.handle(self.clock(), list(events)))
+
+    def resume(self) -> None:
+        """Go on after a pause."""
+        self.paused = False
+        events = self.received[-SOCKET_BUFFER:]
+        self.received = []
+        self.handle(events)
+
+    def _carry_out(self, commands: Iterable[Any]) -> None:
+        me = self.instance.members.me
+        for command in commands:
+            if isinstance(command, (YieldIdentity, LeaveCompleted)):
+                if isinstance(command, YieldIdentity):
+                    self.yielded = command.why
+                    self.world.record_yield(self, command.why)
+                self.stop()
+                return
+            self._carry_out_one(me, command)
+        if self.world.has_leases:
+            self._note_leases(self._held_leases())
+        self._schedule_wake()
+
+    def _carry_out_one(self, me: MemberRecord, command: Any) -> None:
+        world = self.world
+        if isinstance(command, SendMessage):
+            world.send(self, me, command)
+        elif isinstance(command, ServeTarget):
+            world.serve(self, command)
+        elif isinstance(command, PersistEpochCeiling):
+            self.store.ceiling = command.ceiling
+            self.store.sure = True
+        elif isinstance(command, ResultShared):
+            world.handle_result_shared(self, command.result)
+        elif isinstance(command, LogEvent):
+            world.handle_log_event(command)
+
+    def _held_leases(self) -> dict[tuple[int, int], int]:
+        now = self.clock()
+        return {
+            key: self.world_time(lease.expires_at)
+            for key, lease in self.instance.lease_manager.held_leases.items()
+            if lease.expires_at > now
+        }
+
+    def _note_leases(self, leases: dict[tuple[int, int], int]) -> None:
+        self.world.record_leases(self.index, self.leases, leases)
+        self.leases = leases
+
+    def _schedule_wake(self) -> None:
+        due = self.instance.next()
+        if due is None:
+            return
+        world = self.world
+        due = max(world.now + 1, self.world_time(due))
+        if self.wake_at is None or due < self.wake_at or self.wake_at <= world.now:
+            self.wake_at = due
+            world.at(due, self._wake, due)
+
+    def _wake(self, due: int) -> None:
+        if self.wake_at == due and self.instance and not self.paused:
+            self.wake_at = None
+            self._carry_out(self.instance.handle(self.clock(), ()))
--- a/limepath/duties/saving.py
+++ b/limepath/duties/saving.py
@@ -106,7 +106,7 @@
         members = tuple(Endpoint(EndpointState.READY, target, 0, 0, 0, 0, 6.0) for target in self.targets)
         for index in range(len(self.nodes)):
             self.tell(index, EndpointListUpdated(UpdateKind.FULL, 1, members))
-            self.at(self.chance.randrange(SECOND), self.get, index)
+            self.at(self.random.randrange(SECOND), self.get, index)
 
     def is_silent(self, cache):
         return cache == 1 and self.silent[0] <= self.now < self.silent[1]
@@ -153,10 +153,10 @@
         self.tell(
             index,
             RequestArrived(
-                self.gets, 0, 0, 1 + self.chance.randrange(10_000), VIEWER_TIMEOUT, 0.0, 0, 0, False, False
+                self.gets, 0, 0, 1 + self.random.randrange(10_000), VIEWER_TIMEOUT, 0.0, 0, 0, False, False
             ),
         )
-        self.at(self.now + int(self.chance.expovariate(self.rate) * SECOND) + 1, self.get, index)
+        self.at(self.now + int(self.random.expovariate(self.rate) * SECOND) + 1, self.get, index)
 
     def ended(self, index, order, verdict, took):
         if self.out.pop((index, order.request), None) is order:
@@ -187,12 +187,12 @@
         self.asked[index].discard(cache)
         self.tell(index, ProbeEnded(cache, verdict, took, {}))
         if self.way != ALONE:
-            self.nodes[index].hear([TargetServed(0, cache, int(verdict), took, {})])
+            self.nodes[index].handle([TargetServed(0, cache, int(verdict), took, {})])
 
     def serve(self, node, order):
         self.sent(node.index, order.target)
 
-    def shared(self, node, result):
+    def handle_result_shared(self, node, result):
         if result.target not in self.asked[node.index]:
             self.tell(node.index, self.report_of(result))
 
--- a/limepath/duties/world.py
+++ b/limepath/duties/world.py
@@ -1,287 +1,236 @@
-"""Many instances in virtual time: one seed, one history. The logic is that of the real program, the network
-is not.
+"""Many instances in virtual time: one seed, one history. The logic is that of the real program.
 
-Each instance has a clock of its own (offset, drift) and a store that outlives it. The network delays, loses,
-doubles and reorders by chance, and is cut by faults. What is counted is what the targets see and who holds
-which lease.
+What is counted is what the targets see, and who holds which lease. See `node` for an instance with its clock
+and store, `network` for what lies between them.
 """
 
+from collections.abc import Callable, Collection, Iterable, Sequence
 from heapq import heappop, heappush
 from random import Random
+from typing import Any, NamedTuple
 
 import msgspec
 
-from limepath.configuration.sharing_settings import DutyMode
+from limepath.configuration.sharing_settings import DutyMode, DutySettings, LeaseSettings, MembershipTimeouts
 from limepath.duties.instance import Instance
-from limepath.duties.interface import (
-    PersistEpochCeiling,
-    ResultShared,
-    ServeTarget,
-    TargetServed,
-    TargetsUpdated,
-)
+from limepath.duties.interface import ProbeResult, ServeTarget, TargetServed, TargetsUpdated
+from limepath.duties.network import Network
+from limepath.duties.node import PORT, Node
 from limepath.membership.guard import HEAD, SEAL
 from limepath.membership.interface import (
     REFUTATION_BITS,
-    LeaveCompleted,
     LogEvent,
     MemberRecord,
     MessageReceived,
     SendMessage,
-    YieldIdentity,
 )
 
-SAMPLED = 64  # one message in so many is encoded, for the bytes
-PORT = 7946
-
-
-class Network:
-    """Loss, doubling and late ones are shares of one; `cuts` are pairs (from, to) of sets that don't get
-    through.
-    """
-
-    def __init__(self, chance, loss=0.0, doubled=0.0, late=0.0):
-        self.chance, self.loss, self.doubled, self.late, self.cuts = chance, loss, doubled, late, {}
-
-    def ways(self, source, to):
-        """The delays, in microseconds, after which copies of a message arrive."""
-        for one, other in self.cuts.values():
-            if source in one and to in other:
-                return ()
-        draw = self.chance.random
-        if self.loss and draw() < self.loss:
-            return ()
-        delay = 300 + int(draw() * 1500)
-        if self.late and draw() < self.late:
-            delay += int(draw() * 400_000)
-        if self.doubled and draw() < self.doubled:
-            return delay, delay + int(draw() * 300_000)
-        return (delay,)
-
-
-class Node:
-    """One instance, its clock and its store."""
-
-    def __init__(self, world, index):
-        self.world, self.index, self.name = world, index, f"n{index}"
-        self.offset, self.rate = world.chance.randrange(10**12), 1 + world.chance.uniform(-1, 1) * world.drift
-        self.store = {"token": world.chance.getrandbits(63), "life": 0, "ceiling": 0, "sure": False}
-        self.instance, self.paused, self.queue, self.wake_at, self.gave_way = None, False, [], None, None
-        self.holding = {}
-
-    def clock(self):
-        return self.offset + int(self.world.now * self.rate)
-
-    def world_time(self, own):
-        return int((own - self.offset) / self.rate) + 1
-
-    def start(self, seeds):
-        world = self.world
-        self.store["life"] += 1
-        me = MemberRecord(
-            self.store["token"],
-            self.name,
-            str(self.index),
-            PORT,
-            self.store["life"] << REFUTATION_BITS,
-            world.now + world.wall_step,
-        )
-        self.instance = Instance(
-            me,
-            seeds,
-            world.spans,
-            world.plans,
-            world.leasing,
-            world.chance.getrandbits(32),
-            self.store["ceiling"],
-            self.store["sure"],
-        )
-        self.queue, self.paused, self.wake_at = [], False, None
-        return me
-
-    def begin(self):
-        self.carry(self.instance.start(self.clock()))
-        self.hear([TargetsUpdated(duty, tuple(self.world.targets)) for duty in range(len(self.world.plans))])
-
-    def stop(self):
-        self.instance, self.queue, self.wake_at = None, [], None
-        self.note_leases({})
-
-    def lose_store(self):
-        self.store = {"token": self.world.chance.getrandbits(63), "life": 0, "ceiling": 0, "sure": False}
-
-    def hear(self, notes):
-        if self.paused:
-            self.queue += notes
-        elif self.instance:
-            self.carry(self.instance.handle(self.clock(), notes))
-
-    def resume(self):
-        self.paused = False
-        notes, self.queue = self.queue[-2000:], []  # what a socket's buffer holds
-        self.hear(notes)
-
-    def carry(self, orders):
-        world, me = self.world, self.instance.members.me
-        for order in orders:
-            if isinstance(order, SendMessage):
-                world.send(self, me, order)
-            elif isinstance(order, ServeTarget):
-                world.serve(self, order)
-            elif isinstance(order, PersistEpochCeiling):
-                self.store |= {"ceiling": order.ceiling, "sure": True}
-            elif isinstance(order, ResultShared):
-                world.shared(self, order.result)
-            elif isinstance(order, LogEvent):
-                world.said(order)
-            elif isinstance(order, YieldIdentity):
-                self.gave_way = order.why
-                world.gave_way.append((world.now, self.index, order.why))
-                return self.stop()
-            elif isinstance(order, LeaveCompleted):
-                return self.stop()
-        if world.leased:
-            self.note_leases(
-                {
-                    key: self.world_time(lease.expires_at)
-                    for key, lease in self.instance.lease_manager.held_leases.items()
-                    if lease.expires_at > self.clock()
-                }
-            )
-        if (due := self.instance.next()) is not None:
-            due = max(world.now + 1, self.world_time(due))
-            if self.wake_at is None or due < self.wake_at or self.wake_at <= world.now:
-                self.wake_at = due
-                world.at(due, self.wake, due)
-
-    def wake(self, due):
-        if self.wake_at == due and self.instance and not self.paused:
-            self.wake_at = None
-            self.carry(self.instance.handle(self.clock(), ()))
-
-    def note_leases(self, holding):
-        world = self.world
-        for key, until in holding.items():
-            for other, theirs in world.holders.get(key, {}).items():
-                if other != self.index and theirs > world.now:
-                    world.both_held.append((world.now, key, self.index, other))
-            world.holders.setdefault(key, {})[self.index] = until
-        for key in self.holding:
-            if key not in holding:
-                world.holders[key].pop(self.index, None)
-        self.holding = holding
+SAMPLE_EVERY = 64
+"""One message in so many is encoded, to count bytes."""
+SEEDS = 3
+"""Instances that the others join by."""
+SERVE_DURATION = 800
+LIST_DELAY = 200_000
+REMOVAL_GRACE = 500_000
+"""Within which rounds at a removed target are not counted. All three in microseconds."""
+
+
+class ServedRound(NamedTuple):
+    """A round that a target has seen."""
+
+    at: int
+    node: int
+
+
+class LeaseConflict(NamedTuple):
+    """A moment at which two nodes held one slot."""
+
+    at: int
+    duty_and_slot: tuple[int, int]
+    node: int
+    other: int
+
+
+class NodeEvent(NamedTuple):
+    """Something that a node did, or that was declared of it."""
+
+    at: int
+    node: int
 
 
 class World:
+    """Instances, their targets and the network between them. Times are virtual microseconds."""
+
     def __init__(
-        self, instances, targets, plans, spans, leasing, seed, loss=0.0, doubled=0.0, late=0.0, drift=1e-4
+        self,
+        instances: int,
+        targets: int,
+        duties: Sequence[DutySettings],
+        timeouts: MembershipTimeouts,
+        lease_settings: LeaseSettings,
+        seed: int,
+        loss: float = 0.0,
+        doubled: float = 0.0,
+        late: float = 0.0,
+        drift: float = 1e-4,
     ):
-        self.chance, self.now, self.serial, self.calendar = Random(seed), 0, 0, []
-        self.plans, self.spans, self.leasing, self.drift = plans, spans, leasing, drift
-        self.leased = any(plan.mode == DutyMode.ONE_OWNER for plan in plans)
+        self.random = Random(seed)
+        self.now = 0
+        self.duties = duties
+        self.timeouts = timeouts
+        self.lease_settings = lease_settings
+        self.drift = drift
+        """By how much the rates of the clocks differ from that of the world, at most."""
+        self.has_leases = any(duty.mode == DutyMode.ONE_OWNER for duty in duties)
         self.network = Network(Random(seed + 1), loss, doubled, late)
-        self.wall_step = 0
-        self.targets, self.gone = {target: 0 for target in range(1, targets + 1)}, {}
-        self.born, self.false_deaths = dict(self.targets), []
+        self.wall_clock_step = 0
+        """By how much wall clocks were set."""
+        self.targets = dict.fromkeys(range(1, targets + 1), 0)
+        """When each was added to the endpoint list; those that are on it."""
+        self.added_at = dict(self.targets)
+        """The same with those that were removed."""
+        self.removed_at: dict[int, int] = {}
         self.nodes = [Node(self, index) for index in range(instances)]
-        self.serves, self.holders, self.both_held, self.turned_away = {}, {}, [], 0
-        self.gave_way, self.messages, self.bytes, self.sampled, self.after_gone = [], 0, 0, 0, 0
-        self.encoder = msgspec.msgpack.Encoder()
-        self.epochs = {}
-
-    def at(self, when, call, *said):
-        self.serial += 1
-        heappush(self.calendar, (when, self.serial, call, said))
-
-    def run(self, until):
-        while self.calendar and self.calendar[0][0] <= until:
-            self.now, _, call, said = heappop(self.calendar)
-            call(*said)
+        self._scheduled = 0
+        self._heap: list[tuple[int, int, Callable[..., object], tuple[Any, ...]]] = []
+        self._start_records()
+
+    def _start_records(self) -> None:
+        self.rounds: dict[tuple[int, int], list[ServedRound]] = {}
+        """By duty and target."""
+        self.highest_epochs: dict[tuple[int, int], int] = {}
+        """That each target has seen, by duty and target."""
+        self.rejected_rounds = 0
+        """Rounds that a target rejected for an older epoch."""
+        self.rounds_after_removal = 0
+        self.lease_holders: dict[tuple[int, int], dict[int, int]] = {}
+        """Until when each node holds a lease, by duty and slot."""
+        self.lease_conflicts: list[LeaseConflict] = []
+        self.yielded: list[NodeEvent] = []
+        self.false_deaths: list[NodeEvent] = []
+        self.messages = 0
+        self.sampled_messages = 0
+        self.sampled_bytes = 0
+        self._encoder = msgspec.msgpack.Encoder()
+
+    # Time
+
+    def at(self, when: int, callback: Callable[..., object], *arguments: Any) -> None:
+        """Call `callback(*arguments)` once `when` has come."""
+        self._scheduled += 1
+        heappush(self._heap, (when, self._scheduled, callback, arguments))
+
+    def run(self, until: int) -> None:
+        """Let time go on until then."""
+        while self._heap and self._heap[0][0] <= until:
+            self.now, _, callback, arguments = heappop(self._heap)
+            callback(*arguments)
         self.now = until
 
-    def open(self, preset):
-        """Start all; `preset`: each knows all others, as after a quiet time."""
-        seeds = [(str(index), PORT) for index in range(min(3, len(self.nodes)))]
-        known = [node.start(seeds) for node in self.nodes]
+    # Instances
+
+    def open(self, preset: bool) -> None:
+        """Start all instances; `preset`: each knows all others, as after a quiet time."""
+        seeds = [(str(index), PORT) for index in range(min(SEEDS, len(self.nodes)))]
+        records = [node.start(seeds) for node in self.nodes]
         if preset:
             for node in self.nodes:
-                node.instance.preload_members([news for news in known if news.name != node.name])
+                node.instance.preload_members([record for record in records if record.name != node.name])
         for node in self.nodes:
             node.begin()
 
-    def restart(self, index):
+    def restart(self, index: int) -> None:
+        """Start an instance that does not run."""
         node = self.nodes[index]
-        node.start(
-            [(str(seed), PORT) for seed in range(min(3, len(self.nodes))) if seed != index] or [("0", PORT)]
-        )
+        seeds = [(str(seed), PORT) for seed in range(min(SEEDS, len(self.nodes))) if seed != index]
+        node.start(seeds or [("0", PORT)])
         node.begin()
 
-    def said(self, order):
-        """A death is false where that instance runs, in that very life."""
-        if order.event == "peer-dead":
-            node = self.nodes[int(order.fields["peer"][1:])]
-            if (
-                node.instance
-                and not node.paused
-                and node.store["life"] == order.fields["incarnation"] >> REFUTATION_BITS
-                and (not self.network.cuts)
-            ):
-                self.false_deaths.append((self.now, node.index))
-
-    def send(self, node, me, order):
+    def views_agree(self) -> bool:
+        """Whether all that run see exactly those that run."""
+        running = [node for node in self.nodes if node.instance and not node.paused]
+        tokens = {node.store.token for node in running}
+        return all(set(node.instance.members.ring) | {node.store.token} == tokens for node in running)
+
+    def record_yield(self, node: Node, why: str) -> None:
+        """Note that an instance yielded its identity."""
+        self.yielded.append(NodeEvent(self.now, node.index))
+
+    def record_leases(
+        self, index: int, former: Collection[tuple[int, int]], leases: dict[tuple[int, int], int]
+    ) -> None:
+        """Note which leases a node holds now, and until when; find those that another holds too."""
+        for key, until in leases.items():
+            holders = self.lease_holders.setdefault(key, {})
+            for other, other_until in holders.items():
+                if other != index and other_until > self.now:
+                    self.lease_conflicts.append(LeaseConflict(self.now, key, index, other))
+            holders[index] = until
+        for key in former:
+            if key not in leases:
+                self.lease_holders[key].pop(index, None)
+
+    def handle_log_event(self, event: LogEvent) -> None:
+        """Note a death that was declared of an instance which runs, in that very incarnation."""
+        if event.event != "peer-dead":
+            return
+        node = self.nodes[int(event.fields["peer"][1:])]
+        is_same = node.store.incarnation == event.fields["incarnation"] >> REFUTATION_BITS
+        if node.instance and not node.paused and is_same and not self.network.cuts:
+            self.false_deaths.append(NodeEvent(self.now, node.index))
+
+    # Messages
+
+    def send(self, node: Node, me: MemberRecord, command: SendMessage) -> None:
+        """Send a message of a node through the network."""
         self.messages += 1
-        to = int(order.host)
-        if self.messages % SAMPLED == 0:
-            self.sampled += 1
-            self.bytes += len(self.encoder.encode((me, order.to, self.messages, order.message))) + HEAD + SEAL
-        for delay in self.network.ways(node.index, to):
-            self.at(self.now + delay, self.arrive, to, MessageReceived(me, order.to, order.message))
-
-    def arrive(self, to, note):
-        if self.nodes[to].instance:
-            self.nodes[to].hear([note])
-
-    def serve(self, node, order):
-        """What the target sees; it turns an older epoch away."""
-        key = order.duty, order.target
-        if order.target not in self.targets:
-            self.after_gone += self.now - self.gone[order.target] > 500_000
+        destination = int(command.host)
+        if self.messages % SAMPLE_EVERY == 0:
+            datagram = self._encoder.encode((me, command.to, self.messages, command.message))
+            self.sampled_messages += 1
+            self.sampled_bytes += len(datagram) + HEAD + SEAL
+        event = MessageReceived(me, command.to, command.message)
+        for delay in self.network.delays(node.index, destination):
+            self.at(self.now + delay, self._deliver, destination, event)
+
+    def _deliver(self, destination: int, event: MessageReceived) -> None:
+        if self.nodes[destination].instance:
+            self.nodes[destination].handle([event])
+
+    # Targets
+
+    def serve(self, node: Node, command: ServeTarget) -> None:
+        """Let a target see a round; it rejects one with an older epoch."""
+        key = command.duty, command.target
+        if command.target not in self.targets:
+            removed_for = self.now - self.removed_at[command.target]
+            self.rounds_after_removal += removed_for > REMOVAL_GRACE
             return
-        if order.epoch:
-            if order.epoch < self.epochs.get(key, 0):
-                self.turned_away += 1
+        if command.epoch:
+            if command.epoch < self.highest_epochs.get(key, 0):
+                self.rejected_rounds += 1
                 return
-            self.epochs[key] = order.epoch
-        self.serves.setdefault(key, []).append((self.now, node.index))
-        self.at(self.now + 800, self.answered, node, node.instance, order)
+            self.highest_epochs[key] = command.epoch
+        self.rounds.setdefault(key, []).append(ServedRound(self.now, node.index))
+        self.at(self.now + SERVE_DURATION, self._answer, node, node.instance, command)
 
-    def shared(self, node, result):
-        """Another's result has come to this node; worlds with fronts hand it on."""
-
-    def answered(self, node, instance, order):
+    def _answer(self, node: Node, instance: Instance, command: ServeTarget) -> None:
         if node.instance is instance:
-            node.hear([TargetServed(order.duty, order.target, 0, 800, {"util": 0.5})])
+            node.handle([TargetServed(command.duty, command.target, 0, SERVE_DURATION, {"util": 0.5})])
+
+    def handle_result_shared(self, node: Node, result: ProbeResult) -> None:
+        """Another's result has come to this node; worlds with fronts hand it on."""
 
-    def replace_targets(self, gone, come):
-        """The list changes; each instance learns of it within 200 ms."""
-        for target in gone:
-            self.gone[target] = self.now
+    def replace_targets(self, removed: Iterable[int], added: Iterable[int]) -> None:
+        """Change the endpoint list; each instance learns of it within LIST_DELAY."""
+        for target in removed:
+            self.removed_at[target] = self.now
             del self.targets[target]
-        for target in come:
-            self.targets[target] = self.born[target] = self.now
-        now_all = tuple(self.targets)
+        for target in added:
+            self.targets[target] = self.now
+            self.added_at[target] = self.now
+        targets = tuple(self.targets)
         for node in self.nodes:
-            self.at(
-                self.now + int(self.chance.random() * 200_000),
-                node.hear,
-                [TargetsUpdated(duty, now_all) for duty in range(len(self.plans))],
-            )
-
-    def views_agree(self):
-        """Whether all that live see exactly those that live."""
-        live = {node.store["token"] for node in self.nodes if node.instance and not node.paused}
-        return all(
-            set(node.instance.members.ring) | {node.store["token"]} == live
-            for node in self.nodes
-            if node.instance and not node.paused
-        )
+            delay = int(self.random.random() * LIST_DELAY)
+            events = [TargetsUpdated(duty, targets) for duty in range(len(self.duties))]
+            self.at(self.now + delay, node.handle, events)
--- a/limepath/scale/roles_probes.py
+++ b/limepath/scale/roles_probes.py
@@ -4,7 +4,7 @@
 
 from limepath.configuration.sharing_settings import DutyMode
 from limepath.duties.measure import value
-from limepath.duties.simulate import simulated
+from limepath.duties.simulate import simulate
 from limepath.scale.measured import Fact, Found, Series
 
 SECOND = 1_000_000
@@ -17,7 +17,7 @@
 def cost(fronts, targets):
     """(KB, datagrams, % of a core) a second and front, the membership's share of them included."""
     began = time.process_time()
-    rows = simulated(fronts, targets, DutyMode.AT_LEAST_ONCE, INTERVAL, LENGTH, kinds=()).rows
+    rows = simulate(fronts, targets, DutyMode.AT_LEAST_ONCE, INTERVAL, LENGTH, kinds=()).rows
     cpu = time.process_time() - began
     return (
         value(rows, BYTES) / 1000,
--- a/limepath/testbed/duties.py
+++ b/limepath/testbed/duties.py
@@ -20,7 +20,8 @@
 
 from limepath.configuration.sharing_settings import DutyMode, DutySettings, LeaseSettings, MembershipTimeouts
 from limepath.duties.bounds import bounds
-from limepath.duties.simulate import Fault, findings
+from limepath.duties.faults import Fault
+from limepath.duties.findings import RunRecord, findings
 from limepath.membership.control import NoAnswerError, ask
 from limepath.report_table import Row
 from limepath.testbed.faults import Fault as Way
@@ -470,22 +471,42 @@
     return concluded(drill)
 
 
-class Told:
-    """The drill as `findings` takes a day."""
-
-    def __init__(self, drill):
-        self.world, self.faults, self.end, self.unable = drill, drill.faults, drill.end, drill.unable
-        self.deaths, self.restarted, self.together = drill.deaths, drill.restarted, drill.together
+def record_of(drill):
+    """The drill as `findings` takes a run."""
+    return RunRecord(
+        timeouts=drill.spans,
+        lease_settings=drill.leasing,
+        instances=drill.count,
+        began_at=drill.caches_first,
+        ended_at=drill.end,
+        faults=drill.faults,
+        targets=drill.targets,
+        added_at=drill.born,
+        removed_at=drill.gone,
+        rounds=drill.serves,
+        rounds_after_removal=drill.after_gone,
+        rejected_rounds=drill.turned_away,
+        lease_conflicts=len(drill.both_held),
+        deaths=drill.deaths,
+        false_deaths=drill.false_deaths,
+        yielded=len(drill.gave_way),
+        outages=drill.unable,
+        has_restarts=drill.restarted,
+        neighbours_away=drill.together,
+        messages=drill.messages,
+        sampled_messages=0,
+        sampled_bytes=drill.bytes,
+        views_agree=drill.agreed,
+    )
 
 
 def concluded(drill):
     since, messages, size = drill.counted
     span = (drill.end - since) / SECOND
-    drill.messages, drill.bytes, drill.sampled = drill.ways.messages - messages, drill.ways.bytes - size, 0
-    drill.views_agree = lambda: drill.agreed
+    drill.messages, drill.bytes = drill.ways.messages - messages, drill.ways.bytes - size
     rounds = sum(len(served) for served in drill.serves.values())
     alive = sum(min(drill.gone.get(name, drill.end), drill.end) - at for name, at in drill.born.items())
-    rows = findings(Told(drill), drill.plan, drill.caches_first)
+    rows = findings(record_of(drill), drill.plan)
     rows = [row for row in rows if not row.what.startswith(("messages", "bytes"))]
     rows += [
         Row("messages per instance and second", round(drill.messages / drill.count / span, 1)),
--- a/tests/test_duty_simulation.py
+++ b/tests/test_duty_simulation.py
@@ -5,9 +5,10 @@
 import pytest
 
 from limepath.configuration.sharing_settings import DutyMode, DutySettings, LeaseSettings, MembershipTimeouts
-from limepath.duties import simulate
 from limepath.duties.bounds import bounds
-from limepath.duties.simulate import Day, Fault, findings, simulated
+from limepath.duties.faults import KINDS, Fault, FaultRun
+from limepath.duties.findings import findings
+from limepath.duties.simulate import record_of, simulate
 from limepath.duties.world import World
 from limepath.report_table import hold
 
@@ -21,15 +22,15 @@
 
 
 @pytest.mark.parametrize("mode", MODES)
-@pytest.mark.parametrize("kind", simulate.KINDS)
+@pytest.mark.parametrize("kind", KINDS)
 def test_each_fault_keeps_the_bounds(kind, mode):
-    found = simulated(5, 40, mode, 5 * SECOND, 80 * SECOND, seed=11, kinds=(kind,))
+    found = simulate(5, 40, mode, 5 * SECOND, 80 * SECOND, seed=11, kinds=(kind,))
     assert [fault.kind for fault in found.faults] and not broken(found)
 
 
 @pytest.mark.parametrize("mode", MODES)
 def test_loss_doubles_and_reordering_keep_the_bounds(mode):
-    found = simulated(
+    found = simulate(
         5,
         40,
         mode,
@@ -48,17 +49,17 @@
     plan, spans = DutySettings("probe", DutyMode.AT_LEAST_ONCE, 5 * SECOND), MembershipTimeouts()
     world = World(4, 200, (plan,), spans, LEASING._replace(voters=("n0", "n1", "n2")), 3)
     faults = [Fault(at * SECOND, "targets", (0,), 0) for at in (11, 12, 13, 14, 15)]
-    day = Day(world, faults, 40 * SECOND)
+    run = FaultRun(world, faults, 40 * SECOND)
     world.open(True)
     world.run(40 * SECOND)
-    rows = findings(day, plan)
-    assert hold(rows) and len(world.gone) == 200 and len(world.targets) == 200
-    assert all(len(world.serves[0, target]) >= 4 for target in world.targets)
+    rows = findings(record_of(run), plan)
+    assert hold(rows) and len(world.removed_at) == 200 and len(world.targets) == 200
+    assert all(len(world.rounds[0, target]) >= 4 for target in world.targets)
 
 
 def test_the_same_seed_gives_the_same_run():
     one, again, other = (
-        simulated(3, 10, DutyMode.ONE_OWNER, length=50 * SECOND, seed=seed, loss=0.1, kinds=("kill",))
+        simulate(3, 10, DutyMode.ONE_OWNER, length=50 * SECOND, seed=seed, loss=0.1, kinds=("kill",))
         for seed in (4, 4, 5)
     )
     assert one.rows == again.rows and one.faults == again.faults
@@ -72,15 +73,15 @@
     quiet = World(3, 6, (plan,), MembershipTimeouts(), leasing, 9)
     quiet.open(True)
     quiet.run(30 * SECOND)
-    at, who = quiet.serves[0, 1][2]
+    at, who = quiet.rounds[0, 1][2]
     for dies in (at - 1, at, at + 400, at + 900):  # the answer comes 800 us after the round began
         world = World(3, 6, (plan,), MembershipTimeouts(), leasing, 9)
         world.open(True)
         world.at(dies, world.nodes[who].stop)
         world.run(at + 60 * SECOND)
-        times = [when for when, _ in world.serves[0, 1]]
-        assert max(b - a for a, b in pairwise(times)) <= bound and not world.both_held
-        assert world.serves[0, 1][-1][1] != who
+        times = [when for when, _ in world.rounds[0, 1]]
+        assert max(b - a for a, b in pairwise(times)) <= bound and not world.lease_conflicts
+        assert world.rounds[0, 1][-1][1] != who
 
 
 def test_an_instance_that_resumes_after_its_lease_expired_serves_nothing_under_it():
@@ -96,7 +97,7 @@
     node.resume()
     assert not node.instance.lease_manager.slots_held(0)  # the epochs it held are gone with its leases
     world.run(92 * SECOND)
-    assert not world.both_held and world.turned_away == 0
+    assert not world.lease_conflicts and world.rejected_rounds == 0
     assert node.instance.lease_manager.slots_held(0)
 
 
@@ -110,15 +111,14 @@
     few = frozenset({0, 1})
     world.network.cuts = {1: (few, frozenset({2, 3, 4})), 2: (frozenset({2, 3, 4}), few)}
     world.run(60 * SECOND)
-    late = {who for served in world.serves.values() for at, who in served if at > 17 * SECOND}
-    assert late == {2, 3, 4} and all(served[-1][0] > 55 * SECOND for served in world.serves.values())
+    late = {who for served in world.rounds.values() for at, who in served if at > 17 * SECOND}
+    assert late == {2, 3, 4} and all(served[-1][0] > 55 * SECOND for served in world.rounds.values())
 
 
 def test_a_broken_bound_is_reported():
-    found = simulated(3, 5, length=40 * SECOND, kinds=("kill",))
-    world, day = found.world, None
-    world.serves[0, 1] = world.serves[0, 1][:1]  # as if nobody had served it again
-    day = Day(World(3, 0, world.plans, world.spans, world.leasing, 1), [], 40 * SECOND)
-    day.world, day.end = world, world.now
-    rows = findings(day, world.plans[0])
+    found = simulate(3, 5, length=40 * SECOND, kinds=("kill",))
+    world = found.world
+    world.rounds[0, 1] = world.rounds[0, 1][:1]  # as if nobody had served it again
+    run = FaultRun(world, [], world.now)
+    rows = findings(record_of(run), world.duties[0])
     assert [row.what for row in rows if not row.holds] == ["longest gap, s"]
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -337,12 +337,12 @@
     world.network.cuts.clear()
     world.network.loss = 0
     for who, node in enumerate(world.nodes):
-        if not node.instance and not node.gave_way:
+        if not node.instance and not node.yielded:
             world.restart(who)
         elif node.paused:
             node.resume()
     world.run(world.now + 2 * detection(SPANS, 5) + 6 * spread(SPANS, 5))
-    assert world.views_agree() and not world.gave_way
+    assert world.views_agree() and not world.yielded
 
 
 def test_messages_are_the_same_after_the_wire():
