--- a/limepath/cli/duties.py
+++ b/limepath/cli/duties.py
@@ -222,6 +222,9 @@
     """Measure what sharing costs and saves; write a page, a chart and the raw figures. Needs the extra
     'measure'.
     """
-    from limepath.duties.measure import measured
+    from limepath.duties.measure import write_measurements
 
-    click.echo(measured(out, numbers(sizes), numbers(fronts), say=lambda line: click.echo(line, err=True)))
+    path = write_measurements(
+        out, numbers(sizes), numbers(fronts), progress=lambda line: click.echo(line, err=True)
+    )
+    click.echo(path)
--- a/limepath/discovery/measure.py
+++ b/limepath/discovery/measure.py
@@ -8,7 +8,8 @@
 import sys
 
 from limepath.discovery.simulate import simulated
-from limepath.duties.measure import columns, machine, value
+from limepath.duties.measure import machine, value
+from limepath.duties.measurement_page import columns
 
 SIZES, FRONTS = (10, 50, 100, 200, 300, 500, 1000), (12, 50, 200)
 WHAT = {
--- a/limepath/duties/check.py
+++ b/limepath/duties/check.py
@@ -54,7 +54,7 @@
     """Give everything that may happen next in a pickled state."""
     state: ModelState = pickle.loads(frozen)
     seen: set[bytes] = set()
-    for index, envelope in enumerate(state.under_way):
+    for index, envelope in enumerate(state.in_transit):
         key = pickle.dumps(envelope)
         if key not in seen:
             seen.add(key)
@@ -66,19 +66,19 @@
 def message_steps(frozen: bytes, state: ModelState, index: int) -> Iterator[Step]:
     """Lose one message that is under way, deliver it, or deliver it and keep a duplicate under way."""
     names = state.instances[0].names
-    envelope = state.under_way[index]
-    rest = state.under_way[:index] + state.under_way[index + 1 :]
-    yield Step(describe("lose", envelope, names), state._replace(under_way=rest))
+    envelope = state.in_transit[index]
+    rest = state.in_transit[:index] + state.in_transit[index + 1 :]
+    yield Step(describe("lose", envelope, names), state._replace(in_transit=rest))
     for duplicate in (False, True) if state.duplicated < MAX_DUPLICATED else (False,):
         after: ModelState = pickle.loads(frozen)
-        delivered = after.under_way[index]
+        delivered = after.in_transit[index]
         sent = after.instances[delivered.destination].receive(after.now, delivered)
-        remaining = after.under_way
+        remaining = after.in_transit
         if not duplicate:
-            remaining = after.under_way[:index] + after.under_way[index + 1 :]
+            remaining = after.in_transit[:index] + after.in_transit[index + 1 :]
         yield Step(
             describe("deliver twice, first" if duplicate else "deliver", envelope, names),
-            after._replace(under_way=remaining + tuple(sent), duplicated=after.duplicated + duplicate),
+            after._replace(in_transit=remaining + tuple(sent), duplicated=after.duplicated + duplicate),
         )
 
 
@@ -90,7 +90,7 @@
     sent = after.instances[index].run_due(now)
     yield Step(
         f"{name} takes its turn at {now / 1e6:.3f} s",
-        after._replace(now=now, under_way=after.under_way + tuple(sent)),
+        after._replace(now=now, in_transit=after.in_transit + tuple(sent)),
     )
     if state.crashed < MAX_CRASHED:
         after = pickle.loads(frozen)
@@ -104,10 +104,10 @@
     models = tuple(ModelInstance(index, names, broken) for index in range(instances))
     holder = models[-1]
     now = holder.next_due()
-    under_way = list(holder.run_due(now))
-    while under_way:
-        envelope = under_way.pop(0)
-        under_way += models[envelope.destination].receive(now, envelope)
+    in_transit = list(holder.run_due(now))
+    while in_transit:
+        envelope = in_transit.pop(0)
+        in_transit += models[envelope.destination].receive(now, envelope)
     return ModelState(now, models, (), 0, 0)
 
 
--- a/limepath/duties/faults.py
+++ b/limepath/duties/faults.py
@@ -29,7 +29,7 @@
     PAUSE = "pause"
     HALVES = "halves"
     MINORITY = "minority"
-    ONE_WAY = "one-way"
+    ASYMMETRIC = "one-way"
     ROLLING = "rolling"
     ALL = "all"
     FLAPPING = "flapping"
@@ -40,7 +40,7 @@
 
 
 KINDS = tuple(FaultKind)
-PARTITIONS = (FaultKind.HALVES, FaultKind.MINORITY, FaultKind.ONE_WAY)
+PARTITIONS = (FaultKind.HALVES, FaultKind.MINORITY, FaultKind.ASYMMETRIC)
 
 
 class Fault(NamedTuple):
@@ -118,7 +118,7 @@
             FaultKind.PAUSE: self._begin_pause,
             FaultKind.HALVES: self._begin_partition,
             FaultKind.MINORITY: self._begin_partition,
-            FaultKind.ONE_WAY: self._begin_one_way,
+            FaultKind.ASYMMETRIC: self._begin_asymmetric_partition,
             FaultKind.ROLLING: self._begin_rolling,
             FaultKind.ALL: self._begin_all,
             FaultKind.FLAPPING: self._begin_flapping,
@@ -159,7 +159,7 @@
         self.world.network.cuts[fault, "back"] = Cut(others, side)
         self.world.at(self.world.now + fault.length, self._heal, fault)
 
-    def _begin_one_way(self, fault: Fault) -> None:
+    def _begin_asymmetric_partition(self, fault: Fault) -> None:
         side = frozenset(fault.who)
         others = frozenset(range(len(self.world.nodes))) - side
         self.world.network.cuts[fault] = Cut(side, others)
@@ -234,7 +234,7 @@
         self.world.at(self.world.now + 1, self.look, True)
 
     def look(self, lost: bool = False) -> None:
-        """Note whether the duties can be served now, and, where instances were lost, how many neighbours."""
+        """Record whether the duties can be served now, and how many neighbours are away if some were lost."""
         world = self.world
         running = {node.index for node in world.nodes if node.instance and not node.paused}
         sides = self._sides(running)
@@ -242,7 +242,7 @@
         if world.has_leases:
             sides = self._with_quorum(sides)
             is_able = bool(sides)
-        self._note_able(is_able)
+        self._record_ability(is_able)
         runs = [self._longest_run_away(side) for side in sides if side]
         if lost and runs:  # the best side is the one that serves
             self.neighbours_away = max(self.neighbours_away, min(runs))
@@ -259,7 +259,7 @@
         voters = {int(name[1:]) for name in self.world.lease_settings.voters}
         return [side for side in sides if len(side & voters) * 2 > len(voters)]
 
-    def _note_able(self, is_able: bool) -> None:
+    def _record_ability(self, is_able: bool) -> None:
         now = self.world.now
         if is_able and self.is_able is False:
             self.outages[-1] = self.outages[-1]._replace(end=now)
--- a/limepath/duties/lease_model.py
+++ b/limepath/duties/lease_model.py
@@ -7,6 +7,8 @@
 from collections.abc import Sequence
 from typing import Any, NamedTuple
 
+import msgspec
+
 from limepath.configuration.sharing_settings import LeaseSettings
 from limepath.duties.interface import LeaseRequest, PersistEpochCeiling
 from limepath.duties.leases import LeaseManager
@@ -187,7 +189,7 @@
 
     now: int
     instances: tuple[ModelInstance, ...]
-    under_way: tuple[Envelope, ...]
+    in_transit: tuple[Envelope, ...]
     duplicated: int  # messages so far that were delivered twice
     crashed: int  # instances so far
 
@@ -198,7 +200,7 @@
     def fingerprint(self) -> int:
         """Return a hash that is the same for states with the same future."""
         instances = tuple(one.fingerprint(self.now) for one in self.instances)
-        messages = tuple(sorted(self._message_fingerprint(envelope) for envelope in self.under_way))
+        messages = tuple(sorted(self._message_fingerprint(envelope) for envelope in self.in_transit))
         return hash((instances, messages, self.duplicated, self.crashed))
 
     def _message_fingerprint(self, envelope: Envelope) -> tuple[int, int, int, str, str]:
@@ -213,4 +215,4 @@
 
 def message_fields(message: Message) -> dict[str, Any]:
     """Return a message's fields by name, in the order of the wire."""
-    return {name: getattr(message, name) for name in message.__struct_fields__}
+    return msgspec.structs.asdict(message)
--- a/limepath/duties/measure.py
+++ b/limepath/duties/measure.py
@@ -1,6 +1,4 @@
-"""Measurements of shared duties, as a table, a chart and the raw figures beside them, with the machine's
-facts.
-"""
+"""Measurements of shared duties: raw figures with the machine's facts, a page and a chart."""
 
 import json
 import os
@@ -8,16 +6,36 @@
 import subprocess
 import sys
 import time
+from collections.abc import Callable, Iterable, Sequence
 from datetime import date
+from typing import Any
 
 from limepath.configuration.sharing_settings import DutyMode
-from limepath.duties.saving import WAYS, saved
+from limepath.duties.measurement_page import draw_chart, render_page
+from limepath.duties.savings import ProbeMode, measure_savings
 from limepath.duties.simulate import SECOND, simulate
+from limepath.report_table import Row
 
-SIZES, FRONTS = (3, 30, 300, 1000), (3, 10, 50)
+SIZES = (3, 30, 300, 1000)
+FRONTS = (3, 10, 50)
+COST_TARGETS = (0, 1000)
+COST_INTERVAL = 10 * SECOND
+COST_LENGTH = 20 * SECOND
+DRILL_MODES = ("--sharing", "--alone")
+DRILL_OPTIONS = ("--targets", "20", "--interval", "2s", "--faults", "0", "--json")
 
+Figures = dict[str, Any]
+"""One row of raw figures. The keys stand in `duties.json`."""
+Progress = Callable[[str], object]
+"""Told of each row as it is measured."""
 
-def machine():
+
+class DrillError(Exception):
+    """A drill that ended without figures; the text is what it wrote."""
+
+
+def machine() -> Figures:
+    """Return facts about the machine that measures."""
     return {
         "cores": os.cpu_count(),
         "machine": platform.machine(),
@@ -27,169 +45,98 @@
     }
 
 
-def value(rows, what):
+def value(rows: Iterable[Row], what: str) -> Any:
+    """Return what was measured in the row of that name."""
     return next(row.measured for row in rows if row.what == what)
 
 
-def costs(sizes, say):
-    """Messages and bytes by instance and second, in virtual time: of the checks alone, and with 1,000
-    targets.
+def measure_costs(sizes: Sequence[int], progress: Progress) -> list[Figures]:
+    """Measure messages and bytes by instance and second, in virtual time without faults.
+
+    Once for the membership alone, and once with 1,000 targets.
     """
-    told = []
+    figures: list[Figures] = []
     for instances in sizes:
-        for targets in (0, 1000):
+        for targets in COST_TARGETS:
             began = time.monotonic()
-            found = simulate(instances, targets, DutyMode.AT_LEAST_ONCE, 10 * SECOND, 20 * SECOND, kinds=())
-            told.append(
-                {
-                    "instances": instances,
-                    "targets": targets,
-                    "messages": value(found.rows, "messages per instance and second"),
-                    "bytes": value(found.rows, "bytes per instance and second"),
-                    "seconds_taken": round(time.monotonic() - began, 1),
-                }
-            )
-            say(str(told[-1]))
-    return told
-
-
-def savings(fronts, say):
-    """What caches see, in virtual time with the real decision module (`saving`)."""
-    told = []
+            found = simulate(instances, targets, DutyMode.AT_LEAST_ONCE, COST_INTERVAL, COST_LENGTH, kinds=())
+            row = {
+                "instances": instances,
+                "targets": targets,
+                "messages": value(found.rows, "messages per instance and second"),
+                "bytes": value(found.rows, "bytes per instance and second"),
+                "seconds_taken": round(time.monotonic() - began, 1),
+            }
+            figures.append(row)
+            progress(str(row))
+    return figures
+
+
+def measure_all_savings(fronts: Sequence[int], progress: Progress) -> list[Figures]:
+    """Measure what caches see, in virtual time with the real decision module."""
+    figures: list[Figures] = []
     for count in fronts:
-        for way in WAYS:
-            told.append(saved(way, count)._asdict())
-            say(str(told[-1]))
-    return told
-
-
-def drills(fronts, say):
-    """What caches see from real processes on loopback, shared and each front for itself, 20 targets."""
-    told = []
+        for mode in ProbeMode:
+            savings = measure_savings(mode, count)
+            row = {
+                "way": savings.mode.value,
+                "fronts": savings.fronts,
+                "probes": savings.probes,
+                "probes_silent": savings.probes_silent,
+                "met": savings.forwarded_to_silent,
+                "gets": savings.requests,
+            }
+            figures.append(row)
+            progress(str(row))
+    return figures
+
+
+def measure_drills(fronts: Sequence[int], progress: Progress) -> list[Figures]:
+    """Measure what caches see from real processes on loopback, shared and each front for itself."""
+    figures: list[Figures] = []
     for count in fronts:
-        for way in ("--sharing", "--alone"):
-            done = subprocess.run(
-                [
-                    sys.executable,
-                    "-m",
-                    "limepath",
-                    "duties",
-                    "drill",
-                    "--instances",
-                    str(count),
-                    "--targets",
-                    "20",
-                    "--interval",
-                    "2s",
-                    "--faults",
-                    "0",
-                    way,
-                    "--json",
-                ],
-                capture_output=True,
-                text=True,
-            )
-            if done.returncode not in (0, 1):
-                raise RuntimeError(done.stderr)
-            rows = {row["what"]: row["measured"] for row in json.loads(done.stdout)["rows"]}
-            told.append(
-                {
-                    "fronts": count,
-                    "way": way.removeprefix("--"),
-                    "probes_per_target_and_interval": rows["probes per target and interval"],
-                    "bytes": rows["bytes per instance and second"],
-                    "messages": rows["messages per instance and second"],
-                }
-            )
-            say(str(told[-1]))
-    return told
-
-
-def chart(told, path):
-    import matplotlib
-
-    matplotlib.use("Agg")
-    from matplotlib import pyplot
-
-    figure, (left, right) = pyplot.subplots(1, 2, figsize=(11, 4))
-    for targets, label in ((0, "checks alone"), (1000, "with 1,000 targets' results")):
-        rows = [row for row in told["costs"] if row["targets"] == targets]
-        left.plot(
-            [row["instances"] for row in rows], [row["bytes"] / 1000 for row in rows], marker="o", label=label
-        )
-    left.set(
-        xscale="log",
-        yscale="log",
-        xlabel="instances",
-        ylabel="kB sent by instance and second",
-        title="Cost (virtual time)",
-    )
-    left.legend()
-    for way in WAYS:
-        rows = [row for row in told["savings"] if row["way"] == way]
-        right.plot([row["fronts"] for row in rows], [row["probes"] for row in rows], marker="o", label=way)
-    right.set(
-        xscale="log",
-        yscale="log",
-        xlabel="fronts",
-        ylabel="probes by second",
-        title="A healthy cache sees (virtual time)",
-    )
-    right.legend()
-    figure.tight_layout()
-    figure.savefig(path, dpi=90)
-
-
-def columns(rows, names):
-    lines = ["| " + " | ".join(names) + " |", "|" + " --- |" * len(names)]
-    return "\n".join(lines + ["| " + " | ".join(str(row[name]) for name in names) + " |" for row in rows])
-
-
-def page(told, command):
-    facts = ", ".join(f"{name} {value}" for name, value in told["machine"].items())
-    return f"""# Shared duties, measured
-
-Made by `{command}` ({facts}); the raw figures are in `duties.json`.
-Absolute figures are of this machine; read the ratios.
-
-## What it costs (virtual time, the real logic, encoded messages)
-
-At least once, interval 10 s, nothing fails. Bytes are those of sealed datagrams,
-without the system's headers.
-
-{columns(told["costs"], ["instances", "targets", "messages", "bytes", "seconds_taken"])}
-
-## What it saves the caches (virtual time, the real decision module)
-
-60 s, 20 caches, 20 GETs a second at each front, rounds every 2 s; one cache is silent for
-20 s. `probes` a healthy cache sees
-by second, `probes_silent` the silent one, `met` are GETs forwarded to the silent one.
-
-{columns(told["savings"], ["fronts", "way", "probes", "probes_silent", "met", "gets"])}
-
-## Real processes and datagrams on loopback
-
-20 stand-in caches, rounds every 2 s; nothing fails.
-
-{columns(told["drills"], ["fronts", "way", "probes_per_target_and_interval", "messages", "bytes"])}
-
-![cost and saving](duties.png)
-"""
-
-
-def measured(folder, sizes=SIZES, fronts=FRONTS, say=print):
-    """Measure all, write page, chart and raw figures to the folder; give the page's path."""
-    told = {
+        for option in DRILL_MODES:
+            rows = run_drill(count, option)
+            row = {
+                "fronts": count,
+                "way": option.removeprefix("--"),
+                "probes_per_target_and_interval": rows["probes per target and interval"],
+                "bytes": rows["bytes per instance and second"],
+                "messages": rows["messages per instance and second"],
+            }
+            figures.append(row)
+            progress(str(row))
+    return figures
+
+
+def run_drill(instances: int, option: str) -> Figures:
+    """Run a drill in a process of its own; return what was measured, by row. Raises DrillError."""
+    command = [sys.executable, "-m", "limepath", "duties", "drill", "--instances", str(instances)]
+    done = subprocess.run([*command, *DRILL_OPTIONS, option], capture_output=True, text=True)
+    if done.returncode not in (0, 1):
+        raise DrillError(f"status {done.returncode} in place of 0 or 1: {done.stderr}")
+    return {row["what"]: row["measured"] for row in json.loads(done.stdout)["rows"]}
+
+
+def write_measurements(
+    folder: str,
+    sizes: Sequence[int] = SIZES,
+    fronts: Sequence[int] = FRONTS,
+    progress: Progress = print,
+) -> str:
+    """Measure all; write page, chart and raw figures to the folder. Return the page's path."""
+    figures: Figures = {
         "machine": machine(),
-        "drills": drills(fronts, say),
-        "savings": savings(fronts, say),
-        "costs": costs(sizes, say),
+        "drills": measure_drills(fronts, progress),
+        "savings": measure_all_savings(fronts, progress),
+        "costs": measure_costs(sizes, progress),
     }
     os.makedirs(folder, exist_ok=True)
     with open(os.path.join(folder, "duties.json"), "w", encoding="utf-8") as file:
-        json.dump(told, file, indent=1)
-    chart(told, os.path.join(folder, "duties.png"))
+        json.dump(figures, file, indent=1)
+    draw_chart(figures, os.path.join(folder, "duties.png"))
     path = os.path.join(folder, "duties.md")
+    command = f"limepath duties measure --sizes {','.join(map(str, sizes))}"
     with open(path, "w", encoding="utf-8") as file:
-        file.write(page(told, f"limepath duties measure --sizes {','.join(map(str, sizes))}"))
+        file.write(render_page(figures, command))
     return path
--- a/limepath/duties/node.py
+++ b/limepath/duties/node.py
@@ -111,7 +111,7 @@
         self.instance = None
         self.received = []
         self.wake_at = None
-        self._note_leases({})
+        self._record_leases({})
 
     def lose_store(self) -> None:
         """Begin with an empty store next time."""
@@ -142,7 +142,7 @@
                 return
             self._carry_out_one(me, command)
         if self.world.has_leases:
-            self._note_leases(self._held_leases())
+            self._record_leases(self._held_leases())
         self._schedule_wake()
 
     def _carry_out_one(self, me: MemberRecord, command: Any) -> None:
@@ -167,7 +167,7 @@
             if lease.expires_at > now
         }
 
-    def _note_leases(self, leases: dict[tuple[int, int], int]) -> None:
+    def _record_leases(self, leases: dict[tuple[int, int], int]) -> None:
         self.world.record_leases(self.index, self.leases, leases)
         self.leases = leases
 
--- /dev/null
+++ b/limepath/duties/savings.py
@@ -0,0 +1,267 @@
+"""What sharing saves the caches: many fronts with the real decision module, in virtual time.
+
+One cache is silent for a while. Three modes: as the decision module does by itself (probes on suspicion
+only), each front for itself (every front probes every cache in each interval), and shared. Counted are the
+probes that caches see, and the requests that are forwarded to the silent cache.
+"""
+
+from collections.abc import Iterable
+from enum import StrEnum
+from typing import Any, NamedTuple
+
+from limepath.choice import Front
+from limepath.configuration.sharing_settings import DutyMode, DutySettings, LeaseSettings, MembershipTimeouts
+from limepath.duties.interface import ProbeResult, ServeTarget, TargetServed
+from limepath.duties.node import Node
+from limepath.duties.probe_sharing import report_of
+from limepath.duties.world import SERVE_DURATION, World
+from limepath.interface.commands import CancelAttempt, ForwardRequest, ScheduleWakeup, SendProbe
+from limepath.interface.events import (
+    AttemptEnded,
+    AttemptOutcome,
+    CacheStatus,
+    Endpoint,
+    EndpointListUpdated,
+    EndpointState,
+    ProbeEnded,
+    RequestArrived,
+    TimerFired,
+    UpdateKind,
+)
+from limepath.interface.settings import (
+    DeliveryService,
+    GracePeriods,
+    Idempotency,
+    KeyScope,
+    Permissions,
+    SlowStart,
+    Topology,
+)
+
+SECOND = 1_000_000
+
+
+class ProbeMode(StrEnum):
+    """How fronts learn that a cache is silent. The values stand in the measurements."""
+
+    ALONE = "on suspicion alone"
+    EACH = "each for itself"
+    SHARED = "shared"
+
+
+DEADLINE = 2 * SECOND
+PROBE_TIMEOUT = 250_000
+ATTEMPT_DURATION = 40_000
+"""All in microseconds."""
+KEYS = 10_000
+"""Different keys that are requested."""
+SILENT_CACHE = 1
+SILENCE_BEGIN = 20 * SECOND
+SILENCE_END = 40 * SECOND
+RUN_LENGTH = 60 * SECOND
+SERVICE = DeliveryService(
+    latency_objective=600_000,
+    objective_stretch=1.6,
+    deadline=DEADLINE,
+    priority_weight=1.0,
+    late_share=0.2,
+    idempotency=Idempotency.IDEMPOTENT,
+    key_scope=KeyScope.ALL,
+    retry_window=SECOND,
+    streamed=False,
+    max_age=0,
+    stale_grace=0,
+    stale_share=0.0,
+    uncacheable=False,
+    segmented=False,
+)
+
+
+class Savings(NamedTuple):
+    """What one mode showed."""
+
+    mode: ProbeMode
+    fronts: int
+    probes: float  # that a healthy cache sees, by second
+    probes_silent: float  # that the silent cache sees, by second of its silence
+    forwarded_to_silent: int  # requests, in its silence
+    requests: int  # at all fronts
+
+
+def make_front(index: int, fronts: int, seed: int) -> Front:
+    """Return the decision module of one front."""
+    return Front(
+        seed=seed + index,
+        services=(SERVICE,),
+        footprint=Topology(0, (0,), (), fronts, fronts, 2, 3, 0.0, False),
+        allowance=Permissions(6, False, True, True, False, SECOND, True, False, "none", False),
+        cache_warmup=SlowStart(1.0, 1, 2.0, SECOND),
+        parent_warmup=SlowStart(1.0, 1, 2.0, SECOND),
+        grace=GracePeriods(8000, SECOND, 0, 0, 0),
+    )
+
+
+class FrontWorld(World):
+    """A world whose nodes each have a front.
+
+    `interval` is that of the probes in microseconds, `rate` the requests a second at each front.
+    """
+
+    def __init__(self, mode: ProbeMode, fronts: int, caches: int, interval: int, rate: float, seed: int):
+        duty = DutySettings("probe", DutyMode.AT_LEAST_ONCE, interval)
+        super().__init__(fronts, caches, (duty,), MembershipTimeouts(), LeaseSettings(), seed)
+        self.mode = mode
+        self.rate = rate
+        self.fronts = [make_front(index, fronts, seed) for index in range(fronts)]
+        self.wakeups: list[int | None] = [None] * fronts
+        """When each front is to be called next."""
+        self.awaited: list[set[int]] = [set() for _ in range(fronts)]
+        """The caches whose probes each front awaits."""
+        self.attempts: dict[tuple[int, int], ForwardRequest] = {}
+        """Attempts by front and request."""
+        self.probes_seen: dict[int, list[int]] = {}
+        """When each cache saw probes."""
+        self.forwarded_to_silent = 0
+        self.requests = 0
+
+    def open(self, preset: bool = True) -> None:
+        """Start all fronts and their requests."""
+        if self.mode == ProbeMode.SHARED:
+            super().open(True)
+        else:
+            for node in self.nodes:
+                node.start(())
+                if self.mode == ProbeMode.EACH:
+                    node.begin()
+        endpoints = tuple(Endpoint(EndpointState.READY, target, 0, 0, 0, 0, 6.0) for target in self.targets)
+        for index in range(len(self.nodes)):
+            self._submit(index, EndpointListUpdated(UpdateKind.FULL, 1, endpoints))
+            self.at(self.random.randrange(SECOND), self._request, index)
+
+    def is_silent(self, cache: int) -> bool:
+        """Whether a cache answers nothing now."""
+        return cache == SILENT_CACHE and SILENCE_BEGIN <= self.now < SILENCE_END
+
+    # The fronts' decision modules
+
+    def _submit(self, index: int, *events: Any) -> None:
+        self._carry_out(index, self.fronts[index].handle(self.now, events))
+
+    def _carry_out(self, index: int, commands: Iterable[Any]) -> None:
+        for command in commands:
+            if isinstance(command, ForwardRequest):
+                self._forward(index, command)
+            elif isinstance(command, CancelAttempt):
+                if attempt := self.attempts.get((index, command.request)):
+                    self._end_attempt(index, attempt, AttemptOutcome.CANCELLED, SECOND)
+            elif isinstance(command, SendProbe):
+                self._send_probe(index, command)
+            elif isinstance(command, ScheduleWakeup):
+                self._schedule_wakeup(index, self.now + command.delay)
+
+    def _schedule_wakeup(self, index: int, due: int) -> None:
+        scheduled = self.wakeups[index]
+        if scheduled is None or scheduled <= self.now or due < scheduled:
+            self.wakeups[index] = due
+            self.at(due, self._wake_up, index, due)
+
+    def _wake_up(self, index: int, due: int) -> None:
+        if self.wakeups[index] == due:
+            self.wakeups[index] = None
+            self._submit(index, TimerFired(0))
+
+    # Requests
+
+    def _request(self, index: int) -> None:
+        self.requests += 1
+        key = 1 + self.random.randrange(KEYS)
+        self._submit(index, RequestArrived(self.requests, 0, 0, key, DEADLINE, 0.0, 0, 0, False, False))
+        delay = int(self.random.expovariate(self.rate) * SECOND) + 1
+        self.at(self.now + delay, self._request, index)
+
+    def _forward(self, index: int, attempt: ForwardRequest) -> None:
+        self.attempts[index, attempt.request] = attempt
+        outcome, duration = AttemptOutcome.SUCCEEDED, ATTEMPT_DURATION
+        if self.is_silent(attempt.endpoint):
+            self.forwarded_to_silent += 1
+            outcome, duration = AttemptOutcome.TIMED_OUT, DEADLINE
+        self.at(self.now + duration, self._end_attempt, index, attempt, outcome, duration)
+
+    def _end_attempt(
+        self, index: int, attempt: ForwardRequest, outcome: AttemptOutcome, duration: int
+    ) -> None:
+        if self.attempts.pop((index, attempt.request), None) is not attempt:
+            return
+        is_complete = outcome == AttemptOutcome.SUCCEEDED
+        self._submit(
+            index,
+            AttemptEnded(
+                attempt.request,
+                0,
+                outcome,
+                attempt.endpoint,
+                duration,
+                0,
+                is_complete,
+                CacheStatus.NONE,
+                {},
+            ),
+        )
+
+    # Probes of scheduled rounds, and those that the decision module asks for
+
+    def _send_probe(self, index: int, command: SendProbe) -> None:
+        node = self.nodes[index]
+        if self.mode == ProbeMode.SHARED:
+            node.instance.timers.now = node.clock()
+            if shared := node.instance.find_answer(command.endpoint, command.max_age):
+                self.at(self.now + 1, self._submit, index, report_of(shared._replace(load={})))
+                return
+        self.awaited[index].add(command.endpoint)
+        self._probe(index, command.endpoint)
+
+    def _probe(self, index: int, cache: int) -> None:
+        self.probes_seen.setdefault(cache, []).append(self.now)
+        outcome, duration = AttemptOutcome.SUCCEEDED, SERVE_DURATION
+        if self.is_silent(cache):
+            outcome, duration = AttemptOutcome.TIMED_OUT, PROBE_TIMEOUT
+        self.at(self.now + duration, self._end_probe, index, cache, outcome, duration)
+
+    def _end_probe(self, index: int, cache: int, outcome: AttemptOutcome, duration: int) -> None:
+        self.awaited[index].discard(cache)
+        self._submit(index, ProbeEnded(cache, outcome, duration, {}))
+        if self.mode != ProbeMode.ALONE:
+            self.nodes[index].handle([TargetServed(0, cache, int(outcome), duration, {})])
+
+    def serve(self, node: Node, command: ServeTarget) -> None:
+        """Probe a cache that is due at a node."""
+        self._probe(node.index, command.target)
+
+    def handle_result_shared(self, node: Node, result: ProbeResult) -> None:
+        """Report another's result to the node's front, unless it awaits its own."""
+        if result.target not in self.awaited[node.index]:
+            self._submit(node.index, report_of(result._replace(load={})))
+
+
+def measure_savings(
+    mode: ProbeMode,
+    fronts: int,
+    caches: int = 20,
+    interval: int = 2 * SECOND,
+    rate: float = 20.0,
+    seed: int = 1,
+) -> Savings:
+    """Run one mode for RUN_LENGTH; return what the caches saw."""
+    world = FrontWorld(mode, fronts, caches, interval, rate, seed)
+    world.open()
+    world.run(RUN_LENGTH)
+    healthy = sum(len(seen) for cache, seen in world.probes_seen.items() if cache != SILENT_CACHE)
+    silent = sum(SILENCE_BEGIN <= at < SILENCE_END for at in world.probes_seen.get(SILENT_CACHE, ()))
+    return Savings(
+        mode,
+        fronts,
+        round(healthy / (caches - 1) / (RUN_LENGTH // SECOND), 3),
+        round(silent / ((SILENCE_END - SILENCE_BEGIN) / SECOND), 3),
+        world.forwarded_to_silent,
+        world.requests,
+    )
