--- a/limepath/duties/__init__.py
+++ b/limepath/duties/__init__.py
@@ -22,6 +22,6 @@
 
 `lease_timing` and `bounds` compute the spans that leases rest on and that the settings promise. All but
 `host`, `probe_sharing` and `boot_clock` is free of I/O and also runs elsewhere: in virtual time under faults
-(`simulate`, with `world`, `node`, `network`, `faults`, `findings`), in the model checker of the leases (`check`,
-`lease_model`), and in the measurements (`measure`, `measurement_page`, `savings`).
+(`simulate`, with `world`, `node`, `network`, `faults`, `findings`), in the model checker of the leases
+(`check`, `lease_model`), and in the measurements (`measure`, `measurement_page`, `savings`).
 """
