--- a/limepath/duties/check.py
+++ b/limepath/duties/check.py
@@ -8,7 +8,7 @@
 
 import pickle
 import time
-from collections.abc import Iterator
+from collections.abc import Iterator, Sequence
 from typing import Any, NamedTuple
 
 from limepath.duties.lease_model import Envelope, ModelInstance, ModelState, message_fields
@@ -40,7 +40,7 @@
     return tuple(plain_value(item) for item in value) if isinstance(value, tuple) else value
 
 
-def describe(verb: str, envelope: Envelope, names: list[str]) -> str:
+def describe(verb: str, envelope: Envelope, names: Sequence[str]) -> str:
     """Return what is done with a message, for the trace."""
     fields = message_fields(envelope.message)
     fields.pop("duty", None)
@@ -114,7 +114,7 @@
 class Origin(NamedTuple):
     """How a state was reached: from which state of the layer before, by which step."""
 
-    index: int
+    position: int
     description: str
 
 
@@ -180,9 +180,10 @@
         """Return the descriptions of the steps from the initial state to a node of the present layer."""
         steps: list[str] = []
         origin = node.origin
-        for layer in reversed(self.past_layers):
+        layers = reversed(self.past_layers)
+        while origin is not None:
             steps.insert(0, origin.description)
-            origin = layer[origin.index]
+            origin = next(layers)[origin.position]
         return steps
 
 
--- a/limepath/duties/host.py
+++ b/limepath/duties/host.py
@@ -54,7 +54,7 @@
 
 def message_types(settings: PeersSettings) -> tuple[type[Message], ...]:
     """Return the types of all messages that instances exchange under these settings."""
-    types = MESSAGES + DUTY_MESSAGES
+    types: tuple[type[Message], ...] = MESSAGES + DUTY_MESSAGES
     if settings.listing:  # loaded only where it is used
         from limepath.discovery.interface import MESSAGES as DISCOVERY_MESSAGES
         from limepath.frequency_exchange.interface import MESSAGES as FREQUENCY_MESSAGES
@@ -88,8 +88,6 @@
         self.identity: Identity = self._load_identity()
         self.writes = PendingWrites(self.store, log)
         """Rows that are to be written before what rests on them goes out."""
-        self.store_state = self.store.found
-        """Whether the store was there, new or damaged at the start."""
         self.instance = self._make_instance(front.seed)
         self.logic_host = LogicHost(reactor, clock, self.instance, self.execute, self._fail)
         kinds = self._target_kinds(front)
@@ -132,10 +130,12 @@
 
     def _make_instance(self, seed: int) -> Instance:
         settings = self.settings
+        host, port = settings.advertise
         me = MemberRecord(
             self.identity.token,
             settings.name,
-            *settings.advertise,
+            host,
+            port,
             self.identity.life << REFUTATION_BITS,
             time.time_ns() // 1000,
         )
@@ -174,9 +174,9 @@
         self.submit(*self.probe_sharing.all_targets())
 
     def _log_start(self) -> None:
-        if self.store_state == DAMAGED:
+        if self.store.found == DAMAGED:
             self.log.say("store-damaged", "joins as a new instance", put_aside=self.store.aside)
-        elif self.store_state == NEW:
+        elif self.store.found == NEW:
             self.log.say("store-new", "joins as a new instance", store=self.settings.store)
         host, port = self.settings.listen
         self.log.say(
--- a/limepath/duties/instance.py
+++ b/limepath/duties/instance.py
@@ -237,7 +237,7 @@
 
     def _deliver_loopback(self) -> None:
         me = self.members.me
-        while self.loopback:
+        while self.loopback and self.lease_manager:
             self.lease_manager.handle_message(me.name, me.door, self.loopback.popleft())
 
     def _divide_stale_shares(self, now: int) -> None:
--- a/limepath/duties/instance_view.py
+++ b/limepath/duties/instance_view.py
@@ -3,7 +3,6 @@
 from collections.abc import Sequence
 from typing import Any, NamedTuple
 
-from limepath.configuration.sharing_settings import DutyMode
 from limepath.duties.leases import LeaseManager
 from limepath.duties.share import DutyShare
 from limepath.duties.shared_results import SharedResults
@@ -69,8 +68,8 @@
         "targets": len(share.keyed_targets),
         "owned": len(share.schedule.owned),
     }
-    if share.settings.mode == DutyMode.ONE_OWNER:
-        manager = share.lease_manager
+    manager = share.lease_manager
+    if manager is not None:
         row["slots"] = {
             slot: manager.held_leases[share.duty, slot].epoch
             for slot in sorted(manager.slots_held(share.duty))
--- a/limepath/duties/network.py
+++ b/limepath/duties/network.py
@@ -1,6 +1,7 @@
 """A network between simulated instances: it delays, loses, duplicates and reorders messages by chance."""
 
-from collections.abc import Collection, Hashable
+from collections.abc import Hashable
+from collections.abc import Set as AbstractSet
 from random import Random
 from typing import NamedTuple
 
@@ -14,8 +15,8 @@
 class Cut(NamedTuple):
     """Messages from these to those are lost; indices of instances."""
 
-    sources: Collection[int]
-    destinations: Collection[int]
+    sources: AbstractSet[int]
+    destinations: AbstractSet[int]
 
 
 class Network:
--- a/limepath/duties/share.py
+++ b/limepath/duties/share.py
@@ -15,7 +15,7 @@
 class DutyShare:
     """The targets of one duty, and the schedule of those that this instance owns.
 
-    `lease_manager` is None where no duty needs a lease; targets are mapped to `slots` slots.
+    `lease_manager` is that of the instance, if any duty needs leases; targets are mapped to `slots` slots.
     """
 
     def __init__(
@@ -29,7 +29,8 @@
         self.duty = duty
         self.settings = settings
         self.slots = slots
-        self.lease_manager = lease_manager
+        self.lease_manager = lease_manager if settings.mode == DutyMode.ONE_OWNER else None
+        """None where this duty needs no lease."""
         self.keyed_targets: list[KeyedTarget] = []
         """All targets of the duty, in order of their keys."""
         self.is_stale = True
@@ -38,7 +39,7 @@
 
     def permission(self, target: int) -> ServePermission | None:
         """Return under which lease the target may be served now, or None if it may not."""
-        if self.settings.mode == DutyMode.AT_LEAST_ONCE:
+        if self.lease_manager is None:
             return UNLIMITED
         lease = self.lease_manager.valid_lease(self.duty, self.slot_of(target))
         return ServePermission(lease.epoch, lease.expires_at) if lease else None
@@ -56,7 +57,7 @@
     def divide(self, ring: Ring, token: int) -> None:
         """Own the targets that are this instance's by the ring or by the slots that it holds."""
         self.is_stale = False
-        if self.settings.mode == DutyMode.AT_LEAST_ONCE:
+        if self.lease_manager is None:
             owned = ring.targets_of(token, self.keyed_targets)
         else:
             held = self.lease_manager.slots_held(self.duty)
--- a/limepath/duties/voter.py
+++ b/limepath/duties/voter.py
@@ -75,6 +75,8 @@
 
     def can_vote(self) -> bool:
         """Whether requests are answered now."""
+        if self.silent_until is None:
+            return False
         return self.sure and self.timers.now >= self.silent_until
 
     def is_valid(self, grant: Grant) -> bool:
