--- a/limepath/cli/duties.py
+++ b/limepath/cli/duties.py
@@ -80,7 +80,8 @@
     as_json: bool,
 ) -> None:
     """Run the logic of many instances in virtual time under faults; the same seed gives the same table."""
-    from limepath.duties.simulate import KINDS, simulated
+    from limepath.duties.simulate import KINDS
+    from limepath.duties.simulate import simulate as run_simulation
 
     if kinds == "help":
         click.echo(", ".join(KINDS))
@@ -90,7 +91,7 @@
         chosen = ()
     elif kinds is not None:
         chosen = chosen_kinds(None if kinds == "every" else kinds, KINDS, "--faults")
-    found = simulated(
+    found = run_simulation(
         instances, targets, MODES[mode], interval, length, seed, loss, doubled, late, chosen, cold=cold
     )
     conclude(
@@ -159,9 +160,9 @@
 
     Events are delivery, loss, duplication, pause and expiry.
     """
-    from limepath.duties.check import explored
+    from limepath.duties.check import explore
 
-    found = explored(instances, depth, states, broken)
+    found = explore(instances, depth, states, broken)
     conclude(
         found.rows, as_json, found.trace, instances=instances, depth=depth, broken=broken, trace=found.trace
     )
@@ -203,6 +204,9 @@
 
     Needs the extra 'measure'.
     """
-    from limepath.duties.measure import measured
+    from limepath.duties.measure import write_measurements
 
-    click.echo(measured(out, integers(sizes), integers(fronts), say=lambda line: click.echo(line, err=True)))
+    path = write_measurements(
+        out, integers(sizes), integers(fronts), say=lambda line: click.echo(line, err=True)
+    )
+    click.echo(path)
--- a/limepath/discovery/host.py
+++ b/limepath/discovery/host.py
@@ -181,10 +181,10 @@
     changes = GuidedChangeLog(
         reactor, turn, caches, limits, log, front.settings, front.seed, cooperation, terms
     )
-    cooperation.guests.append(changes)
+    cooperation.message_handlers.append(changes)
     changes.tallies = Tallies(reactor, turn, cooperation, front.seed ^ 0x7A11)
-    cooperation.hearers.append(changes.tallies)
-    if cooperation.told.connections:
+    cooperation.event_listeners.append(changes.tallies)
+    if cooperation.settings.connections:
         from limepath.connection_pacing.host import Paced
 
         members = cooperation.instance.members
@@ -192,7 +192,7 @@
             reactor,
             turn,
             caches,
-            float(cooperation.told.connections),
+            float(cooperation.settings.connections),
             lambda: max(terms.fronts, len(members.ring) + 1),
             changes.logic.timers.random_fraction,
         )
--- a/limepath/discovery/state.py
+++ b/limepath/discovery/state.py
@@ -71,7 +71,7 @@
         >>> one.take(parsed('{"seq": 8, "invalidate": {"bucket": 17, "time": 5}}'))
         >>> two = unpacked(one.packed(), 10_000)
         >>> two.place, two.digest == one.digest, len(two.purges), two.whole() == one.whole()
-        (Place(generation=0, number=8), True, 1, True)
+        (Revision(generation=0, number=8), True, 1, True)
         >>> image = one.packed()
         >>> for spoilt in (b"", image[:-3], b"LPL1" + zlib.compress(b"[1]"), image[:60] + b"x" + image[60:]):
         ...     try:
--- /dev/null
+++ b/tests/test_probe_sharing.py
@@ -0,0 +1,73 @@
+"""A probe that the decisions ask for is sent, unless a shared result that is new enough stands in."""
+
+from types import SimpleNamespace
+
+import pytest
+
+from limepath.duties.interface import ProbeResult
+from limepath.duties.probe_sharing import ProbeSharing
+from limepath.interface.commands import SendProbe
+from limepath.interface.events import AttemptOutcome, EndpointListUpdated, ProbeEnded
+
+TARGET = 7
+RESULT = ProbeResult(0, TARGET, 1, 1, 500, int(AttemptOutcome.SUCCEEDED), 900)
+
+
+class RecordingLoop:
+    """The front's loop: keeps the events that it is handed and the probes that it is to carry out."""
+
+    def __init__(self):
+        self.listener = None
+        self.events = []
+        self.probes = []
+        self.carriers = {SendProbe: self.probes.append}
+
+    def gather(self, *events):
+        self.events += events
+
+
+@pytest.fixture
+def loop():
+    return RecordingLoop()
+
+
+def sharing(loop, answer):
+    """The sharing of an instance that has this answer to every question."""
+    instance = SimpleNamespace(timers=SimpleNamespace(now=0), find_answer=lambda endpoint, max_age: answer)
+    shared = ProbeSharing(loop, SimpleNamespace(peers={}), instance, [], lambda *events: None, lambda: 1000)
+    shared.attach()
+    return shared
+
+
+def test_a_probe_without_a_shared_result_is_sent_and_awaited(loop):
+    shared = sharing(loop, answer=None)
+    loop.carriers[SendProbe](SendProbe(TARGET, 2000))
+    assert loop.probes == [SendProbe(TARGET, 2000)]
+    assert shared.awaited == {TARGET}
+    shared.report(RESULT)
+    assert loop.events == []  # the endpoint's own answer is on its way
+    loop.listener([ProbeEnded(TARGET, AttemptOutcome.SUCCEEDED, 900, {})])
+    shared.report(RESULT)
+    assert [event.endpoint for event in loop.events] == [TARGET]
+
+
+def test_a_shared_result_stands_in_for_a_probe(loop):
+    shared = sharing(loop, answer=RESULT)
+    loop.carriers[SendProbe](SendProbe(TARGET, 2000))
+    assert loop.probes == []
+    assert loop.events == [ProbeEnded(TARGET, AttemptOutcome.SUCCEEDED, 900, {}, 500)]
+    assert shared.counts["probes_shared"] == 1
+
+
+def test_once_detached_probes_go_out_as_they_are(loop):
+    shared = sharing(loop, answer=RESULT)
+    shared.detach()
+    loop.carriers[SendProbe](SendProbe(TARGET))
+    assert loop.probes == [SendProbe(TARGET)]
+    assert loop.listener is None
+
+
+def test_endpoint_updates_tell_the_targets(loop):
+    shared = sharing(loop, answer=None)
+    shared.handle_front_events([EndpointListUpdated(1, 1, ())])
+    assert shared.endpoint_kinds == {}
