--- a/limepath/duties/host.py
+++ b/limepath/duties/host.py
@@ -85,7 +85,7 @@
             identity.token,
             told.name,
             *told.advertise,
-            identity.life << REFUTATION_BITS,
+            identity.generation << REFUTATION_BITS,
             time.time_ns() // 1000,
         )
         self.instance = Instance(
@@ -135,7 +135,7 @@
             "sharing",
             name=self.told.name,
             listening="{}:{}".format(*self.told.listen),
-            life=self.identity.life,
+            life=self.identity.generation,
             token=f"{self.identity.token:016x}",
             duties=len(self.told.plans),
         )
@@ -174,7 +174,7 @@
                 order.why + "; this front shares nothing any more",
                 name=order.other.name,
                 other=f"{order.other.host}:{order.other.port}",
-                life=order.other.life,
+                life=order.other.generation,
             )
             self.stop()
         elif isinstance(order, LeaveCompleted):
--- a/limepath/duties/instance.py
+++ b/limepath/duties/instance.py
@@ -102,7 +102,7 @@
             Leases(
                 self.timers,
                 me.name,
-                me.door,
+                me.session_token,
                 leasing,
                 leased,
                 self.wanted,
@@ -191,7 +191,7 @@
                 return out
             while self.looped:
                 message = self.looped.pop(0)
-                self.leases.heard(self.members.me.name, self.members.me.door, message)
+                self.leases.heard(self.members.me.name, self.members.me.session_token, message)
             self.timers.run_due(now)
             for share in self.shares:
                 if share.stale and not self.leaving and self.may_divide():
@@ -221,7 +221,7 @@
             for result, at in self.learnt.heard(message.results):
                 self.shares[result.duty].rounds.served(result.target, at)
         elif self.leases and isinstance(message, LEASE_MESSAGES):
-            self.leases.heard(sender.name, sender.door, message)
+            self.leases.heard(sender.name, sender.session_token, message)
         else:
             return False
         return True
@@ -308,7 +308,7 @@
             {
                 "name": members.me.name,
                 "token": f"{members.me.token:016x}",
-                "life": members.me.life,
+                "life": members.me.generation,
                 "incarnation": members.me.incarnation,
                 "joined": not members.joining,
                 "leaving": self.leaving,
@@ -323,7 +323,7 @@
                     "address": f"{row.host}:{row.port}",
                     "state": members_state(row),
                     "incarnation": row.incarnation,
-                    "life": row.life,
+                    "life": row.generation,
                 }
                 for row in sorted(rows, key=lambda row: (row.name, row.token))
             ],
--- a/limepath/membership/guard.py
+++ b/limepath/membership/guard.py
@@ -139,7 +139,7 @@
 
     def window(self, sender):
         """The window of the life that speaks; the one unheard for longest goes where there are too many."""
-        key = sender.token, sender.birth, sender.life
+        key = sender.token, sender.birth, sender.generation
         if key in self.windows:
             self.windows.move_to_end(key)
         else:
--- a/limepath/membership/identity.py
+++ b/limepath/membership/identity.py
@@ -11,7 +11,7 @@
 
 class Identity(NamedTuple):
     token: int
-    life: int
+    generation: int
     ceiling: int
     sure: bool
 
--- a/limepath/membership/interface.py
+++ b/limepath/membership/interface.py
@@ -1,8 +1,8 @@
 """The interface of the membership logic: what it is told at start, notes in, orders out, and the messages.
 
-Times are whole microseconds of the instance's own clock. A life is one start of an instance: it is kept in
-the store and grows at each start; an incarnation is (life << REFUTALS) + the times that it has refuted in
-that life.
+Times are whole microseconds of the instance's own clock. A generation is one start of an instance: its number
+is kept in the store (row "life") and grows at each start. An incarnation is (generation << REFUTATION_BITS) +
+the number of suspicions refuted in that generation.
 """
 
 from enum import IntEnum
@@ -36,16 +36,16 @@
     incarnation: int
     birth: int
     state: int = 0
-    by: int = 0  # the token of who suspects or declares
+    reported_by: int = 0  # the token of who suspects or declares
 
     @property
-    def life(self):
+    def generation(self):
         return self.incarnation >> REFUTATION_BITS
 
     @property
-    def door(self):
-        """Names this life of this instance: what is meant for another is told from what is meant for it."""
-        return mix64(self.token ^ self.life * 0x9E3779B97F4A7C15 & MASK_64) or 1
+    def session_token(self):
+        """Names this generation of this instance; a message carries that of the instance it is meant for."""
+        return mix64(self.token ^ self.generation * 0x9E3779B97F4A7C15 & MASK_64) or 1
 
 
 # Messages
--- a/limepath/membership/joining.py
+++ b/limepath/membership/joining.py
@@ -54,7 +54,7 @@
     def greeted_by(self, sender, message):
         """Nothing is believed of one that does not know this life: its Hello may be an old one."""
         welcome = Welcome(self.members.told(sender.token))
-        self.timers.emit(SendMessage(sender.host, sender.port, sender.door, welcome))
+        self.timers.emit(SendMessage(sender.host, sender.port, sender.session_token, welcome))
 
     def welcomed(self, sender, message):
         """The sender meant this life, so it lives; its view is pulled while ours is new, else as digests
--- a/limepath/membership/members.py
+++ b/limepath/membership/members.py
@@ -124,7 +124,7 @@
     # Sending
 
     def send(self, news, message):
-        self.timers.emit(SendMessage(news.host, news.port, news.door, message))
+        self.timers.emit(SendMessage(news.host, news.port, news.session_token, message))
 
     def ping(self, news, sequence):
         """A check, or with 0 a message that asks for no answer to one; news goes with it."""
@@ -178,7 +178,7 @@
             if news.state <= MemberState.SUSPECT:
                 self.put(news._replace(state=MemberState.ALIVE))
                 if news.state == MemberState.SUSPECT:
-                    self.suspicions.suspect(news, news.by)
+                    self.suspicions.suspect(news, news.reported_by)
             return
         if news.incarnation < old.incarnation:
             return
@@ -186,7 +186,7 @@
             if news.incarnation > old.incarnation:
                 self.put(news._replace(state=MemberState.ALIVE))
             if self.table[news.token].state <= MemberState.SUSPECT:
-                self.suspicions.suspect(news, news.by)
+                self.suspicions.suspect(news, news.reported_by)
         elif news.state == MemberState.ALIVE:
             if news.incarnation > old.incarnation:
                 self.put(news)
@@ -197,8 +197,8 @@
         """Refute what is said of this life; see whether another goes on under this identity."""
         if self.leaving:
             return
-        if news.birth != self.me.birth and news.incarnation >> REFUTATION_BITS >= self.me.life:
-            if news.life > self.me.life or news.birth < self.me.birth:
+        if news.birth != self.me.birth and news.incarnation >> REFUTATION_BITS >= self.me.generation:
+            if news.generation > self.me.generation or news.birth < self.me.birth:
                 self.give_way(news, REPLACED)
             return
         if news.state != MemberState.ALIVE and news.incarnation >= self.me.incarnation:
@@ -217,7 +217,7 @@
         if other not in (None, sender.token) and self.is_live(other):
             old = self.table[other]
             if (old.host, old.port) == (sender.host, sender.port):
-                self.put(old._replace(state=MemberState.DEAD, by=self.me.token))
+                self.put(old._replace(state=MemberState.DEAD, reported_by=self.me.token))
 
     # Messages
 
@@ -232,16 +232,16 @@
             return self.about_me(sender)
         if isinstance(note.message, Hello):
             return self.joins.greeted_by(sender, note.message)
-        if note.to != me.door:
+        if note.to != me.session_token:
             self.counts["misaddressed"] += 1
             return self.greet(sender.host, sender.port)
         old = self.table.get(sender.token)
-        if old is not None and sender.life < old.life:
+        if old is not None and sender.generation < old.generation:
             self.counts["former"] += 1
             return
         if sender.name == me.name and (sender.birth, sender.token) < (me.birth, me.token):
             return self.give_way(sender, DOUBLED)  # it has just spoken: it is alive
-        self.apply(sender._replace(state=MemberState.ALIVE, by=0))
+        self.apply(sender._replace(state=MemberState.ALIVE, reported_by=0))
         if self.view.names.get(sender.name) != sender.token:
             self.speaks_for(sender)
         receive = self.receivers.get(type(note.message))
--- a/limepath/membership/suspicion.py
+++ b/limepath/membership/suspicion.py
@@ -16,10 +16,10 @@
 class Suspicion:
     """Who suspects one at one incarnation, and since when we do; whether its last check is under way."""
 
-    __slots__ = ("incarnation", "since", "by", "last")
+    __slots__ = ("incarnation", "since", "reported_by", "last")
 
     def __init__(self, incarnation, since, by):
-        self.incarnation, self.since, self.by, self.last = incarnation, since, {by}, False
+        self.incarnation, self.since, self.reported_by, self.last = incarnation, since, {by}, False
 
 
 class Suspicions:
@@ -36,24 +36,24 @@
         if doubt is None or doubt.incarnation < news.incarnation:
             doubt = self.open[news.token] = Suspicion(news.incarnation, self.timers.now, by)
             self.members.counts["suspected"] += by == mine
-            self.members.put(news._replace(state=MemberState.SUSPECT, by=by))
-        elif by not in doubt.by and (len(doubt.by) <= CONFIRMED or by == mine):
-            doubt.by.add(by)
-            self.members.pass_on(news._replace(state=MemberState.SUSPECT, by=by))
+            self.members.put(news._replace(state=MemberState.SUSPECT, reported_by=by))
+        elif by not in doubt.reported_by and (len(doubt.reported_by) <= CONFIRMED or by == mine):
+            doubt.reported_by.add(by)
+            self.members.pass_on(news._replace(state=MemberState.SUSPECT, reported_by=by))
         else:
             return
         at = max(self.timers.now, self.deadline(doubt))
-        self.timers.schedule(at, self.expired, news.token, news.incarnation, len(doubt.by))
+        self.timers.schedule(at, self.expired, news.token, news.incarnation, len(doubt.reported_by))
 
     def deadline(self, doubt):
         """When it may be declared dead, unless it refutes or more confirm."""
         others = len(self.view.ring)
         least = shortest(self.spans, others + 1)
         able = min(CONFIRMED, max(0, others - 1))
-        part = log(len(doubt.by)) / log(able + 1) if able else 1.0
+        part = log(len(doubt.reported_by)) / log(able + 1) if able else 1.0
         longest = LONGEST_SUSPICION * least
         until = doubt.since + int(max(least, longest - (LONGEST_SUSPICION - 1) * least * part))
-        if self.view.me.token not in doubt.by:
+        if self.view.me.token not in doubt.reported_by:
             # who missed its answers looks once more and tells; time for that and the news
             until += 2 * self.spans.period + spread(self.spans, others + 1)
         return until
@@ -61,7 +61,7 @@
     def expired(self, token, incarnation, confirmed):
         """The time that held when so many had confirmed is over."""
         doubt = self.current(token, incarnation)
-        if doubt is None or len(doubt.by) != confirmed or doubt.last:
+        if doubt is None or len(doubt.reported_by) != confirmed or doubt.last:
             return
         doubt.last = True
         self.members.checks.check_last(self.view.table[token], self.declare, token, incarnation)
@@ -75,10 +75,11 @@
         self.members.counts["declared"] += 1
         self.timers.emit(
             LogEvent(
-                "peer-dead", {"peer": news.name, "incarnation": incarnation, "suspected_by": len(doubt.by)}
+                "peer-dead",
+                {"peer": news.name, "incarnation": incarnation, "suspected_by": len(doubt.reported_by)},
             )
         )
-        self.members.put(news._replace(state=MemberState.DEAD, by=self.view.me.token))
+        self.members.put(news._replace(state=MemberState.DEAD, reported_by=self.view.me.token))
 
     def current(self, token, incarnation):
         """The suspicion that is still open of it at that incarnation, or None."""
--- a/limepath/membership/view.py
+++ b/limepath/membership/view.py
@@ -49,7 +49,7 @@
         elif was and not now_live:
             del self.ring[bisect_left(self.ring, token)]
             self.timers.emit(MemberLeft(news))
-        elif was and old.life != news.life:  # it started anew before we missed it
+        elif was and old.generation != news.generation:  # it started anew before we missed it
             self.timers.emit(MemberLeft(old))
             self.timers.emit(MemberJoined(news))
         if not now_live:
--- a/limepath/scale/hollow.py
+++ b/limepath/scale/hollow.py
@@ -214,7 +214,7 @@
         self.must_be(State.DOWN)
         self.life = Life(self.reactor, self.account, self.arrivals, self.links, self.config, self.log)
         identity = self.life.cooperation.identity
-        self.token, self.lives, self.state = f"{identity.token:016x}", identity.life, State.RUNNING
+        self.token, self.lives, self.state = f"{identity.token:016x}", identity.generation, State.RUNNING
 
     def kill(self):
         self.must_be(State.RUNNING, State.PAUSED)
--- a/limepath/scale/roles_view.py
+++ b/limepath/scale/roles_view.py
@@ -71,7 +71,7 @@
 
     def tell(self, sender, message):
         """A datagram from another: opened, taken in, what follows sealed; then answered in turn."""
-        sealed = self.others_guard.seal(sender, self.me.door, message)
+        sealed = self.others_guard.seal(sender, self.me.session_token, message)
         began = time.thread_time_ns()
         heard = MessageReceived(*self.guard.open(sealed))
         orders = self.carried(self.members.handle(self.now, (heard,)))
--- a/limepath/scale/roles_voter.py
+++ b/limepath/scale/roles_voter.py
@@ -36,8 +36,8 @@
 
     def one(self, datagram):
         sender, _, claim = self.mine.open(datagram)
-        vote = self.voter.claimed((sender.name, sender.door), claim)
-        self.mine.seal(self.news, sender.door, vote)
+        vote = self.voter.claimed((sender.name, sender.session_token), claim)
+        self.mine.seal(self.news, sender.session_token, vote)
         self.granted += len(vote.granted) == len(claim.slots)
 
     def sealed(self):
--- a/tests/byte_records.py
+++ b/tests/byte_records.py
@@ -42,7 +42,7 @@
 MESSAGE_TYPES = tuple(message_type for union in UNIONS for message_type in union)
 
 LIVES = {"incarnation": (5 << membership.REFUTATION_BITS) + 2, "birth": 1_796_000_000_000_001}
-SUSPICION = {"state": membership.MemberState.SUSPECT, "by": TOKENS[1]}
+SUSPICION = {"state": membership.MemberState.SUSPECT, "reported_by": TOKENS[1]}
 MEMBER = membership.MemberRecord(
     token=TOKENS[0], name="front-1", host="192.0.2.1", port=7401, **LIVES, **SUSPICION
 )
@@ -286,7 +286,7 @@
     return {
         "membership/view": view.whole,
         "membership/view-buckets": view.buckets,
-        "membership/receiver": MEMBER.door,
+        "membership/receiver": MEMBER.session_token,
         "membership/states": [states.ALIVE, states.SUSPECT, states.DEAD, states.LEFT],
         "endpoint-list/event": summary(OBJECT_PURGE.told),
         "endpoint-list/members": full_list().digest,
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -43,13 +43,13 @@
 SPANS = MembershipTimeouts()
 
 
-def news(token, life=1, birth=1, name=None, port=None, state=MemberState.ALIVE, refuted=0):
+def news(token, generation=1, birth=1, name=None, port=None, state=MemberState.ALIVE, refuted=0):
     return MemberRecord(
         token,
         name or f"n{token}",
         "127.0.0.1",
         port or 1000 + token,
-        (life << REFUTATION_BITS) + refuted,
+        (generation << REFUTATION_BITS) + refuted,
         birth,
         state,
     )
@@ -64,7 +64,9 @@
 
 
 def hear(members, sender, message, now=SECOND // 100, to=None):
-    orders = members.handle(now, [MessageReceived(sender, members.me.door if to is None else to, message)])
+    orders = members.handle(
+        now, [MessageReceived(sender, members.me.session_token if to is None else to, message)]
+    )
     return [order for order in orders if isinstance(order, (SendMessage, YieldIdentity))]
 
 
@@ -201,24 +203,30 @@
 
 
 def test_what_was_meant_for_a_former_life_changes_nothing():
-    members = instance(life=2)
+    members = instance(generation=2)
     before = dict(members.table)
-    orders = hear(members, news(9), Ping(1, (news(2, state=MemberState.DEAD),)), to=news(1, life=1).door)
+    orders = hear(
+        members, news(9), Ping(1, (news(2, state=MemberState.DEAD),)), to=news(1, generation=1).session_token
+    )
     assert members.table == before and [type(o.message) for o in orders] == [Hello]
     assert members.counts["misaddressed"] == 1
     again = hear(members, news(9), Ping(2), to=5)
     assert again == []  # one Hello to one address in a span, however many come
-    hear(members, news(2, life=5), Ping(3))
+    hear(members, news(2, generation=5), Ping(3))
     hear(
-        members, news(2, life=4), Ping(4, (news(3, state=MemberState.LEFT),))
+        members, news(2, generation=4), Ping(4, (news(3, state=MemberState.LEFT),))
     )  # late, of a life that is over
-    assert members.table[2].life == 5 and 3 in members.ring and members.counts["former"] == 1
+    assert members.table[2].generation == 5 and 3 in members.ring and members.counts["former"] == 1
 
 
 def test_a_hello_is_answered_and_believed_nothing():
     members = instance()
     (welcome,) = hear(members, news(9), Hello(), to=0)
-    assert isinstance(welcome.message, Welcome) and welcome.to == news(9).door and 9 not in members.table
+    assert (
+        isinstance(welcome.message, Welcome)
+        and welcome.to == news(9).session_token
+        and 9 not in members.table
+    )
 
 
 def test_of_two_with_one_name_the_younger_gives_way_and_at_one_address_the_new_one_replaces():
@@ -235,20 +243,26 @@
 
 
 def test_of_two_with_one_store_the_later_life_goes_on():
-    woken = instance(life=1, birth=1)  # stopped, while a new process was started on its store
+    woken = instance(generation=1, birth=1)  # stopped, while a new process was started on its store
     (way,) = [
-        o for o in hear(woken, news(2), Ping(1, (news(1, life=2, birth=9),))) if isinstance(o, YieldIdentity)
+        o
+        for o in hear(woken, news(2), Ping(1, (news(1, generation=2, birth=9),)))
+        if isinstance(o, YieldIdentity)
     ]
     assert way.why == REPLACED
-    copied = instance(life=4, birth=9)
-    (way,) = [o for o in hear(copied, news(1, life=4, birth=8), Ping(1)) if isinstance(o, YieldIdentity)]
+    copied = instance(generation=4, birth=9)
+    (way,) = [
+        o for o in hear(copied, news(1, generation=4, birth=8), Ping(1)) if isinstance(o, YieldIdentity)
+    ]
     assert way.other.birth == 8
-    first = instance(life=4, birth=8)
-    assert not [o for o in hear(first, news(1, life=4, birth=9), Ping(1)) if isinstance(o, YieldIdentity)]
-    restarted = instance(life=4, birth=9)
+    first = instance(generation=4, birth=8)
+    assert not [
+        o for o in hear(first, news(1, generation=4, birth=9), Ping(1)) if isinstance(o, YieldIdentity)
+    ]
+    restarted = instance(generation=4, birth=9)
     assert not [
         o
-        for o in hear(restarted, news(2), Ping(1, (news(1, life=3, birth=8),)))
+        for o in hear(restarted, news(2), Ping(1, (news(1, generation=3, birth=8),)))
         if isinstance(o, YieldIdentity)
     ]
 
@@ -470,13 +484,13 @@
     members.joins.seek()
     assert sought == [seed]
     members.apply(news(2))
-    members.apply(news(2, life=2, port=1009))
+    members.apply(news(2, generation=2, port=1009))
     members.joins.seek()
     assert sought == [seed] * 2  # it has moved
-    members.apply(news(2, life=3))
+    members.apply(news(2, generation=3))
     members.joins.seek()
     assert sought == [seed] * 2
-    members.apply(news(2, life=3, state=MemberState.LEFT))
+    members.apply(news(2, generation=3, state=MemberState.LEFT))
     members.joins.seek()
     assert sought == [seed] * 3
 
@@ -497,8 +511,10 @@
 
 def test_an_identity_lives_once_more_at_each_start_and_is_new_where_the_store_is_damaged():
     first, rows = identity_of({}, lambda: 5)
-    assert first == Identity(token=5, life=1, ceiling=0, sure=False)
-    assert identity_of(rows, lambda: 6)[0] == Identity(token=5, life=2, ceiling=0, sure=False)
+    assert first == Identity(token=5, generation=1, ceiling=0, sure=False)
+    assert identity_of(rows, lambda: 6)[0] == Identity(token=5, generation=2, ceiling=0, sure=False)
     kept = rows | kept_ceiling(7000)
-    assert identity_of(kept, lambda: 6)[0] == Identity(token=5, life=2, ceiling=7000, sure=True)
-    assert identity_of({"token": b"x"}, lambda: 6)[0] == Identity(token=6, life=1, ceiling=0, sure=False)
+    assert identity_of(kept, lambda: 6)[0] == Identity(token=5, generation=2, ceiling=7000, sure=True)
+    assert identity_of({"token": b"x"}, lambda: 6)[0] == Identity(
+        token=6, generation=1, ceiling=0, sure=False
+    )
