--- a/limepath/duties/instance.py
+++ b/limepath/duties/instance.py
@@ -165,7 +165,7 @@
         self.members.known(others)
         for one in self.members.timers.take_commands():
             if isinstance(one, MemberJoined):
-                self.joined(one.news)
+                self.joined(one.member)
 
     # Inside
 
@@ -180,9 +180,9 @@
                 if isinstance(order, MessageRelayed) and self.passed(order.sender, order.message):
                     pass
                 elif isinstance(order, MemberJoined):
-                    self.joined(order.news)
+                    self.joined(order.member)
                 elif isinstance(order, MemberLeft):
-                    self.parted(order.news)
+                    self.parted(order.member)
                 else:
                     if isinstance(order, (YieldIdentity, LeaveCompleted)):
                         self.over = True
--- a/limepath/membership/anti_entropy.py
+++ b/limepath/membership/anti_entropy.py
@@ -77,11 +77,11 @@
         """
         gossip, digests, ring = self.members.gossip, self.view.digests, self.view.ring
         before, count = digests.whole, len(ring)
-        fresh = [one.token for one in message.news if one.token not in gossip]
-        self.members.take(message.news)
+        fresh = [one.token for one in message.records if one.token not in gossip]
+        self.members.take(message.records)
         for token in fresh:
             gossip.drop(token)
-        self.cursor = FROM_THE_START if message.last or not message.news else message.news[-1].token
+        self.cursor = FROM_THE_START if message.last or not message.records else message.records[-1].token
         grew = len(ring) > count
         self.pages += not grew
         if message.last:
--- a/limepath/membership/checks.py
+++ b/limepath/membership/checks.py
@@ -105,14 +105,14 @@
     def pinged(self, sender, message):
         """Answer a check."""
         members = self.members
-        members.take(message.news)
+        members.take(message.records)
         members.send(sender, Ack(message.seq, members.told(sender.token), members.shown()))
         members.compare(sender, message.digest)
 
     def acked(self, sender, message):
         """An answer to a check of this instance, or to one made for another, which is told."""
         members, table = self.members, self.view.table
-        members.take(message.news)
+        members.take(message.records)
         if news := self.pending.pop(message.seq, None):
             self.missed = max(0, self.missed - (news.token == sender.token))
         elif relayed := self.relayed.pop(message.seq, None):
@@ -122,7 +122,7 @@
 
     def asked_to_check(self, sender, message):
         """Ping in another's stead, and answer it if the answer comes."""
-        self.members.take(message.news)
+        self.members.take(message.records)
         about = self.view.table.get(message.about.token, message.about)
         if about.token == self.view.me.token:
             return
--- a/limepath/membership/interface.py
+++ b/limepath/membership/interface.py
@@ -62,18 +62,18 @@
 
 
 class Welcome(Message, tag="w"):
-    news: tuple[MemberRecord, ...] = ()
+    records: tuple[MemberRecord, ...] = ()
 
 
 class Ping(Message, tag="p"):
     seq: int
-    news: tuple[MemberRecord, ...] = ()
+    records: tuple[MemberRecord, ...] = ()
     digest: int = 0
 
 
 class Ack(Message, tag="a"):
     seq: int
-    news: tuple[MemberRecord, ...] = ()
+    records: tuple[MemberRecord, ...] = ()
     digest: int = 0
 
 
@@ -82,7 +82,7 @@
 
     seq: int
     about: MemberRecord
-    news: tuple[MemberRecord, ...] = ()
+    records: tuple[MemberRecord, ...] = ()
 
 
 class Pull(Message, tag="l"):
@@ -95,7 +95,7 @@
 
 
 class MemberPage(Message, tag="g"):
-    news: tuple[MemberRecord, ...]
+    records: tuple[MemberRecord, ...]
     last: bool = False
 
 
@@ -130,11 +130,11 @@
 class MemberJoined(NamedTuple):
     """Counts as alive from now on, until Parted."""
 
-    news: MemberRecord
+    member: MemberRecord
 
 
 class MemberLeft(NamedTuple):
-    news: MemberRecord
+    member: MemberRecord
 
 
 class YieldIdentity(NamedTuple):
--- a/limepath/membership/joining.py
+++ b/limepath/membership/joining.py
@@ -60,7 +60,7 @@
         """The sender meant this life, so it lives; its view is pulled while ours is new, else as digests
         differ.
         """
-        self.members.take(message.news)
+        self.members.take(message.records)
         if self.members.joining:
             self.members.anti_entropy.pull(sender)
         else:
--- a/tests/byte_records.py
+++ b/tests/byte_records.py
@@ -71,12 +71,12 @@
 )
 FULL_MESSAGES = {
     "membership/hello": membership.Hello(),
-    "membership/welcome": membership.Welcome(news=(MEMBER, OTHER_MEMBER)),
-    "membership/ping": membership.Ping(seq=11, news=(MEMBER,), digest=12),
-    "membership/ack": membership.Ack(seq=14, news=(OTHER_MEMBER,), digest=15),
-    "membership/ping-request": membership.IndirectPing(seq=17, about=OTHER_MEMBER, news=(MEMBER,)),
+    "membership/welcome": membership.Welcome(records=(MEMBER, OTHER_MEMBER)),
+    "membership/ping": membership.Ping(seq=11, records=(MEMBER,), digest=12),
+    "membership/ack": membership.Ack(seq=14, records=(OTHER_MEMBER,), digest=15),
+    "membership/ping-request": membership.IndirectPing(seq=17, about=OTHER_MEMBER, records=(MEMBER,)),
     "membership/pull": membership.Pull(after=19, buckets=(20, 1 << 63)),
-    "membership/page": membership.MemberPage(news=(OTHER_MEMBER, MEMBER), last=True),
+    "membership/page": membership.MemberPage(records=(OTHER_MEMBER, MEMBER), last=True),
     "endpoint-list/scope": endpoints.ScopeAnnouncement(zone="zone-1", asks=True, site="site-1"),
     "endpoint-list/subscribe": endpoints.Subscribe(
         zone="zone-1", generation=21, number=22, reads=2, site="site-1", lacks=True, stamp=23
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -133,7 +133,7 @@
         members.apply(widest._replace(token=2**62 + token))
     ping = Ping(2**40, members.told(2**62), 2**64 - 1)
     (page,) = [o.message for o in hear(members, news(2), Pull()) if isinstance(o.message, MemberPage)]
-    assert len(ping.news) == 8 and len(page.news) == 12
+    assert len(ping.records) == 8 and len(page.records) == 12
     for message in (ping, page):
         assert len(guard.seal(widest, 2**64 - 1, message)) <= LARGEST
 
@@ -183,7 +183,7 @@
 def test_a_suspect_that_hears_of_it_refutes_and_is_alive_again():
     members = instance()
     ack = hear(members, news(2), Ping(9, (news(1, state=MemberState.SUSPECT),)))[0].message
-    assert members.me.incarnation == (1 << REFUTATION_BITS) + 1 and members.me in ack.news
+    assert members.me.incarnation == (1 << REFUTATION_BITS) + 1 and members.me in ack.records
     other = instance(token=3, others=(1, 2))
     other.apply(news(1, state=MemberState.SUSPECT))
     assert other.table[1].state == MemberState.SUSPECT
@@ -197,7 +197,7 @@
     members = instance()
     members.apply(news(2, state=MemberState.DEAD))
     ack = hear(members, news(2), Ping(4))[0].message
-    assert news(2, state=MemberState.DEAD) in ack.news and 2 not in members.ring
+    assert news(2, state=MemberState.DEAD) in ack.records and 2 not in members.ring
     hear(members, news(2, refuted=1), Ping(5))
     assert 2 in members.ring
 
@@ -232,7 +232,7 @@
 def test_of_two_with_one_name_the_younger_gives_way_and_at_one_address_the_new_one_replaces():
     members = instance(birth=5)
     *farewells, way = hear(members, news(7, name="n1", birth=3), Ping(1))
-    assert {o.message.news[0].state for o in farewells} == {MemberState.LEFT}
+    assert {o.message.records[0].state for o in farewells} == {MemberState.LEFT}
     assert way.why == DOUBLED and members.handle(2 * SECOND, ()) == []
     elder = instance(birth=2)
     assert not [o for o in hear(elder, news(7, name="n1", birth=3), Ping(1)) if isinstance(o, YieldIdentity)]
@@ -449,7 +449,7 @@
     asker = news(5, name="asks")
     (page,) = [sent.message for sent in hear(members, asker, pull) if isinstance(sent.message, MemberPage)]
     # who asks is a member by now
-    assert ([one.token for one in page.news], page.last) == pages_by_search(members, after, pull.buckets)
+    assert ([one.token for one in page.records], page.last) == pages_by_search(members, after, pull.buckets)
 
 
 def test_those_asked_to_check_are_all_but_the_one_that_is_checked():
