--- a/limepath/discovery/bounds.py
+++ b/limepath/discovery/bounds.py
@@ -10,7 +10,7 @@
 
 from limepath.discovery.calls import PART, Budget
 from limepath.discovery.topology import longest_path
-from limepath.membership.guard import LARGEST
+from limepath.membership.guard import MAX_DATAGRAM_BYTES
 
 SECOND = 1_000_000
 HEADER = 190  # bytes of a datagram beside events: sender, seal, positions, digests
@@ -144,7 +144,7 @@
     call = int(1.5 * Budget(terms, lambda: 1.0).span_of(terms.relays * zones)) + WAY + QUIET
     ticks = SECOND / terms.gather
     per_beat = SECOND / terms.beat * (children_at_most(terms) + watchers_at_most(terms) + 4)
-    most = (children_at_most(terms) + FURTHER + PIECES) * LARGEST * ticks + per_beat * HEADER
+    most = (children_at_most(terms) + FURTHER + PIECES) * MAX_DATAGRAM_BYTES * ticks + per_beat * HEADER
     return TreeBounds(
         hops=hops,
         event=event,
--- a/limepath/discovery/coding.py
+++ b/limepath/discovery/coding.py
@@ -32,7 +32,9 @@
 from limepath.discovery.purge_fields import PurgeFields, fits, purge_of
 
 LONGEST_TEXT = 65_536  # bytes of one event's JSON text; what is longer comes by pages of the list
-BATCH_LIMIT = 1000  # bytes of a batch: with envelope and seal it stays under `peers.guard.LARGEST`
+BATCH_LIMIT = (
+    1000  # bytes of a batch: with envelope and seal it stays under `membership.guard.MAX_DATAGRAM_BYTES`
+)
 RESERVED_KINDS = range(16, 32)  # for changes of configuration
 OBJECT_BYTES = 8
 
--- a/limepath/discovery/simulate_tree.py
+++ b/limepath/discovery/simulate_tree.py
@@ -39,7 +39,7 @@
 from limepath.discovery.relay import Listing
 from limepath.discovery.simulate import member, most_in
 from limepath.duties.world import Network
-from limepath.membership.guard import HEAD, SEAL
+from limepath.membership.guard import HEADER_BYTES, SEAL_BYTES
 from limepath.membership.interface import REFUTATION_BITS, MemberRecord
 from limepath.report_table import Row, at_most, seconds
 
@@ -49,7 +49,7 @@
 COLD = 20 * SECOND  # for a fleet that starts with nothing to be whole
 SETTLE = 10 * SECOND  # of events, before anything is measured
 SERVICE_REGION = 0
-ENVELOPE = HEAD + SEAL
+ENVELOPE = HEADER_BYTES + SEAL_BYTES
 SAMPLED = 16  # one message in so many of a kind is coded, for its bytes; events are always
 PORT = 7946
 FAULTS = ("inner-killed", "inner-stopped", "root-killed", "inner-slow", "region-cut", "site-killed")
--- a/limepath/duties/bounds.py
+++ b/limepath/duties/bounds.py
@@ -9,7 +9,7 @@
 
 from limepath.configuration.sharing_settings import DutyMode
 from limepath.duties.leases import claim_every, silence
-from limepath.membership.members import detection, spread
+from limepath.membership.bounds import detection_time, dissemination_time
 
 
 class Bounds(NamedTuple):
@@ -21,7 +21,7 @@
 
 def bounds(spans, plan, leasing, live, together=1):
     """Give the Bounds of one plan."""
-    found = detection(spans, live, together)
+    found = detection_time(spans, live, together)
     if plan.mode == DutyMode.AT_LEAST_ONCE:
         return Bounds(
             gap=2 * plan.interval + found,
@@ -31,7 +31,7 @@
         )
     # the last lease of the dead may outlast its detection; two rounds of claims may be split; then the
     # handover
-    handing = 3 * claim_every(leasing) + spread(spans, live)
+    handing = 3 * claim_every(leasing) + dissemination_time(spans, live)
     free = max(found, silence(leasing)) + handing
     return Bounds(
         gap=2 * plan.interval + free,
--- a/limepath/duties/host.py
+++ b/limepath/duties/host.py
@@ -28,7 +28,7 @@
 from limepath.logic_host import LogicHost
 from limepath.membership import control
 from limepath.membership.host import DatagramSocket, StartError
-from limepath.membership.identity import CEILING, identity_of, kept_ceiling
+from limepath.membership.identity import EPOCH_CEILING_ROW, epoch_ceiling_row, next_identity
 from limepath.membership.interface import (
     MESSAGES,
     REFUTATION_BITS,
@@ -74,7 +74,7 @@
             self.line = DatagramSocket(reactor, told.listen, told.keys, types, log, self.gather)
         except (StoreLockedError, StoreUnusableError, OSError) as error:
             raise StartError(str(error)) from None
-        identity, rows = identity_of(self.store.all(), drawn)
+        identity, rows = next_identity(self.store.all(), drawn)
         try:
             self.store.put(rows)
         except sqlite3.Error as error:
@@ -162,7 +162,7 @@
         elif isinstance(order, ResultShared):
             self.learnt(order.result)
         elif isinstance(order, PersistEpochCeiling):
-            self.writes.put(kept_ceiling(order.ceiling))
+            self.writes.put(epoch_ceiling_row(order.ceiling))
         elif isinstance(order, LogEvent):
             self.log.say(order.event, **order.fields)
         elif isinstance(order, MessageRelayed):
@@ -184,7 +184,7 @@
         """Whether a crash could forget what this order rests on: votes, what is told of epochs and rounds
         under a lease wait (as if the network had lost them) until the ceiling of epochs is on the disk.
         """
-        if CEILING not in self.writes.rows:
+        if EPOCH_CEILING_ROW not in self.writes.rows:
             return False
         if isinstance(order, ServeTarget):
             return bool(order.epoch)
--- a/limepath/duties/simulate.py
+++ b/limepath/duties/simulate.py
@@ -10,8 +10,8 @@
 from limepath.configuration.sharing_settings import DutyMode, DutySettings, LeaseSettings, MembershipTimeouts
 from limepath.duties.bounds import bounds, doubles
 from limepath.duties.world import World
+from limepath.membership.bounds import dissemination_time
 from limepath.membership.interface import LeaveRequested
-from limepath.membership.members import spread
 from limepath.report_table import Row, at_most, seconds
 
 SECOND = 1_000_000
@@ -210,7 +210,7 @@
     live = len(world.nodes)
     bound = bounds(world.spans, plan, world.leasing, live, day.together)
     gap_bound = bound.restart if day.restarted else bound.gap
-    calm = spread(world.spans, live) + plan.interval  # the start
+    calm = dissemination_time(world.spans, live) + plan.interval  # the start
     longest, most = 0, 0
     disturbed = [(fault.at, fault.at + fault.length + bound.disagreement) for fault in day.faults]
     disturbed += [(at - bound.disagreement, at + bound.disagreement) for at, _ in world.false_deaths]
--- a/limepath/duties/world.py
+++ b/limepath/duties/world.py
@@ -20,7 +20,7 @@
     TargetServed,
     TargetsUpdated,
 )
-from limepath.membership.guard import HEAD, SEAL
+from limepath.membership.guard import HEADER_BYTES, SEAL_BYTES
 from limepath.membership.interface import (
     REFUTATION_BITS,
     LeaveCompleted,
@@ -233,7 +233,11 @@
         to = int(order.host)
         if self.messages % SAMPLED == 0:
             self.sampled += 1
-            self.bytes += len(self.encoder.encode((me, order.to, self.messages, order.message))) + HEAD + SEAL
+            self.bytes += (
+                len(self.encoder.encode((me, order.to, self.messages, order.message)))
+                + HEADER_BYTES
+                + SEAL_BYTES
+            )
         for delay in self.network.ways(node.index, to):
             self.at(self.now + delay, self.arrive, to, MessageReceived(me, order.to, order.message))
 
--- a/limepath/membership/anti_entropy.py
+++ b/limepath/membership/anti_entropy.py
@@ -6,7 +6,7 @@
 
 from bisect import bisect_left
 
-from limepath.membership.digests import BUCKETS, bucket_of, first_of
+from limepath.membership.digests import BUCKETS, bucket_of, first_token_of
 from limepath.membership.interface import MemberPage, Pull
 
 PAGE, PAGES = 12, 8  # news on a page; pages in a row that bring no member
@@ -56,8 +56,8 @@
         for bucket in range(max(0, bucket_of(first)), BUCKETS):
             if len(buckets) == BUCKETS and buckets[bucket] == own[bucket]:
                 continue
-            low = max(first, first_of(bucket))
-            found += self.tokens_between(low, first_of(bucket + 1), PAGE + 1 - len(found))
+            low = max(first, first_token_of(bucket))
+            found += self.tokens_between(low, first_token_of(bucket + 1), PAGE + 1 - len(found))
             if len(found) > PAGE:
                 break
         return found
--- a/limepath/membership/checks.py
+++ b/limepath/membership/checks.py
@@ -9,7 +9,7 @@
 from bisect import bisect_left
 from collections.abc import Sequence
 
-from limepath.membership.bounds import MOST_MISSED
+from limepath.membership.bounds import MAX_HEALTH_SCORE
 from limepath.membership.interface import Ack, IndirectPing, MemberState
 
 
@@ -100,7 +100,7 @@
 
     def miss(self):
         """One more sign that it is this instance that is slow."""
-        self.missed = min(MOST_MISSED, self.missed + 1)
+        self.missed = min(MAX_HEALTH_SCORE, self.missed + 1)
 
     def pinged(self, sender, message):
         """Answer a check."""
@@ -128,6 +128,6 @@
             return
         self.sequence += 1
         self.relayed[self.sequence] = sender, message.seq
-        until = self.timers.now + self.spans.period * (1 + MOST_MISSED)
+        until = self.timers.now + self.spans.period * (1 + MAX_HEALTH_SCORE)
         self.timers.schedule(until, self.relayed.pop, self.sequence, None)
         self.members.ping(about, self.sequence)
--- a/limepath/membership/control.py
+++ b/limepath/membership/control.py
@@ -11,20 +11,20 @@
 from twisted.protocols.basic import LineReceiver
 from twisted.protocols.policies import TimeoutMixin
 
-LONGEST, TIMEOUT, CALLERS = 4096, 5, 16
+MAX_LINE_BYTES, TIMEOUT_S, MAX_CONNECTIONS = 4096, 5, 16
 
 
 class NoAnswerError(Exception):
     """No instance answers there, or not in a way that can be read."""
 
 
-class Caller(LineReceiver, TimeoutMixin):
-    delimiter, MAX_LENGTH = b"\n", LONGEST
+class ControlConnection(LineReceiver, TimeoutMixin):
+    delimiter, MAX_LENGTH = b"\n", MAX_LINE_BYTES
 
     def connectionMade(self):
         self.factory.callers += 1
-        self.setTimeout(TIMEOUT)
-        if self.factory.callers > CALLERS:
+        self.setTimeout(TIMEOUT_S)
+        if self.factory.callers > MAX_CONNECTIONS:
             self.say({"error": "too many callers"})
             self.transport.loseConnection()
 
@@ -48,7 +48,7 @@
         self.transport.loseConnection()
 
     def lineLengthExceeded(self, line):
-        self.say({"error": f"a line of over {LONGEST} bytes"})
+        self.say({"error": f"a line of over {MAX_LINE_BYTES} bytes"})
         self.transport.loseConnection()
 
     def say(self, told):
@@ -65,12 +65,12 @@
                 old.connect(path)
             except OSError:
                 os.unlink(path)  # of an instance that was killed
-    factory = Factory.forProtocol(Caller)
+    factory = Factory.forProtocol(ControlConnection)
     factory.shown, factory.callers = shown, 0
     return reactor.listenUNIX(path, factory, mode=0o600)
 
 
-def ask(path, what, timeout=TIMEOUT):
+def ask(path, what, timeout=TIMEOUT_S):
     """Ask a running instance; give what it tells."""
     try:
         with socket.socket(socket.AF_UNIX) as line:
--- a/limepath/membership/digests.py
+++ b/limepath/membership/digests.py
@@ -7,7 +7,7 @@
 INCARNATION_SPREAD = 0x9E3779B97F4A7C15  # 2**64 over the golden ratio (Knuth, multiplicative hashing)
 
 
-def digest_of(news):
+def record_digest(news):
     """64 bits that stand for one instance at one incarnation."""
     return mix64(news.token ^ news.incarnation * INCARNATION_SPREAD & MASK_64)
 
@@ -17,12 +17,12 @@
     return token * BUCKETS >> TOKEN_BITS
 
 
-def first_of(bucket):
+def first_token_of(bucket):
     """The least token of a bucket; of BUCKETS, what no token reaches."""
     return (bucket << TOKEN_BITS) // BUCKETS
 
 
-class Digests:
+class ViewDigests:
     """Of a set of News: equal sets have equal digests, whatever the order of the changes."""
 
     def __init__(self):
@@ -30,6 +30,6 @@
 
     def toggle(self, news):
         """Put a living one in, or take it out."""
-        digest = digest_of(news)
+        digest = record_digest(news)
         self.whole ^= digest
         self.buckets[bucket_of(news.token)] ^= digest
--- a/limepath/membership/gossip.py
+++ b/limepath/membership/gossip.py
@@ -6,11 +6,11 @@
 
 from limepath.membership.interface import MemberState
 
-CARRIED = 8  # news on one message
-COPIES = 3  # times log2 of the view, that a piece of news is passed on
+MAX_RECORDS = 8  # news on one message
+RETRANSMIT_MULTIPLIER = 3  # times log2 of the view, that a piece of news is passed on
 
 
-class Gossip:
+class BroadcastQueue:
     """News that is still to be passed on, the next first, each so many times more."""
 
     def __init__(self):
@@ -21,13 +21,13 @@
 
     def pass_on(self, news, live):
         """Queue what has just been learnt, in a view of so many others."""
-        self.left[news.token] = news, COPIES * ceil(log2(live + 2))
+        self.left[news.token] = news, RETRANSMIT_MULTIPLIER * ceil(log2(live + 2))
         self.left.move_to_end(news.token, last=False)  # the newest goes first, then each in its turn
 
     def carried(self, own):
         """News for one message: what the receiver itself should refute (`own`, or None), then the newest."""
         carried = [own] if own and own.state not in (MemberState.ALIVE, MemberState.LEFT) else []
-        for token in list(islice(self.left, CARRIED - len(carried))):
+        for token in list(islice(self.left, MAX_RECORDS - len(carried))):
             news, left = self.left.pop(token)
             carried.append(news)
             if left > 1:
--- a/limepath/membership/guard.py
+++ b/limepath/membership/guard.py
@@ -18,16 +18,16 @@
 
 from limepath.membership.interface import MESSAGES, NEWEST_VERSION, OLDEST_VERSION, MemberRecord
 
-LARGEST = 1400  # bytes of a datagram: no fragments on an Ethernet
-SEAL, HEAD, WINDOW, SENDERS = 16, 7, 256, 4096
-LEAST_KEY = 16
+MAX_DATAGRAM_BYTES = 1400  # bytes of a datagram: no fragments on an Ethernet
+SEAL_BYTES, HEADER_BYTES, REPLAY_WINDOW, MAX_SENDERS = 16, 7, 256, 4096
+MIN_KEY_BYTES = 16
 
 
-class Dropped(Exception):
+class DatagramRejectedError(Exception):
     """Its text is the kind, as counted."""
 
 
-class BadKeys(Exception):
+class KeyFileError(Exception):
     """A key file that can't be used; the text names the line."""
 
 
@@ -36,7 +36,7 @@
     secret: bytes
 
 
-def keys_of(text):
+def parse_keys(text):
     """The keys of a file: one a line in hexadecimal; the first one seals, all of them open."""
     keys = []
     for number, line in enumerate(text.splitlines(), 1):
@@ -46,19 +46,19 @@
         try:
             secret = bytes.fromhex(line)
         except ValueError:
-            raise BadKeys(f"line {number}: no hexadecimal key") from None
-        if not LEAST_KEY <= len(secret) <= 64:
-            raise BadKeys(f"line {number}: a key has {LEAST_KEY} to 64 bytes")
+            raise KeyFileError(f"line {number}: no hexadecimal key") from None
+        if not MIN_KEY_BYTES <= len(secret) <= 64:
+            raise KeyFileError(f"line {number}: a key has {MIN_KEY_BYTES} to 64 bytes")
         key = Key(blake2b(secret, digest_size=4, person=b"limepath").digest(), secret)
         if key in keys:
-            raise BadKeys(f"line {number}: this key stands twice")
+            raise KeyFileError(f"line {number}: this key stands twice")
         keys.append(key)
     if not keys:
-        raise BadKeys("no key")
+        raise KeyFileError("no key")
     return tuple(keys)
 
 
-class Window:
+class ReplayWindow:
     """Which counters of one life were there."""
 
     __slots__ = ("top", "bits")
@@ -69,11 +69,11 @@
     def is_new(self, counter):
         """Whether a number comes for the first time, as far as the window reaches."""
         if counter > self.top:
-            self.bits = (self.bits << min(WINDOW, counter - self.top) | 1) & (1 << WINDOW) - 1
+            self.bits = (self.bits << min(REPLAY_WINDOW, counter - self.top) | 1) & (1 << REPLAY_WINDOW) - 1
             self.top = counter
             return True
         behind = self.top - counter
-        if behind >= WINDOW or self.bits >> behind & 1:
+        if behind >= REPLAY_WINDOW or self.bits >> behind & 1:
             return False
         self.bits |= 1 << behind
         return True
@@ -95,46 +95,46 @@
         key = self.keys[0]
         body = self.encoder.encode((me, to, self.counter, message))
         self.counter += 1
-        if len(body) + HEAD + SEAL > LARGEST:
+        if len(body) + HEADER_BYTES + SEAL_BYTES > MAX_DATAGRAM_BYTES:
             raise ValueError(f"a {type(message).__name__} of {len(body)} bytes")
         head = b"LP" + bytes((OLDEST_VERSION << 4 | self.speaks,)) + key.name + body
-        return head + blake2b(head, key=key.secret, digest_size=SEAL).digest()
+        return head + blake2b(head, key=key.secret, digest_size=SEAL_BYTES).digest()
 
     def open(self, datagram):
         """Give (sender, to, message); raise Dropped."""
         try:
             opened = self.opened(datagram)
-        except Dropped as error:
+        except DatagramRejectedError as error:
             self.counts[str(error)] += 1
             raise
         self.counts["taken"] += 1
         return opened
 
     def opened(self, datagram):
-        if len(datagram) > LARGEST:
-            raise Dropped("oversized")
-        if len(datagram) <= HEAD + SEAL or datagram[:2] != b"LP":
-            raise Dropped("noise")
+        if len(datagram) > MAX_DATAGRAM_BYTES:
+            raise DatagramRejectedError("oversized")
+        if len(datagram) <= HEADER_BYTES + SEAL_BYTES or datagram[:2] != b"LP":
+            raise DatagramRejectedError("noise")
         if datagram[2] >> 4 != OLDEST_VERSION:
-            raise Dropped("version")
+            raise DatagramRejectedError("version")
         name = datagram[3:7]
         key = next((key for key in self.keys if key.name == name), None)
         if key is None:
-            raise Dropped("unknown key")
-        told = blake2b(datagram[:-SEAL], key=key.secret, digest_size=SEAL).digest()
-        if not compare_digest(told, datagram[-SEAL:]):
-            raise Dropped("forged")
+            raise DatagramRejectedError("unknown key")
+        told = blake2b(datagram[:-SEAL_BYTES], key=key.secret, digest_size=SEAL_BYTES).digest()
+        if not compare_digest(told, datagram[-SEAL_BYTES:]):
+            raise DatagramRejectedError("forged")
         try:
-            sender, to, counter, raw = self.envelope.decode(datagram[HEAD:-SEAL])
+            sender, to, counter, raw = self.envelope.decode(datagram[HEADER_BYTES:-SEAL_BYTES])
             message = self.message.decode(raw)
         except msgspec.ValidationError:
-            raise Dropped("unknown message") from None
+            raise DatagramRejectedError("unknown message") from None
         except (msgspec.DecodeError, UnicodeDecodeError):
-            raise Dropped("unreadable") from None
+            raise DatagramRejectedError("unreadable") from None
         if counter < 0 or not 0 <= sender.port < 65_536 or len(sender.name) > 32:
-            raise Dropped("unreadable")
+            raise DatagramRejectedError("unreadable")
         if not self.window(sender).is_new(counter):
-            raise Dropped("replayed")
+            raise DatagramRejectedError("replayed")
         return sender, to, message
 
     def window(self, sender):
@@ -143,7 +143,7 @@
         if key in self.windows:
             self.windows.move_to_end(key)
         else:
-            if len(self.windows) >= SENDERS:
+            if len(self.windows) >= MAX_SENDERS:
                 self.windows.popitem(last=False)
-            self.windows[key] = Window()
+            self.windows[key] = ReplayWindow()
         return self.windows[key]
--- a/limepath/membership/host.py
+++ b/limepath/membership/host.py
@@ -6,7 +6,7 @@
 from twisted.internet.error import MessageLengthError
 from twisted.internet.protocol import DatagramProtocol
 
-from limepath.membership.guard import BadKeys, Dropped, Guard, keys_of
+from limepath.membership.guard import DatagramRejectedError, Guard, KeyFileError, parse_keys
 from limepath.membership.interface import MessageReceived
 
 SLICE, TAKEN = (
@@ -26,10 +26,10 @@
         if mark.st_mode & 0o077:
             raise StartError(f"{path}: open to others; its mode should be 600")
         with open(path, encoding="ascii") as file:
-            return keys_of(file.read()), (mark.st_mtime_ns, mark.st_size)
+            return parse_keys(file.read()), (mark.st_mtime_ns, mark.st_size)
     except OSError as error:
         raise StartError(f"{path}: {error.strerror}") from None
-    except (BadKeys, UnicodeDecodeError) as error:
+    except (KeyFileError, UnicodeDecodeError) as error:
         raise StartError(f"{path}: {error}") from None
 
 
@@ -54,7 +54,7 @@
     def datagramReceived(self, datagram, address):
         try:
             self.gather(MessageReceived(*self.guard.open(datagram)))
-        except Dropped:
+        except DatagramRejectedError:
             self.bad += 1  # counted by kind there, told by `report`
             if not self.sliced:
                 self.sliced = True
--- a/limepath/membership/identity.py
+++ b/limepath/membership/identity.py
@@ -6,7 +6,7 @@
 
 from typing import NamedTuple
 
-CEILING = "ceiling"  # the row of the store
+EPOCH_CEILING_ROW = "ceiling"  # the row of the store
 
 
 class Identity(NamedTuple):
@@ -16,16 +16,16 @@
     sure: bool
 
 
-def identity_of(rows, draw):
+def next_identity(rows, draw):
     """(the Identity of this start, the rows to keep before it is used). `draw()` gives 63 random bits."""
     try:
         token, life = int(rows["token"]), int(rows["life"]) + 1
-        ceiling = int(rows[CEILING]) if CEILING in rows else None
+        ceiling = int(rows[EPOCH_CEILING_ROW]) if EPOCH_CEILING_ROW in rows else None
     except (KeyError, ValueError):
         token, life, ceiling = draw(), 1, None
     identity = Identity(token, life, ceiling or 0, ceiling is not None)
     return identity, {"token": b"%d" % token, "life": b"%d" % life}
 
 
-def kept_ceiling(ceiling):
-    return {CEILING: b"%d" % ceiling}
+def epoch_ceiling_row(ceiling):
+    return {EPOCH_CEILING_ROW: b"%d" % ceiling}
--- a/limepath/membership/members.py
+++ b/limepath/membership/members.py
@@ -9,9 +9,8 @@
 """
 
 from limepath.membership.anti_entropy import AntiEntropy
-from limepath.membership.bounds import detection, shortest, spread
 from limepath.membership.checks import Checks
-from limepath.membership.gossip import Gossip
+from limepath.membership.gossip import BroadcastQueue
 from limepath.membership.interface import (
     NEWEST_VERSION,
     REFUTATION_BITS,
@@ -31,15 +30,13 @@
 from limepath.membership.joining import Joining
 from limepath.membership.leaving import Leaving
 from limepath.membership.suspicion import Suspicions
-from limepath.membership.view import View
+from limepath.membership.view import MemberTable
 from limepath.timer_queue import TimerQueue
 
-__all__ = ["DOUBLED", "REPLACED", "Members", "detection", "shortest", "spread"]
-
-SEEK = 5  # periods between looks for whom the view has lost
+REJOIN_PERIODS = 5  # periods between looks for whom the view has lost
 DIGESTS_SINCE = 2  # the version of what is spoken that tells digests
-REPLACED = "another instance goes on under this identity"
-DOUBLED = "an older instance of this name is alive"
+IDENTITY_REPLACED = "another instance goes on under this identity"
+NAME_IN_USE = "an older instance of this name is alive"
 
 
 class Members:
@@ -48,7 +45,7 @@
     def __init__(self, me, seeds, spans, seed, speaks=NEWEST_VERSION):
         self.spans, self.speaks = spans, speaks
         self.timers = TimerQueue(seed)
-        self.view, self.gossip = View(me, self.timers, seeds), Gossip()
+        self.view, self.gossip = MemberTable(me, self.timers, seeds), BroadcastQueue()
         self.table, self.ring = self.view.table, self.view.ring
         self.periods, self.over = 0, False
         self.counts = {"misaddressed": 0, "former": 0, "refuted": 0, "suspected": 0, "declared": 0}
@@ -150,7 +147,7 @@
         self.timers.schedule(self.timers.now + self.spans.period, self.period)
         self.joins.period_over()
         self.checks.run(self.periods)
-        if self.periods % SEEK == 0 or not self.ring:
+        if self.periods % REJOIN_PERIODS == 0 or not self.ring:
             self.joins.seek()
         self.view.forget(self.spans.forget)
 
@@ -199,7 +196,7 @@
             return
         if news.birth != self.me.birth and news.incarnation >> REFUTATION_BITS >= self.me.generation:
             if news.generation > self.me.generation or news.birth < self.me.birth:
-                self.give_way(news, REPLACED)
+                self.give_way(news, IDENTITY_REPLACED)
             return
         if news.state != MemberState.ALIVE and news.incarnation >= self.me.incarnation:
             self.counts["refuted"] += 1
@@ -240,7 +237,7 @@
             self.counts["former"] += 1
             return
         if sender.name == me.name and (sender.birth, sender.token) < (me.birth, me.token):
-            return self.give_way(sender, DOUBLED)  # it has just spoken: it is alive
+            return self.give_way(sender, NAME_IN_USE)  # it has just spoken: it is alive
         self.apply(sender._replace(state=MemberState.ALIVE, reported_by=0))
         if self.view.names.get(sender.name) != sender.token:
             self.speaks_for(sender)
--- a/limepath/membership/suspicion.py
+++ b/limepath/membership/suspicion.py
@@ -7,7 +7,7 @@
 
 from math import log
 
-from limepath.membership.bounds import LONGEST_SUSPICION, shortest, spread
+from limepath.membership.bounds import MAX_SUSPICION_FACTOR, dissemination_time, minimum_suspicion_timeout
 from limepath.membership.interface import LogEvent, MemberState
 
 CONFIRMED = 3  # others that suspect the same, at which the shortest suspicion holds
@@ -48,14 +48,14 @@
     def deadline(self, doubt):
         """When it may be declared dead, unless it refutes or more confirm."""
         others = len(self.view.ring)
-        least = shortest(self.spans, others + 1)
+        least = minimum_suspicion_timeout(self.spans, others + 1)
         able = min(CONFIRMED, max(0, others - 1))
         part = log(len(doubt.reported_by)) / log(able + 1) if able else 1.0
-        longest = LONGEST_SUSPICION * least
-        until = doubt.since + int(max(least, longest - (LONGEST_SUSPICION - 1) * least * part))
+        longest = MAX_SUSPICION_FACTOR * least
+        until = doubt.since + int(max(least, longest - (MAX_SUSPICION_FACTOR - 1) * least * part))
         if self.view.me.token not in doubt.reported_by:
             # who missed its answers looks once more and tells; time for that and the news
-            until += 2 * self.spans.period + spread(self.spans, others + 1)
+            until += 2 * self.spans.period + dissemination_time(self.spans, others + 1)
         return until
 
     def expired(self, token, incarnation, confirmed):
--- a/limepath/membership/view.py
+++ b/limepath/membership/view.py
@@ -2,13 +2,13 @@
 
 from bisect import bisect_left, insort
 
-from limepath.membership.digests import Digests
+from limepath.membership.digests import ViewDigests
 from limepath.membership.interface import MemberJoined, MemberLeft, MemberState
 
-MOST_BURIED = 4096  # dead and left that are remembered at most
+MAX_REMEMBERED_DEAD = 4096  # dead and left that are remembered at most
 
 
-class View:
+class MemberTable:
     """`me` is the instance's own News, not in `table`. `ring` has the tokens of the other living, sorted.
 
     `names` has the token that last spoke under a name; `buried` the dead and those that left, the longest
@@ -21,7 +21,7 @@
         self.table, self.ring, self.names = {}, [], {}
         self.buried, self.buried_since = {}, {}
         self.at_seeds = dict.fromkeys(seeds, 0)
-        self.digests = Digests()
+        self.digests = ViewDigests()
         self.digests.toggle(me)
 
     def is_live(self, token):
@@ -75,7 +75,7 @@
 
     def forget(self, after):
         """Drop those buried for longer than `after` microseconds, and the oldest beyond MOST_BURIED."""
-        oldest, excess, over = self.timers.now - after, len(self.buried) - MOST_BURIED, []
+        oldest, excess, over = self.timers.now - after, len(self.buried) - MAX_REMEMBERED_DEAD, []
         for token, since in self.buried_since.items():
             if since >= oldest and len(over) >= excess:
                 break
--- a/limepath/scale/bounds.py
+++ b/limepath/scale/bounds.py
@@ -1,7 +1,7 @@
 """What the settings promise of a scale run, and the operators' budgets, computed: the run is judged by these.
 
 Times are whole microseconds, rates are by second. The promises are those of `listing.bounds` and of the
-membership (`peers.members.detection`, `spread`); SLACK is added to times, for a machine that plays the whole
+membership (`membership.bounds`); SLACK is added to times, for a machine that plays the whole
 fleet, and a sample's span, for what is seen by samples only.
 """
 
@@ -10,7 +10,7 @@
 
 from limepath.discovery import bounds as listing
 from limepath.discovery.bounds import bounds as listing_bounds
-from limepath.membership.members import detection, spread
+from limepath.membership.bounds import detection_time, dissemination_time
 from limepath.scale.faults import LOSS, Kind
 
 tree_bounds = getattr(listing, "tree_bounds", None)  # a text before the tree has none
@@ -79,8 +79,8 @@
         event={phase: min(budget.purge, bound + SLACK) for phase, bound in within.items()},
         late_known=(tree or told).known_late + SLACK + SAMPLE,
         whole_again={fault.kind: whole_again(told, tree, fault, shape) for fault in schedule.faults},
-        disagreement=detection(peers.spans, shape.fronts)
-        + spread(peers.spans, shape.fronts)
+        disagreement=detection_time(peers.spans, shape.fronts)
+        + dissemination_time(peers.spans, shape.fronts)
         + SLACK
         + SAMPLE,
         children=tree and tree.children,
--- a/limepath/scale/capacity_hours.py
+++ b/limepath/scale/capacity_hours.py
@@ -4,7 +4,8 @@
 
 from limepath.configuration.sharing_settings import DiscoverySettings, MembershipTimeouts
 from limepath.discovery.bounds import bounds
-from limepath.membership import gossip, members
+from limepath.membership import gossip
+from limepath.membership.bounds import detection_time
 from limepath.scale.capacity_lines import Hour, Kind, Lines
 from limepath.scale.capacity_roles import BY_CODE, RELAYS, STREAMS
 from limepath.scale.capacity_size import BUDGET, SIZE
@@ -24,12 +25,12 @@
 
 def news(restarts):
     """News a second that each front passes on, at so many restarts a second of the fleet."""
-    return NEWS_OF_RESTART * restarts * gossip.COPIES * ceil(log2(SIZE.fronts + 2))
+    return NEWS_OF_RESTART * restarts * gossip.RETRANSMIT_MULTIPLIER * ceil(log2(SIZE.fronts + 2))
 
 
 def news_capacity():
     """News a second that a front's messages can carry in a calm hour."""
-    return float(CHECKS * gossip.CARRIED)
+    return float(CHECKS * gossip.MAX_RECORDS)
 
 
 def least_rollout():
@@ -45,7 +46,7 @@
     what = "membership sent, worst front in its worst second"
     lines.add(Kind.MESSAGES, what, worst, "suspicions and news, membership/members.py", BUDGET.bytes)
     run = together(SIZE.zone_fronts)
-    until = members.detection(MembershipTimeouts(), SIZE.fronts, run) / 1e6
+    until = detection_time(MembershipTimeouts(), SIZE.fronts, run) / 1e6
     found = assumed(
         until, "s", f"computed by membership/members.py; {run} neighbours on the ring lost together"
     )
@@ -93,9 +94,8 @@
     lines = []
     for hour, count in ((Hour.RESTARTS, SIZE.restarts), (Hour.ROLLOUT, SIZE.fronts)):
         some = Lines(CONTROL, hour)
-        reason = (
-            f"{count:,} in an hour; {NEWS_OF_RESTART} news each, passed on {gossip.COPIES} x log2 n times"
-        )
+        copies = gossip.RETRANSMIT_MULTIPLIER
+        reason = f"{count:,} in an hour; {NEWS_OF_RESTART} news each, passed on {copies} x log2 n times"
         passed = assumed(news(count / 3600), "news/s", reason)
         some.add(Kind.MESSAGES, "news passed on by each front", passed, NEWS, news_capacity())
         joined = figures.at("membership", "join bytes", SIZE.fronts)
--- a/limepath/scale/roles_membership.py
+++ b/limepath/scale/roles_membership.py
@@ -17,7 +17,7 @@
 
 from limepath.configuration.sharing_settings import DutyMode, DutySettings, LeaseSettings, MembershipTimeouts
 from limepath.duties.world import Node, World
-from limepath.membership.guard import HEAD, SEAL
+from limepath.membership.guard import HEADER_BYTES, SEAL_BYTES
 from limepath.scale.measured import Found, Series
 
 SECOND = 1_000_000
@@ -38,7 +38,9 @@
         self.packing = msgspec.msgpack.Encoder()
 
     def send(self, node, me, order):
-        size = len(self.packing.encode((me, order.to, self.messages, order.message))) + HEAD + SEAL
+        size = (
+            len(self.packing.encode((me, order.to, self.messages, order.message))) + HEADER_BYTES + SEAL_BYTES
+        )
         second = self.now // SECOND
         for kept, index in ((self.sent, node.index), (self.received, int(order.host))):
             kept.setdefault(second, Counter())[index] += size
--- a/tests/byte_records.py
+++ b/tests/byte_records.py
@@ -26,9 +26,9 @@
 from limepath.frequency_exchange import interface as request_counts
 from limepath.interface.events import AttemptOutcome
 from limepath.membership import interface as membership
-from limepath.membership.digests import Digests
-from limepath.membership.guard import Guard, keys_of
-from limepath.membership.identity import identity_of, kept_ceiling
+from limepath.membership.digests import ViewDigests
+from limepath.membership.guard import Guard, parse_keys
+from limepath.membership.identity import epoch_ceiling_row, next_identity
 from limepath.store import Store
 
 DATA = Path(__file__).parent / "data"
@@ -131,7 +131,7 @@
 
 def new_guard() -> Guard:
     """A guard with the fixed key and counter that takes all messages, as a front has it."""
-    guard = Guard(keys_of(KEY), MESSAGE_TYPES)
+    guard = Guard(parse_keys(KEY), MESSAGE_TYPES)
     guard.counter = COUNTER
     return guard
 
@@ -256,8 +256,8 @@
     """The rows of a front's store after some starts, with these bytes of the saved list."""
     rows = {}
     for _ in range(LIFE):
-        _, rows = identity_of(rows, lambda: TOKENS[3])
-    return rows | kept_ceiling(CEILING) | {ROW: saved_list}
+        _, rows = next_identity(rows, lambda: TOKENS[3])
+    return rows | epoch_ceiling_row(CEILING) | {ROW: saved_list}
 
 
 def written_store(path: Path, rows: dict[str, bytes]) -> dict[str, Any]:
@@ -279,7 +279,7 @@
 
 def agreed_values() -> dict[str, Any]:
     """What fronts work out alike from what they know, and the numbers of enumerations, by label."""
-    view = Digests()
+    view = ViewDigests()
     for news in (MEMBER, OTHER_MEMBER):
         view.toggle(news)
     ring, states, reads = Ring.of(TOKENS), membership.MemberState, endpoints.SubscriptionMode
--- a/tests/test_event_coding.py
+++ b/tests/test_event_coding.py
@@ -24,7 +24,7 @@
 )
 from limepath.discovery.events import parsed, summary
 from limepath.discovery.integers import CodingError, Damaged, Reader, integer, unzigzag, zigzag
-from limepath.membership.guard import HEAD, LARGEST, SEAL
+from limepath.membership.guard import HEADER_BYTES, MAX_DATAGRAM_BYTES, SEAL_BYTES
 from limepath.membership.interface import MemberRecord
 
 NOW_MS = 1_796_000_000_000  # December 2026
@@ -225,7 +225,7 @@
 def test_a_batch_leaves_room_for_envelope_and_seal():
     sender = MemberRecord(HUGE, "n" * 32, "255.255.255.255", 65_535, HUGE, HUGE, 3, HUGE)
     around = msgspec.msgpack.encode((sender, HUGE, HUGE, ["le", HUGE, HUGE, b"", HUGE, HUGE]))
-    assert len(around) + BATCH_LIMIT + HEAD + SEAL < LARGEST
+    assert len(around) + BATCH_LIMIT + HEADER_BYTES + SEAL_BYTES < MAX_DATAGRAM_BYTES
 
 
 @pytest.mark.parametrize("kind", [5, 15, *RESERVED_KINDS, 200, 255])
--- a/tests/test_list_pages.py
+++ b/tests/test_list_pages.py
@@ -50,7 +50,7 @@
 )
 from limepath.discovery.state import List
 from limepath.discovery.window import KeptPurge
-from limepath.membership.guard import HEAD, LARGEST, SEAL
+from limepath.membership.guard import HEADER_BYTES, MAX_DATAGRAM_BYTES, SEAL_BYTES
 from limepath.membership.interface import MemberRecord
 
 CACHES, RATE, KEPT_SECONDS = 1400, 36, 307.3
@@ -245,7 +245,10 @@
 def test_a_chunk_leaves_room_for_envelope_and_seal():
     sender = MemberRecord(HUGE, "n" * 32, "255.255.255.255", 65_535, HUGE, HUGE, 3, HUGE)
     message = ["lx", HUGE, HUGE, HUGE, INDEX, MOST_CHUNKS, MOST_CHUNKS, bytes(CHUNK_BYTES)]
-    assert len(msgspec.msgpack.encode((sender, HUGE, HUGE, message))) + HEAD + SEAL < LARGEST
+    assert (
+        len(msgspec.msgpack.encode((sender, HUGE, HUGE, message))) + HEADER_BYTES + SEAL_BYTES
+        < MAX_DATAGRAM_BYTES
+    )
 
 
 @settings(repeatable, max_examples=60)
--- a/tests/test_listing.py
+++ b/tests/test_listing.py
@@ -45,7 +45,7 @@
 from limepath.discovery.state import DATA, List, mark_of
 from limepath.discovery.upstream import BAD
 from limepath.duties.world import World
-from limepath.membership.members import spread
+from limepath.membership.bounds import dissemination_time
 from limepath.report_table import hold
 
 SECOND, MS = 1_000_000, 1000
@@ -390,7 +390,7 @@
         1,
     )
     world.open(False)
-    world.run(spread(MembershipTimeouts(), 100))
+    world.run(dissemination_time(MembershipTimeouts(), 100))
     assert world.views_agree()  # after 2 s; 9.5 s where a page a period was pulled
 
 
--- a/tests/test_opening.py
+++ b/tests/test_opening.py
@@ -15,10 +15,10 @@
 from limepath.cli import root
 from limepath.configuration import ini, peers_file
 from limepath.configuration.ini import SettingError
-from limepath.membership.control import Caller
-from limepath.membership.guard import BadKeys, keys_of
+from limepath.membership.control import ControlConnection
+from limepath.membership.guard import KeyFileError, parse_keys
 from limepath.membership.host import StartError, read_keys
-from limepath.membership.identity import identity_of, kept_ceiling
+from limepath.membership.identity import epoch_ceiling_row, next_identity
 from limepath.store import DAMAGED, GOOD, NEW, Store, StoreLockedError, StoreUnusableError
 from tests.stand_ins import configuration, free_address
 
@@ -118,8 +118,8 @@
     file.chmod(0o600)
     assert len(read_keys(str(file))[0]) == 1
     for text, told in (("", "no key"), ("ab" * 8, "16 to 64"), ("ab" * 16 + "\n" + "ab" * 16, "line 2")):
-        with pytest.raises(BadKeys, match=told):
-            keys_of(text)
+        with pytest.raises(KeyFileError, match=told):
+            parse_keys(text)
 
 
 # The store
@@ -160,9 +160,9 @@
         base.close()
     found = Store(str(path))
     assert found.found == DAMAGED and found.all() == {} and os.path.exists(found.aside)
-    identity, _ = identity_of(found.all(), lambda: 77)
+    identity, _ = next_identity(found.all(), lambda: 77)
     assert identity.token == 77 and not identity.sure
-    found.put(kept_ceiling(3))
+    found.put(epoch_ceiling_row(3))
     found.close()
     assert Store(str(path)).found == GOOD
 
@@ -204,7 +204,7 @@
 
 
 def caller(shown):
-    one = Caller()
+    one = ControlConnection()
     one.factory = type("Factory", (), {"callers": 0, "shown": shown})()
     one.setTimeout = lambda span: None
     transport = StringTransport()
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -13,11 +13,19 @@
 from limepath.duties.world import World
 from limepath.log import Log
 from limepath.membership.anti_entropy import PAGE
+from limepath.membership.bounds import detection_time, dissemination_time, minimum_suspicion_timeout
 from limepath.membership.checks import Without
 from limepath.membership.digests import BUCKETS, bucket_of
-from limepath.membership.guard import LARGEST, BadKeys, Dropped, Guard, Window, keys_of
+from limepath.membership.guard import (
+    MAX_DATAGRAM_BYTES,
+    DatagramRejectedError,
+    Guard,
+    KeyFileError,
+    ReplayWindow,
+    parse_keys,
+)
 from limepath.membership.host import SLICE, TAKEN, DatagramSocket
-from limepath.membership.identity import Identity, identity_of, kept_ceiling
+from limepath.membership.identity import Identity, epoch_ceiling_row, next_identity
 from limepath.membership.interface import (
     MESSAGES,
     REFUTATION_BITS,
@@ -34,8 +42,8 @@
     Welcome,
     YieldIdentity,
 )
-from limepath.membership.members import DOUBLED, REPLACED, Members, detection, shortest, spread
-from limepath.membership.view import MOST_BURIED, View
+from limepath.membership.members import IDENTITY_REPLACED, NAME_IN_USE, Members
+from limepath.membership.view import MAX_REMEMBERED_DEAD, MemberTable
 from limepath.timer_queue import TimerQueue
 
 SECOND = 1_000_000
@@ -73,17 +81,17 @@
 def opened(guard, datagram):
     try:
         return guard.open(datagram)[2]
-    except Dropped as error:
+    except DatagramRejectedError as error:
         return str(error)
 
 
 def test_what_is_not_authentic_new_whole_and_known_is_dropped_and_counted():
-    us, they = Guard(keys_of(OLD)), Guard(keys_of(OLD))
+    us, they = Guard(parse_keys(OLD)), Guard(parse_keys(OLD))
     sealed = they.seal(news(2), 7, Ping(1))
     assert opened(us, sealed) == Ping(1)
     forged = bytearray(sealed)
     forged[20] ^= 1
-    stranger = Guard(keys_of(NEW)).seal(news(2), 7, Ping(1))
+    stranger = Guard(parse_keys(NEW)).seal(news(2), 7, Ping(1))
     other_generation = b"LP" + bytes((0x21,)) + sealed[3:]
     told = [
         opened(us, one)
@@ -94,7 +102,7 @@
             sealed[:-1],
             sealed[:9],
             b"x" * 1000,
-            b"x" * (LARGEST + 1),
+            b"x" * (MAX_DATAGRAM_BYTES + 1),
             other_generation,
         )
     ]
@@ -114,7 +122,7 @@
         digest: int
         more: str
 
-    us, they = Guard(keys_of(OLD)), Guard(keys_of(OLD), (*MESSAGES, Later))
+    us, they = Guard(parse_keys(OLD)), Guard(parse_keys(OLD), (*MESSAGES, Later))
     assert opened(us, they.seal(news(2), 7, Later(1))) == "unknown message"
     assert opened(us, they.seal(news(2), 7, Ping("x"))) == "unknown message"
     assert opened(us, they.seal(news(2), 7, Longer(4, (), 0, "more"))) == Ping(4)
@@ -124,7 +132,7 @@
 
 
 def test_no_message_is_larger_than_a_datagram():
-    guard = Guard(keys_of(OLD))
+    guard = Guard(parse_keys(OLD))
     widest = MemberRecord(
         2**63 - 1, "n" * 32, "2001:db8:1234:5678:9abc:def0:1234:5678", 65_535, 2**60, 2**60, 1, 2**63
     )
@@ -135,29 +143,29 @@
     (page,) = [o.message for o in hear(members, news(2), Pull()) if isinstance(o.message, MemberPage)]
     assert len(ping.records) == 8 and len(page.records) == 12
     for message in (ping, page):
-        assert len(guard.seal(widest, 2**64 - 1, message)) <= LARGEST
+        assert len(guard.seal(widest, 2**64 - 1, message)) <= MAX_DATAGRAM_BYTES
 
 
 @given(st.binary(max_size=1500))
 def test_noise_never_gets_through(noise):
-    guard = Guard(keys_of(OLD), MESSAGES + DUTY_MESSAGES)
-    with pytest.raises(Dropped):
+    guard = Guard(parse_keys(OLD), MESSAGES + DUTY_MESSAGES)
+    with pytest.raises(DatagramRejectedError):
         guard.open(noise)
     head = b"LP" + bytes((0x12,)) + guard.keys[0].name
-    with pytest.raises(Dropped):
+    with pytest.raises(DatagramRejectedError):
         guard.open(head + noise)
 
 
 def test_keys_change_while_both_are_valid():
-    one, other = Guard(keys_of(OLD)), Guard(keys_of(OLD))
+    one, other = Guard(parse_keys(OLD)), Guard(parse_keys(OLD))
     assert opened(other, one.seal(news(1), 0, Hello())) == Hello()
-    other.keys = keys_of(OLD + "\n" + NEW)
+    other.keys = parse_keys(OLD + "\n" + NEW)
     assert opened(one, other.seal(news(2), 0, Hello())) == Hello()  # it still seals with the old one
-    one.keys = keys_of(NEW + "\n" + OLD)
+    one.keys = parse_keys(NEW + "\n" + OLD)
     assert opened(other, one.seal(news(1), 0, Hello())) == Hello()
-    other.keys = keys_of(NEW)
+    other.keys = parse_keys(NEW)
     assert opened(one, other.seal(news(2), 0, Hello())) == Hello()
-    assert opened(other, Guard(keys_of(OLD)).seal(news(3), 0, Hello())) == "unknown key"
+    assert opened(other, Guard(parse_keys(OLD)).seal(news(3), 0, Hello())) == "unknown key"
 
 
 def test_a_check_without_an_answer_is_passed_to_others_then_suspected_then_declared():
@@ -176,7 +184,7 @@
             declared = now
     asked = [o for _, o in said if isinstance(o, SendMessage) and type(o.message).__name__ == "IndirectPing"]
     assert {o.message.about.token for o in asked} == {2} and len(asked) >= 2
-    assert declared <= detection(SPANS, 4)
+    assert declared <= detection_time(SPANS, 4)
     assert members.ring == [3, 4]
 
 
@@ -233,7 +241,7 @@
     members = instance(birth=5)
     *farewells, way = hear(members, news(7, name="n1", birth=3), Ping(1))
     assert {o.message.records[0].state for o in farewells} == {MemberState.LEFT}
-    assert way.why == DOUBLED and members.handle(2 * SECOND, ()) == []
+    assert way.why == NAME_IN_USE and members.handle(2 * SECOND, ()) == []
     elder = instance(birth=2)
     assert not [o for o in hear(elder, news(7, name="n1", birth=3), Ping(1)) if isinstance(o, YieldIdentity)]
     third = instance(token=3, others=(1, 2))
@@ -249,7 +257,7 @@
         for o in hear(woken, news(2), Ping(1, (news(1, generation=2, birth=9),)))
         if isinstance(o, YieldIdentity)
     ]
-    assert way.why == REPLACED
+    assert way.why == IDENTITY_REPLACED
     copied = instance(generation=4, birth=9)
     (way,) = [
         o for o in hear(copied, news(1, generation=4, birth=8), Ping(1)) if isinstance(o, YieldIdentity)
@@ -355,13 +363,13 @@
             world.restart(who)
         elif node.paused:
             node.resume()
-    world.run(world.now + 2 * detection(SPANS, 5) + 6 * spread(SPANS, 5))
+    world.run(world.now + 2 * detection_time(SPANS, 5) + 6 * dissemination_time(SPANS, 5))
     assert world.views_agree() and not world.gave_way
 
 
 def test_messages_are_the_same_after_the_wire():
     encoder = msgspec.msgpack.Encoder()
-    guard = Guard(keys_of(OLD), MESSAGES + DUTY_MESSAGES)
+    guard = Guard(parse_keys(OLD), MESSAGES + DUTY_MESSAGES)
     for message in (
         Ping(1, (news(3),), 5),
         Ack(2),
@@ -411,11 +419,14 @@
         path.chmod(mode)
         os.utime(path, ns=(len(text) + mode,) * 2)
         line.reread()
-        assert line.guard.keys == keys_of(keys)
+        assert line.guard.keys == parse_keys(keys)
 
 
 def test_the_shortest_suspicion_grows_with_the_digits_of_the_fleet():
-    assert (shortest(MembershipTimeouts(), 5), shortest(MembershipTimeouts(), 1000)) == (
+    assert (
+        minimum_suspicion_timeout(MembershipTimeouts(), 5),
+        minimum_suspicion_timeout(MembershipTimeouts(), 1000),
+    ) == (
         4_000_000,
         12_000_000,
     )
@@ -459,7 +470,7 @@
 
 
 def test_the_dead_are_forgotten_after_their_time_and_the_oldest_beyond_a_number():
-    view = View(news(1), TimerQueue(1))
+    view = MemberTable(news(1), TimerQueue(1))
     for token in (2, 3, 4):
         view.put(news(token))
     for now, token in enumerate((3, 2)):
@@ -470,10 +481,10 @@
     assert list(view.buried) == [3, 2]
     view.forget(9)
     assert list(view.buried) == list(view.buried_since) == [2] and set(view.table) == {2, 4}
-    for token in range(10, 10 + MOST_BURIED):
+    for token in range(10, 10 + MAX_REMEMBERED_DEAD):
         view.put(news(token, state=MemberState.DEAD))
     view.forget(100)
-    assert len(view.buried) == len(view.buried_since) == MOST_BURIED and 2 not in view.table
+    assert len(view.buried) == len(view.buried_since) == MAX_REMEMBERED_DEAD and 2 not in view.table
     assert view.ring == [4]
 
 
@@ -496,25 +507,25 @@
 
 
 def test_keys_are_read_one_a_line():
-    keys = keys_of("# new\n" + "ab" * 32 + "\n" + "cd" * 32)
+    keys = parse_keys("# new\n" + "ab" * 32 + "\n" + "cd" * 32)
     assert [len(key.secret) for key in keys] == [32, 32]
-    with pytest.raises(BadKeys) as error:
-        keys_of("abc")
+    with pytest.raises(KeyFileError) as error:
+        parse_keys("abc")
     assert str(error.value) == "line 1: no hexadecimal key"
 
 
 def test_a_number_is_new_once_and_while_the_window_reaches_it():
-    window = Window()
+    window = ReplayWindow()
     told = [window.is_new(number) for number in (0, 3, 1, 3, 1, 2, 400, 100, 399)]
     assert told == [True, True, True, False, False, True, True, False, True]
 
 
 def test_an_identity_lives_once_more_at_each_start_and_is_new_where_the_store_is_damaged():
-    first, rows = identity_of({}, lambda: 5)
+    first, rows = next_identity({}, lambda: 5)
     assert first == Identity(token=5, generation=1, ceiling=0, sure=False)
-    assert identity_of(rows, lambda: 6)[0] == Identity(token=5, generation=2, ceiling=0, sure=False)
-    kept = rows | kept_ceiling(7000)
-    assert identity_of(kept, lambda: 6)[0] == Identity(token=5, generation=2, ceiling=7000, sure=True)
-    assert identity_of({"token": b"x"}, lambda: 6)[0] == Identity(
+    assert next_identity(rows, lambda: 6)[0] == Identity(token=5, generation=2, ceiling=0, sure=False)
+    kept = rows | epoch_ceiling_row(7000)
+    assert next_identity(kept, lambda: 6)[0] == Identity(token=5, generation=2, ceiling=7000, sure=True)
+    assert next_identity({"token": b"x"}, lambda: 6)[0] == Identity(
         token=6, generation=1, ceiling=0, sure=False
     )
--- a/tests/test_stored_bytes.py
+++ b/tests/test_stored_bytes.py
@@ -8,7 +8,7 @@
 import msgspec
 import pytest
 
-from limepath.membership.identity import identity_of
+from limepath.membership.identity import next_identity
 from limepath.store import GOOD, Store
 from tests import byte_records as records
 
@@ -89,7 +89,7 @@
         assert store.found == GOOD
         found = store.all()
     assert found == records.store_rows(list_bytes(records.SAVED_LIST))
-    identity, _ = identity_of(found, lambda: 0)
+    identity, _ = next_identity(found, lambda: 0)
     assert identity == (records.TOKENS[3], records.LIFE + 1, records.CEILING, True)
 
 
