--- a/limepath/membership/checks.py
+++ b/limepath/membership/failure_detector.py
@@ -13,7 +13,7 @@
 from limepath.membership.interface import Ack, IndirectPing, MemberState
 
 
-class Without(Sequence):
+class SequenceWithoutOne(Sequence):
     """A list without one item, given by its place; nothing is copied."""
 
     def __init__(self, items, place):
@@ -28,7 +28,7 @@
         return self.items[index + (index >= self.place)]
 
 
-class Checks:
+class FailureDetector:
     """`members` sends, knows the view, and has the suspicions to which one that missed its check goes."""
 
     def __init__(self, members):
@@ -85,7 +85,7 @@
         """No answer yet: ask others to check, for the way between us may be all that is broken."""
         if (news := self.pending.get(sequence)) is None or not self.view.is_live(news.token):
             return
-        others = Without(self.view.ring, bisect_left(self.view.ring, news.token))
+        others = SequenceWithoutOne(self.view.ring, bisect_left(self.view.ring, news.token))
         for token in self.timers.sample(others, min(self.spans.indirect, len(others))):
             self.members.send(self.view.table[token], IndirectPing(sequence, news, self.members.told(token)))
 
--- a/limepath/membership/joining.py
+++ b/limepath/membership/join.py
@@ -11,7 +11,7 @@
 SOUGHT = 2  # of the lost that are greeted in one look
 
 
-class Joining:
+class JoinProtocol:
     """`seeds` are addresses."""
 
     def __init__(self, members, seeds):
--- a/limepath/membership/leaving.py
+++ b/limepath/membership/leave.py
@@ -7,7 +7,7 @@
 FAREWELLS, FAREWELL_ROUNDS = 4, 3  # told at least in one round; rounds, a `direct` span apart
 
 
-class Leaving:
+class LeaveProtocol:
     """Of one instance; `begun` once it departs."""
 
     def __init__(self, members):
--- a/limepath/membership/members.py
+++ b/limepath/membership/members.py
@@ -9,7 +9,7 @@
 """
 
 from limepath.membership.anti_entropy import AntiEntropy
-from limepath.membership.checks import Checks
+from limepath.membership.failure_detector import FailureDetector
 from limepath.membership.gossip import BroadcastQueue
 from limepath.membership.interface import (
     NEWEST_VERSION,
@@ -27,10 +27,10 @@
     SendMessage,
     Welcome,
 )
-from limepath.membership.joining import Joining
-from limepath.membership.leaving import Leaving
+from limepath.membership.join import JoinProtocol
+from limepath.membership.leave import LeaveProtocol
+from limepath.membership.member_table import MemberTable
 from limepath.membership.suspicion import Suspicions
-from limepath.membership.view import MemberTable
 from limepath.timer_queue import TimerQueue
 
 REJOIN_PERIODS = 5  # periods between looks for whom the view has lost
@@ -49,9 +49,9 @@
         self.table, self.ring = self.view.table, self.view.ring
         self.periods, self.over = 0, False
         self.counts = {"misaddressed": 0, "former": 0, "refuted": 0, "suspected": 0, "declared": 0}
-        self.suspicions, self.checks = Suspicions(self), Checks(self)
+        self.suspicions, self.checks = Suspicions(self), FailureDetector(self)
         self.anti_entropy = AntiEntropy(self)
-        self.joins, self.leaves = Joining(self, seeds), Leaving(self)
+        self.joins, self.leaves = JoinProtocol(self, seeds), LeaveProtocol(self)
         self.compare, self.greet = self.anti_entropy.compare, self.joins.greet
         self.is_live, self.give_way = self.view.is_live, self.leaves.give_way
         self.receivers = {
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -14,8 +14,8 @@
 from limepath.log import Log
 from limepath.membership.anti_entropy import PAGE
 from limepath.membership.bounds import detection_time, dissemination_time, minimum_suspicion_timeout
-from limepath.membership.checks import Without
 from limepath.membership.digests import BUCKETS, bucket_of
+from limepath.membership.failure_detector import SequenceWithoutOne
 from limepath.membership.guard import (
     MAX_DATAGRAM_BYTES,
     DatagramRejectedError,
@@ -42,8 +42,8 @@
     Welcome,
     YieldIdentity,
 )
+from limepath.membership.member_table import MAX_REMEMBERED_DEAD, MemberTable
 from limepath.membership.members import IDENTITY_REPLACED, NAME_IN_USE, Members
-from limepath.membership.view import MAX_REMEMBERED_DEAD, MemberTable
 from limepath.timer_queue import TimerQueue
 
 SECOND = 1_000_000
@@ -465,7 +465,7 @@
 
 def test_those_asked_to_check_are_all_but_the_one_that_is_checked():
     for place in range(4):
-        others = Without([1, 2, 3, 4], place)
+        others = SequenceWithoutOne([1, 2, 3, 4], place)
         assert list(others) == [token for token in (1, 2, 3, 4) if token != place + 1] and len(others) == 3
 
 
