--- a/limepath/discovery/simulate.py
+++ b/limepath/discovery/simulate.py
@@ -180,7 +180,7 @@
             elif isinstance(order, MessageRelayed):
                 self.hear([PeerMessage(order.sender.token, order.message)])
             elif isinstance(order, SendToMember):
-                self.members.reach(order.token, order.message)
+                self.members.send_to_member(order.token, order.message)
             elif isinstance(order, OpenStream):
                 self.serial += 1
                 world.service.call(self, order.after)
--- a/limepath/duties/host.py
+++ b/limepath/duties/host.py
@@ -194,7 +194,7 @@
         """Send a message of another logic to one that lives."""
         members = self.instance.members
         members.timers.now = clock()
-        members.reach(token, message)
+        members.send_to_member(token, message)
         for order in members.timers.take_commands():
             self.line.send(members.me, order)
 
--- a/limepath/duties/instance.py
+++ b/limepath/duties/instance.py
@@ -162,7 +162,7 @@
 
     def set_out(self, others):
         """Know these from the start, without joining by messages."""
-        self.members.known(others)
+        self.members.add_known_members(others)
         for one in self.members.timers.take_commands():
             if isinstance(one, MemberJoined):
                 self.joined(one.member)
@@ -199,7 +199,7 @@
             self.timers.run_due(now)
             for order in self.timers.take_commands():
                 if isinstance(order, SendToMember):
-                    self.members.reach(order.token, order.message)
+                    self.members.send_to_member(order.token, order.message)
                 else:
                     out.append(order)
             orders = self.members.timers.take_commands()
@@ -230,7 +230,7 @@
         if name == self.members.me.name:
             self.looped.append(message)
         elif (token := self.names.get(name)) is not None:
-            self.members.reach(token, message)
+            self.members.send_to_member(token, message)
 
     @property
     def ring(self):
--- a/limepath/membership/failure_detector.py
+++ b/limepath/membership/failure_detector.py
@@ -87,7 +87,9 @@
             return
         others = SequenceWithoutOne(self.view.ring, bisect_left(self.view.ring, news.token))
         for token in self.timers.sample(others, min(self.spans.indirect, len(others))):
-            self.members.send(self.view.table[token], IndirectPing(sequence, news, self.members.told(token)))
+            self.members.send(
+                self.view.table[token], IndirectPing(sequence, news, self.members.records_for(token))
+            )
 
     def failed(self, sequence):
         if (news := self.pending.pop(sequence, None)) is None:
@@ -106,7 +108,7 @@
         """Answer a check."""
         members = self.members
         members.take(message.records)
-        members.send(sender, Ack(message.seq, members.told(sender.token), members.shown()))
+        members.send(sender, Ack(message.seq, members.records_for(sender.token), members.digest_to_send()))
         members.compare(sender, message.digest)
 
     def acked(self, sender, message):
--- a/limepath/membership/join.py
+++ b/limepath/membership/join.py
@@ -53,7 +53,7 @@
 
     def greeted_by(self, sender, message):
         """Nothing is believed of one that does not know this life: its Hello may be an old one."""
-        welcome = Welcome(self.members.told(sender.token))
+        welcome = Welcome(self.members.records_for(sender.token))
         self.timers.emit(SendMessage(sender.host, sender.port, sender.session_token, welcome))
 
     def welcomed(self, sender, message):
--- a/limepath/membership/members.py
+++ b/limepath/membership/members.py
@@ -82,7 +82,7 @@
         self.timers.schedule(now + int(self.timers.random_fraction() * self.spans.period), self.period)
         return self.timers.take_commands()
 
-    def known(self, news):
+    def add_known_members(self, news):
         """Take in what is known from elsewhere (a fleet set up by hand, in virtual time)."""
         for one in news:
             self.apply(one)
@@ -93,7 +93,7 @@
         """When something is due next, or None."""
         return self.timers.next_due()
 
-    def reach(self, token, message):
+    def send_to_member(self, token, message):
         """Send a message of another logic to a member that counts as alive."""
         if (news := self.table.get(token)) and news.state <= MemberState.SUSPECT:
             self.send(news, message)
@@ -125,17 +125,17 @@
 
     def ping(self, news, sequence):
         """A check, or with 0 a message that asks for no answer to one; news goes with it."""
-        self.send(news, Ping(sequence, self.told(news.token), self.shown()))
+        self.send(news, Ping(sequence, self.records_for(news.token), self.digest_to_send()))
 
-    def told(self, to):
+    def records_for(self, to):
         """News to carry to a member."""
         return self.gossip.carried(self.table.get(to))
 
-    def shown(self):
+    def digest_to_send(self):
         """The digest on messages; 0 where an older version speaks."""
         return self.digest if self.speaks >= DIGESTS_SINCE else 0
 
-    def pass_on(self, news):
+    def broadcast(self, news):
         self.gossip.pass_on(news, len(self.ring))
 
     # Each period
@@ -158,7 +158,7 @@
         if news.state != MemberState.SUSPECT:
             self.suspicions.clear(news.token)
         self.view.put(news)
-        self.pass_on(news)
+        self.broadcast(news)
 
     def take(self, news):
         """Apply what a message carries."""
@@ -202,7 +202,7 @@
             self.counts["refuted"] += 1
             self.checks.miss()
             self.view.renew(news.incarnation + 1)
-            self.pass_on(self.me)
+            self.broadcast(self.me)
 
     def speaks_for(self, sender):
         """An address is held by one process at a time: who was there under another token, a lost store's, is
--- a/limepath/membership/suspicion.py
+++ b/limepath/membership/suspicion.py
@@ -39,7 +39,7 @@
             self.members.put(news._replace(state=MemberState.SUSPECT, reported_by=by))
         elif by not in doubt.reported_by and (len(doubt.reported_by) <= CONFIRMED or by == mine):
             doubt.reported_by.add(by)
-            self.members.pass_on(news._replace(state=MemberState.SUSPECT, reported_by=by))
+            self.members.broadcast(news._replace(state=MemberState.SUSPECT, reported_by=by))
         else:
             return
         at = max(self.timers.now, self.deadline(doubt))
--- a/limepath/scale/roles_view.py
+++ b/limepath/scale/roles_view.py
@@ -66,7 +66,7 @@
 
     def set_up(self):
         began = time.thread_time_ns()
-        self.members.known(self.others)
+        self.members.add_known_members(self.others)
         return time.thread_time_ns() - began
 
     def tell(self, sender, message):
@@ -88,7 +88,7 @@
         for order in sent:
             if isinstance(order.message, Ping):
                 other = self.by_address[order.host, order.port]
-                self.tell(other, Ack(order.message.seq, (), self.members.shown()))
+                self.tell(other, Ack(order.message.seq, (), self.members.digest_to_send()))
 
     def wake(self):
         began = time.thread_time_ns()
@@ -103,7 +103,7 @@
             self.now = min(until, max(self.now, due), checked + SECOND // CHECKED)
             if self.now - checked >= SECOND // CHECKED:
                 checked, self.seq = self.now, self.seq + 1
-                self.tell(self.chance.choice(self.others), Ping(self.seq, (), self.members.shown()))
+                self.tell(self.chance.choice(self.others), Ping(self.seq, (), self.members.digest_to_send()))
             if due is not None and due <= self.now:
                 self.wake()
 
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -66,7 +66,7 @@
 def instance(token=1, others=(2, 3, 4), **changes):
     members = Members(news(token, **changes), (), SPANS, token)
     members.start(0)
-    members.known([news(other) for other in others])
+    members.add_known_members([news(other) for other in others])
     members.timers.take_commands()
     return members
 
@@ -139,7 +139,7 @@
     members = instance(others=())
     for token in range(100):
         members.apply(widest._replace(token=2**62 + token))
-    ping = Ping(2**40, members.told(2**62), 2**64 - 1)
+    ping = Ping(2**40, members.records_for(2**62), 2**64 - 1)
     (page,) = [o.message for o in hear(members, news(2), Pull()) if isinstance(o.message, MemberPage)]
     assert len(ping.records) == 8 and len(page.records) == 12
     for message in (ping, page):
@@ -316,7 +316,7 @@
         )[0]
     world.open(preset=False)
     world.run(12 * SECOND)
-    assert world.views_agree() and world.nodes[0].instance.members.shown() == 0
+    assert world.views_agree() and world.nodes[0].instance.members.digest_to_send() == 0
 
 
 @settings(max_examples=25, deadline=None, derandomize=True)
