--- a/limepath/membership/join.py
+++ b/limepath/membership/join.py
@@ -44,10 +44,8 @@
 
     def seek(self):
         """Hello to a seed or to one declared dead: two halves that lost each other find together again."""
-        lost = [
-            (news.host, news.port) for news in self.view.buried.values() if news.state == MemberState.DEAD
-        ]
-        lost += [address for address in self.seeds if not self.view.at_seeds[address]]
+        lost = [(news.host, news.port) for news in self.view.dead.values() if news.state == MemberState.DEAD]
+        lost += [address for address in self.seeds if not self.view.live_at_seeds[address]]
         for address in self.timers.sample(lost, min(SOUGHT, len(lost))):
             self.greet(*address)
 
--- a/limepath/membership/member_table.py
+++ b/limepath/membership/member_table.py
@@ -1,86 +1,113 @@
-"""Whom one instance knows: a table of all, the ring of the living, and the dead until they are forgotten."""
+"""The members one instance knows: all records, the ring of live members, and the dead for a while.
+
+Dead and left members are remembered so that late gossip does not bring them back; they are forgotten by age
+and beyond a number.
+"""
 
 from bisect import bisect_left, insort
+from collections.abc import Iterable
 
 from limepath.membership.digests import ViewDigests
-from limepath.membership.interface import MemberJoined, MemberLeft, MemberState
+from limepath.membership.interface import MemberJoined, MemberLeft, MemberRecord
+from limepath.timer_queue import TimerQueue
 
-MAX_REMEMBERED_DEAD = 4096  # dead and left that are remembered at most
+MAX_REMEMBERED_DEAD = 4096
 
 
 class MemberTable:
-    """`me` is the instance's own News, not in `table`. `ring` has the tokens of the other living, sorted.
-
-    `names` has the token that last spoke under a name; `buried` the dead and those that left, the longest
-    buried first, and `buried_since` the times in the same order. `at_seeds` has for each seed's address how
-    many living are there. Changes of the living go out as Joined and Parted.
-    """
-
-    def __init__(self, me, timers, seeds=()):
-        self.me, self.timers = me, timers
-        self.table, self.ring, self.names = {}, [], {}
-        self.buried, self.buried_since = {}, {}
-        self.at_seeds = dict.fromkeys(seeds, 0)
+    """Records by token, and what is derived from them. Changes of the live set go out as commands."""
+
+    def __init__(self, me: MemberRecord, timers: TimerQueue, seeds: Iterable[tuple[str, int]] = ()):
+        """Start with no member but `me`; `seeds` are the addresses by which this instance joins."""
+        self.me = me
+        """This instance's own record, which is not in `table`."""
+        self.timers = timers
+        self.table: dict[int, MemberRecord] = {}
+        """Latest record of every other member, by token."""
+        self.ring: list[int] = []
+        """Tokens of the other live members, sorted."""
+        self.names: dict[str, int] = {}
+        """Token of the member that last sent a message under a name."""
+        self.dead: dict[int, MemberRecord] = {}
+        """Members that are dead or have left, in the order in which they became so."""
+        self.dead_since: dict[int, int] = {}
+        """When they became so, in microseconds, in the same order."""
+        self.live_at_seeds: dict[tuple[str, int], int] = dict.fromkeys(seeds, 0)
+        """How many live members have a seed's address."""
         self.digests = ViewDigests()
         self.digests.toggle(me)
 
-    def is_live(self, token):
-        """Whether it counts as alive, suspected or not; this instance does."""
-        return (
-            token == self.me.token or token in self.table and self.table[token].state <= MemberState.SUSPECT
-        )
-
-    def put(self, news):
-        """Write news of another into the table and tell how the living changed by it."""
-        token, old = news.token, self.table.get(news.token)
-        was, now_live = (
-            old is not None and old.state <= MemberState.SUSPECT,
-            news.state <= MemberState.SUSPECT,
-        )
-        self.table[token] = news
-        if was:
-            self.digests.toggle(old)
-            self.count_at_seed(old, -1)
-        if now_live:
-            self.digests.toggle(news)
-            self.count_at_seed(news, 1)
-        if now_live and not was:
-            self.joined(news)
-        elif was and not now_live:
-            del self.ring[bisect_left(self.ring, token)]
-            self.timers.emit(MemberLeft(news))
-        elif was and old.generation != news.generation:  # it started anew before we missed it
-            self.timers.emit(MemberLeft(old))
-            self.timers.emit(MemberJoined(news))
-        if not now_live:
-            self.buried[token] = news
-            self.buried_since.setdefault(token, self.timers.now)
-
-    def joined(self, news):
-        insort(self.ring, news.token)
-        self.buried.pop(news.token, None)
-        self.buried_since.pop(news.token, None)
-        self.timers.emit(MemberJoined(news))
-
-    def count_at_seed(self, news, change):
-        address = news.host, news.port
-        if address in self.at_seeds:
-            self.at_seeds[address] += change
-
-    def renew(self, incarnation):
-        """This instance goes on at a newer incarnation."""
+    def is_live(self, token: int) -> bool:
+        """Return whether a member counts as alive, suspected or not; this instance does."""
+        if token == self.me.token:
+            return True
+        record = self.table.get(token)
+        return record is not None and record.is_live
+
+    def put(self, record: MemberRecord) -> None:
+        """Write another member's record, and emit how the live set changed by it."""
+        previous = self.table.get(record.token)
+        self.table[record.token] = record
+        was_live = previous is not None and previous.is_live
+        if was_live:
+            self._uncount(previous)
+        if record.is_live:
+            self._count(record)
+        if record.is_live and not was_live:
+            self._add_live(record)
+        elif was_live and not record.is_live:
+            self._remove_live(record)
+        elif was_live and previous.generation != record.generation:  # it restarted before it was missed
+            self.timers.emit(MemberLeft(previous))
+            self.timers.emit(MemberJoined(record))
+        if not record.is_live:
+            self.dead[record.token] = record
+            self.dead_since.setdefault(record.token, self.timers.now)
+
+    def advance_incarnation(self, incarnation: int) -> None:
+        """Give this instance a newer incarnation."""
         self.digests.toggle(self.me)
         self.me = self.me._replace(incarnation=incarnation)
         self.digests.toggle(self.me)
 
-    def forget(self, after):
-        """Drop those buried for longer than `after` microseconds, and the oldest beyond MOST_BURIED."""
-        oldest, excess, over = self.timers.now - after, len(self.buried) - MAX_REMEMBERED_DEAD, []
-        for token, since in self.buried_since.items():
-            if since >= oldest and len(over) >= excess:
+    def forget_dead(self, max_age: int) -> None:
+        """Drop members dead for longer than `max_age` microseconds, and the oldest beyond the maximum."""
+        oldest = self.timers.now - max_age
+        excess = len(self.dead) - MAX_REMEMBERED_DEAD
+        expired: list[int] = []
+        for token, since in self.dead_since.items():
+            if since >= oldest and len(expired) >= excess:
                 break
-            over.append(token)
-        for token in over:
-            del self.buried[token], self.buried_since[token]
-            if (news := self.table.pop(token, None)) and self.names.get(news.name) == token:
-                del self.names[news.name]
+            expired.append(token)
+        for token in expired:
+            self._forget(token)
+
+    def _forget(self, token: int) -> None:
+        del self.dead[token]
+        del self.dead_since[token]
+        record = self.table.pop(token, None)
+        if record is not None and self.names.get(record.name) == token:
+            del self.names[record.name]
+
+    def _add_live(self, record: MemberRecord) -> None:
+        insort(self.ring, record.token)
+        self.dead.pop(record.token, None)
+        self.dead_since.pop(record.token, None)
+        self.timers.emit(MemberJoined(record))
+
+    def _remove_live(self, record: MemberRecord) -> None:
+        del self.ring[bisect_left(self.ring, record.token)]
+        self.timers.emit(MemberLeft(record))
+
+    def _count(self, record: MemberRecord) -> None:
+        self.digests.toggle(record)
+        self._change_live_at_seed(record, 1)
+
+    def _uncount(self, record: MemberRecord) -> None:
+        self.digests.toggle(record)
+        self._change_live_at_seed(record, -1)
+
+    def _change_live_at_seed(self, record: MemberRecord, change: int) -> None:
+        address = (record.host, record.port)
+        if address in self.live_at_seeds:
+            self.live_at_seeds[address] += change
--- a/limepath/membership/members.py
+++ b/limepath/membership/members.py
@@ -149,7 +149,7 @@
         self.checks.run(self.periods)
         if self.periods % REJOIN_PERIODS == 0 or not self.ring:
             self.joins.seek()
-        self.view.forget(self.spans.forget)
+        self.view.forget_dead(self.spans.forget)
 
     # News
 
@@ -201,7 +201,7 @@
         if news.state != MemberState.ALIVE and news.incarnation >= self.me.incarnation:
             self.counts["refuted"] += 1
             self.checks.miss()
-            self.view.renew(news.incarnation + 1)
+            self.view.advance_incarnation(news.incarnation + 1)
             self.broadcast(self.me)
 
     def speaks_for(self, sender):
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -477,14 +477,14 @@
         view.timers.now = now
         view.put(news(token, state=MemberState.DEAD))
     view.timers.now = 10
-    view.forget(10)
-    assert list(view.buried) == [3, 2]
-    view.forget(9)
-    assert list(view.buried) == list(view.buried_since) == [2] and set(view.table) == {2, 4}
+    view.forget_dead(10)
+    assert list(view.dead) == [3, 2]
+    view.forget_dead(9)
+    assert list(view.dead) == list(view.dead_since) == [2] and set(view.table) == {2, 4}
     for token in range(10, 10 + MAX_REMEMBERED_DEAD):
         view.put(news(token, state=MemberState.DEAD))
-    view.forget(100)
-    assert len(view.buried) == len(view.buried_since) == MAX_REMEMBERED_DEAD and 2 not in view.table
+    view.forget_dead(100)
+    assert len(view.dead) == len(view.dead_since) == MAX_REMEMBERED_DEAD and 2 not in view.table
     assert view.ring == [4]
 
 
