--- a/limepath/membership/anti_entropy.py
+++ b/limepath/membership/anti_entropy.py
@@ -1,92 +1,122 @@
-"""Anti-entropy: views whose digests go on differing are made equal, a page of what differs at a time.
+"""Anti-entropy by pull (Demers et al. 1987): views that gossip left different are made equal.
 
-A view is told by its digest on each check; one that differs for longer than news needs pulls pages of the
-ranges of tokens that differ (see `digests`). A new instance pulls all that way.
+Pings and acks carry the digest of the sender's view. Where it goes on differing for longer than gossip needs,
+members of the token ranges that differ are pulled, a page at a time (see `digests`). A new instance pulls the
+whole view that way.
 """
 
+from __future__ import annotations
+
 from bisect import bisect_left
+from typing import TYPE_CHECKING
 
 from limepath.membership.digests import BUCKETS, bucket_of, first_token_of
-from limepath.membership.interface import MemberPage, Pull
+from limepath.membership.interface import MemberPage, MemberRecord, Pull
+
+if TYPE_CHECKING:
+    from limepath.membership.members import Members
 
-PAGE, PAGES = 12, 8  # news on a page; pages in a row that bring no member
-DIFFERING = 1  # looks at another digest in a row before a page is pulled
-FROM_THE_START, NEVER = -1, -1
+PAGE_RECORDS = 12
+MAX_FRUITLESS_PAGES = 8  # pages in a period that bring no new member, after which pulling ends
+TOLERATED_DIFFERENCES = 1  # digests in a row that may differ before a page is pulled: gossip is on its way
+BEFORE_ALL_TOKENS = -1
+NEVER = -1
 
 
 class AntiEntropy:
-    """`joining` until a whole view has been pulled; `cursor` is the last token of the last page."""
-
-    def __init__(self, members):
-        self.members, self.view = members, members.view
-        self.cursor, self.pulled_in, self.joining, self.differing, self.pages = (
-            FROM_THE_START,
-            NEVER,
-            True,
-            0,
-            0,
-        )
-
-    def compare(self, sender, digest):
-        """Pull a page from whose view goes on differing, once a period at most; and while this view is
-        new.
+    """Compares digests, pulls pages, and answers pulls."""
+
+    def __init__(self, members: Members):
+        self.members = members
+        self.view = members.view
+        self.joining = True
+        """Whether a whole view is still to be pulled."""
+        self.cursor = BEFORE_ALL_TOKENS
+        """Last token of the last page; the next page begins behind it."""
+        self.pull_period = NEVER
+        """Number of the protocol period in which pulling last began."""
+        self.differences = 0
+        """Digests received in a row that differed."""
+        self.fruitless_pages = 0
+        """Pages of this period that brought no new member."""
+
+    def compare_digest(self, sender: MemberRecord, digest: int) -> None:
+        """Pull from a member whose view goes on differing, or while this view is new.
+
+        Pulling begins once a period at most. A digest of 0 is that of an older version and not compared.
         """
-        differs = digest and digest != self.view.digests.whole
-        self.differing = self.differing + 1 if differs else 0
-        if (self.joining or self.differing > DIFFERING) and self.pulled_in != self.members.periods:
-            self.pulled_in, self.pages = self.members.periods, 0
+        differs = digest != 0 and digest != self.view.digests.combined
+        self.differences = self.differences + 1 if differs else 0
+        is_needed = self.joining or self.differences > TOLERATED_DIFFERENCES
+        if is_needed and self.pull_period != self.members.periods:
+            self.pull_period = self.members.periods
+            self.fruitless_pages = 0
             self.pull(sender)
 
-    def pull(self, sender):
-        """Ask for the page behind the cursor."""
+    def pull(self, sender: MemberRecord) -> None:
+        """Ask a member for the page behind the cursor."""
         self.members.send(sender, Pull(self.cursor, tuple(self.view.digests.buckets)))
 
-    def pulled_from(self, sender, message):
-        """A page of what lies in the buckets that differ; of all, to one that tells no buckets."""
-        me, table = self.view.me, self.view.table
-        tokens = self.tokens_of_page(message.after + 1, message.buckets)
-        page = tuple(me if token == me.token else table[token] for token in tokens[:PAGE])
-        self.members.send(sender, MemberPage(page, len(tokens) <= PAGE))
+    def handle_pull(self, sender: MemberRecord, message: Pull) -> None:
+        """Send a page of the members in ranges that differ; of all, to a sender that tells no ranges."""
+        me = self.view.me
+        tokens = self._tokens_from(message.after + 1, message.buckets)
+        page = tokens[:PAGE_RECORDS]
+        records = tuple(me if token == me.token else self.view.table[token] for token in page)
+        self.members.send(sender, MemberPage(records, last=len(tokens) <= PAGE_RECORDS))
 
-    def tokens_of_page(self, first, buckets):
-        """The tokens from `first` on that lie in buckets that differ: a page of them, one more if there
-        is.
-        """
-        own, found = self.view.digests.buckets, []
+    def handle_page(self, sender: MemberRecord, message: MemberPage) -> None:
+        """Merge a page, and pull the next one while pages bring something new."""
+        digest_before = self.view.digests.combined
+        live_before = len(self.view.ring)
+        self._merge_without_gossip(message.records)
+        self.cursor = self._cursor_behind(message)
+        has_grown = len(self.view.ring) > live_before
+        if not has_grown:
+            self.fruitless_pages += 1
+        if message.last:
+            self.joining = False
+            if has_grown:  # a view that grows is compared again before the period is over
+                self.pull_period = NEVER
+            return
+        has_changed = self.view.digests.combined != digest_before
+        if self.joining or has_grown or (has_changed and self.fruitless_pages < MAX_FRUITLESS_PAGES):
+            self.pull(sender)
+
+    def _merge_without_gossip(self, records: tuple[MemberRecord, ...]) -> None:
+        """Merge records without disseminating them: the other members pull them too."""
+        gossip = self.members.gossip
+        not_queued = [record.token for record in records if record.token not in gossip]
+        self.members.updates.apply_all(records)
+        for token in not_queued:
+            gossip.discard(token)
+
+    @staticmethod
+    def _cursor_behind(page: MemberPage) -> int:
+        if page.last or not page.records:
+            return BEFORE_ALL_TOKENS
+        return page.records[-1].token
+
+    def _tokens_from(self, first: int, buckets: tuple[int, ...]) -> list[int]:
+        """Return the live tokens from `first` on in ranges that differ: a page, and one more if there is."""
+        own_buckets = self.view.digests.buckets
+        is_comparable = len(buckets) == BUCKETS
+        found: list[int] = []
         for bucket in range(max(0, bucket_of(first)), BUCKETS):
-            if len(buckets) == BUCKETS and buckets[bucket] == own[bucket]:
+            if is_comparable and buckets[bucket] == own_buckets[bucket]:
                 continue
             low = max(first, first_token_of(bucket))
-            found += self.tokens_between(low, first_token_of(bucket + 1), PAGE + 1 - len(found))
-            if len(found) > PAGE:
+            found += self._tokens_between(low, first_token_of(bucket + 1), PAGE_RECORDS + 1 - len(found))
+            if len(found) > PAGE_RECORDS:
                 break
         return found
 
-    def tokens_between(self, low, end, most):
-        """So many at most of the tokens from `low` to before `end`, this instance's own among them."""
-        ring, own = self.view.ring, self.view.me.token
-        at = bisect_left(ring, low)
-        tokens = ring[at : min(bisect_left(ring, end), at + most)]
+    def _tokens_between(self, low: int, end: int, limit: int) -> list[int]:
+        """Return up to `limit` live tokens from `low` to before `end`, this instance's own among them."""
+        ring = self.view.ring
+        own = self.view.me.token
+        start = bisect_left(ring, low)
+        tokens = ring[start : min(bisect_left(ring, end), start + limit)]
         if low <= own < end:
             tokens.insert(bisect_left(tokens, own), own)
-        return tokens[:most]
-
-    def paged(self, sender, message):
-        """Go on to the next page while pages bring news. What they bring is not passed on: others pull it
-        too.
-        """
-        gossip, digests, ring = self.members.gossip, self.view.digests, self.view.ring
-        before, count = digests.whole, len(ring)
-        fresh = [one.token for one in message.records if one.token not in gossip]
-        self.members.take(message.records)
-        for token in fresh:
-            gossip.drop(token)
-        self.cursor = FROM_THE_START if message.last or not message.records else message.records[-1].token
-        grew = len(ring) > count
-        self.pages += not grew
-        if message.last:
-            self.joining = False
-            if grew:  # a view that grows is compared again before the period is over
-                self.pulled_in = NEVER
-        elif self.joining or grew or digests.whole != before and self.pages < PAGES:
-            self.pull(sender)
+        return tokens[:limit]
--- a/limepath/membership/bounds.py
+++ b/limepath/membership/bounds.py
@@ -1,30 +1,36 @@
-"""What the settings of the membership promise, computed: suspicion times, spread of news, detection."""
+"""What the settings of membership promise, computed: suspicion timeouts, dissemination, detection.
+
+All times are whole microseconds; `live` is the number of live members, this instance included.
+"""
 
 from math import ceil, log2, log10
 
-MAX_SUSPICION_FACTOR = 3  # times the shortest one, while nobody confirms it
-MAX_HEALTH_SCORE = 4  # by how much own missed answers stretch own time limits, at most
+from limepath.configuration.sharing_settings import MembershipTimeouts
+
+MAX_SUSPICION_FACTOR = (
+    3  # the longest suspicion timeout, unconfirmed, in multiples of the shortest (Lifeguard)
+)
+MAX_HEALTH_SCORE = 4  # by how much an instance's own missed acks stretch its timeouts, at most (Lifeguard)
+SPARE_ROUNDS = 2  # of dissemination, beyond the logarithm of the members
 
 
-def minimum_suspicion_timeout(spans, live):
-    """The shortest suspicion at so many live instances, in microseconds."""
-    return int(spans.suspicion * spans.period * max(1.0, log10(max(1, live))))
+def minimum_suspicion_timeout(timeouts: MembershipTimeouts, live: int) -> int:
+    """Return the suspicion timeout once it is confirmed; it grows with log10 of the members (memberlist)."""
+    return int(timeouts.suspicion * timeouts.period * max(1.0, log10(max(1, live))))
 
 
-def dissemination_time(spans, live):
-    """The time in which news reaches all of a healthy view: log2 rounds of the checks and two to spare."""
-    return spans.period * (ceil(log2(max(2, live))) + 2)
+def dissemination_time(timeouts: MembershipTimeouts, live: int) -> int:
+    """Return the time in which gossip reaches all of a healthy view: log2 periods (SWIM, 4.1) and spare."""
+    return timeouts.period * (ceil(log2(max(2, live))) + SPARE_ROUNDS)
 
 
-def detection_time(spans, live, together=1):
-    """The longest time from a death until all of a healthy view know it, with so many dying together.
+def detection_time(timeouts: MembershipTimeouts, live: int, together: int = 1) -> int:
+    """Return the longest time from a death until all of a healthy view know it.
 
-    Its ring predecessor checks it within a period and suspects it by the end of the next, or MOST_MISSED
-    later if it has missed answers itself; where nobody confirms the suspicion it is at its longest;
-    `together` neighbours on the ring are found one after another. The last check before it is declared takes
-    a period.
+    The ring predecessor pings the dead member within a period and suspects it by the end of the next, or
+    MAX_HEALTH_SCORE later if it has missed acks itself; an unconfirmed suspicion lasts longest; the last
+    probe takes a period. `together` neighbours on the ring that die at one time are found one after another.
     """
-    one = (3 + MAX_HEALTH_SCORE) * spans.period + MAX_SUSPICION_FACTOR * minimum_suspicion_timeout(
-        spans, live
-    )
-    return one * together + dissemination_time(spans, live)
+    probing = (3 + MAX_HEALTH_SCORE) * timeouts.period
+    suspicion = MAX_SUSPICION_FACTOR * minimum_suspicion_timeout(timeouts, live)
+    return (probing + suspicion) * together + dissemination_time(timeouts, live)
--- a/limepath/membership/join.py
+++ b/limepath/membership/join.py
@@ -1,65 +1,82 @@
-"""Joining, and finding each other again: Hello and Welcome to seeds, to the lost, to those out of date.
+"""Joining the group, and finding lost members again: Hello and Welcome.
 
-Whoever does not know the life it speaks to says Hello and learns it: what is meant for a former life changes
-nothing.
+An instance says Hello to seeds at the start, to lost members now and then, and to whoever sent it a message
+that was meant for another generation. The Welcome tells it the other's generation. Nothing in a Hello is
+believed: it may be a recorded one.
 """
 
-from limepath.membership.interface import Hello, MemberState, SendMessage, Welcome
+from __future__ import annotations
 
-MOST_SEEDS = 3  # that are greeted at the start
-GREETINGS = 8  # Hellos by period to those that are out of date
-SOUGHT = 2  # of the lost that are greeted in one look
+from collections.abc import Sequence
+from typing import TYPE_CHECKING
+
+from limepath.membership.interface import Hello, MemberRecord, MemberState, SendMessage, Welcome
+
+if TYPE_CHECKING:
+    from limepath.membership.members import Members
+
+MAX_SEEDS = 3  # that are contacted at the start
+MAX_HELLOS = 8  # addresses remembered as contacted, and so new ones contacted in one period
+MAX_LOST = 2  # lost members that are contacted at one time
+UNKNOWN_SESSION = 0
 
 
 class JoinProtocol:
-    """`seeds` are addresses."""
+    """Says Hello, and answers it."""
 
-    def __init__(self, members, seeds):
-        self.members, self.view, self.timers = members, members.view, members.timers
-        self.direct, self.period = members.spans.direct, members.spans.period
-        self.seeds, self.greeted = tuple(seeds), {}
+    def __init__(self, members: Members, seeds: Sequence[tuple[str, int]]):
+        """`seeds` are the addresses of members to join by."""
+        self.members = members
+        self.view = members.view
+        self.timers = members.timers
+        self.timeouts = members.timeouts
+        self.seeds = tuple(seeds)
+        self.hellos_sent: dict[tuple[str, int], int] = {}
+        """When Hello was last sent to an address, in microseconds."""
 
-    def start(self):
-        for address in self.timers.sample(self.seeds, min(MOST_SEEDS, len(self.seeds))):
-            self.greet(*address)
+    def start(self) -> None:
+        """Say Hello to some seeds, drawn at random."""
+        for host, port in self.timers.sample(self.seeds, min(MAX_SEEDS, len(self.seeds))):
+            self.send_hello(host, port)
 
-    def greet(self, host, port):
-        """Hello, once a `direct` span to one address and so many a period in all."""
-        me, now, last = self.view.me, self.timers.now, self.greeted.get((host, port))
-        if (host, port) == (me.host, me.port) or self.members.over:
+    def send_hello(self, host: str, port: int) -> None:
+        """Say Hello, once a direct timeout to one address, and to so many addresses a period."""
+        me = self.view.me
+        if (host, port) == (me.host, me.port) or self.members.stopped:
             return
-        if last is None:
-            refused = len(self.greeted) >= GREETINGS
-        else:
-            refused = now - last < self.direct
-        if refused:
+        if not self._may_send_hello(host, port):
             return
-        self.greeted[host, port] = now
-        self.timers.emit(SendMessage(host, port, 0, Hello()))
+        self.hellos_sent[host, port] = self.timers.now
+        self.timers.emit(SendMessage(host, port, UNKNOWN_SESSION, Hello()))
 
-    def period_over(self):
-        """Forget to whom Hello was said longer than a period ago."""
-        now = self.timers.now
-        self.greeted = {address: at for address, at in self.greeted.items() if now - at < self.period}
+    def expire_hellos(self) -> None:
+        """Forget the Hellos that were sent a period ago or longer."""
+        oldest = self.timers.now - self.timeouts.period
+        self.hellos_sent = {address: sent for address, sent in self.hellos_sent.items() if sent > oldest}
 
-    def seek(self):
-        """Hello to a seed or to one declared dead: two halves that lost each other find together again."""
-        lost = [(news.host, news.port) for news in self.view.dead.values() if news.state == MemberState.DEAD]
+    def contact_lost_members(self) -> None:
+        """Say Hello to dead members and to seeds without a live member: so two partitions merge again."""
+        dead = [record for record in self.view.dead.values() if record.state == MemberState.DEAD]
+        lost = [(record.host, record.port) for record in dead]
         lost += [address for address in self.seeds if not self.view.live_at_seeds[address]]
-        for address in self.timers.sample(lost, min(SOUGHT, len(lost))):
-            self.greet(*address)
+        for host, port in self.timers.sample(lost, min(MAX_LOST, len(lost))):
+            self.send_hello(host, port)
 
-    def greeted_by(self, sender, message):
-        """Nothing is believed of one that does not know this life: its Hello may be an old one."""
+    def handle_hello(self, sender: MemberRecord) -> None:
+        """Answer with a Welcome; nothing is learnt of the sender."""
         welcome = Welcome(self.members.records_for(sender.token))
-        self.timers.emit(SendMessage(sender.host, sender.port, sender.session_token, welcome))
+        self.members.send(sender, welcome)
 
-    def welcomed(self, sender, message):
-        """The sender meant this life, so it lives; its view is pulled while ours is new, else as digests
-        differ.
-        """
-        self.members.take(message.records)
+    def handle_welcome(self, sender: MemberRecord, message: Welcome) -> None:
+        """Merge the records; pull the sender's view while this one is new, else let digests be compared."""
+        self.members.updates.apply_all(message.records)
         if self.members.joining:
             self.members.anti_entropy.pull(sender)
         else:
             self.members.ping(sender, 0)
+
+    def _may_send_hello(self, host: str, port: int) -> bool:
+        last_sent = self.hellos_sent.get((host, port))
+        if last_sent is None:
+            return len(self.hellos_sent) < MAX_HELLOS
+        return self.timers.now - last_sent >= self.timeouts.direct
--- a/limepath/membership/leave.py
+++ b/limepath/membership/leave.py
@@ -1,45 +1,57 @@
-"""Leaving: an instance that stops, or gives way to another, tells some so that nobody has to suspect it."""
+"""Leaving the group: an instance that stops or yields its identity says so, and is not suspected first."""
 
-from math import ceil, log2
+from __future__ import annotations
 
-from limepath.membership.interface import LeaveCompleted, MemberState, Ping, YieldIdentity
+from math import ceil, log2
+from typing import TYPE_CHECKING
 
-FAREWELLS, FAREWELL_ROUNDS = 4, 3  # told at least in one round; rounds, a `direct` span apart
+from limepath.membership.interface import LeaveCompleted, MemberRecord, MemberState, Ping, YieldIdentity
 
+if TYPE_CHECKING:
+    from limepath.membership.members import Members
 
-class LeaveProtocol:
-    """Of one instance; `begun` once it departs."""
+MIN_NOTIFIED = 4  # members notified in one round
+LEAVE_ROUNDS = 3  # rounds, a direct timeout apart
 
-    def __init__(self, members):
-        self.members, self.view, self.timers = members, members.view, members.timers
-        self.begun = False
 
-    def depart(self):
-        """Tell in rounds that this instance has left, then Departed."""
-        self.begun = True
+class LeaveProtocol:
+    """Notifies members that this instance goes."""
+
+    def __init__(self, members: Members):
+        self.members = members
+        self.view = members.view
+        self.timers = members.timers
+        self.started = False
+        """Whether this instance is leaving in an orderly way."""
+
+    def start(self) -> None:
+        """Notify members in rounds that this instance has left; LeaveCompleted follows the last round."""
+        self.started = True
         self.view.me = self.view.me._replace(state=MemberState.LEFT)
-        self.farewell(FAREWELL_ROUNDS)
+        self._run_round(LEAVE_ROUNDS)
 
-    def farewell(self, rounds):
-        if self.members.over:
-            return
-        others = len(self.view.ring)
-        if not rounds or not others:
-            self.members.over = True
-            return self.timers.emit(LeaveCompleted())
-        self.tell(self.view.me, FAREWELLS + ceil(log2(others + 1)))
-        self.timers.schedule(self.timers.now + self.members.spans.direct, self.farewell, rounds - 1)
-
-    def give_way(self, other, why):
-        """Another goes on in this one's stead; a token of its own is not needed any more."""
-        if self.members.over:
+    def yield_identity(self, other: MemberRecord, why: str) -> None:
+        """Stop at once, for `other` goes on; a token of this instance's own is given up with it."""
+        if self.members.stopped:
             return
-        self.members.over = True
+        self.members.stopped = True
         if other.token != self.view.me.token:
-            self.tell(self.view.me._replace(state=MemberState.LEFT), FAREWELLS)
+            self._notify(self.view.me._replace(state=MemberState.LEFT), MIN_NOTIFIED)
         self.timers.emit(YieldIdentity(other, why))
 
-    def tell(self, gone, most):
+    def _run_round(self, rounds_left: int) -> None:
+        if self.members.stopped:
+            return
+        others = len(self.view.ring)
+        if not rounds_left or not others:
+            self.members.stopped = True
+            self.timers.emit(LeaveCompleted())
+            return
+        self._notify(self.view.me, MIN_NOTIFIED + ceil(log2(others + 1)))
+        self.timers.schedule(self.timers.now + self.members.timeouts.direct, self._run_round, rounds_left - 1)
+
+    def _notify(self, left: MemberRecord, count: int) -> None:
+        """Send the record to so many members, drawn at random."""
         ring = self.view.ring
-        for token in self.timers.sample(ring, min(len(ring), most)):
-            self.members.send(self.view.table[token], Ping(0, (gone,), 0))
+        for token in self.timers.sample(ring, min(len(ring), count)):
+            self.members.send(self.view.table[token], Ping(0, (left,), 0))
--- a/limepath/membership/members.py
+++ b/limepath/membership/members.py
@@ -1,25 +1,36 @@
-"""The membership logic: SWIM with suspicion (Das, Gupta, Motivala 2002) and the later refinements on local
-health.
-
-`checks` finds who does not answer, `suspicion` leaves it time to refute, `gossip` carries news on the checks,
-`anti_entropy` makes views equal that news left different, `joining` and `leaving` say Hello and farewell, and
-`view` is what is known. Here is what they share: news is taken in, messages are handed to their part. Whoever
-does not know the life it speaks to says Hello and learns it: what is meant for a former life changes nothing.
-Free of I/O; docs/duties.md has the options weighed.
+"""The membership logic of one instance: events in, commands out, free of I/O.
+
+It is SWIM with suspicion (Das, Gupta, Motivala 2002) and Lifeguard's local health (Dadgar, Phillips, Currey
+2018). Here is the state that its parts share; a message is checked here and goes to the part that handles it:
+
+- `failure_detector` probes members, directly and through others;
+- `suspicion` leaves a member that did not answer the time to refute;
+- `record_updates` decides which record overrides which, and `member_table` holds them;
+- `gossip` carries changed records on pings and acks;
+- `anti_entropy` makes views equal that gossip left different;
+- `join` finds members, at the start and after a partition; `leave` says that this instance goes.
+
+docs/duties.md has the options weighed.
 """
 
+from collections.abc import Callable, Iterable, Sequence
+from typing import Any
+
+from limepath.configuration.sharing_settings import MembershipTimeouts
 from limepath.membership.anti_entropy import AntiEntropy
 from limepath.membership.failure_detector import FailureDetector
 from limepath.membership.gossip import BroadcastQueue
 from limepath.membership.interface import (
+    DIGEST_VERSION,
     NEWEST_VERSION,
-    REFUTATION_BITS,
     Ack,
     Hello,
     IndirectPing,
     LeaveRequested,
     MemberPage,
+    MemberRecord,
     MemberState,
+    Message,
     MessageReceived,
     MessageRelayed,
     Ping,
@@ -30,219 +41,181 @@
 from limepath.membership.join import JoinProtocol
 from limepath.membership.leave import LeaveProtocol
 from limepath.membership.member_table import MemberTable
+from limepath.membership.record_updates import RecordUpdates
 from limepath.membership.suspicion import Suspicions
 from limepath.timer_queue import TimerQueue
 
-REJOIN_PERIODS = 5  # periods between looks for whom the view has lost
-DIGESTS_SINCE = 2  # the version of what is spoken that tells digests
-IDENTITY_REPLACED = "another instance goes on under this identity"
+REJOIN_PERIODS = 5  # periods between attempts to reach lost members
 NAME_IN_USE = "an older instance of this name is alive"
 
 
 class Members:
-    """One instance's view. `me` is its own News, alive; `seeds` are addresses."""
-
-    def __init__(self, me, seeds, spans, seed, speaks=NEWEST_VERSION):
-        self.spans, self.speaks = spans, speaks
+    """One instance's membership, as its host and other logic use it."""
+
+    def __init__(
+        self,
+        me: MemberRecord,
+        seeds: Sequence[tuple[str, int]],
+        timeouts: MembershipTimeouts,
+        seed: int,
+        version: int = NEWEST_VERSION,
+    ):
+        """Know only `me`, an alive record; `seeds` are addresses, `seed` is that of all random draws."""
+        self.timeouts = timeouts
+        self.version = version
+        """Protocol version that this instance sends."""
         self.timers = TimerQueue(seed)
-        self.view, self.gossip = MemberTable(me, self.timers, seeds), BroadcastQueue()
-        self.table, self.ring = self.view.table, self.view.ring
-        self.periods, self.over = 0, False
+        self.view = MemberTable(me, self.timers, seeds)
+        self.table = self.view.table
+        self.ring = self.view.ring
+        self.gossip = BroadcastQueue()
+        self.periods = 0
+        """Number of the present protocol period, from 1."""
+        self.stopped = False
+        """Whether this instance has left or yielded its identity; it handles nothing any more."""
         self.counts = {"misaddressed": 0, "former": 0, "refuted": 0, "suspected": 0, "declared": 0}
-        self.suspicions, self.checks = Suspicions(self), FailureDetector(self)
+        """Messages for and from former generations, own refutations, suspicions, members declared dead."""
+        self.updates = RecordUpdates(self)
+        self.suspicions = Suspicions(self)
+        self.failure_detector = FailureDetector(self)
         self.anti_entropy = AntiEntropy(self)
-        self.joins, self.leaves = JoinProtocol(self, seeds), LeaveProtocol(self)
-        self.compare, self.greet = self.anti_entropy.compare, self.joins.greet
-        self.is_live, self.give_way = self.view.is_live, self.leaves.give_way
-        self.receivers = {
-            Ping: self.checks.pinged,
-            Ack: self.checks.acked,
-            IndirectPing: self.checks.asked_to_check,
-            Welcome: self.joins.welcomed,
-            Pull: self.anti_entropy.pulled_from,
-            MemberPage: self.anti_entropy.paged,
+        self.join = JoinProtocol(self, seeds)
+        self.leave = LeaveProtocol(self)
+        self._handlers: dict[type[Message], Callable[[MemberRecord, Any], None]] = {
+            Ping: self.failure_detector.handle_ping,
+            Ack: self.failure_detector.handle_ack,
+            IndirectPing: self.failure_detector.handle_indirect_ping,
+            Welcome: self.join.handle_welcome,
+            Pull: self.anti_entropy.handle_pull,
+            MemberPage: self.anti_entropy.handle_page,
         }
 
-    # What the host and other logic use
+    def start(self, now: int) -> list[Any]:
+        """Say Hello to seeds, and begin the protocol periods at a random time within the first."""
+        self.timers.now = now
+        self.join.start()
+        first = now + int(self.timers.random_fraction() * self.timeouts.period)
+        self.timers.schedule(first, self._run_period)
+        return self.timers.take_commands()
 
-    def handle(self, now, notes):
-        """Take notes in at `now`, do what is due, give the orders."""
+    def handle(self, now: int, events: Iterable[MessageReceived | LeaveRequested]) -> list[Any]:
+        """Do what is due at `now`, take the events in, and return the commands."""
         self.timers.run_due(now)
-        for note in notes:
-            if isinstance(note, MessageReceived):
-                self.heard(note)
-            elif isinstance(note, LeaveRequested) and not self.leaving:
-                self.leaves.depart()
+        for event in events:
+            if isinstance(event, MessageReceived):
+                self._handle_message(event)
+            elif isinstance(event, LeaveRequested) and not self.leave.started:
+                self.leave.start()
         return self.timers.take_commands()
 
-    def start(self, now):
-        """Greet seeds and begin the periods at a random time in the first."""
-        self.timers.now = now
-        self.joins.start()
-        self.timers.schedule(now + int(self.timers.random_fraction() * self.spans.period), self.period)
-        return self.timers.take_commands()
+    def next(self) -> int | None:
+        """Return when something is due next, in microseconds, or None."""
+        return self.timers.next_due()
 
-    def add_known_members(self, news):
-        """Take in what is known from elsewhere (a fleet set up by hand, in virtual time)."""
-        for one in news:
-            self.apply(one)
+    def add_known_members(self, records: Iterable[MemberRecord]) -> None:
+        """Know these members without a join (a fleet set up by hand, in virtual time)."""
+        for record in records:
+            self.updates.apply(record)
         self.gossip.clear()
         self.anti_entropy.joining = False
 
-    def next(self):
-        """When something is due next, or None."""
-        return self.timers.next_due()
-
-    def send_to_member(self, token, message):
-        """Send a message of another logic to a member that counts as alive."""
-        if (news := self.table.get(token)) and news.state <= MemberState.SUSPECT:
-            self.send(news, message)
+    def send_to_member(self, token: int, message: Message) -> None:
+        """Send a message of another protocol to a member, if it counts as alive."""
+        record = self.table.get(token)
+        if record is not None and record.is_live:
+            self.send(record, message)
 
     @property
-    def me(self):
-        """This instance's own News."""
+    def me(self) -> MemberRecord:
+        """This instance's own record."""
         return self.view.me
 
     @property
-    def digest(self):
-        """Of the whole view: equal where views are."""
-        return self.view.digests.whole
+    def digest(self) -> int:
+        """Digest of the whole view; views that are equal have equal digests."""
+        return self.view.digests.combined
 
     @property
-    def joining(self):
+    def joining(self) -> bool:
         """Whether a whole view is still to be pulled."""
         return self.anti_entropy.joining
 
-    @property
-    def leaving(self):
-        """Whether this instance departs."""
-        return self.leaves.begun
+    def is_live(self, token: int) -> bool:
+        """Return whether a member counts as alive, suspected or not; this instance does."""
+        return self.view.is_live(token)
 
-    # Sending
+    # For the parts of the logic
 
-    def send(self, news, message):
-        self.timers.emit(SendMessage(news.host, news.port, news.session_token, message))
+    def send(self, receiver: MemberRecord, message: Message) -> None:
+        """Send a message to a member's present generation."""
+        self.timers.emit(SendMessage(receiver.host, receiver.port, receiver.session_token, message))
 
-    def ping(self, news, sequence):
-        """A check, or with 0 a message that asks for no answer to one; news goes with it."""
-        self.send(news, Ping(sequence, self.records_for(news.token), self.digest_to_send()))
+    def ping(self, receiver: MemberRecord, sequence: int) -> None:
+        """Send a Ping with records and digest; with `sequence` 0 nobody waits for its Ack."""
+        self.send(receiver, Ping(sequence, self.records_for(receiver.token), self.digest_to_send()))
 
-    def records_for(self, to):
-        """News to carry to a member."""
-        return self.gossip.carried(self.table.get(to))
+    def records_for(self, token: int) -> tuple[MemberRecord, ...]:
+        """Return the records to carry on a message to a member."""
+        return self.gossip.take_records(self.table.get(token))
 
-    def digest_to_send(self):
-        """The digest on messages; 0 where an older version speaks."""
-        return self.digest if self.speaks >= DIGESTS_SINCE else 0
+    def digest_to_send(self) -> int:
+        """Return the digest to put on messages; 0 where this instance plays an older version."""
+        return self.digest if self.version >= DIGEST_VERSION else 0
 
-    def broadcast(self, news):
-        self.gossip.pass_on(news, len(self.ring))
+    def broadcast(self, record: MemberRecord) -> None:
+        """Disseminate a record by gossip."""
+        self.gossip.add(record, len(self.ring))
 
-    # Each period
+    # Inside
 
-    def period(self):
-        if self.over:
+    def _run_period(self) -> None:
+        if self.stopped:
             return
         self.periods += 1
-        self.timers.schedule(self.timers.now + self.spans.period, self.period)
-        self.joins.period_over()
-        self.checks.run(self.periods)
+        self.timers.schedule(self.timers.now + self.timeouts.period, self._run_period)
+        self.join.expire_hellos()
+        self.failure_detector.run_period(self.periods)
         if self.periods % REJOIN_PERIODS == 0 or not self.ring:
-            self.joins.seek()
-        self.view.forget_dead(self.spans.forget)
-
-    # News
-
-    def put(self, news):
-        """Write news into the view, pass it on."""
-        if news.state != MemberState.SUSPECT:
-            self.suspicions.clear(news.token)
-        self.view.put(news)
-        self.broadcast(news)
-
-    def take(self, news):
-        """Apply what a message carries."""
-        for one in news:
-            if not self.over:
-                self.apply(one)
-
-    def apply(self, news):
-        """Take one piece of news in, if it is newer than what is known (the order of SWIM, section 4.2)."""
-        if news.token == self.me.token:
-            return self.about_me(news)
-        old = self.table.get(news.token)
-        if old is None:
-            if news.state <= MemberState.SUSPECT:
-                self.put(news._replace(state=MemberState.ALIVE))
-                if news.state == MemberState.SUSPECT:
-                    self.suspicions.suspect(news, news.reported_by)
-            return
-        if news.incarnation < old.incarnation:
-            return
-        if news.state == MemberState.SUSPECT:
-            if news.incarnation > old.incarnation:
-                self.put(news._replace(state=MemberState.ALIVE))
-            if self.table[news.token].state <= MemberState.SUSPECT:
-                self.suspicions.suspect(news, news.reported_by)
-        elif news.state == MemberState.ALIVE:
-            if news.incarnation > old.incarnation:
-                self.put(news)
-        elif news.state > old.state or news.incarnation > old.incarnation:
-            self.put(news)
-
-    def about_me(self, news):
-        """Refute what is said of this life; see whether another goes on under this identity."""
-        if self.leaving:
-            return
-        if news.birth != self.me.birth and news.incarnation >> REFUTATION_BITS >= self.me.generation:
-            if news.generation > self.me.generation or news.birth < self.me.birth:
-                self.give_way(news, IDENTITY_REPLACED)
-            return
-        if news.state != MemberState.ALIVE and news.incarnation >= self.me.incarnation:
-            self.counts["refuted"] += 1
-            self.checks.miss()
-            self.view.advance_incarnation(news.incarnation + 1)
-            self.broadcast(self.me)
-
-    def speaks_for(self, sender):
-        """An address is held by one process at a time: who was there under another token, a lost store's, is
-        dead.
-        """
-        names = self.view.names
-        other = names.get(sender.name)
-        names[sender.name] = sender.token
-        if other not in (None, sender.token) and self.is_live(other):
-            old = self.table[other]
-            if (old.host, old.port) == (sender.host, sender.port):
-                self.put(old._replace(state=MemberState.DEAD, reported_by=self.me.token))
-
-    # Messages
-
-    def heard(self, note):
-        """Who sent it is checked first, then its message goes to the part that takes it, or to other
-        logic.
-        """
-        sender, me = note.sender, self.me
-        if self.over:
+            self.join.contact_lost_members()
+        self.view.forget_dead(self.timeouts.forget)
+
+    def _handle_message(self, event: MessageReceived) -> None:
+        """Check the sender and the generations, then hand the message to its part or to other logic."""
+        sender, message = event.sender, event.message
+        if self.stopped:
             return
-        if sender.token == me.token:
-            return self.about_me(sender)
-        if isinstance(note.message, Hello):
-            return self.joins.greeted_by(sender, note.message)
-        if note.to != me.session_token:
+        if sender.token == self.me.token:
+            self.updates.apply_to_self(sender)
+        elif isinstance(message, Hello):
+            self.join.handle_hello(sender)
+        elif event.to != self.me.session_token:
             self.counts["misaddressed"] += 1
-            return self.greet(sender.host, sender.port)
-        old = self.table.get(sender.token)
-        if old is not None and sender.generation < old.generation:
+            self.join.send_hello(sender.host, sender.port)
+        elif self._is_of_former_generation(sender):
             self.counts["former"] += 1
-            return
-        if sender.name == me.name and (sender.birth, sender.token) < (me.birth, me.token):
-            return self.give_way(sender, NAME_IN_USE)  # it has just spoken: it is alive
-        self.apply(sender._replace(state=MemberState.ALIVE, reported_by=0))
+        elif self._is_older_namesake(sender):
+            self.leave.yield_identity(sender, NAME_IN_USE)
+        else:
+            self._mark_alive(sender)
+            self._dispatch(sender, message)
+
+    def _is_of_former_generation(self, sender: MemberRecord) -> bool:
+        known = self.table.get(sender.token)
+        return known is not None and sender.generation < known.generation
+
+    def _is_older_namesake(self, sender: MemberRecord) -> bool:
+        """Whether the sender holds this instance's name and started first; it has just sent, so it lives."""
+        me = self.me
+        return sender.name == me.name and (sender.birth, sender.token) < (me.birth, me.token)
+
+    def _mark_alive(self, sender: MemberRecord) -> None:
+        self.updates.apply(sender._replace(state=MemberState.ALIVE, reported_by=0))
         if self.view.names.get(sender.name) != sender.token:
-            self.speaks_for(sender)
-        receive = self.receivers.get(type(note.message))
-        if receive is not None:
-            receive(sender, note.message)
+            self.updates.track_name(sender)
+
+    def _dispatch(self, sender: MemberRecord, message: Message) -> None:
+        handler = self._handlers.get(type(message))
+        if handler is not None:
+            handler(sender, message)
         else:
-            self.timers.emit(MessageRelayed(sender, note.message))
+            self.timers.emit(MessageRelayed(sender, message))
--- a/limepath/membership/suspicion.py
+++ b/limepath/membership/suspicion.py
@@ -1,93 +1,126 @@
-"""Suspicion before a death is declared (SWIM, section 4.2), shorter the more confirm it (Lifeguard).
+"""Suspicion of a member before it is declared dead (SWIM, section 4.2).
 
-When the suspicion's time is over and nobody has heard the suspect refute, it is checked once more, with the
-suspicion told to it, and then declared dead: by those that missed its answers themselves; all others leave
-them the time for that. So many that were parted and refute at once need not outrun old suspicions as news.
+The suspicion timeout shrinks as more members confirm it (Lifeguard: Dadgar, Phillips, Currey 2018). When it
+is over without a refutation, the suspect is pinged once more, with the suspicion on the ping, and then
+declared dead: first by the members whose own probes it failed; all others leave these the time for that.
+So after a partition many suspects can refute at once without having to overtake old suspicions in gossip.
 """
 
+from __future__ import annotations
+
 from math import log
+from typing import TYPE_CHECKING
+
+from limepath.membership.bounds import (
+    MAX_SUSPICION_FACTOR,
+    dissemination_time,
+    minimum_suspicion_timeout,
+)
+from limepath.membership.interface import LogEvent, MemberRecord, MemberState
 
-from limepath.membership.bounds import MAX_SUSPICION_FACTOR, dissemination_time, minimum_suspicion_timeout
-from limepath.membership.interface import LogEvent, MemberState
+if TYPE_CHECKING:
+    from limepath.membership.members import Members
 
-CONFIRMED = 3  # others that suspect the same, at which the shortest suspicion holds
+MAX_CONFIRMATIONS = 3  # independent confirmations at which the suspicion timeout is at its minimum
 
 
 class Suspicion:
-    """Who suspects one at one incarnation, and since when we do; whether its last check is under way."""
+    """An open suspicion of one incarnation of a member."""
 
-    __slots__ = ("incarnation", "since", "reported_by", "last")
+    __slots__ = ("incarnation", "since", "reporters", "is_last_probe_sent")
 
-    def __init__(self, incarnation, since, by):
-        self.incarnation, self.since, self.reported_by, self.last = incarnation, since, {by}, False
+    def __init__(self, incarnation: int, since: int, reporter: int):
+        self.incarnation = incarnation
+        self.since = since
+        """When this instance first knew of it, in microseconds."""
+        self.reporters = {reporter}
+        """Tokens of the members that suspect it."""
+        self.is_last_probe_sent = False
 
 
 class Suspicions:
-    """Of one instance. `members` writes news, and has the checks that make the last one."""
-
-    def __init__(self, members):
-        self.members, self.view, self.timers = members, members.view, members.timers
-        self.spans, self.open = members.spans, {}
-
-    def suspect(self, news, by):
-        """One more that suspects it; the more do, the shorter is its time to refute."""
-        mine = self.view.me.token
-        doubt = self.open.get(news.token)
-        if doubt is None or doubt.incarnation < news.incarnation:
-            doubt = self.open[news.token] = Suspicion(news.incarnation, self.timers.now, by)
-            self.members.counts["suspected"] += by == mine
-            self.members.put(news._replace(state=MemberState.SUSPECT, reported_by=by))
-        elif by not in doubt.reported_by and (len(doubt.reported_by) <= CONFIRMED or by == mine):
-            doubt.reported_by.add(by)
-            self.members.broadcast(news._replace(state=MemberState.SUSPECT, reported_by=by))
+    """The open suspicions of one instance."""
+
+    def __init__(self, members: Members):
+        self.members = members
+        self.view = members.view
+        self.timers = members.timers
+        self.timeouts = members.timeouts
+        self.open: dict[int, Suspicion] = {}
+        """By token of the suspect."""
+
+    def suspect(self, record: MemberRecord, reporter: int) -> None:
+        """Open a suspicion of the record's incarnation, or let the member `reporter` confirm it."""
+        suspicion = self.open.get(record.token)
+        if suspicion is None or suspicion.incarnation < record.incarnation:
+            suspicion = self._open(record, reporter)
+        elif self._is_confirmed_by(suspicion, reporter):
+            suspicion.reporters.add(reporter)
+            self.members.broadcast(record._replace(state=MemberState.SUSPECT, reported_by=reporter))
         else:
             return
-        at = max(self.timers.now, self.deadline(doubt))
-        self.timers.schedule(at, self.expired, news.token, news.incarnation, len(doubt.reported_by))
+        due = max(self.timers.now, self.deadline(suspicion))
+        self.timers.schedule(due, self._expire, record.token, record.incarnation, len(suspicion.reporters))
 
-    def deadline(self, doubt):
-        """When it may be declared dead, unless it refutes or more confirm."""
+    def deadline(self, suspicion: Suspicion) -> int:
+        """Return when the suspect may be declared dead, in microseconds, unless it refutes before.
+
+        The timeout falls from its maximum to its minimum with the logarithm of the confirmations (Lifeguard,
+        "Local Health Aware Suspicion").
+        """
         others = len(self.view.ring)
-        least = minimum_suspicion_timeout(self.spans, others + 1)
-        able = min(CONFIRMED, max(0, others - 1))
-        part = log(len(doubt.reported_by)) / log(able + 1) if able else 1.0
-        longest = MAX_SUSPICION_FACTOR * least
-        until = doubt.since + int(max(least, longest - (MAX_SUSPICION_FACTOR - 1) * least * part))
-        if self.view.me.token not in doubt.reported_by:
-            # who missed its answers looks once more and tells; time for that and the news
-            until += 2 * self.spans.period + dissemination_time(self.spans, others + 1)
-        return until
-
-    def expired(self, token, incarnation, confirmed):
-        """The time that held when so many had confirmed is over."""
-        doubt = self.current(token, incarnation)
-        if doubt is None or len(doubt.reported_by) != confirmed or doubt.last:
-            return
-        doubt.last = True
-        self.members.checks.check_last(self.view.table[token], self.declare, token, incarnation)
+        minimum = minimum_suspicion_timeout(self.timeouts, others + 1)
+        possible = min(MAX_CONFIRMATIONS, max(0, others - 1))
+        confirmed = log(len(suspicion.reporters)) / log(possible + 1) if possible else 1.0
+        maximum = MAX_SUSPICION_FACTOR * minimum
+        timeout = int(max(minimum, maximum - (MAX_SUSPICION_FACTOR - 1) * minimum * confirmed))
+        if self.view.me.token not in suspicion.reporters:
+            # a member that missed acks itself probes once more and declares; time for that and its gossip
+            timeout += 2 * self.timeouts.period + dissemination_time(self.timeouts, others + 1)
+        return suspicion.since + timeout
+
+    def clear(self, token: int) -> None:
+        """End the suspicion of a member: it is known to be alive, dead or gone."""
+        self.open.pop(token, None)
 
-    def declare(self, token, incarnation):
-        """Not even the last check was answered."""
-        doubt = self.current(token, incarnation)
-        if doubt is None:
+    def _open(self, record: MemberRecord, reporter: int) -> Suspicion:
+        suspicion = Suspicion(record.incarnation, self.timers.now, reporter)
+        self.open[record.token] = suspicion
+        if reporter == self.view.me.token:
+            self.members.counts["suspected"] += 1
+        self.members.updates.put(record._replace(state=MemberState.SUSPECT, reported_by=reporter))
+        return suspicion
+
+    def _is_confirmed_by(self, suspicion: Suspicion, reporter: int) -> bool:
+        """Whether a reporter is a further one that counts; this instance always does."""
+        if reporter in suspicion.reporters:
+            return False
+        return len(suspicion.reporters) <= MAX_CONFIRMATIONS or reporter == self.view.me.token
+
+    def _expire(self, token: int, incarnation: int, confirmations: int) -> None:
+        """End the timeout that was set when so many members suspected; a later one has set a new timeout."""
+        suspicion = self._current(token, incarnation)
+        if suspicion is None or len(suspicion.reporters) != confirmations or suspicion.is_last_probe_sent:
+            return
+        suspicion.is_last_probe_sent = True
+        record = self.view.table[token]
+        self.members.failure_detector.probe_before_declaring(record, self._declare_dead, token, incarnation)
+
+    def _declare_dead(self, token: int, incarnation: int) -> None:
+        """Declare a suspect dead whose suspicion is open still, after its last probe."""
+        suspicion = self._current(token, incarnation)
+        if suspicion is None:
             return
-        news = self.view.table[token]
+        record = self.view.table[token]
         self.members.counts["declared"] += 1
-        self.timers.emit(
-            LogEvent(
-                "peer-dead",
-                {"peer": news.name, "incarnation": incarnation, "suspected_by": len(doubt.reported_by)},
-            )
-        )
-        self.members.put(news._replace(state=MemberState.DEAD, reported_by=self.view.me.token))
-
-    def current(self, token, incarnation):
-        """The suspicion that is still open of it at that incarnation, or None."""
-        doubt = self.open.get(token)
-        if doubt is None or doubt.incarnation != incarnation or self.members.over:
+        reporters = len(suspicion.reporters)
+        fields = {"peer": record.name, "incarnation": incarnation, "suspected_by": reporters}
+        self.timers.emit(LogEvent("peer-dead", fields))
+        self.members.updates.put(record._replace(state=MemberState.DEAD, reported_by=self.view.me.token))
+
+    def _current(self, token: int, incarnation: int) -> Suspicion | None:
+        """Return the suspicion of that incarnation if it is open still, or None."""
+        suspicion = self.open.get(token)
+        if suspicion is None or suspicion.incarnation != incarnation or self.members.stopped:
             return None
-        return doubt
-
-    def clear(self, token):
-        """It is known to be alive, dead or gone."""
-        self.open.pop(token, None)
+        return suspicion
--- a/tests/byte_records.py
+++ b/tests/byte_records.py
@@ -284,7 +284,7 @@
         view.toggle(news)
     ring, states, reads = Ring.of(TOKENS), membership.MemberState, endpoints.SubscriptionMode
     return {
-        "membership/view": view.whole,
+        "membership/view": view.combined,
         "membership/view-buckets": view.buckets,
         "membership/receiver": MEMBER.session_token,
         "membership/states": [states.ALIVE, states.SUSPECT, states.DEAD, states.LEFT],
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -12,7 +12,7 @@
 from limepath.duties.interface import MESSAGES as DUTY_MESSAGES
 from limepath.duties.world import World
 from limepath.log import Log
-from limepath.membership.anti_entropy import PAGE
+from limepath.membership.anti_entropy import PAGE_RECORDS
 from limepath.membership.bounds import detection_time, dissemination_time, minimum_suspicion_timeout
 from limepath.membership.digests import BUCKETS, bucket_of
 from limepath.membership.failure_detector import SequenceWithoutOne
@@ -43,7 +43,8 @@
     YieldIdentity,
 )
 from limepath.membership.member_table import MAX_REMEMBERED_DEAD, MemberTable
-from limepath.membership.members import IDENTITY_REPLACED, NAME_IN_USE, Members
+from limepath.membership.members import NAME_IN_USE, Members
+from limepath.membership.record_updates import IDENTITY_REPLACED
 from limepath.timer_queue import TimerQueue
 
 SECOND = 1_000_000
@@ -138,7 +139,7 @@
     )
     members = instance(others=())
     for token in range(100):
-        members.apply(widest._replace(token=2**62 + token))
+        members.updates.apply(widest._replace(token=2**62 + token))
     ping = Ping(2**40, members.records_for(2**62), 2**64 - 1)
     (page,) = [o.message for o in hear(members, news(2), Pull()) if isinstance(o.message, MemberPage)]
     assert len(ping.records) == 8 and len(page.records) == 12
@@ -193,17 +194,17 @@
     ack = hear(members, news(2), Ping(9, (news(1, state=MemberState.SUSPECT),)))[0].message
     assert members.me.incarnation == (1 << REFUTATION_BITS) + 1 and members.me in ack.records
     other = instance(token=3, others=(1, 2))
-    other.apply(news(1, state=MemberState.SUSPECT))
+    other.updates.apply(news(1, state=MemberState.SUSPECT))
     assert other.table[1].state == MemberState.SUSPECT
-    other.apply(members.me)
+    other.updates.apply(members.me)
     assert other.table[1].state == MemberState.ALIVE
-    other.apply(news(1, state=MemberState.DEAD))  # old news of the incarnation before
+    other.updates.apply(news(1, state=MemberState.DEAD))  # old news of the incarnation before
     assert other.table[1].state == MemberState.ALIVE
 
 
 def test_the_dead_are_told_so_and_come_back_under_a_higher_incarnation_only():
     members = instance()
-    members.apply(news(2, state=MemberState.DEAD))
+    members.updates.apply(news(2, state=MemberState.DEAD))
     ack = hear(members, news(2), Ping(4))[0].message
     assert news(2, state=MemberState.DEAD) in ack.records and 2 not in members.ring
     hear(members, news(2, refuted=1), Ping(5))
@@ -312,7 +313,7 @@
         start = node.start
         node.start = lambda seeds, start=start, node=node: (
             start(seeds),
-            setattr(node.instance.members, "speaks", 1),
+            setattr(node.instance.members, "version", 1),
         )[0]
     world.open(preset=False)
     world.run(12 * SECOND)
@@ -443,7 +444,7 @@
         own = members.view.digests.buckets
         whole = [token for token in whole if own[bucket_of(token)] != buckets[bucket_of(token)]]
     behind = [token for token in whole if token > after]
-    return behind[:PAGE], len(behind) <= PAGE
+    return behind[:PAGE_RECORDS], len(behind) <= PAGE_RECORDS
 
 
 @given(
@@ -491,18 +492,18 @@
 def test_a_seed_is_sought_while_no_living_member_has_its_address():
     seed, sought = ("127.0.0.1", 1002), []
     members = Members(news(1), [seed], SPANS, 1)
-    members.joins.greet = lambda *address: sought.append(address)
-    members.joins.seek()
+    members.join.send_hello = lambda *address: sought.append(address)
+    members.join.contact_lost_members()
     assert sought == [seed]
-    members.apply(news(2))
-    members.apply(news(2, generation=2, port=1009))
-    members.joins.seek()
+    members.updates.apply(news(2))
+    members.updates.apply(news(2, generation=2, port=1009))
+    members.join.contact_lost_members()
     assert sought == [seed] * 2  # it has moved
-    members.apply(news(2, generation=3))
-    members.joins.seek()
+    members.updates.apply(news(2, generation=3))
+    members.join.contact_lost_members()
     assert sought == [seed] * 2
-    members.apply(news(2, generation=3, state=MemberState.LEFT))
-    members.joins.seek()
+    members.updates.apply(news(2, generation=3, state=MemberState.LEFT))
+    members.join.contact_lost_members()
     assert sought == [seed] * 3
 
 
