--- a/limepath/membership/guard.py
+++ b/limepath/membership/guard.py
@@ -1,55 +1,113 @@
-"""Datagrams to messages and back: authentic, new, of a known version and a bounded size, or dropped and
-counted.
-
-A datagram is b"LP", a version byte (generation and version within it), four bytes that name the key, the body
-in msgpack, and 16 bytes of keyed BLAKE2b (RFC 7693) over all before. The body names the sender (its News),
-the life that is meant, a counter and the message. A counter that was there is a replay: a window of WINDOW
-behind the highest is kept for each life that speaks. What was recorded before this life began names another
-door and changes nothing (`members` sees to that). Versions of one generation read each other: fields are
-added at the end of messages only, unknown messages are dropped. Free of I/O.
+"""Datagrams to messages and back: authentic, no replay, of a known version and a bounded size, or rejected.
+
+A datagram is
+
+    b"LP" | version | key name | body | seal
+    2       1         4          n      16 bytes
+
+The version byte holds the oldest version that the sender reads (high four bits) and the one that it speaks.
+The key name tells which key seals. The body is msgpack: the sender's record, the session token of the receiver
+that is meant, a counter and the message. The seal is keyed BLAKE2b (RFC 7693) over all before it.
+
+A counter that was received before is a replay: a window behind the highest one is kept for each generation
+that sends. What was recorded before this instance's own generation began carries another session token, and
+`members` ignores it. Versions of one oldest version read each other: fields are added at the end of messages
+only, and unknown messages are rejected. Free of I/O.
 """
 
+from __future__ import annotations
+
 from collections import Counter, OrderedDict
+from collections.abc import Iterable
+from enum import StrEnum
 from hashlib import blake2b
 from hmac import compare_digest
-from typing import NamedTuple, Union
+from typing import Any, NamedTuple, Union
 
 import msgspec
 
-from limepath.membership.interface import MESSAGES, NEWEST_VERSION, OLDEST_VERSION, MemberRecord
+from limepath.membership.interface import (
+    MESSAGES,
+    NEWEST_VERSION,
+    OLDEST_VERSION,
+    MemberRecord,
+    Message,
+)
+
+MAX_DATAGRAM_BYTES = 1400  # no fragments on an Ethernet
+MAGIC = b"LP"
+VERSION_OFFSET = len(MAGIC)
+KEY_NAME_OFFSET = VERSION_OFFSET + 1
+KEY_NAME_BYTES = 4
+HEADER_BYTES = KEY_NAME_OFFSET + KEY_NAME_BYTES
+SEAL_BYTES = 16
+
+REPLAY_WINDOW = 256  # counters behind the highest that are told apart
+MAX_SENDERS = 4096  # generations whose windows are kept
 
-MAX_DATAGRAM_BYTES = 1400  # bytes of a datagram: no fragments on an Ethernet
-SEAL_BYTES, HEADER_BYTES, REPLAY_WINDOW, MAX_SENDERS = 16, 7, 256, 4096
 MIN_KEY_BYTES = 16
+MAX_KEY_BYTES = 64  # of BLAKE2b
+MAX_NAME_CHARACTERS = 32
+MAX_PORT = 65_535
+
+ACCEPTED = "taken"  # the count of accepted datagrams, as the control socket names it
+
+
+class RejectionReason(StrEnum):
+    """Why a datagram was rejected, as counted and logged."""
+
+    OVERSIZED = "oversized"
+    NOISE = "noise"
+    VERSION = "version"
+    UNKNOWN_KEY = "unknown key"
+    FORGED = "forged"
+    UNKNOWN_MESSAGE = "unknown message"
+    UNREADABLE = "unreadable"
+    REPLAYED = "replayed"
 
 
 class DatagramRejectedError(Exception):
-    """Its text is the kind, as counted."""
+    """A received datagram is not to be used; the text is the reason's."""
+
+    def __init__(self, reason: RejectionReason):
+        super().__init__(reason.value)
+        self.reason = reason
+
+
+class DatagramTooLargeError(ValueError):
+    """A message is too long for one datagram; the text tells its type and size."""
 
 
 class KeyFileError(Exception):
-    """A key file that can't be used; the text names the line."""
+    """A key file cannot be used; the text names the line."""
 
 
 class Key(NamedTuple):
+    """A shared secret, and the name by which datagrams refer to it."""
+
     name: bytes
     secret: bytes
 
 
-def parse_keys(text):
-    """The keys of a file: one a line in hexadecimal; the first one seals, all of them open."""
-    keys = []
+class OpenedDatagram(NamedTuple):
+    """What an accepted datagram holds; `to` is the session token of the receiver that is meant."""
+
+    sender: MemberRecord
+    to: int
+    message: Message
+
+
+def parse_keys(text: str) -> tuple[Key, ...]:
+    """Read a key file's text: one key a line in hexadecimal. The first one seals, all of them open.
+
+    Raises KeyFileError.
+    """
+    keys: list[Key] = []
     for number, line in enumerate(text.splitlines(), 1):
-        line = line.partition("#")[0].strip()
-        if not line:
+        content = line.partition("#")[0].strip()
+        if not content:
             continue
-        try:
-            secret = bytes.fromhex(line)
-        except ValueError:
-            raise KeyFileError(f"line {number}: no hexadecimal key") from None
-        if not MIN_KEY_BYTES <= len(secret) <= 64:
-            raise KeyFileError(f"line {number}: a key has {MIN_KEY_BYTES} to 64 bytes")
-        key = Key(blake2b(secret, digest_size=4, person=b"limepath").digest(), secret)
+        key = _parse_key(content, number)
         if key in keys:
             raise KeyFileError(f"line {number}: this key stands twice")
         keys.append(key)
@@ -58,92 +116,134 @@
     return tuple(keys)
 
 
+def _parse_key(content: str, line_number: int) -> Key:
+    try:
+        secret = bytes.fromhex(content)
+    except ValueError:
+        raise KeyFileError(f"line {line_number}: no hexadecimal key") from None
+    if not MIN_KEY_BYTES <= len(secret) <= MAX_KEY_BYTES:
+        raise KeyFileError(f"line {line_number}: a key has {MIN_KEY_BYTES} to {MAX_KEY_BYTES} bytes")
+    name = blake2b(secret, digest_size=KEY_NAME_BYTES, person=b"limepath").digest()
+    return Key(name, secret)
+
+
 class ReplayWindow:
-    """Which counters of one life were there."""
+    """Which counters of one generation were received (the anti-replay window of RFC 4303, section 3.4.3)."""
 
-    __slots__ = ("top", "bits")
+    __slots__ = ("highest", "received")
 
     def __init__(self):
-        self.top, self.bits = -1, 0
-
-    def is_new(self, counter):
-        """Whether a number comes for the first time, as far as the window reaches."""
-        if counter > self.top:
-            self.bits = (self.bits << min(REPLAY_WINDOW, counter - self.top) | 1) & (1 << REPLAY_WINDOW) - 1
-            self.top = counter
+        self.highest = -1
+        self.received = 0
+        """Bit n: whether the counter n below the highest was received."""
+
+    def is_new(self, counter: int) -> bool:
+        """Return whether a counter comes for the first time, and mark it. Those behind the window are old."""
+        if counter > self.highest:
+            shift = min(REPLAY_WINDOW, counter - self.highest)
+            self.received = (self.received << shift | 1) & (1 << REPLAY_WINDOW) - 1
+            self.highest = counter
             return True
-        behind = self.top - counter
-        if behind >= REPLAY_WINDOW or self.bits >> behind & 1:
+        behind = self.highest - counter
+        if behind >= REPLAY_WINDOW or self.received >> behind & 1:
             return False
-        self.bits |= 1 << behind
+        self.received |= 1 << behind
         return True
 
 
 class Guard:
-    """`types` are all messages that this instance takes; `speaks` is its newest version."""
-
-    def __init__(self, keys, types=MESSAGES, speaks=NEWEST_VERSION):
-        self.keys, self.speaks, self.counter = keys, speaks, 0
-        self.windows, self.counts = OrderedDict(), Counter()
+    """Seals and opens datagrams."""
+
+    def __init__(
+        self,
+        keys: tuple[Key, ...],
+        types: Iterable[type[Message]] = MESSAGES,
+        version: int = NEWEST_VERSION,
+    ):
+        """Accept messages of these types, of all protocols on the socket; speak `version`."""
+        self.keys = keys
+        self.version = version
+        self.counter = 0
+        """Counter of the next datagram that is sealed."""
+        self.windows: OrderedDict[tuple[int, int, int], ReplayWindow] = OrderedDict()
+        """By token, birth and generation of the sender; the one unheard for longest first."""
+        self.counts: Counter[str] = Counter()
+        """Datagrams accepted and rejected, by reason."""
         self.encoder = msgspec.msgpack.Encoder()
         body = tuple[MemberRecord, int, int, msgspec.Raw]
-        self.envelope = msgspec.msgpack.Decoder(body)
-        self.message = msgspec.msgpack.Decoder(Union[tuple(types)])  # noqa: UP007 (made from a tuple)
+        self.body_decoder = msgspec.msgpack.Decoder(body)
+        self.message_decoder = msgspec.msgpack.Decoder(Union[tuple(types)])  # noqa: UP007 (made from a tuple)
 
-    def seal(self, me, to, message):
-        """The datagram's bytes; ValueError when they would be too many."""
+    def seal(self, me: MemberRecord, to: int, message: Message) -> bytes:
+        """Return the datagram of a message to the session `to`; raise DatagramTooLargeError."""
         key = self.keys[0]
         body = self.encoder.encode((me, to, self.counter, message))
         self.counter += 1
         if len(body) + HEADER_BYTES + SEAL_BYTES > MAX_DATAGRAM_BYTES:
-            raise ValueError(f"a {type(message).__name__} of {len(body)} bytes")
-        head = b"LP" + bytes((OLDEST_VERSION << 4 | self.speaks,)) + key.name + body
-        return head + blake2b(head, key=key.secret, digest_size=SEAL_BYTES).digest()
+            raise DatagramTooLargeError(f"a {type(message).__name__} of {len(body)} bytes")
+        version = bytes((OLDEST_VERSION << 4 | self.version,))
+        sealed = MAGIC + version + key.name + body
+        return sealed + _seal_of(sealed, key)
 
-    def open(self, datagram):
-        """Give (sender, to, message); raise Dropped."""
+    def open(self, datagram: bytes) -> OpenedDatagram:
+        """Return what a datagram holds, and count it; raise DatagramRejectedError."""
         try:
-            opened = self.opened(datagram)
+            opened = self._open(datagram)
         except DatagramRejectedError as error:
-            self.counts[str(error)] += 1
+            self.counts[error.reason.value] += 1
             raise
-        self.counts["taken"] += 1
+        self.counts[ACCEPTED] += 1
         return opened
 
-    def opened(self, datagram):
+    def _open(self, datagram: bytes) -> OpenedDatagram:
+        self._authenticate(datagram)
+        sender, to, counter, message = self._decode(datagram)
+        has_valid_sender = 0 <= sender.port <= MAX_PORT and len(sender.name) <= MAX_NAME_CHARACTERS
+        if counter < 0 or not has_valid_sender:
+            raise DatagramRejectedError(RejectionReason.UNREADABLE)
+        if not self._window_of(sender).is_new(counter):
+            raise DatagramRejectedError(RejectionReason.REPLAYED)
+        return OpenedDatagram(sender, to, message)
+
+    def _authenticate(self, datagram: bytes) -> None:
+        """Check size, version and seal."""
         if len(datagram) > MAX_DATAGRAM_BYTES:
-            raise DatagramRejectedError("oversized")
-        if len(datagram) <= HEADER_BYTES + SEAL_BYTES or datagram[:2] != b"LP":
-            raise DatagramRejectedError("noise")
-        if datagram[2] >> 4 != OLDEST_VERSION:
-            raise DatagramRejectedError("version")
-        name = datagram[3:7]
+            raise DatagramRejectedError(RejectionReason.OVERSIZED)
+        if len(datagram) <= HEADER_BYTES + SEAL_BYTES or not datagram.startswith(MAGIC):
+            raise DatagramRejectedError(RejectionReason.NOISE)
+        if datagram[VERSION_OFFSET] >> 4 != OLDEST_VERSION:
+            raise DatagramRejectedError(RejectionReason.VERSION)
+        name = datagram[KEY_NAME_OFFSET:HEADER_BYTES]
         key = next((key for key in self.keys if key.name == name), None)
         if key is None:
-            raise DatagramRejectedError("unknown key")
-        told = blake2b(datagram[:-SEAL_BYTES], key=key.secret, digest_size=SEAL_BYTES).digest()
-        if not compare_digest(told, datagram[-SEAL_BYTES:]):
-            raise DatagramRejectedError("forged")
+            raise DatagramRejectedError(RejectionReason.UNKNOWN_KEY)
+        expected = _seal_of(datagram[:-SEAL_BYTES], key)
+        if not compare_digest(expected, datagram[-SEAL_BYTES:]):
+            raise DatagramRejectedError(RejectionReason.FORGED)
+
+    def _decode(self, datagram: bytes) -> tuple[MemberRecord, int, int, Any]:
+        """Return sender, session token, counter and message of an authentic datagram."""
         try:
-            sender, to, counter, raw = self.envelope.decode(datagram[HEADER_BYTES:-SEAL_BYTES])
-            message = self.message.decode(raw)
+            sender, to, counter, raw = self.body_decoder.decode(datagram[HEADER_BYTES:-SEAL_BYTES])
+            return sender, to, counter, self.message_decoder.decode(raw)
         except msgspec.ValidationError:
-            raise DatagramRejectedError("unknown message") from None
+            raise DatagramRejectedError(RejectionReason.UNKNOWN_MESSAGE) from None
         except (msgspec.DecodeError, UnicodeDecodeError):
-            raise DatagramRejectedError("unreadable") from None
-        if counter < 0 or not 0 <= sender.port < 65_536 or len(sender.name) > 32:
-            raise DatagramRejectedError("unreadable")
-        if not self.window(sender).is_new(counter):
-            raise DatagramRejectedError("replayed")
-        return sender, to, message
-
-    def window(self, sender):
-        """The window of the life that speaks; the one unheard for longest goes where there are too many."""
-        key = sender.token, sender.birth, sender.generation
-        if key in self.windows:
+            raise DatagramRejectedError(RejectionReason.UNREADABLE) from None
+
+    def _window_of(self, sender: MemberRecord) -> ReplayWindow:
+        """Return the window of the sender's generation; the one unheard for longest goes if there are many."""
+        key = (sender.token, sender.birth, sender.generation)
+        window = self.windows.get(key)
+        if window is not None:
             self.windows.move_to_end(key)
-        else:
-            if len(self.windows) >= MAX_SENDERS:
-                self.windows.popitem(last=False)
-            self.windows[key] = ReplayWindow()
-        return self.windows[key]
+            return window
+        if len(self.windows) >= MAX_SENDERS:
+            self.windows.popitem(last=False)
+        window = ReplayWindow()
+        self.windows[key] = window
+        return window
+
+
+def _seal_of(data: bytes, key: Key) -> bytes:
+    return blake2b(data, key=key.secret, digest_size=SEAL_BYTES).digest()
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -378,7 +378,7 @@
         Pull(6),
         Welcome((news(7),)),
     ):
-        assert guard.message.decode(encoder.encode(message)) == message
+        assert guard.message_decoder.decode(encoder.encode(message)) == message
 
 
 def test_a_flood_of_noise_is_left_unread_for_a_while(tmp_path):
--- a/tests/test_stored_bytes.py
+++ b/tests/test_stored_bytes.py
@@ -44,7 +44,7 @@
 @each_message
 def test_a_message_is_read(label: str) -> None:
     guard, message = records.new_guard(), records.MESSAGES[label]
-    assert guard.message.decode(wire_bytes(label, "encoded")) == message
+    assert guard.message_decoder.decode(wire_bytes(label, "encoded")) == message
     assert guard.open(wire_bytes(label, "sealed")) == (records.MEMBER, records.RECEIVER, message)
 
 
@@ -56,7 +56,7 @@
 
 @each_message
 def test_a_message_without_its_optional_fields_has_their_defaults(label: str) -> None:
-    message = records.new_guard().message.decode(wire_bytes(label, "shortened"))
+    message = records.new_guard().message_decoder.decode(wire_bytes(label, "shortened"))
     assert message == records.with_defaults(records.MESSAGES[label])
 
 
