--- a/limepath/membership/guard.py
+++ b/limepath/membership/guard.py
@@ -6,8 +6,8 @@
     2       1         4          n      16 bytes
 
 The version byte holds the oldest version that the sender reads (high four bits) and the one that it speaks.
-The key name tells which key seals. The body is msgpack: the sender's record, the session token of the receiver
-that is meant, a counter and the message. The seal is keyed BLAKE2b (RFC 7693) over all before it.
+The key name tells which key seals. The body is msgpack: the sender's record, the session token of the
+receiver that is meant, a counter and the message. The seal is keyed BLAKE2b (RFC 7693) over all before it.
 
 A counter that was received before is a replay: a window behind the highest one is kept for each generation
 that sends. What was recorded before this instance's own generation began carries another session token, and
@@ -166,7 +166,7 @@
         self.counter = 0
         """Counter of the next datagram that is sealed."""
         self.windows: OrderedDict[tuple[int, int, int], ReplayWindow] = OrderedDict()
-        """By token, birth and generation of the sender; the one unheard for longest first."""
+        """By token, birth and generation of the sender; the one unused for longest first."""
         self.counts: Counter[str] = Counter()
         """Datagrams accepted and rejected, by reason."""
         self.encoder = msgspec.msgpack.Encoder()
@@ -232,7 +232,7 @@
             raise DatagramRejectedError(RejectionReason.UNREADABLE) from None
 
     def _window_of(self, sender: MemberRecord) -> ReplayWindow:
-        """Return the window of the sender's generation; the one unheard for longest goes if there are many."""
+        """Return the window of the sender's generation; the one unused for longest goes if there are many."""
         key = (sender.token, sender.birth, sender.generation)
         window = self.windows.get(key)
         if window is not None:
