--- a/tests/test_opening.py
+++ b/tests/test_opening.py
@@ -205,7 +205,7 @@
 
 def caller(shown):
     one = ControlConnection()
-    one.factory = type("Factory", (), {"callers": 0, "shown": shown})()
+    one.factory = type("Factory", (), {"connections": 0, "views": shown})()
     one.setTimeout = lambda span: None
     transport = StringTransport()
     one.makeConnection(transport)
