--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -24,7 +24,7 @@
     ReplayWindow,
     parse_keys,
 )
-from limepath.membership.host import SLICE, TAKEN, DatagramSocket
+from limepath.membership.host import MAX_REJECTED, REJECTION_SPAN, DatagramSocket
 from limepath.membership.identity import Identity, epoch_ceiling_row, next_identity
 from limepath.membership.interface import (
     MESSAGES,
@@ -395,15 +395,15 @@
             "startReading": lambda self: reads.append("start"),
         },
     )()
-    for _ in range(TAKEN - 1):
+    for _ in range(MAX_REJECTED - 1):
         line.datagramReceived(b"noise" * 10, ("127.0.0.1", 9))
-    clock.advance(SLICE / 1e6)
+    clock.advance(REJECTION_SPAN / 1e6)
     assert reads == []  # so many are read on
-    for _ in range(TAKEN + 300):
+    for _ in range(MAX_REJECTED + 300):
         line.datagramReceived(b"noise" * 10, ("127.0.0.1", 9))
     assert reads == ["stop"]
-    clock.advance(SLICE / 1e6)
-    assert reads == ["stop", "start"] and line.guard.counts["noise"] == 2 * TAKEN + 299
+    clock.advance(REJECTION_SPAN / 1e6)
+    assert reads == ["stop", "start"] and line.guard.counts["noise"] == 2 * MAX_REJECTED + 299
 
 
 def test_new_keys_are_taken_from_a_good_file_and_a_bad_one_leaves_the_old(tmp_path):
