--- a/limepath/membership/anti_entropy.py
+++ b/limepath/membership/anti_entropy.py
@@ -26,7 +26,7 @@
 class AntiEntropy:
     """Compares digests, pulls pages, and answers pulls."""
 
-    def __init__(self, members: Members):
+    def __init__(self, members: Members) -> None:
         self.members = members
         self.view = members.view
         self.joining = True
--- a/limepath/membership/control.py
+++ b/limepath/membership/control.py
@@ -11,9 +11,10 @@
 from collections.abc import Callable, Mapping
 from typing import Any
 
-from twisted.internet.protocol import Factory
+from twisted.internet.protocol import Factory, connectionDone
 from twisted.protocols.basic import LineReceiver
 from twisted.protocols.policies import TimeoutMixin
+from twisted.python.failure import Failure
 
 MAX_LINE_BYTES = 4096
 TIMEOUT_S = 5
@@ -32,6 +33,7 @@
     """One client of the control socket."""
 
     factory: "ControlFactory"
+    transport: Any
     delimiter = b"\n"
     MAX_LENGTH = MAX_LINE_BYTES
 
@@ -43,7 +45,7 @@
             self.send_answer({"error": "too many callers"})
             self.transport.loseConnection()
 
-    def connectionLost(self, reason: Any) -> None:
+    def connectionLost(self, reason: Failure = connectionDone) -> None:
         """Count it no more."""
         self.factory.connections -= 1
         self.setTimeout(None)
@@ -77,9 +79,9 @@
 class ControlFactory(Factory):
     """Makes a ControlConnection for each client."""
 
-    protocol = ControlConnection
+    protocol = ControlConnection  # type: ignore[assignment]
 
-    def __init__(self, views: Views):
+    def __init__(self, views: Views) -> None:
         self.views = views
         self.connections = 0
         """Open connections."""
--- a/limepath/membership/digests.py
+++ b/limepath/membership/digests.py
@@ -30,7 +30,7 @@
 class ViewDigests:
     """Digests of a set of live members: equal sets have equal digests."""
 
-    def __init__(self):
+    def __init__(self) -> None:
         self.combined = 0
         """Digest of all members."""
         self.buckets = [0] * BUCKETS
--- a/limepath/membership/failure_detector.py
+++ b/limepath/membership/failure_detector.py
@@ -22,14 +22,14 @@
 class SequenceWithoutOne(Sequence[int]):
     """A sequence without the item at one index; nothing is copied."""
 
-    def __init__(self, items: Sequence[int], omitted: int):
+    def __init__(self, items: Sequence[int], omitted: int) -> None:
         self.items = items
         self.omitted = omitted
 
     def __len__(self) -> int:
         return len(self.items) - 1
 
-    def __getitem__(self, index):
+    def __getitem__(self, index: int) -> int:  # type: ignore[override]  # no slices
         if index >= len(self):
             raise IndexError(index)
         return self.items[index + (index >= self.omitted)]
@@ -45,7 +45,7 @@
 class FailureDetector:
     """Probes members, and answers probes. Members that fail a probe go to `members.suspicions`."""
 
-    def __init__(self, members: Members):
+    def __init__(self, members: Members) -> None:
         self.members = members
         self.view = members.view
         self.timers = members.timers
--- a/limepath/membership/gossip.py
+++ b/limepath/membership/gossip.py
@@ -23,7 +23,7 @@
 class BroadcastQueue:
     """Records that are still to be disseminated: the newest first, then each in its turn."""
 
-    def __init__(self):
+    def __init__(self) -> None:
         self._queue: OrderedDict[int, Broadcast] = OrderedDict()
         """By token of the member; the next to be sent first."""
 
--- a/limepath/membership/guard.py
+++ b/limepath/membership/guard.py
@@ -69,7 +69,7 @@
 class DatagramRejectedError(Exception):
     """A received datagram is not to be used; the text is the reason's."""
 
-    def __init__(self, reason: RejectionReason):
+    def __init__(self, reason: RejectionReason) -> None:
         super().__init__(reason.value)
         self.reason = reason
 
@@ -132,7 +132,7 @@
 
     __slots__ = ("highest", "received")
 
-    def __init__(self):
+    def __init__(self) -> None:
         self.highest = -1
         self.received = 0
         """Bit n: whether the counter n below the highest was received."""
@@ -159,7 +159,7 @@
         keys: tuple[Key, ...],
         types: Iterable[type[Message]] = MESSAGES,
         version: int = NEWEST_VERSION,
-    ):
+    ) -> None:
         """Accept messages of these types, of all protocols on the socket; speak `version`."""
         self.keys = keys
         self.version = version
--- a/limepath/membership/host.py
+++ b/limepath/membership/host.py
@@ -76,7 +76,7 @@
         types: Iterable[type[Message]],
         log: Log,
         gather: Callable[[MessageReceived], None],
-    ):
+    ) -> None:
         """Listen at `address` once opened; `keys` is the key file's path. Raise StartError.
 
         `gather(event)` takes each accepted message.
--- a/limepath/membership/interface.py
+++ b/limepath/membership/interface.py
@@ -82,17 +82,17 @@
     """
 
 
-class Hello(Message, tag="h"):
+class Hello(Message, frozen=True, tag="h"):
     """Request for a Welcome: the sender does not know the receiver's generation, or was not known by it."""
 
 
-class Welcome(Message, tag="w"):
+class Welcome(Message, frozen=True, tag="w"):
     """Answer to Hello, with records that are being disseminated."""
 
     records: tuple[MemberRecord, ...] = ()
 
 
-class Ping(Message, tag="p"):
+class Ping(Message, frozen=True, tag="p"):
     """Probe of the receiver; `seq` 0 disseminates only and is acknowledged too, but nobody waits for it."""
 
     seq: int
@@ -101,7 +101,7 @@
     """Digest of the sender's view; 0 before version 2."""
 
 
-class Ack(Message, tag="a"):
+class Ack(Message, frozen=True, tag="a"):
     """Answer to a Ping of the same `seq`."""
 
     seq: int
@@ -109,7 +109,7 @@
     digest: int = 0
 
 
-class IndirectPing(Message, tag="f"):
+class IndirectPing(Message, frozen=True, tag="f"):
     """Request to probe `about` in the sender's stead (ping-req of SWIM, section 3.1)."""
 
     seq: int
@@ -117,7 +117,7 @@
     records: tuple[MemberRecord, ...] = ()
 
 
-class Pull(Message, tag="l"):
+class Pull(Message, frozen=True, tag="l"):
     """Request for the records of live members, in the order of tokens, after token `after`.
 
     With `buckets`, the sender's digests by token range (version 3), only for ranges whose digests differ.
@@ -127,7 +127,7 @@
     buckets: tuple[int, ...] = ()
 
 
-class MemberPage(Message, tag="g"):
+class MemberPage(Message, frozen=True, tag="g"):
     """Answer to Pull; `last` if no record is left behind it."""
 
     records: tuple[MemberRecord, ...]
--- a/limepath/membership/join.py
+++ b/limepath/membership/join.py
@@ -24,7 +24,7 @@
 class JoinProtocol:
     """Says Hello, and answers it."""
 
-    def __init__(self, members: Members, seeds: Sequence[tuple[str, int]]):
+    def __init__(self, members: Members, seeds: Sequence[tuple[str, int]]) -> None:
         """`seeds` are the addresses of members to join by."""
         self.members = members
         self.view = members.view
--- a/limepath/membership/leave.py
+++ b/limepath/membership/leave.py
@@ -17,7 +17,7 @@
 class LeaveProtocol:
     """Notifies members that this instance goes."""
 
-    def __init__(self, members: Members):
+    def __init__(self, members: Members) -> None:
         self.members = members
         self.view = members.view
         self.timers = members.timers
--- a/limepath/membership/member_table.py
+++ b/limepath/membership/member_table.py
@@ -17,7 +17,7 @@
 class MemberTable:
     """Records by token, and what is derived from them. Changes of the live set go out as commands."""
 
-    def __init__(self, me: MemberRecord, timers: TimerQueue, seeds: Iterable[tuple[str, int]] = ()):
+    def __init__(self, me: MemberRecord, timers: TimerQueue, seeds: Iterable[tuple[str, int]] = ()) -> None:
         """Start with no member but `me`; `seeds` are the addresses by which this instance joins."""
         self.me = me
         """This instance's own record, which is not in `table`."""
@@ -48,18 +48,10 @@
         """Write another member's record, and emit how the live set changed by it."""
         previous = self.table.get(record.token)
         self.table[record.token] = record
-        was_live = previous is not None and previous.is_live
-        if was_live:
-            self._uncount(previous)
-        if record.is_live:
-            self._count(record)
-        if record.is_live and not was_live:
+        if previous is not None and previous.is_live:
+            self._replace_live(previous, record)
+        elif record.is_live:
             self._add_live(record)
-        elif was_live and not record.is_live:
-            self._remove_live(record)
-        elif was_live and previous.generation != record.generation:  # it restarted before it was missed
-            self.timers.emit(MemberLeft(previous))
-            self.timers.emit(MemberJoined(record))
         if not record.is_live:
             self.dead[record.token] = record
             self.dead_since.setdefault(record.token, self.timers.now)
@@ -89,16 +81,24 @@
         if record is not None and self.names.get(record.name) == token:
             del self.names[record.name]
 
+    def _replace_live(self, previous: MemberRecord, record: MemberRecord) -> None:
+        self._uncount(previous)
+        if not record.is_live:
+            del self.ring[bisect_left(self.ring, record.token)]
+            self.timers.emit(MemberLeft(record))
+            return
+        self._count(record)
+        if previous.generation != record.generation:  # it restarted before it was missed
+            self.timers.emit(MemberLeft(previous))
+            self.timers.emit(MemberJoined(record))
+
     def _add_live(self, record: MemberRecord) -> None:
+        self._count(record)
         insort(self.ring, record.token)
         self.dead.pop(record.token, None)
         self.dead_since.pop(record.token, None)
         self.timers.emit(MemberJoined(record))
 
-    def _remove_live(self, record: MemberRecord) -> None:
-        del self.ring[bisect_left(self.ring, record.token)]
-        self.timers.emit(MemberLeft(record))
-
     def _count(self, record: MemberRecord) -> None:
         self.digests.toggle(record)
         self._change_live_at_seed(record, 1)
--- a/limepath/membership/members.py
+++ b/limepath/membership/members.py
@@ -59,7 +59,7 @@
         timeouts: MembershipTimeouts,
         seed: int,
         version: int = NEWEST_VERSION,
-    ):
+    ) -> None:
         """Know only `me`, an alive record; `seeds` are addresses, `seed` is that of all random draws."""
         self.timeouts = timeouts
         self.version = version
--- a/limepath/membership/record_updates.py
+++ b/limepath/membership/record_updates.py
@@ -20,7 +20,7 @@
 class RecordUpdates:
     """Merges records into the view of one instance. Owns no state."""
 
-    def __init__(self, members: Members):
+    def __init__(self, members: Members) -> None:
         self.members = members
         self.view = members.view
 
--- a/limepath/membership/suspicion.py
+++ b/limepath/membership/suspicion.py
@@ -27,9 +27,9 @@
 class Suspicion:
     """An open suspicion of one incarnation of a member."""
 
-    __slots__ = ("incarnation", "since", "reporters", "is_last_probe_sent")
+    __slots__ = ("incarnation", "is_last_probe_sent", "reporters", "since")
 
-    def __init__(self, incarnation: int, since: int, reporter: int):
+    def __init__(self, incarnation: int, since: int, reporter: int) -> None:
         self.incarnation = incarnation
         self.since = since
         """When this instance first knew of it, in microseconds."""
@@ -41,7 +41,7 @@
 class Suspicions:
     """The open suspicions of one instance."""
 
-    def __init__(self, members: Members):
+    def __init__(self, members: Members) -> None:
         self.members = members
         self.view = members.view
         self.timers = members.timers
