--- /dev/null
+++ b/tests/test_datagram_socket.py
@@ -0,0 +1,90 @@
+"""Tests of `limepath.membership.host`: the datagram socket under a flood, and its key file."""
+
+import os
+from collections.abc import Callable
+from pathlib import Path
+
+import pytest
+from twisted.internet.task import Clock
+
+from limepath.log import Log
+from limepath.membership.guard import parse_keys
+from limepath.membership.host import MAX_REJECTED, REJECTION_SPAN, DatagramSocket
+from limepath.membership.interface import MESSAGES
+
+OLD_KEY = "ab" * 32
+NEW_KEY = "cd" * 32
+ADDRESS = ("127.0.0.1", 1)
+NOISE = b"noise" * 10
+REJECTION_SPAN_S = REJECTION_SPAN / 1e6
+
+
+class RecordingPort:
+    """Stands in for twisted's listening port, and records when reading stops and starts."""
+
+    def __init__(self) -> None:
+        self.calls: list[str] = []
+
+    def stopReading(self) -> None:
+        self.calls.append("stop")
+
+    def startReading(self) -> None:
+        self.calls.append("start")
+
+
+@pytest.fixture
+def clock() -> Clock:
+    """The reactor's clock."""
+    return Clock()
+
+
+@pytest.fixture
+def key_path(tmp_path: Path) -> Path:
+    """A key file with the old key."""
+    path = tmp_path / "keys"
+    path.write_text(OLD_KEY)
+    path.chmod(0o600)
+    return path
+
+
+@pytest.fixture
+def datagram_socket(clock: Clock, key_path: Path) -> DatagramSocket:
+    """A socket on a recording port."""
+    one = DatagramSocket(clock, ADDRESS, str(key_path), MESSAGES, Log("n1", 0, 1), lambda event: None)
+    one.port = RecordingPort()
+    return one
+
+
+@pytest.fixture
+def flood(datagram_socket: DatagramSocket) -> Callable[[int], None]:
+    """Sends so many datagrams of noise."""
+
+    def send(count: int) -> None:
+        for _ in range(count):
+            datagram_socket.datagramReceived(NOISE, ("127.0.0.1", 9))
+
+    return send
+
+
+def test_a_flood_of_noise_is_left_unread_until_its_span_is_over(clock, datagram_socket, flood) -> None:
+    calls = datagram_socket.port.calls
+    flood(MAX_REJECTED - 1)
+    clock.advance(REJECTION_SPAN_S)
+    assert calls == []  # fewer than the limit
+    flood(MAX_REJECTED + 300)
+    assert calls == ["stop"]
+    clock.advance(REJECTION_SPAN_S)
+    assert calls == ["stop", "start"]
+    assert datagram_socket.guard.counts["noise"] == 2 * MAX_REJECTED + 299
+
+
+def test_new_keys_are_taken_from_a_good_file_and_a_bad_one_leaves_the_old(
+    datagram_socket: DatagramSocket, key_path: Path
+) -> None:
+    both = NEW_KEY + "\n" + OLD_KEY
+    for text, mode, expected in (("noise", 0o600, OLD_KEY), (both, 0o644, OLD_KEY), (both, 0o600, both)):
+        key_path.write_text(text)
+        key_path.chmod(mode)
+        os.utime(key_path, ns=(len(text) + mode,) * 2)
+        datagram_socket.reread()
+        assert datagram_socket.guard.keys == parse_keys(expected)
