--- a/limepath/membership/bounds.py
+++ b/limepath/membership/bounds.py
@@ -10,7 +10,7 @@
 MAX_SUSPICION_FACTOR = (
     3  # the longest suspicion timeout, unconfirmed, in multiples of the shortest (Lifeguard)
 )
-MAX_HEALTH_SCORE = 4  # by how much an instance's own missed acks stretch its timeouts, at most (Lifeguard)
+MAX_HEALTH_SCORE = 4  # timeouts are stretched up to 1 + this, by own missed acks (Lifeguard, local health)
 SPARE_ROUNDS = 2  # of dissemination, beyond the logarithm of the members
 
 
--- a/limepath/membership/members.py
+++ b/limepath/membership/members.py
@@ -79,13 +79,13 @@
         self.suspicions = Suspicions(self)
         self.failure_detector = FailureDetector(self)
         self.anti_entropy = AntiEntropy(self)
-        self.join = JoinProtocol(self, seeds)
-        self.leave = LeaveProtocol(self)
+        self.join_protocol = JoinProtocol(self, seeds)
+        self.leave_protocol = LeaveProtocol(self)
         self._handlers: dict[type[Message], Callable[[MemberRecord, Any], None]] = {
             Ping: self.failure_detector.handle_ping,
             Ack: self.failure_detector.handle_ack,
             IndirectPing: self.failure_detector.handle_indirect_ping,
-            Welcome: self.join.handle_welcome,
+            Welcome: self.join_protocol.handle_welcome,
             Pull: self.anti_entropy.handle_pull,
             MemberPage: self.anti_entropy.handle_page,
         }
@@ -93,7 +93,7 @@
     def start(self, now: int) -> list[Any]:
         """Say Hello to seeds, and begin the protocol periods at a random time within the first."""
         self.timers.now = now
-        self.join.start()
+        self.join_protocol.start()
         first = now + int(self.timers.random_fraction() * self.timeouts.period)
         self.timers.schedule(first, self._run_period)
         return self.timers.take_commands()
@@ -104,8 +104,8 @@
         for event in events:
             if isinstance(event, MessageReceived):
                 self._handle_message(event)
-            elif isinstance(event, LeaveRequested) and not self.leave.started:
-                self.leave.start()
+            elif isinstance(event, LeaveRequested) and not self.leave_protocol.started:
+                self.leave_protocol.start()
         return self.timers.take_commands()
 
     def next(self) -> int | None:
@@ -173,10 +173,10 @@
             return
         self.periods += 1
         self.timers.schedule(self.timers.now + self.timeouts.period, self._run_period)
-        self.join.expire_hellos()
+        self.join_protocol.expire_hellos()
         self.failure_detector.run_period(self.periods)
         if self.periods % REJOIN_PERIODS == 0 or not self.ring:
-            self.join.contact_lost_members()
+            self.join_protocol.contact_lost_members()
         self.view.forget_dead(self.timeouts.forget)
 
     def _handle_message(self, event: MessageReceived) -> None:
@@ -187,14 +187,14 @@
         if sender.token == self.me.token:
             self.updates.apply_to_self(sender)
         elif isinstance(message, Hello):
-            self.join.handle_hello(sender)
+            self.join_protocol.handle_hello(sender)
         elif event.to != self.me.session_token:
             self.counts["misaddressed"] += 1
-            self.join.send_hello(sender.host, sender.port)
+            self.join_protocol.send_hello(sender.host, sender.port)
         elif self._is_of_former_generation(sender):
             self.counts["former"] += 1
         elif self._is_older_namesake(sender):
-            self.leave.yield_identity(sender, NAME_IN_USE)
+            self.leave_protocol.yield_identity(sender, NAME_IN_USE)
         else:
             self._mark_alive(sender)
             self._dispatch(sender, message)
--- a/limepath/membership/record_updates.py
+++ b/limepath/membership/record_updates.py
@@ -64,11 +64,11 @@
         generation, the one that started first.
         """
         me = self.view.me
-        if self.members.leave.started:
+        if self.members.leave_protocol.started:
             return
         if record.birth != me.birth and record.generation >= me.generation:
             if record.generation > me.generation or record.birth < me.birth:
-                self.members.leave.yield_identity(record, IDENTITY_REPLACED)
+                self.members.leave_protocol.yield_identity(record, IDENTITY_REPLACED)
             return
         if record.state != MemberState.ALIVE and record.incarnation >= me.incarnation:
             self._refute(record)
--- a/tests/test_membership_join.py
+++ b/tests/test_membership_join.py
@@ -18,16 +18,16 @@
 def test_a_seed_is_contacted_while_no_live_member_has_its_address() -> None:
     members = Members(record(1), [SEED], TIMEOUTS, 1)
     contacted: list[tuple[str, int]] = []
-    members.join.send_hello = lambda *address: contacted.append(address)
-    members.join.contact_lost_members()
+    members.join_protocol.send_hello = lambda *address: contacted.append(address)
+    members.join_protocol.contact_lost_members()
     assert contacted == [SEED]
     members.updates.apply(record(2))
     members.updates.apply(record(2, generation=2, port=1009))  # it has moved
-    members.join.contact_lost_members()
+    members.join_protocol.contact_lost_members()
     assert contacted == [SEED] * 2
     members.updates.apply(record(2, generation=3))
-    members.join.contact_lost_members()
+    members.join_protocol.contact_lost_members()
     assert contacted == [SEED] * 2
     members.updates.apply(record(2, generation=3, state=MemberState.LEFT))
-    members.join.contact_lost_members()
+    members.join_protocol.contact_lost_members()
     assert contacted == [SEED] * 3
