--- a/limepath/membership/guard.py
+++ b/limepath/membership/guard.py
@@ -94,7 +94,8 @@
 
     sender: MemberRecord
     to: int
-    message: Message
+    message: Any
+    """Of one of the types that the guard accepts."""
 
 
 def parse_keys(text: str) -> tuple[Key, ...]:
