--- a/limepath/duties/bounds.py
+++ b/limepath/duties/bounds.py
@@ -9,7 +9,7 @@
 
 from limepath.configuration.sharing_settings import DutyMode, DutySettings, LeaseSettings, MembershipTimeouts
 from limepath.duties.lease_timing import renewal_interval, startup_silence
-from limepath.membership.bounds import detection, spread
+from limepath.membership.bounds import detection_time, dissemination_time
 
 REQUEST_ROUNDS = 3
 """Rounds of lease requests until a slot is granted: two may end in a split vote."""
@@ -28,7 +28,7 @@
     timeouts: MembershipTimeouts, duty: DutySettings, leases: LeaseSettings, live: int, together: int = 1
 ) -> Bounds:
     """Return the bounds of one duty."""
-    detected = detection(timeouts, live, together)
+    detected = detection_time(timeouts, live, together)
     if duty.mode == DutyMode.AT_LEAST_ONCE:
         return Bounds(
             gap=2 * duty.interval + detected,
@@ -36,7 +36,7 @@
             take_over=detected + duty.interval,
             disagreement=detected,
         )
-    handover = REQUEST_ROUNDS * renewal_interval(leases) + spread(timeouts, live)
+    handover = REQUEST_ROUNDS * renewal_interval(leases) + dissemination_time(timeouts, live)
     # The last lease of a dead holder may expire after its death is detected.
     granted = max(detected, startup_silence(leases)) + handover
     return Bounds(
--- a/limepath/duties/findings.py
+++ b/limepath/duties/findings.py
@@ -9,7 +9,7 @@
 
 from limepath.configuration.sharing_settings import DutyMode, DutySettings, LeaseSettings, MembershipTimeouts
 from limepath.duties.bounds import Bounds, bounds, most_duplicates
-from limepath.membership.bounds import spread
+from limepath.membership.bounds import dissemination_time
 from limepath.report_table import Row, at_most, seconds
 
 SECOND = 1_000_000
@@ -56,7 +56,7 @@
         slack = bound.disagreement
         spans = [(fault.at, fault.at + fault.length + slack) for fault in self.faults]
         spans += [(at - slack, at + slack) for at, _ in self.false_deaths]
-        start = spread(self.timeouts, self.instances) + duty.interval
+        start = dissemination_time(self.timeouts, self.instances) + duty.interval
         spans.append((self.began_at, self.began_at + start))
         return spans
 
--- a/limepath/duties/host.py
+++ b/limepath/duties/host.py
@@ -27,7 +27,7 @@
 from limepath.logic_host import LogicHost
 from limepath.membership import control
 from limepath.membership.host import DatagramSocket, StartError
-from limepath.membership.identity import CEILING, Identity, identity_of, kept_ceiling
+from limepath.membership.identity import EPOCH_CEILING_ROW, Identity, epoch_ceiling_row, next_identity
 from limepath.membership.interface import (
     MESSAGES,
     REFUTATION_BITS,
@@ -121,7 +121,7 @@
 
     def _load_identity(self) -> Identity:
         """Read this instance's identity and write it for the new incarnation, before it is used."""
-        identity, rows = identity_of(self.store.all(), random_token)
+        identity, rows = next_identity(self.store.all(), random_token)
         try:
             self.store.put(rows)
         except sqlite3.Error as error:
@@ -136,7 +136,7 @@
             settings.name,
             host,
             port,
-            self.identity.life << REFUTATION_BITS,
+            self.identity.generation << REFUTATION_BITS,
             time.time_ns() // 1000,
         )
         return Instance(
@@ -183,7 +183,7 @@
             "sharing",
             name=self.settings.name,
             listening=f"{host}:{port}",
-            life=self.identity.life,
+            life=self.identity.generation,
             token=f"{self.identity.token:016x}",
             duties=len(self.settings.plans),
         )
@@ -223,7 +223,7 @@
         elif isinstance(command, ResultShared):
             self.probe_sharing.report(command.result)
         elif isinstance(command, PersistEpochCeiling):
-            self.writes.put(kept_ceiling(command.ceiling))
+            self.writes.put(epoch_ceiling_row(command.ceiling))
         elif isinstance(command, LogEvent):
             self.log.say(command.event, **command.fields)
         elif isinstance(command, MessageRelayed):
@@ -241,7 +241,7 @@
             command.why + "; this front shares nothing any more",
             name=other.name,
             other=f"{other.host}:{other.port}",
-            life=other.life,
+            life=other.generation,
         )
         self.stop()
 
@@ -251,7 +251,7 @@
         Grants, epoch reports and rounds under a lease are dropped (as if the network had lost them) until the
         ceiling of epochs is on the disk.
         """
-        if CEILING not in self.writes.rows:
+        if EPOCH_CEILING_ROW not in self.writes.rows:
             return False
         if isinstance(command, ServeTarget):
             return bool(command.epoch)
@@ -261,7 +261,7 @@
         """Send a message of another logic to the live member with this token."""
         members = self.instance.members
         members.timers.now = clock()
-        members.reach(token, message)
+        members.send_to_member(token, message)
         for command in members.timers.take_commands():
             self.line.send(members.me, command)
 
--- a/limepath/duties/instance.py
+++ b/limepath/duties/instance.py
@@ -108,7 +108,7 @@
         return LeaseManager(
             self.timers,
             me.name,
-            me.door,
+            me.session_token,
             settings,
             leased,
             self._find_wanted_slots,
@@ -154,10 +154,10 @@
 
     def preload_members(self, records: Iterable[MemberRecord]) -> None:
         """Know these members from the start, without joining by messages."""
-        self.members.known(records)
+        self.members.add_known_members(records)
         for command in self.members.timers.take_commands():
             if isinstance(command, MemberJoined):
-                self.add_member(command.news)
+                self.add_member(command.member)
 
     def view(self) -> InstanceView:
         """Return what the control socket reports of this instance."""
@@ -214,9 +214,9 @@
             if isinstance(command, MessageRelayed) and self._handle_message(command.sender, command.message):
                 continue
             if isinstance(command, MemberJoined):
-                self.add_member(command.news)
+                self.add_member(command.member)
             elif isinstance(command, MemberLeft):
-                self.remove_member(command.news)
+                self.remove_member(command.member)
             else:
                 if isinstance(command, (YieldIdentity, LeaveCompleted)):
                     self.has_ended = True
@@ -231,14 +231,14 @@
                 schedule.record_served(known.result.target, known.served_at)
             return True
         if self.lease_manager and isinstance(message, LEASE_MESSAGES):
-            self.lease_manager.handle_message(sender.name, sender.door, message)
+            self.lease_manager.handle_message(sender.name, sender.session_token, message)
             return True
         return False
 
     def _deliver_loopback(self) -> None:
         me = self.members.me
         while self.loopback and self.lease_manager:
-            self.lease_manager.handle_message(me.name, me.door, self.loopback.popleft())
+            self.lease_manager.handle_message(me.name, me.session_token, self.loopback.popleft())
 
     def _divide_stale_shares(self, now: int) -> None:
         for share in self.shares:
@@ -258,7 +258,7 @@
         remaining: list[Any] = []
         for command in self.timers.take_commands():
             if isinstance(command, SendToMember):
-                self.members.reach(command.token, command.message)
+                self.members.send_to_member(command.token, command.message)
             else:
                 remaining.append(command)
         return remaining
@@ -295,4 +295,4 @@
         if name == self.members.me.name:
             self.loopback.append(message)
         elif (token := self.tokens_by_name.get(name)) is not None:
-            self.members.reach(token, message)
+            self.members.send_to_member(token, message)
--- a/limepath/duties/instance_view.py
+++ b/limepath/duties/instance_view.py
@@ -31,7 +31,7 @@
     return {
         "name": me.name,
         "token": f"{me.token:016x}",
-        "life": me.life,
+        "life": me.generation,
         "incarnation": me.incarnation,
         "joined": not members.joining,
         "leaving": is_draining,
@@ -55,7 +55,7 @@
         "address": f"{record.host}:{record.port}",
         "state": STATE_NAMES[record.state],
         "incarnation": record.incarnation,
-        "life": record.life,
+        "life": record.generation,
     }
 
 
--- a/limepath/duties/world.py
+++ b/limepath/duties/world.py
@@ -16,7 +16,7 @@
 from limepath.duties.interface import ProbeResult, ServeTarget, TargetServed, TargetsUpdated
 from limepath.duties.network import Network
 from limepath.duties.node import PORT, Node
-from limepath.membership.guard import HEAD, SEAL
+from limepath.membership.guard import HEADER_BYTES, SEAL_BYTES
 from limepath.membership.interface import (
     REFUTATION_BITS,
     LogEvent,
@@ -188,7 +188,7 @@
         if self.messages % SAMPLE_EVERY == 0:
             datagram = self._encoder.encode((me, command.to, self.messages, command.message))
             self.sampled_messages += 1
-            self.sampled_bytes += len(datagram) + HEAD + SEAL
+            self.sampled_bytes += len(datagram) + HEADER_BYTES + SEAL_BYTES
         event = MessageReceived(me, command.to, command.message)
         for delay in self.network.delays(node.index, destination):
             self.at(self.now + delay, self._deliver, destination, event)
--- /dev/null
+++ b/limepath/membership/leave.py
@@ -0,0 +1,57 @@
+"""Leaving the group: an instance that stops or yields its identity says so, and is not suspected first."""
+
+from __future__ import annotations
+
+from math import ceil, log2
+from typing import TYPE_CHECKING
+
+from limepath.membership.interface import LeaveCompleted, MemberRecord, MemberState, Ping, YieldIdentity
+
+if TYPE_CHECKING:
+    from limepath.membership.members import Members
+
+MIN_NOTIFIED = 4  # members notified in one round
+LEAVE_ROUNDS = 3  # rounds, a direct timeout apart
+
+
+class LeaveProtocol:
+    """Notifies members that this instance goes."""
+
+    def __init__(self, members: Members) -> None:
+        self.members = members
+        self.view = members.view
+        self.timers = members.timers
+        self.started = False
+        """Whether this instance is leaving in an orderly way."""
+
+    def start(self) -> None:
+        """Notify members in rounds that this instance has left; LeaveCompleted follows the last round."""
+        self.started = True
+        self.view.me = self.view.me._replace(state=MemberState.LEFT)
+        self._run_round(LEAVE_ROUNDS)
+
+    def yield_identity(self, other: MemberRecord, why: str) -> None:
+        """Stop at once, for `other` goes on; a token of this instance's own is given up with it."""
+        if self.members.stopped:
+            return
+        self.members.stopped = True
+        if other.token != self.view.me.token:
+            self._notify(self.view.me._replace(state=MemberState.LEFT), MIN_NOTIFIED)
+        self.timers.emit(YieldIdentity(other, why))
+
+    def _run_round(self, rounds_left: int) -> None:
+        if self.members.stopped:
+            return
+        others = len(self.view.ring)
+        if not rounds_left or not others:
+            self.members.stopped = True
+            self.timers.emit(LeaveCompleted())
+            return
+        self._notify(self.view.me, MIN_NOTIFIED + ceil(log2(others + 1)))
+        self.timers.schedule(self.timers.now + self.members.timeouts.direct, self._run_round, rounds_left - 1)
+
+    def _notify(self, left: MemberRecord, count: int) -> None:
+        """Send the record to so many members, drawn at random."""
+        ring = self.view.ring
+        for token in self.timers.sample(ring, min(len(ring), count)):
+            self.members.send(self.view.table[token], Ping(0, (left,), 0))
--- a/tests/byte_records.py
+++ b/tests/byte_records.py
@@ -26,9 +26,9 @@
 from limepath.frequency_exchange import interface as request_counts
 from limepath.interface.events import AttemptOutcome
 from limepath.membership import interface as membership
-from limepath.membership.digests import Digests
-from limepath.membership.guard import Guard, keys_of
-from limepath.membership.identity import identity_of, kept_ceiling
+from limepath.membership.digests import ViewDigests
+from limepath.membership.guard import Guard, parse_keys
+from limepath.membership.identity import epoch_ceiling_row, next_identity
 from limepath.store import Store
 
 DATA = Path(__file__).parent / "data"
@@ -42,7 +42,7 @@
 MESSAGE_TYPES = tuple(message_type for union in UNIONS for message_type in union)
 
 LIVES = {"incarnation": (5 << membership.REFUTATION_BITS) + 2, "birth": 1_796_000_000_000_001}
-SUSPICION = {"state": membership.MemberState.SUSPECT, "by": TOKENS[1]}
+SUSPICION = {"state": membership.MemberState.SUSPECT, "reported_by": TOKENS[1]}
 MEMBER = membership.MemberRecord(
     token=TOKENS[0], name="front-1", host="192.0.2.1", port=7401, **LIVES, **SUSPICION
 )
@@ -71,12 +71,12 @@
 )
 FULL_MESSAGES = {
     "membership/hello": membership.Hello(),
-    "membership/welcome": membership.Welcome(news=(MEMBER, OTHER_MEMBER)),
-    "membership/ping": membership.Ping(seq=11, news=(MEMBER,), digest=12),
-    "membership/ack": membership.Ack(seq=14, news=(OTHER_MEMBER,), digest=15),
-    "membership/ping-request": membership.IndirectPing(seq=17, about=OTHER_MEMBER, news=(MEMBER,)),
+    "membership/welcome": membership.Welcome(records=(MEMBER, OTHER_MEMBER)),
+    "membership/ping": membership.Ping(seq=11, records=(MEMBER,), digest=12),
+    "membership/ack": membership.Ack(seq=14, records=(OTHER_MEMBER,), digest=15),
+    "membership/ping-request": membership.IndirectPing(seq=17, about=OTHER_MEMBER, records=(MEMBER,)),
     "membership/pull": membership.Pull(after=19, buckets=(20, 1 << 63)),
-    "membership/page": membership.MemberPage(news=(OTHER_MEMBER, MEMBER), last=True),
+    "membership/page": membership.MemberPage(records=(OTHER_MEMBER, MEMBER), last=True),
     "endpoint-list/scope": endpoints.ScopeAnnouncement(zone="zone-1", asks=True, site="site-1"),
     "endpoint-list/subscribe": endpoints.Subscribe(
         zone="zone-1", generation=21, number=22, reads=2, site="site-1", lacks=True, stamp=23
@@ -131,7 +131,7 @@
 
 def new_guard() -> Guard:
     """A guard with the fixed key and counter that takes all messages, as a front has it."""
-    guard = Guard(keys_of(KEY), MESSAGE_TYPES)
+    guard = Guard(parse_keys(KEY), MESSAGE_TYPES)
     guard.counter = COUNTER
     return guard
 
@@ -256,8 +256,8 @@
     """The rows of a front's store after some starts, with these bytes of the saved list."""
     rows = {}
     for _ in range(LIFE):
-        _, rows = identity_of(rows, lambda: TOKENS[3])
-    return rows | kept_ceiling(CEILING) | {ROW: saved_list}
+        _, rows = next_identity(rows, lambda: TOKENS[3])
+    return rows | epoch_ceiling_row(CEILING) | {ROW: saved_list}
 
 
 def written_store(path: Path, rows: dict[str, bytes]) -> dict[str, Any]:
@@ -279,14 +279,14 @@
 
 def agreed_values() -> dict[str, Any]:
     """What fronts work out alike from what they know, and the numbers of enumerations, by label."""
-    view = Digests()
+    view = ViewDigests()
     for news in (MEMBER, OTHER_MEMBER):
         view.toggle(news)
     ring, states, reads = Ring.of(TOKENS), membership.MemberState, endpoints.SubscriptionMode
     return {
-        "membership/view": view.whole,
+        "membership/view": view.combined,
         "membership/view-buckets": view.buckets,
-        "membership/receiver": MEMBER.door,
+        "membership/receiver": MEMBER.session_token,
         "membership/states": [states.ALIVE, states.SUSPECT, states.DEAD, states.LEFT],
         "endpoint-list/event": summary(OBJECT_PURGE.told),
         "endpoint-list/members": full_list().digest,
