--- a/limepath/configuration/sharing_settings.py
+++ b/limepath/configuration/sharing_settings.py
@@ -55,10 +55,10 @@
     rate: float = 20.0
     relays: int = 2
     beat: int = 500_000
-    patience: int = 1_500_000
-    silence: int = 2_500_000
-    save: int = 1_000_000
-    longest: int = 4_000_000  # bytes of a list, unpacked
+    heartbeat_timeout: int = 1_500_000
+    stream_timeout: int = 2_500_000
+    save_interval: int = 1_000_000
+    max_snapshot_bytes: int = 4_000_000  # of a list, decoded
     ready: float = 0.0  # fronts that become ready a second, of the whole fleet; 0: each at once
     region: str = ""
     site: str = ""  # empty: this front subscribes to the relays of its zone and stands in no tree
@@ -66,4 +66,4 @@
     gather: int = 250_000  # for which events are gathered before they go to children
     window: int = 300_000_000  # events kept for those behind: so long, ...
     window_bytes: int = 1_000_000  # ... and at most so many bytes of them, coded
-    gone: int = 60_000_000  # after a purge, until its copies are gone everywhere
+    purge_lifetime: int = 60_000_000  # after a purge, until its copies are gone everywhere
--- a/limepath/discovery/bounds.py
+++ b/limepath/discovery/bounds.py
@@ -47,7 +47,7 @@
     """How old the service's last word may be in a list that counts as up to date, so many hops below a root;
     each hop tells it on with the next heartbeat.
     """
-    return terms.silence + terms.patience + hops * (terms.beat + WAY)
+    return terms.stream_timeout + terms.heartbeat_timeout + hops * (terms.beat + WAY)
 
 
 def brought(terms, hops):
@@ -80,7 +80,7 @@
     """Give the Bounds; `sites` counts with a site in the settings only."""
     hops = hops_of(terms, fronts, zones, sites)
     budget = Budget(terms._replace(fronts=max(fronts, terms.fronts)), lambda: 1.0)
-    relay_call = int(1.5 * budget.span_of(terms.relays * zones)) + terms.silence + WAY + QUIET
+    relay_call = int(1.5 * budget.span_of(terms.relays * zones)) + terms.stream_timeout + WAY + QUIET
     whole = 2 * terms.beat + WAY + fronts * 2_000
     event = brought(terms, hops) if hops else BATCH + WAY
     late = fresh(terms, hops)
@@ -88,13 +88,13 @@
         event=event,
         repaired=event + terms.beat,
         relays_gone=late + terms.beat + relay_call + terms.beat + event,
-        stream_still=terms.silence + relay_call + event,
-        restored=2 * relay_call + terms.silence + 2 * terms.beat + whole + event,
+        stream_still=terms.stream_timeout + relay_call + event,
+        restored=2 * relay_call + terms.stream_timeout + 2 * terms.beat + whole + event,
         alone=late
         + TURN
         + 2 * terms.beat
         + int(1.5 * budget.span_of(max(fronts, terms.fronts)))
-        + terms.silence
+        + terms.stream_timeout
         + WAY
         + QUIET,
         known_late=late,
@@ -140,7 +140,9 @@
     """Give the TreeBounds of a fleet whose fronts and sites are spread evenly over its zones."""
     hops = hops_of(terms if terms.site else terms._replace(site="any"), fronts, zones, sites)
     event = brought(terms, hops)
-    passed = terms.patience + 2 * terms.beat + WAY  # a silent parent's place is taken by the next candidate
+    passed = (
+        terms.heartbeat_timeout + 2 * terms.beat + WAY
+    )  # a silent parent's place is taken by the next candidate
     call = int(1.5 * Budget(terms, lambda: 1.0).span_of(terms.relays * zones)) + WAY + QUIET
     ticks = SECOND / terms.gather
     per_beat = SECOND / terms.beat * (children_at_most(terms) + watchers_at_most(terms) + 4)
@@ -152,7 +154,7 @@
         root_gone=passed + 2 * event,
         known_late=fresh(terms, hops),
         rejoined=REJOIN + passed + 2 * event,
-        reconnected=call + 2 * terms.silence + terms.beat,
+        reconnected=call + 2 * terms.stream_timeout + terms.beat,
         gather=terms.gather,
         children=children_at_most(terms),
         most_bytes=int(most + OTHER_BYTES),
--- a/limepath/discovery/heard.py
+++ b/limepath/discovery/heard.py
@@ -56,7 +56,7 @@
             source.behind = None  # it told this before the last events came
         elif 0 <= message.age < (self.held.age() or 0) and not self.held.late():
             source.behind = source.behind or now  # it says that it is up to date, and is not
-            if now - source.behind > self.terms.patience:
+            if now - source.behind > self.terms.heartbeat_timeout:
                 self.contradicted(token, f"up to date at {theirs.number}, others are at {place.number}")
 
     def fetch(self, token, message):
--- a/limepath/discovery/held.py
+++ b/limepath/discovery/held.py
@@ -34,7 +34,7 @@
         self.given, self.confirmed_at, self.saving, self.stale = False, None, False, False
 
     def empty(self):
-        return List(self.terms.gone + self.terms.window)
+        return List(self.terms.purge_lifetime + self.terms.window)
 
     def read(self, saved):
         """Take a saved list up: where it stands is told to relays, so that they tell what is new; it goes
@@ -48,12 +48,17 @@
 
     def unpacked(self, data):
         """The list of packed bytes; raise BadList."""
-        return unpacked(data, self.terms.longest, self.timers.now, self.terms.gone + self.terms.window)
+        return unpacked(
+            data,
+            self.terms.max_snapshot_bytes,
+            self.timers.now,
+            self.terms.purge_lifetime + self.terms.window,
+        )
 
     def save_soon(self):
         if not self.saving:
             self.saving = True
-            wait = self.terms.save
+            wait = self.terms.save_interval
             if self.tree.on:  # events never cease; a restarted front is told those since by the window
                 wait = max(wait, self.terms.window // SAVES_IN_WINDOW)
             self.timers.schedule(self.timers.now + wait, self.save)
--- a/limepath/discovery/host.py
+++ b/limepath/discovery/host.py
@@ -177,7 +177,7 @@
     """
     zone = front.settings["areas"][front.settings["az"]]
     gone = int(front.settings.get("family-info", {}).get("gone-everywhere", 0)) // 1000  # told in nanoseconds
-    terms = terms._replace(zone=zone, gone=gone or terms.gone)
+    terms = terms._replace(zone=zone, purge_lifetime=gone or terms.purge_lifetime)
     changes = GuidedChangeLog(
         reactor, turn, caches, limits, log, front.settings, front.seed, cooperation, terms
     )
--- a/limepath/discovery/roles.py
+++ b/limepath/discovery/roles.py
@@ -80,7 +80,7 @@
             self.budget.unwanted()
             if (
                 self.stream.state
-                and now - self.unneeded > HOLD * self.terms.patience
+                and now - self.unneeded > HOLD * self.terms.heartbeat_timeout
                 and self.upstream.told_by_others()
             ):
                 self.stream.hang_up("relays tell")
--- a/limepath/discovery/snapshot.py
+++ b/limepath/discovery/snapshot.py
@@ -100,7 +100,7 @@
         if not message.of:  # it has a newer one by now, or none: the next beat tells
             self.fetch = None
             return
-        if message.of * DATA > self.terms.longest + DATA or not 0 <= message.piece < message.of:
+        if message.of * DATA > self.terms.max_snapshot_bytes + DATA or not 0 <= message.piece < message.of:
             self.fetch = None
             return self.heard.nonsense(token, f"a list of {message.of} pieces")
         if fetch.place is None:
--- a/limepath/discovery/stream.py
+++ b/limepath/discovery/stream.py
@@ -45,15 +45,15 @@
         # state, which would say nothing until its numbers pass ours, does not tell it again
         self.times.clear()
         self.meets, self.differs, self.tail = False, False, []
-        self.timers.schedule(self.timers.now + self.terms.silence, self.still_silent, self.serial)
+        self.timers.schedule(self.timers.now + self.terms.stream_timeout, self.still_silent, self.serial)
 
     def still_silent(self, serial):
         if serial != self.serial or not self.state:
             return
-        if self.timers.now - self.heard_at >= self.terms.silence:
+        if self.timers.now - self.heard_at >= self.terms.stream_timeout:
             self.hang_up("silent")
         else:
-            self.timers.schedule(self.heard_at + self.terms.silence, self.still_silent, serial)
+            self.timers.schedule(self.heard_at + self.terms.stream_timeout, self.still_silent, serial)
 
     def hang_up(self, why):
         self.timers.emit(CloseStream(why))
@@ -63,7 +63,7 @@
         now = self.timers.now
         self.timers.emit(LogEvent("list-stream", {"ended": why, "after": self.held.list.place.number}))
         self.whole |= (
-            not self.caught_up or now - self.heard_at >= self.terms.silence
+            not self.caught_up or now - self.heard_at >= self.terms.stream_timeout
         )  # it may have been restored meanwhile
         self.state, self.incoming = None, None
         self.serial += 1
@@ -158,8 +158,8 @@
             return
         if not self.caught_up:
             behind = incoming is not None and incoming.place.number < self.held.list.place.number
-            due = self.event_at + (self.terms.silence if behind else QUIET)
-            if now < due and not self.times.live(now, self.terms.silence if behind else LIVE):
+            due = self.event_at + (self.terms.stream_timeout if behind else QUIET)
+            if now < due and not self.times.live(now, self.terms.stream_timeout if behind else LIVE):
                 return self.timers.schedule(due, self.told_all, serial)
         if self.incoming is not None:
             incoming, self.incoming = self.incoming, None
--- a/limepath/discovery/tree.py
+++ b/limepath/discovery/tree.py
@@ -111,7 +111,7 @@
         source = self.upstream.sources.get(self.parent)
         if late <= 0 or source and source.beat and source.beat.number >= self.wanted[0]:
             return False  # the parent has it, and sends as fast as its pace allows
-        if late > self.terms.patience and self.parent is not None:
+        if late > self.terms.heartbeat_timeout and self.parent is not None:
             self.slow(self.parent)
         return True
 
--- a/limepath/discovery/upstream.py
+++ b/limepath/discovery/upstream.py
@@ -104,7 +104,7 @@
             return None
         if source.bad_until > now:
             return "bad"
-        if source.owes and now - source.owes > terms.patience:
+        if source.owes and now - source.owes > terms.heartbeat_timeout:
             return "silent"
         if source.beat:
             age = now - source.at + source.beat.age
@@ -120,11 +120,11 @@
             if (
                 source
                 and source.beat
-                and now - source.at <= 2 * terms.patience + terms.beat
+                and now - source.at <= 2 * terms.heartbeat_timeout + terms.beat
                 and source.bad_until <= now
             ):
                 if source.beat.tries or 0 <= source.beat.age <= self.held.fresh():
                     return True
-            elif source and not source.beat and source.owes and now - source.owes <= terms.patience:
+            elif source and not source.beat and source.owes and now - source.owes <= terms.heartbeat_timeout:
                 return True  # it was asked just now
         return False
--- a/tests/test_event_tree.py
+++ b/tests/test_event_tree.py
@@ -624,7 +624,7 @@
 
 
 def test_a_purge_is_kept_until_its_copies_are_gone_everywhere_at_a_front_that_was_behind_by_a_whole_window():
-    terms = TERMS._replace(window=20 * SECOND, gone=7 * SECOND)
+    terms = TERMS._replace(window=20 * SECOND, purge_lifetime=7 * SECOND)
     front = Member(held(3).packed(), terms=terms)
     count = 0
     for first in range(4, 5004, 50):  # more than any count that was kept before
@@ -633,7 +633,7 @@
         count += 50
     kept = front.logic.held.list.purges
     assert len(kept) == 5000 + 2
-    front.run(terms.window + terms.gone - 3 * SECOND)
+    front.run(terms.window + terms.purge_lifetime - 3 * SECOND)
     again = Member(front.logic.held.list.packed(front.now), terms=terms)
     assert len(again.logic.held.list.purges) == 5002  # a front that reads the whole list now has them too
     again.told(again.parent, batch(5004, 5004))
--- a/tests/test_listing.py
+++ b/tests/test_listing.py
@@ -175,7 +175,7 @@
     front.hear(StreamOpened(), StreamEventReceived(whole(1)), StreamEventReceived(event(2)))
     front.run(QUIET)
     assert front.logic.held.list.place == (0, 4)  # it may be telling all slowly
-    front.run(TERMS.silence - QUIET - 1)
+    front.run(TERMS.stream_timeout - QUIET - 1)
     front.hear(StreamActive())
     front.run(10)
     assert front.logic.held.list.place == (1, 2) and any(
@@ -274,7 +274,7 @@
 
 def fetched(served, longest=4_000_000, spoil=lambda piece: piece):
     """A newcomer gets a whole list from one that holds it; give the newcomer."""
-    newcomer = Fronting([2], terms=TERMS._replace(longest=longest)).run(SECOND)
+    newcomer = Fronting([2], terms=TERMS._replace(max_snapshot_bytes=longest)).run(SECOND)
     newcomer.hear(PeerMessage(2, Heartbeat("sur", *served.held.list.place, served.held.list.digest, 10 * MS)))
     done = 0
     for _ in range(3000):
@@ -370,7 +370,7 @@
 def test_the_bounds_follow_from_the_settings():
     one = bounds(DiscoverySettings(fronts=10), 10)
     assert bounds(
-        DiscoverySettings(fronts=10, silence=5 * SECOND), 10
+        DiscoverySettings(fronts=10, stream_timeout=5 * SECOND), 10
     ).relays_gone > one.relays_gone and one.known_late == fresh(DiscoverySettings())
     assert (
         bounds(DiscoverySettings(fronts=300), 300).alone > one.alone and one.calls <= DiscoverySettings().rate
--- a/tests/test_scale_plan.py
+++ b/tests/test_scale_plan.py
@@ -167,7 +167,7 @@
         and slow.plans[0].interval == 10 * plain.plans[0].interval
     )
     assert slow.listing.rate == plain.listing.rate / 10 and slow.listing.ready == plain.listing.ready / 10
-    assert slowest.listing.silence == 20 * plain.listing.silence
+    assert slowest.listing.stream_timeout == 20 * plain.listing.stream_timeout
 
 
 def test_the_same_seed_gives_the_same_tokens(tmp_path):
