--- a/limepath/configuration/platform.py
+++ b/limepath/configuration/platform.py
@@ -7,7 +7,7 @@
 from limepath.configuration import decision_settings
 from limepath.configuration.addresses import address_of
 from limepath.configuration.decision_settings import LATERAL, REPEATS, SCOPES
-from limepath.configuration.process_limits import Limits, available, planned
+from limepath.configuration.process_limits import Limits, available_descriptors, plan_limits
 
 NAME, LISTEN, CONFIGURATION = "ROUTER_NAME", "ROUTER_LISTEN", "ROUTER_CONFIG"
 FIXED = ("name", "listen", "seed", "settings", "limits")  # `known` is of the start, the log tells more
@@ -252,26 +252,26 @@
     except (TypeError, ValueError, AttributeError, IndexError) as error:
         raise ConfigurationError(f"settings: {error}") from None
     machine = part(told, "limits", dict, {})
-    sockets = available(int(part(machine, "sockets", COUNT, 1024, "limits.")))
+    sockets = available_descriptors(int(part(machine, "sockets", COUNT, 1024, "limits.")))
     memory_mb = int(part(machine, "memory_mb", COUNT, 192, "limits."))
     longest = max(one.deadline for one in arguments["services"])
     last_answer = min(longest, LONGEST_WAITED_FOR) + LAST_ANSWER_AFTER
     told_last = part(machine, "last_answer_ms", Number(whole=True), last_answer // 1000, "limits.")
     taken = min(TAKEN_AT_MOST, max(REQUESTS_COME, int(told_last) * 1000 - CLOSED_BEFORE_LAST_ANSWER))
-    leaving = int(part(machine, "leaving_ms", Number(whole=True), taken // 1000, "limits.")) * 1000
+    drain_period = int(part(machine, "leaving_ms", Number(whole=True), taken // 1000, "limits.")) * 1000
     allowed = settings.get("limits", {})
     us = decision_settings.us
     connect, grace = us(allowed.get("connect-timeout", 400_000_000)), arguments["grace"]
-    limits = planned(
+    limits = plan_limits(
         sockets,
         memory_mb,
         allowed.get("streams-per-conn", 1),
-        open_gets=allowed.get("max-open", 20_000),
-        leaving=leaving,
+        open_requests=allowed.get("max-open", 20_000),
+        drain_period=drain_period,
         last_answer=int(told_last) * 1000,
         last_call=longest,
         connect=connect,
-        come_back=arguments["allowance"].max_retry_after // 10,
+        overload_retry_after=arguments["allowance"].max_retry_after // 10,
         wait=min(connect, grace.drain, grace.purge or connect),
         cache_idle=us(allowed.get("conn-idle", 30_000_000_000)) * 8 // 10,
     )
--- a/limepath/front/cache_connection.py
+++ b/limepath/front/cache_connection.py
@@ -35,7 +35,7 @@
     """One connection: commands out, answers in, in any order."""
 
     def __init__(self, peer):
-        self.peer, self.out, self.past, self.queued = peer, {}, deque(maxlen=peer.limits.past), 0
+        self.peer, self.out, self.past, self.queued = peer, {}, deque(maxlen=peer.limits.remembered_tags), 0
         self.leads_to = (peer.address, peer.since)
         self.buffer, self.answer = (
             bytearray(),
--- a/limepath/front/cache_peer.py
+++ b/limepath/front/cache_peer.py
@@ -35,7 +35,7 @@
     def done_with(self, now):
         """Gone, and nothing is out or waits: nobody will speak of it any more."""
         held = self.connections or self.waiting or self.coming
-        return self.gone is not None and now - self.gone > self.limits.gone and not held
+        return self.gone is not None and now - self.gone > self.limits.removed_endpoint_lifetime and not held
 
     def send(self, attempt):
         """A forward has a connection to itself where one can be had: what breaks takes no other along."""
--- a/limepath/front/client_connection.py
+++ b/limepath/front/client_connection.py
@@ -164,7 +164,7 @@
         half read for a while (a flood of slow senders must not keep all others out), the idle, those who have
         just come, and last those that still take an answer.
         """
-        young = now - self.moved < self.clients.limits.young
+        young = now - self.moved < self.clients.limits.first_request_grace
         if self.stuck:
             place = 5
         elif self.state is State.LINGERING:
--- a/limepath/front/clients.py
+++ b/limepath/front/clients.py
@@ -65,7 +65,7 @@
 
     def counted(self):
         """Accept no more connections than planned; at the limit close what has been idle longest."""
-        over = len(self.connections) > self.limits.viewers
+        over = len(self.connections) > self.limits.client_connections
         if self.port and over != self.full:
             self.full = over
             self.port.stopReading() if over else self.port.startReading()
@@ -83,14 +83,14 @@
         few more that no one will miss: to look at all of them for each that comes costs too much.
         """
         self.making_room = False
-        over = len(self.connections) - self.limits.viewers - len(self.closing)
+        over = len(self.connections) - self.limits.client_connections - len(self.closing)
         if over <= 0:
             return
         idle = [one for one in self.connections if one.get is None and one not in self.closing]
         self.log.say("descriptors", clients=len(self.connections), idle=len(idle))
         now, unread = clock(), with_unread(idle)
         standings = ((one in unread, *one.standing(now), one) for one in idle)
-        first = nsmallest(over + self.limits.viewers // 64, standings, key=itemgetter(0, 1, 2))
+        first = nsmallest(over + self.limits.client_connections // 64, standings, key=itemgetter(0, 1, 2))
         for number, (had_unread, place, _, one) in enumerate(first):
             if number >= over and (place >= YOUNG or had_unread):
                 continue
@@ -103,7 +103,7 @@
     def one_more_stuck(self):
         """Answers that clients do not take must not fill the memory: the longest untaken is given up."""
         stuck = [one for one in self.connections if one.stuck]
-        if len(stuck) > self.limits.all_stuck:
+        if len(stuck) > self.limits.undrained_connections:
             self.log.say("memory", "clients do not take their answers", clients=len(stuck))
             min(stuck, key=lambda one: one.moved).close(abort=True)
 
@@ -114,9 +114,9 @@
         get = Request(next(self.ids), connection, method, target, fields, body, self.services, arrived_at)
         if get.txn in self.txns:  # two with one id could not be told apart at the caches
             raise Flaw(409, "an id that is open")
-        if len(self.open) >= self.limits.open_gets:
+        if len(self.open) >= self.limits.open_requests:
             self.log.say("open", "one more shed", gets=len(self.open))
-            connection.write(503, throttle(self.limits.come_back))
+            connection.write(503, throttle(self.limits.overload_retry_after))
             return
         self.open[get.id], connection.get = get, get
         self.txns.add(get.txn)
@@ -194,7 +194,7 @@
     def sweep(self):
         """Close what is idle, half sent or not taken for long; tell who holds the descriptors once they are
         taken."""
-        if len(self.connections) >= self.limits.viewers:
+        if len(self.connections) >= self.limits.client_connections:
             self.log.say("descriptors-by-use", **descriptor_use(self, self.caches, self.limits)._asdict())
         now = clock()
         for one in list(self.connections):
@@ -211,7 +211,7 @@
     def patience(self, one):
         limits = self.limits
         if one.stuck or one.state is State.LINGERING and not one.flushed:
-            return limits.stuck
+            return limits.undrained_timeout
         if one.state is State.LINGERING:
             return limits.linger
         return limits.slow if one.buffer or not one.asked else limits.viewer_idle
@@ -222,7 +222,7 @@
             self.leaving = True
             self.log.say("leaving", gets=len(self.open))
             self.shorten_open()
-            self.reactor.callLater(self.limits.leaving / 1e6, self.close_up)
+            self.reactor.callLater(self.limits.drain_period / 1e6, self.close_up)
 
     def shorten_open(self):
         """Whoever told this front to end kills it once the longest deadline is over, as far as that is waited
--- a/limepath/front/descriptors.py
+++ b/limepath/front/descriptors.py
@@ -18,4 +18,4 @@
     total = len(os.listdir("/proc/self/fd")) - 1  # the directory itself is open while it is read
     held = len(clients.connections)
     other = total - held - caches.held
-    return DescriptorUse(held, caches.held, other, limits.viewers + limits.all_cache_connections)
+    return DescriptorUse(held, caches.held, other, limits.client_connections + limits.all_cache_connections)
--- a/limepath/scale/data_path.py
+++ b/limepath/scale/data_path.py
@@ -87,7 +87,7 @@
 
     def sweep(self):
         """Forget members that have been gone for long."""
-        oldest = clock() - self.limits.gone
+        oldest = clock() - self.limits.removed_endpoint_lifetime
         gone = [ident for ident, peer in self.peers.items() if peer.gone is not None and peer.gone < oldest]
         for ident in gone:
             del self.peers[ident]
--- a/tests/test_departed_clients.py
+++ b/tests/test_departed_clients.py
@@ -14,7 +14,7 @@
 from twisted.internet.error import ConnectionDone
 from twisted.python.failure import Failure
 
-from limepath.configuration.process_limits import planned
+from limepath.configuration.process_limits import plan_limits
 from limepath.front import departures
 from limepath.front.client_connection import ClientConnection
 from limepath.front.clients import Clients
@@ -349,7 +349,7 @@
 
 
 def test_an_attempt_that_began_after_its_client_had_gone_is_counted_with_how_late(capsys):
-    limits = planned(1024, 192, 32, open_gets=9)
+    limits = plan_limits(1024, 192, 32, open_requests=9)
     turn = SimpleNamespace(gather=lambda *notes: None)
     log = Log("n1", 5, 10_000_000)
     clients = Clients(None, turn, limits, log, {})
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -10,9 +10,9 @@
 from limepath.configuration.process_limits import (
     ACCEPTED_AT_ONCE,
     CROSSING_CLOSES,
-    KEPT_BACK,
-    available,
-    planned,
+    RESERVED_DESCRIPTORS,
+    available_descriptors,
+    plan_limits,
 )
 from tests.stand_ins import BOUND, Site, StandInCache, accepting, until
 from tests.test_departed_clients import driven  # noqa: F401 (a fixture)
@@ -20,7 +20,7 @@
 
 SOCKETS = 120
 FLOOD = 300
-CLIENTS = planned(SOCKETS, 192, 32, open_gets=9).viewers
+CLIENTS = plan_limits(SOCKETS, 192, 32, open_requests=9).client_connections
 
 
 def down(log):
@@ -118,7 +118,7 @@
 
 def test_the_system_may_give_fewer_descriptors_than_the_settings_tell():
     soft, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
-    assert available(soft + 1) == soft and available(64) == 64
+    assert available_descriptors(soft + 1) == soft and available_descriptors(64) == 64
     with Site(descriptors=SOCKETS, limits={"sockets": 5000}) as site:
         site.log.called()
         where = down(site.log)
@@ -137,10 +137,12 @@
 
 @pytest.mark.parametrize("sockets", [120, 256, 1024, 5000, 12_500, 65_536])
 def test_the_shares_add_up_to_what_there_is(sockets):
-    limits = planned(sockets, 192, 32, open_gets=9)
-    assert limits.viewers + limits.all_cache_connections + KEPT_BACK <= sockets
+    limits = plan_limits(sockets, 192, 32, open_requests=9)
+    assert limits.client_connections + limits.all_cache_connections + RESERVED_DESCRIPTORS <= sockets
     crossing = ACCEPTED_AT_ONCE + CROSSING_CLOSES
-    assert crossing <= KEPT_BACK - 24  # a front that shares what it learns holds fewer than that besides
+    assert (
+        crossing <= RESERVED_DESCRIPTORS - 24
+    )  # a front that shares what it learns holds fewer than that besides
 
 
 class Answering(StandInCache):
@@ -156,7 +158,9 @@
 
 def test_idle_connections_to_caches_make_room_without_more_descriptors_than_are_kept_back(driven):  # noqa: F811
     number = 2 * CROSSING_CLOSES
-    front = driven(open_gets=number, wait=BOUND * 1_000_000, connect=BOUND * 1_000_000)  # however slow it is
+    front = driven(
+        open_requests=number, wait=BOUND * 1_000_000, connect=BOUND * 1_000_000
+    )  # however slow it is
     front.clients.services[b"video"] = (0, False, BOUND * 1_000_000)
     front.caches.limits = front.caches.limits._replace(all_cache_connections=number)
     first, second = Answering("s-1"), Answering("s-2")
@@ -196,6 +200,6 @@
         use = {name: int(value) for name, value in told}
         assert (use["clients"], use["caches"]) == (CLIENTS, 1)
         assert use["clients"] + use["caches"] + use["other"] == descriptors(site)
-        assert use["planned"] == SOCKETS - KEPT_BACK
+        assert use["planned"] == SOCKETS - RESERVED_DESCRIPTORS
         for one in viewers:
             one.close()
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -16,7 +16,7 @@
 from twisted.internet.testing import MemoryReactorClock, StringTransport
 
 from limepath.configuration.platform import front_settings
-from limepath.configuration.process_limits import planned
+from limepath.configuration.process_limits import plan_limits
 from limepath.front import cache_peer
 from limepath.front.cache_connection import CacheConnection
 from limepath.front.caches import Caches
@@ -245,7 +245,10 @@
 
 def parts(front, reactor=None, **limits):
     """The front's parts on a reactor of the test's own, and a way to send one GET in."""
-    reactor, limits = reactor or MemoryReactorClock(), planned(1024, 192, 32, **{"open_gets": 9} | limits)
+    reactor, limits = (
+        reactor or MemoryReactorClock(),
+        plan_limits(1024, 192, 32, **{"open_requests": 9} | limits),
+    )
     log = Log("n1", 5, 1)
     turn = Turn(reactor, front, limits, log)
     clients = Clients(reactor, turn, limits, log, {b"video": (0, False, 5_000_000)})
@@ -512,7 +515,7 @@
     taking.state = State.LINGERING
     clients.connections.add(taking)
     clients.leave()
-    reactor.advance(clients.limits.leaving / 1e6)
+    reactor.advance(clients.limits.drain_period / 1e6)
     reactor.advance(0)
     reactor.advance(4.9)
     assert not clients.gone.called
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -12,7 +12,7 @@
 from twisted.internet.testing import MemoryReactorClock, StringTransport
 
 from limepath.configuration.platform import front_settings
-from limepath.configuration.process_limits import planned
+from limepath.configuration.process_limits import plan_limits
 from limepath.front.attempt import Probing
 from limepath.front.cache_connection import CacheConnection
 from limepath.front.cache_protocol import Unreadable, read_answer, read_load
@@ -289,7 +289,7 @@
 
 
 def test_what_was_never_written_whole_has_not_run():
-    reactor, front, limits = MemoryReactorClock(), EagerFront(), planned(1024, 192, 32, open_gets=9)
+    reactor, front, limits = MemoryReactorClock(), EagerFront(), plan_limits(1024, 192, 32, open_requests=9)
     log = Log("n1", 0, 1)
     turn = Turn(reactor, front, limits, log)
     clients = Clients(reactor, turn, limits, log, {b"video": (0, False, 5_000_000)})
@@ -431,7 +431,7 @@
 
 
 def test_the_silent_and_the_endless_are_ended_soon():
-    limits = planned(256, 64, 32, open_gets=9)
+    limits = plan_limits(256, 64, 32, open_requests=9)
     assert max(limits.slow, limits.linger) + 2 * limits.sweep < 3_000_000  # all of it
     with Site() as site:
         silent, half, after = site.viewer(), site.viewer().raw("GET /inv"), site.viewer().send()
@@ -448,7 +448,7 @@
 
 
 def test_what_is_read_once_its_connection_is_being_closed_is_not_taken():
-    limits, front = planned(1024, 192, 32, open_gets=9), BrokenFront()
+    limits, front = plan_limits(1024, 192, 32, open_requests=9), BrokenFront()
     clients = Clients(Clock(), Turn(Clock(), front, limits, Log("n1", 0, 1)), limits, Log("n1", 0, 1), {})
     connection, transport = ClientConnection(clients), StringTransport()
     transport.setTcpNoDelay = lambda on: None
@@ -470,7 +470,11 @@
 
 
 def test_of_many_generations_only_the_last_is_held():
-    reactor, host, limits = MemoryReactorClock(), FakeHost(), planned(1024, 192, 32, open_gets=9, gone=-1)
+    reactor, host, limits = (
+        MemoryReactorClock(),
+        FakeHost(),
+        plan_limits(1024, 192, 32, open_requests=9, removed_endpoint_lifetime=-1),
+    )
     log = Log("n1", 0, 1)
     turn = Turn(reactor, host.front, limits, log)
     clients = Clients(reactor, turn, limits, log, {})
@@ -575,7 +579,7 @@
 
 
 def test_a_fault_of_the_module_errors_its_gets_and_loses_no_purge():
-    clock, front, limits = Clock(), BrokenFront(), planned(1024, 192, 32, open_gets=9)
+    clock, front, limits = Clock(), BrokenFront(), plan_limits(1024, 192, 32, open_requests=9)
     log = Log("n1", 0, 1)
     turn = Turn(clock, front, limits, log)
     clients = Clients(clock, turn, limits, log, {b"video": (0, False, 5_000_000)})
@@ -655,9 +659,13 @@
 
 
 def test_descriptors_are_shared_out_and_untaken_answers_bounded():
-    limits = planned(1024, 192, 32, open_gets=20_000)
-    assert (limits.viewers, limits.all_cache_connections, limits.all_stuck) == (409, 551, 316)
-    assert planned(1024, 64, 32, open_gets=20_000).all_stuck == 50
+    limits = plan_limits(1024, 192, 32, open_requests=20_000)
+    assert (limits.client_connections, limits.all_cache_connections, limits.undrained_connections) == (
+        409,
+        551,
+        316,
+    )
+    assert plan_limits(1024, 64, 32, open_requests=20_000).undrained_connections == 50
 
 
 def test_an_answer_may_be_split_at_any_byte():
@@ -665,7 +673,7 @@
     for split in range(len(stream) + 1):
         heard = []
         told = SimpleNamespace(
-            limits=planned(1024, 192, 32, open_gets=9),
+            limits=plan_limits(1024, 192, 32, open_requests=9),
             send_waiting=lambda: None,
             address=None,
             since=0,
@@ -724,7 +732,7 @@
 
 
 def test_a_forward_ordered_as_its_viewer_leaves_still_has_its_outcome():
-    reactor, front, limits = MemoryReactorClock(), EagerFront(), planned(1024, 192, 32, open_gets=9)
+    reactor, front, limits = MemoryReactorClock(), EagerFront(), plan_limits(1024, 192, 32, open_requests=9)
     log = Log("n1", 0, 1)
     turn = Turn(reactor, front, limits, log)
     clients = Clients(reactor, turn, limits, log, {b"video": (0, False, 5_000_000)})
@@ -753,7 +761,7 @@
 
 
 def test_a_get_that_the_module_forgets_is_errored_after_its_time():
-    clock, front, limits = Clock(), BrokenFront(), planned(1024, 192, 32, open_gets=9)
+    clock, front, limits = Clock(), BrokenFront(), plan_limits(1024, 192, 32, open_requests=9)
     front.handle = lambda now, notes: []
     log, connection = Log("n1", 0, 1), FakeConnection()
     turn = Turn(clock, front, limits, log)
--- a/tests/test_hollow_fronts.py
+++ b/tests/test_hollow_fronts.py
@@ -7,7 +7,7 @@
 import pytest
 from twisted.internet.task import Clock
 
-from limepath.configuration.process_limits import planned
+from limepath.configuration.process_limits import plan_limits
 from limepath.discovery.interface import Subscribe
 from limepath.discovery.simulate import member
 from limepath.discovery.state import List
@@ -218,7 +218,10 @@
 def test_a_fault_in_a_sweep_is_told_and_the_next_sweep_comes(capsys):
     process, swept = Clock(), []
     life = Life.__new__(Life)
-    life.reactor, life.limits = FrontReactor(process, Account(Meter())), planned(1024, 192, 8, open_gets=9)
+    life.reactor, life.limits = (
+        FrontReactor(process, Account(Meter())),
+        plan_limits(1024, 192, 8, open_requests=9),
+    )
     life.log = CountingLog("h0", LogFile(""))
     life.sweep_sharing, life.caches = (lambda: 1 // 0), SimpleNamespace(sweep=lambda: swept.append(1))
     life.sweep()
--- a/tests/test_terms_shutdown.py
+++ b/tests/test_terms_shutdown.py
@@ -27,8 +27,8 @@
         told = configuration("127.0.0.1:9", settings=with_deadline(deadline), limits={})
         limits = front_settings(told, {}).limits
         killed = (min(deadline, 3000) + 700) * 1000
-        assert REQUESTS_COME < limits.leaving <= killed - 100_000, deadline
-        assert limits.leaving <= limits.last_answer <= killed - 100_000, deadline
+        assert REQUESTS_COME < limits.drain_period <= killed - 100_000, deadline
+        assert limits.drain_period <= limits.last_answer <= killed - 100_000, deadline
 
 
 def test_with_short_deadlines_the_kill_finds_nothing_unanswered():
--- a/tests/test_terms_standstill.py
+++ b/tests/test_terms_standstill.py
@@ -184,17 +184,19 @@
 def test_room_is_not_made_by_a_connection_whose_request_has_come(driven):  # noqa: F811
     """Too many connect in one pass, and in the same the one that has rested longest asks."""
     front = driven()
-    limits = front.clients.limits._replace(viewers=4)
+    limits = front.clients.limits._replace(client_connections=4)
     front.clients.limits = limits
     resting = []
-    for _ in range(limits.viewers):
+    for _ in range(limits.client_connections):
         resting.append(front.viewer().raw("GET /_health HTTP/1.1\r\n\r\n"))
         front.passes_until(lambda: select.select([resting[-1].socket], [], [], 0)[0])
         assert resting[-1].answer()[0] == 200
     crowd = [front.viewer() for _ in range(2)]
-    until(lambda: front.reactor.doIteration(0.01) or len(front.clients.connections) > limits.viewers)
+    until(
+        lambda: front.reactor.doIteration(0.01) or len(front.clients.connections) > limits.client_connections
+    )
     resting[0].send(ttl=5000)
-    front.passes_until(lambda: len(front.clients.connections) <= limits.viewers)
+    front.passes_until(lambda: len(front.clients.connections) <= limits.client_connections)
     front.passes_until(lambda: front.clients.open)
     assert len(crowd) == 2
 
@@ -216,7 +218,7 @@
 
 def end_resting(front, kept, way):
     if way == "for room":
-        front.clients.limits = front.clients.limits._replace(viewers=0)
+        front.clients.limits = front.clients.limits._replace(client_connections=0)
         front.clients.make_room()
     elif way == "shutdown":
         front.clients.close_resting()
