--- a/limepath/store.py
+++ b/limepath/store.py
@@ -1,16 +1,24 @@
 """The embedded store: small state that survives crashes, in SQLite; one way to open, check and recover it.
 
-Each row bears a checksum. A file that is missing, cut or damaged is told apart from a good one; a damaged one
-is put aside, never read. One process holds a store at a time. Writes are on the disk when `put` returns (one
-file, a rollback journal, synchronous EXTRA): with a log beside the file, a cut log would silently give the
-state of an earlier start.
+Each row has a checksum. A good file, a missing one and a truncated or damaged one are distinguished; a
+damaged one is set aside and never read. One process holds a store at a time. Writes are on the disk when `put`
+returns (one file, a rollback journal, synchronous EXTRA): with a write-ahead log beside the file, a truncated
+log would silently give the state of an earlier start.
 """
 
 import os
 import sqlite3
+from typing import TYPE_CHECKING
 from zlib import crc32
 
-NEW, GOOD, DAMAGED = "new", "good", "damaged"
+if TYPE_CHECKING:
+    from limepath.log import Log
+
+NEW = "new"
+GOOD = "good"
+DAMAGED = "damaged"
+
+Rows = dict[str, bytes]  # by name
 
 
 class StoreLockedError(Exception):
@@ -21,62 +29,84 @@
     """The store cannot be made at this path; the text says why."""
 
 
-def checksum(name, value):
+class StoreDamagedError(ValueError):
+    """The file is a database, but not one that this program left whole; the text says what was found."""
+
+
+def checksum(name: str, value: bytes) -> int:
+    """Return the checksum of a row: CRC-32 of its name, then of its value."""
     return crc32(value, crc32(name.encode()))
 
 
 class Store:
-    """`found` is NEW, GOOD or DAMAGED; `aside` where a damaged file went."""
+    """Rows of bytes by name, in one SQLite file that this process holds until `close`.
 
-    def __init__(self, path):
-        self.path, self.aside = path, None
+    Attributes:
+        path: the file.
+        found: NEW, GOOD or DAMAGED: what stood at the path when it was opened.
+        aside: where a damaged file was moved to, or None.
+        database: the connection to the file, which holds its exclusive lock.
+    """
+
+    def __init__(self, path: str) -> None:
+        """Open the file, or make it; a damaged one is set aside and an empty store made.
+
+        Raises:
+            StoreLockedError: another process holds it.
+            StoreUnusableError: it can be neither opened nor made.
+        """
+        self.path = path
+        self.found = NEW
+        self.aside: str | None = None
+        self.database: sqlite3.Connection | None = None
         os.makedirs(os.path.dirname(os.path.abspath(path)), exist_ok=True)
         existed = os.path.exists(path)
         try:
-            self.base = self.opened()
-            self.found = GOOD if existed else NEW
+            self._open()
             if existed:
-                self.verify()
-        except (sqlite3.DatabaseError, ValueError) as error:
+                self.found = GOOD
+                self._verify()
+        except (sqlite3.DatabaseError, StoreDamagedError) as error:
             if "locked" in str(error):
                 raise StoreLockedError(f"{path}: held by another process") from None
             if "unable to open" in str(error) or not existed:
                 raise StoreUnusableError(f"{path}: {error}") from None
-            self.put_aside()
-
-    def opened(self):
-        base = sqlite3.connect(self.path, timeout=0, isolation_level=None)
-        base.execute("PRAGMA locking_mode = EXCLUSIVE")
-        base.execute("PRAGMA journal_mode = DELETE")
-        base.execute("PRAGMA synchronous = EXTRA")
-        base.execute("BEGIN EXCLUSIVE")
-        base.execute(
+            self._replace_damaged()
+
+    def _open(self) -> None:
+        """Open the database and take its lock; the connection is kept at once, so that it can be closed."""
+        self.database = sqlite3.connect(self.path, timeout=0, isolation_level=None)
+        self.database.execute("PRAGMA locking_mode = EXCLUSIVE")
+        self.database.execute("PRAGMA journal_mode = DELETE")
+        self.database.execute("PRAGMA synchronous = EXTRA")
+        self.database.execute("BEGIN EXCLUSIVE")
+        self.database.execute(
             "CREATE TABLE IF NOT EXISTS state (name TEXT PRIMARY KEY, value BLOB NOT NULL, "
             "sum INTEGER NOT NULL)"
         )
-        base.execute("COMMIT")
-        return base
+        self.database.execute("COMMIT")
 
-    def verify(self):
-        if self.base.execute("PRAGMA quick_check").fetchone() != ("ok",):
-            raise ValueError("not whole")
+    def _verify(self) -> None:
+        if self.database.execute("PRAGMA quick_check").fetchone() != ("ok",):
+            raise StoreDamagedError("SQLite's quick_check found faults")
         self.all()
 
-    def all(self):
-        """All rows; ValueError at one whose checksum does not fit."""
+    def all(self) -> Rows:
+        """Return all rows.
+
+        Raises:
+            StoreDamagedError: a row does not match its checksum.
+        """
         rows = {}
-        for name, value, told in self.base.execute("SELECT name, value, sum FROM state"):
-            if not isinstance(value, bytes) or checksum(name, value) != told:
-                raise ValueError(f"{name}: does not fit its checksum")
+        for name, value, stored_checksum in self.database.execute("SELECT name, value, sum FROM state"):
+            if not isinstance(value, bytes) or checksum(name, value) != stored_checksum:
+                raise StoreDamagedError(f"{name}: does not match its checksum")
             rows[name] = value
         return rows
 
-    def put_aside(self):
-        """Keep the damaged file for whoever wants to look, and begin anew."""
-        try:
-            self.base.close()
-        except (AttributeError, sqlite3.Error):
-            pass
+    def _replace_damaged(self) -> None:
+        """Set the damaged file aside for whoever wants to examine it, and make an empty store."""
+        self._close_damaged()
         number = 1
         while os.path.exists(f"{self.path}.damaged-{number}"):
             number += 1
@@ -85,43 +115,66 @@
         if os.path.exists(self.path + "-journal"):
             os.remove(self.path + "-journal")
         try:
-            self.base, self.found = self.opened(), DAMAGED
+            self._open()
         except sqlite3.DatabaseError as error:
             raise StoreUnusableError(f"{self.path}: {error}") from None
+        self.found = DAMAGED
+
+    def _close_damaged(self) -> None:
+        try:
+            if self.database:
+                self.database.close()
+        except sqlite3.Error:
+            pass
+
+    def put(self, rows: Rows) -> None:
+        """Write all these rows or none; they are on the disk when this returns.
 
-    def put(self, rows):
-        """Write all these rows or none; they are on the disk when this returns."""
-        self.base.execute("BEGIN IMMEDIATE")
+        Raises:
+            sqlite3.Error: the system refused the write; the store holds what it held before.
+        """
+        self.database.execute("BEGIN IMMEDIATE")
         try:
-            self.base.executemany(
+            self.database.executemany(
                 "INSERT OR REPLACE INTO state VALUES (?, ?, ?)",
                 [(name, value, checksum(name, value)) for name, value in rows.items()],
             )
-            self.base.execute("COMMIT")
+            self.database.execute("COMMIT")
         except sqlite3.Error:
-            if self.base.in_transaction:  # after some errors of the disk SQLite has rolled back by itself
-                self.base.execute("ROLLBACK")
+            if self.database.in_transaction:  # after some disk errors SQLite has rolled back by itself
+                self.database.execute("ROLLBACK")
             raise
 
-    def close(self):
-        self.base.close()
+    def close(self) -> None:
+        """Release the file."""
+        self.database.close()
 
 
 class PendingWrites:
-    """Rows on their way to a store whose folder may refuse them for a while: the latest of each name, tried
-    again until they are on the disk.
+    """Rows on their way to a store whose folder may refuse writes for a while.
+
+    The latest value of each name is kept and retried until it is on the disk.
+
+    Attributes:
+        store: where the rows are written.
+        log: where failures, and the first success after them, are logged.
+        rows: what is not on the disk yet.
+        failing: whether the last write failed.
     """
 
-    def __init__(self, store, log):
-        self.store, self.log, self.rows, self.failing = store, log, {}, False
+    def __init__(self, store: Store, log: "Log") -> None:
+        self.store = store
+        self.log = log
+        self.rows: Rows = {}
+        self.failing = False
 
-    def put(self, rows):
-        """Write these rows now, or as soon as the folder takes them."""
+    def put(self, rows: Rows) -> None:
+        """Write these rows now, or as soon as the folder takes writes again."""
         self.rows |= rows
         self.retry()
 
-    def retry(self):
-        """Write what waits, if anything does."""
+    def retry(self) -> None:
+        """Write the pending rows, if there are any."""
         if not self.rows:
             return
         try:
@@ -132,4 +185,5 @@
             return
         if self.failing:
             self.log.say("store-written", rows=",".join(self.rows))
-        self.rows, self.failing = {}, False
+        self.rows = {}
+        self.failing = False
--- /dev/null
+++ b/tests/test_store.py
@@ -0,0 +1,86 @@
+"""The embedded store: what is written survives, one process holds it, damage is found and never read."""
+
+import os
+import sqlite3
+import subprocess
+import sys
+
+import pytest
+
+from limepath.membership.identity import identity_of, kept_ceiling
+from limepath.store import DAMAGED, GOOD, NEW, Store, StoreLockedError, StoreUnusableError
+
+
+def test_rows_survive_a_restart_and_one_process_holds_the_store(tmp_path):
+    path = str(tmp_path / "sub" / "s.db")
+    store = Store(path)
+    assert store.found == NEW
+    store.put({"token": b"5", "life": b"1"})
+    with pytest.raises(StoreLockedError):
+        Store(path)
+    store.close()
+    again = Store(path)
+    assert again.found == GOOD and again.all() == {"token": b"5", "life": b"1"}
+    again.close()
+
+
+@pytest.mark.parametrize("damage", ("cut", "noise", "row", "no database", "empty row"))
+def test_a_damaged_store_is_detected_set_aside_and_never_read(tmp_path, damage):
+    path = tmp_path / "s.db"
+    store = Store(str(path))
+    store.put({"token": b"5", "life": b"9", "ceiling": b"7000"})
+    store.close()
+    intact = path.read_bytes()
+    if damage == "cut":
+        path.write_bytes(intact[: len(intact) // 2 + 7])
+    elif damage == "noise":
+        path.write_bytes(intact[: len(intact) - 4000] + b"\x55" * 4000)
+    elif damage == "no database":
+        path.write_bytes(b"hello" * 500)
+    else:
+        database = sqlite3.connect(path)
+        database.execute(
+            "UPDATE state SET value = ? WHERE name = 'life'", (b"" if damage == "empty row" else b"8",)
+        )
+        database.commit()
+        database.close()
+    found = Store(str(path))
+    assert found.found == DAMAGED and found.all() == {} and os.path.exists(found.aside)
+    identity, _ = identity_of(found.all(), lambda: 77)
+    assert identity.token == 77 and not identity.sure
+    found.put(kept_ceiling(3))
+    found.close()
+    assert Store(str(path)).found == GOOD
+
+
+def test_a_store_that_cannot_be_made_is_an_error(tmp_path):
+    with pytest.raises(StoreUnusableError):
+        Store(str(tmp_path))
+    with pytest.raises(OSError):
+        Store("/proc/none/s.db")
+
+
+def test_a_write_killed_half_way_is_applied_completely_or_not_at_all(tmp_path):
+    path = str(tmp_path / "s.db")
+    script = (
+        "import sys; from limepath.store import Store; store = Store(sys.argv[1])\n"
+        "for number in range(10**9):\n"
+        "    store.put({name: b'%d' % number for name in ('a', 'b', 'c')})\n"
+        "    print(number, flush=True)\n"
+    )
+    for least in (3, 11):
+        process = subprocess.Popen(
+            [sys.executable, "-c", script, path],
+            stdout=subprocess.PIPE,
+            text=True,
+            env=os.environ | {"PYTHONPATH": os.getcwd()},
+        )
+        while (acknowledged := int(process.stdout.readline())) < least:
+            pass
+        process.kill()
+        process.wait()
+        process.stdout.close()
+        store = Store(path)
+        rows = store.all()
+        assert store.found == GOOD and len(set(rows.values())) == 1 and int(rows["a"]) >= acknowledged
+        store.close()
