--- a/limepath/log.py
+++ b/limepath/log.py
@@ -1,4 +1,4 @@
-"""The log: structured lines on standard error, so many of one event in a span, the rest counted.
+"""The log: structured lines on standard error; of each event so many in an interval, the rest are counted.
 
 A line has `time`, `instance`, `event` and the event's own fields, as key=value for a person or as JSON.
 """
@@ -9,104 +9,135 @@
 import sys
 import time
 import traceback
+from collections.abc import Callable
+from typing import Any, NamedTuple, TextIO
 
 import structlog
 
 FORMS = ("person", "json")
-LATE, EARLY = ("said",), ("time", "instance", "event")
+FIRST_FIELDS = ("time", "instance", "event")
+MAX_LINE_LENGTH = 4000  # bytes; a pipe that can be written takes 4,096 at the least (pipe(7))
+MICROSECONDS_PER_SECOND = 1e6
 
 
-LONGEST = 4000  # bytes of a line; a pipe that can be written takes 4,096 at the least (pipe(7))
+class StandardErrorLogger:
+    """What structlog writes lines to; a log that nobody reads does not block the program."""
 
-
-class Said:
-    """Where lines go; a log that nobody reads does not stop the program."""
-
-    def msg(self, line):
+    def msg(self, line: str) -> None:
         """Write the line, or drop it where standard error is a full pipe: a write would wait for a reader."""
         if not is_full_pipe(sys.stderr):
             try:
-                print(line[:LONGEST], file=sys.stderr, flush=True)
+                print(line[:MAX_LINE_LENGTH], file=sys.stderr, flush=True)
             except OSError:
                 pass
 
 
-def is_full_pipe(stream):
-    """Whether this stream is a pipe that takes no line now."""
+def is_full_pipe(stream: TextIO) -> bool:
+    """Return whether this stream is a pipe that takes no line now."""
     try:
-        number = stream.fileno()
-        if not stat.S_ISFIFO(os.fstat(number).st_mode):
+        descriptor = stream.fileno()
+        if not stat.S_ISFIFO(os.fstat(descriptor).st_mode):
             return False
-        room = select.poll()
-        room.register(number, select.POLLOUT)
-        return not room.poll(0)
+        poll = select.poll()
+        poll.register(descriptor, select.POLLOUT)
+        return not poll.poll(0)
     except (OSError, ValueError):  # no file behind it
         return False
 
 
-def lines_of(form, instance):
-    """The structlog logger that writes lines of this form (one of FORMS)."""
+def make_logger(form: str, instance: str) -> structlog.BoundLoggerBase:
+    """Return the structlog logger of an instance that writes lines of this form.
+
+    Raises:
+        ValueError: `form` is none of FORMS.
+    """
     if form not in FORMS:
-        raise ValueError(f"log form {form!r}")
-    draw = (
-        structlog.processors.JSONRenderer()
-        if form == "json"
-        else structlog.processors.LogfmtRenderer(key_order=EARLY, drop_missing=True)
-    )
+        raise ValueError(f"log form {form!r}: one of {', '.join(FORMS)} is expected")
+    if form == "json":
+        renderer = structlog.processors.JSONRenderer()
+    else:
+        renderer = structlog.processors.LogfmtRenderer(key_order=FIRST_FIELDS, drop_missing=True)
     return structlog.wrap_logger(
-        Said(),
+        StandardErrorLogger(),
         wrapper_class=structlog.BoundLoggerBase,
         cache_logger_on_first_use=True,
-        processors=[structlog.processors.TimeStamper(fmt="iso", key="time"), draw],
+        processors=[structlog.processors.TimeStamper(fmt="iso", key="time"), renderer],
     ).bind(instance=instance)
 
 
+class EventCount(NamedTuple):
+    """Lines of one event: `written` and `left_out` since `since`, in seconds of the log's clock."""
+
+    since: float
+    written: int = 0
+    left_out: int = 0
+
+
 class Log:
-    """`lines` of one event in `span` microseconds are written, then their number with the event's next
-    line.
-    """
+    """Writes events of one instance, with a limit on how many lines of one event stand in an interval.
 
-    def __init__(self, name, lines, span, form="person", clock=time.monotonic):
-        self.name, self.lines, self.span, self.kinds, self.clock = name, lines, span / 1e6, {}, clock
-        self.out = lines_of(form, name)
+    Further ones are counted, and their number (`left_out`) is written before the event's next line.
+
+    Attributes:
+        name: the instance, in every line.
+        lines: lines of one event that are written in an interval.
+        interval: its length in seconds.
+        clock: returns monotonic seconds.
+    """
 
-    def say(self, event, said=None, **fields):
-        """Write the event with its fields; `said` is a sentence where there is one to say."""
-        if said is not None:
-            fields["said"] = said
+    def __init__(
+        self,
+        name: str,
+        lines: int,
+        interval_us: float,
+        form: str = "person",
+        clock: Callable[[], float] = time.monotonic,
+    ) -> None:
+        self.name = name
+        self.lines = lines
+        self.interval = interval_us / MICROSECONDS_PER_SECOND
+        self.clock = clock
+        self._counts: dict[str, EventCount] = {}  # by event
+        self._logger = make_logger(form, name)
+
+    def say(self, event: str, text: str | None = None, /, **fields: Any) -> None:
+        """Write the event with its fields; `text` is a sentence where one is needed, the field `said`."""
+        if text is not None:
+            fields["said"] = text
         now = self.clock()
-        since, written, held = self.kinds.get(event, (now, 0, 0))
-        if now - since > self.span:
-            if held:
-                self.write(event, left_out=held)
-            since, written, held = now, 0, 0
-        if written < self.lines:
-            self.write(event, **fields)
-            written += 1
+        count = self._counts.get(event) or EventCount(now)
+        if now - count.since > self.interval:
+            if count.left_out:
+                self._write(event, {"left_out": count.left_out})
+            count = EventCount(now)
+        if count.written < self.lines:
+            self._write(event, fields)
+            count = count._replace(written=count.written + 1)
         else:
-            held += 1
-        self.kinds[event] = since, written, held
+            count = count._replace(left_out=count.left_out + 1)
+        self._counts[event] = count
 
-    def observe(self, event):
-        """Take what Twisted caught: an exception in one connection or timer, which it has ended."""
+    def observe(self, event: dict[str, Any]) -> None:
+        """Log what Twisted caught: an exception in one connection or timer, which it has ended."""
         if failure := event.get("log_failure"):
             self.fault(event.get("log_namespace", "twisted"), failure.value)
 
-    def fault(self, where, flaw):
-        frames = traceback.extract_tb(flaw.__traceback__)
-        at = {"function": frames[-1].name, "line": frames[-1].lineno} if frames else {}
-        self.say("fault", str(flaw), where=where, kind=type(flaw).__name__, **at)
+    def fault(self, where: str, error: BaseException) -> None:
+        """Write a `fault` event: the error's text and type, and the function and line that raised it."""
+        frames = traceback.extract_tb(error.__traceback__)
+        raised_at = {"function": frames[-1].name, "line": frames[-1].lineno} if frames else {}
+        self.say("fault", str(error), where=where, kind=type(error).__name__, **raised_at)
 
-    def write(self, event, **fields):
-        fields = {name: plain(value) for name, value in fields.items()}
-        self.out._proxy_to_logger("msg", event, **fields)
+    def _write(self, event: str, fields: dict[str, Any]) -> None:
+        printable = {name: plain(value) for name, value in fields.items()}
+        self._logger._proxy_to_logger("msg", event, **printable)
 
 
-def plain(value):
-    """What a line can hold of a value: no line ends within one.
+def plain(value: Any) -> int | float | str | None:
+    r"""Return what a line can hold of a value: a number, None, or text without line breaks.
 
-    >>> plain(b"a\\xff"), plain("a\\nb"), plain(7)
-    ('a\\\\xff', 'a\\\\nb', 7)
+    >>> plain(b"a\xff"), plain("a\nb"), plain(7)
+    ('a\\xff', 'a\\nb', 7)
     """
     if isinstance(value, (int, float)) or value is None:
         return value
--- a/limepath/store.py
+++ b/limepath/store.py
@@ -1,8 +1,8 @@
 """The embedded store: small state that survives crashes, in SQLite; one way to open, check and recover it.
 
 Each row has a checksum. A good file, a missing one and a truncated or damaged one are distinguished; a
-damaged one is set aside and never read. One process holds a store at a time. Writes are on the disk when `put`
-returns (one file, a rollback journal, synchronous EXTRA): with a write-ahead log beside the file, a truncated
+damaged one is set aside and never read. One process holds a store at a time. Writes are on the disk when
+`put` returns (one file, a rollback journal, synchronous EXTRA): with a write-ahead log beside it, a truncated
 log would silently give the state of an earlier start.
 """
 
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -698,11 +698,11 @@
 def test_the_log_counts_what_it_leaves_out():
     said, log = io.StringIO(), Log("n1", 2, 0.0)
     with contextlib.redirect_stderr(said):
-        log.span = 60
+        log.interval = 60
         for number in range(5):
             log.say("cache", f"line {number}")
         log.say("client", "another kind")
-        log.span = 0
+        log.interval = 0
         log.say("cache", "line 5")
     lines = [line.partition("instance=")[2] for line in said.getvalue().splitlines()]
     assert lines == [
