--- a/limepath/cli/duties.py
+++ b/limepath/cli/duties.py
@@ -8,7 +8,7 @@
 from limepath.configuration import ini
 from limepath.configuration.peers_file import MODES
 from limepath.configuration.sharing_settings import DutyMode
-from limepath.report_table import hold, plain, table
+from limepath.report_table import all_passed, format_table, json_fields
 
 
 class Span(click.ParamType):
@@ -46,13 +46,13 @@
 def conclude(rows, as_json, lines=(), **facts):
     """Print the table or JSON; end with status 1 when a bound is broken."""
     if as_json:
-        click.echo(json.dumps(plain(rows, **facts), indent=1, default=str))
+        click.echo(json.dumps(json_fields(rows, **facts), indent=1, default=str))
     else:
         for line in lines:
             click.echo(line)
-        click.echo(table(rows))
-        click.echo("all bounds hold" if hold(rows) else "a stated bound is BROKEN")
-    sys.exit(0 if hold(rows) else 1)
+        click.echo(format_table(rows))
+        click.echo("all bounds hold" if all_passed(rows) else "a stated bound is BROKEN")
+    sys.exit(0 if all_passed(rows) else 1)
 
 
 def named_kinds(told, kinds, option):
@@ -198,7 +198,7 @@
     """What the settings in FILE promise: gaps, take-over, disagreement of views."""
     from limepath.configuration import peers_file
     from limepath.duties.bounds import bounds as computed
-    from limepath.report_table import Row, seconds
+    from limepath.report_table import CheckResult, seconds
 
     try:
         read = peers_file.read(file)
@@ -206,7 +206,9 @@
         print(f"limepath: configuration: {flaw}", file=sys.stderr)
         sys.exit(2)
     rows = [
-        Row(f"{plan.name} ({DutyMode(plan.mode).name.lower().replace('_', '-')}): {name}, s", seconds(value))
+        CheckResult(
+            f"{plan.name} ({DutyMode(plan.mode).name.lower().replace('_', '-')}): {name}, s", seconds(value)
+        )
         for plan in read.plans
         for name, value in computed(read.spans, plan, read.leasing, instances, together)._asdict().items()
     ]
--- a/limepath/cli/listing.py
+++ b/limepath/cli/listing.py
@@ -37,7 +37,7 @@
 def bounds(file, fronts, zones, sites, as_json):
     """What the settings in FILE promise: how late an event may be at any front, calls, streams."""
     from limepath.discovery.bounds import bounds as computed
-    from limepath.report_table import Row, seconds
+    from limepath.report_table import CheckResult, seconds
 
     terms = opened(file).listing
     told = computed(terms, fronts or terms.fronts, zones, sites)
@@ -54,7 +54,7 @@
         "streams": "streams of a zone, at most",
     }
     rows = [
-        Row(said[name], value if name in ("calls", "streams") else seconds(value))
+        CheckResult(said[name], value if name in ("calls", "streams") else seconds(value))
         for name, value in told._asdict().items()
     ]
     if terms.site:
@@ -65,16 +65,16 @@
 def tree_rows(terms, fronts, zones, sites):
     """What the settings promise of the tree that the front stands in."""
     from limepath.discovery.bounds import tree_bounds
-    from limepath.report_table import Row, seconds
+    from limepath.report_table import CheckResult, seconds
 
     told = tree_bounds(terms, fronts, zones, sites)
     return [
-        Row("hops from a root to a front, at the most", told.hops),
-        Row("fronts that one sends events to, at the most", told.children),
-        Row(
+        CheckResult("hops from a root to a front, at the most", told.hops),
+        CheckResult("fronts that one sends events to, at the most", told.children),
+        CheckResult(
             "an event at every front, a front with children gone in that moment, s", seconds(told.inner_gone)
         ),
-        Row("bytes a second sent by any front, whatever others lack", told.most_bytes),
+        CheckResult("bytes a second sent by any front, whatever others lack", told.most_bytes),
     ]
 
 
--- a/limepath/cli/scale_run.py
+++ b/limepath/cli/scale_run.py
@@ -90,7 +90,7 @@
 
 def played_and_told(layout, schedule, options, budget_bytes, as_json, keep):
     """Play, print, end with the status."""
-    from limepath.report_table import hold
+    from limepath.report_table import all_passed
     from limepath.scale import report
     from limepath.scale.bounds import Budget
     from limepath.scale.processes import HollowFailed
@@ -114,7 +114,7 @@
         click.echo(json.dumps(told, indent=1, default=str))
     else:
         click.echo("\n".join(report.text_of(result)))
-    sys.exit(0 if hold(result.rows) else 1)
+    sys.exit(0 if all_passed(result.rows) else 1)
 
 
 if __name__ == "__main__":
--- a/limepath/discovery/simulate.py
+++ b/limepath/discovery/simulate.py
@@ -38,7 +38,7 @@
     SendMessage,
 )
 from limepath.membership.members import Members
-from limepath.report_table import Row, at_most, seconds
+from limepath.report_table import CheckResult, at_most, seconds
 
 SECOND, MS = 1_000_000, 1000
 PORT = 7946
@@ -359,10 +359,10 @@
         world.run(world.now + 5 * SECOND)
         worst = [late for late, _, _ in world.lates]
         rows = [
-            Row("fronts", fronts),
-            Row("zones", zones),
-            Row("ready after the service's return, median, s", seconds(ready[len(ready) // 2])),
-            Row("the same, 95%, s", seconds(ready[len(ready) * 95 // 100])),
+            CheckResult("fronts", fronts),
+            CheckResult("zones", zones),
+            CheckResult("ready after the service's return, median, s", seconds(ready[len(ready) // 2])),
+            CheckResult("the same, 95%, s", seconds(ready[len(ready) * 95 // 100])),
             at_most("the same, all, s", seconds(ready[-1]), seconds(bound.ready)),
             at_most(
                 "an event at the last front, nothing failing, s",
@@ -380,15 +380,15 @@
     rows += [
         at_most("most calls at the list service in a second", most_in(calls, SECOND), int(terms.rate)),
         at_most("most calls in 100 ms", most_in(calls, SECOND // 10), int(terms.rate) // 2),
-        Row("most streams of one zone", most, bound.streams, most <= bound.streams)
+        CheckResult("most streams of one zone", most, bound.streams, most <= bound.streams)
         if not loss
-        else Row("most streams of one zone (fronts that heard of nobody among them)", most),
+        else CheckResult("most streams of one zone (fronts that heard of nobody among them)", most),
         at_most("fronts without the newest event at the end", len(behind), 0),
-        Row(
+        CheckResult(
             "messages of the list per front and second",
             round(world.list_messages / fronts / world.now * 1e6, 2),
         ),
-        Row("all messages per front and second", round(world.messages / fronts / world.now * 1e6, 2)),
+        CheckResult("all messages per front and second", round(world.messages / fronts / world.now * 1e6, 2)),
     ]
     return Found(rows, said, world)
 
--- a/limepath/discovery/simulate_tree.py
+++ b/limepath/discovery/simulate_tree.py
@@ -41,7 +41,7 @@
 from limepath.duties.world import Network
 from limepath.membership.guard import HEAD, SEAL
 from limepath.membership.interface import REFUTATION_BITS, MemberRecord
-from limepath.report_table import Row, at_most, seconds
+from limepath.report_table import CheckResult, at_most, seconds
 
 SECOND, MS = 1_000_000, 1000
 DETECTED = 6 * SECOND  # until a front that is killed or stopped is in no live view
@@ -405,17 +405,19 @@
     late, missing = lateness(world, world.running(), since, told_until)
     limit = bound.event if not plan.loss else bound.event + 8 * world.terms.beat
     rows += [
-        Row("fronts", plan.fronts),
-        Row("hops from a root to a front, at the most", max(f.logic.tree.hops for f in world.running())),
-        Row("an event at half of the fronts, s", seconds(late[len(late) // 2])),
-        Row("the same, 99%, s", seconds(late[len(late) * 99 // 100])),
+        CheckResult("fronts", plan.fronts),
+        CheckResult(
+            "hops from a root to a front, at the most", max(f.logic.tree.hops for f in world.running())
+        ),
+        CheckResult("an event at half of the fronts, s", seconds(late[len(late) // 2])),
+        CheckResult("the same, 99%, s", seconds(late[len(late) * 99 // 100])),
         at_most("the same, all, s", seconds(late[-1]), seconds(limit)),
         at_most("events that a front never had", missing, 0),
-        Row("bytes a second sent by a front, median", round(sent[len(sent) // 2])),
+        CheckResult("bytes a second sent by a front, median", round(sent[len(sent) // 2])),
         at_most("the same, the busiest", round(sent[-1]), bound.calm_bytes(plan.rate)),
-        Row("datagrams a second sent by the busiest", round(datagrams, 1)),
+        CheckResult("datagrams a second sent by the busiest", round(datagrams, 1)),
         at_most("bytes sent by any front in one second", peak, bound.most_bytes),
-        Row("events that came twice, of all", doubled(world)),
+        CheckResult("events that came twice, of all", doubled(world)),
     ]
 
 
@@ -471,5 +473,5 @@
         at_most(f"{kind}: until all there are whole again, s", seconds(world.now - whole),
                 seconds(bound.whole_again(world.plan.rate, world.plan.cut))),
         at_most(f"{kind}: whole lists fetched there", fetched, 0),
-        Row(f"{kind}: fronts there", len(those)),
+        CheckResult(f"{kind}: fronts there", len(those)),
     ]  # fmt: skip
--- a/limepath/duties/check.py
+++ b/limepath/duties/check.py
@@ -15,7 +15,7 @@
 from limepath.configuration.sharing_settings import LeaseSettings
 from limepath.duties.interface import PersistEpochCeiling
 from limepath.duties.leases import Leases, Voter
-from limepath.report_table import Row, at_most
+from limepath.report_table import CheckResult, at_most
 from limepath.timer_queue import TimerQueue
 
 SPAN, DRIFT = 1_000_000, 0.01
@@ -285,12 +285,12 @@
         reached += 1 if whole and not trace else 0
     trace = [f"{first.all[-1].names[-1]} holds the slot at {first.now / 1e6:.3f} s", *trace] if trace else []
     rows = [
-        Row("instances", instances),
-        Row("states seen", len(seen)),
-        Row("steps tried", edges),
-        Row("states in which one holds the slot", held),
-        Row("events in a row, all orders of them", reached),
-        Row("seconds", round(time.monotonic() - began, 1)),
+        CheckResult("instances", instances),
+        CheckResult("states seen", len(seen)),
+        CheckResult("steps tried", edges),
+        CheckResult("states in which one holds the slot", held),
+        CheckResult("events in a row, all orders of them", reached),
+        CheckResult("seconds", round(time.monotonic() - began, 1)),
         at_most("states in which two hold it", int(bool(trace)), 0),
     ]
     return Explored(rows, [f"{number}. {said}" for number, said in enumerate(trace, 1)])
--- a/limepath/duties/simulate.py
+++ b/limepath/duties/simulate.py
@@ -12,7 +12,7 @@
 from limepath.duties.world import World
 from limepath.membership.interface import LeaveRequested
 from limepath.membership.members import spread
-from limepath.report_table import Row, at_most, seconds
+from limepath.report_table import CheckResult, at_most, seconds
 
 SECOND = 1_000_000
 KINDS = (
@@ -230,13 +230,13 @@
     took = taken_over(day, bound)
     span = (day.end - since) / SECOND
     rows += [
-        Row("instances", live),
-        Row("targets", len(world.targets)),
-        Row("interval, s", seconds(plan.interval)),
-        Row("time, s", round(span, 1)),
-        Row("faults", len(day.faults)),
-        Row("ring neighbours away at once, most", day.together),
-        Row("rounds served", serves),
+        CheckResult("instances", live),
+        CheckResult("targets", len(world.targets)),
+        CheckResult("interval, s", seconds(plan.interval)),
+        CheckResult("time, s", round(span, 1)),
+        CheckResult("faults", len(day.faults)),
+        CheckResult("ring neighbours away at once, most", day.together),
+        CheckResult("rounds served", serves),
         at_most("longest gap, s", seconds(longest), seconds(gap_bound)),
         at_most("most doubles of one target", most, doubles(plan, bound, changes)),
         at_most("doubles while nothing had changed", undisturbed_doubles, 0),
@@ -245,23 +245,23 @@
     if plan.mode == DutyMode.ONE_OWNER:
         rows += [
             at_most("moments at which two held one slot", len(world.both_held), 0),
-            Row("rounds turned away for an older epoch", world.turned_away),
+            CheckResult("rounds turned away for an older epoch", world.turned_away),
         ]
     rows += [
-        Row("take-over, median, s", seconds(int(median(took))) if took else None),
+        CheckResult("take-over, median, s", seconds(int(median(took))) if took else None),
         at_most(
             "take-over, worst, s",
             seconds(max(took, default=0)),
             seconds(bound.take_over + (gap_bound - bound.gap)),
         ),
-        Row("declared dead though alive", len(world.false_deaths)),
-        Row("messages per instance and second", round(world.messages / live / span, 2)),
-        Row(
+        CheckResult("declared dead though alive", len(world.false_deaths)),
+        CheckResult("messages per instance and second", round(world.messages / live / span, 2)),
+        CheckResult(
             "bytes per instance and second",
             round(world.bytes / max(1, world.sampled) * world.messages / live / span),
         ),
-        Row("gave way", len(world.gave_way)),
-        Row("views agree at the end", world.views_agree(), True, world.views_agree()),
+        CheckResult("gave way", len(world.gave_way)),
+        CheckResult("views agree at the end", world.views_agree(), True, world.views_agree()),
     ]
     return rows
 
--- a/limepath/scale/delivery.py
+++ b/limepath/scale/delivery.py
@@ -3,7 +3,7 @@
 import numpy
 from hdrh.histogram import HdrHistogram
 
-from limepath.report_table import Row, at_most, seconds
+from limepath.report_table import CheckResult, at_most, seconds
 from limepath.scale.bounds import REQUIRED, SAMPLE
 from limepath.scale.service import LIST, PURGE
 
@@ -68,7 +68,7 @@
         bound = max(self.promise.event.values()) + SAMPLE
         what = "an event at all real fronts, asked once a second, worst, s"
         if numpy.isinf(worst):
-            return [Row(what, "never", seconds(bound), False)]
+            return [CheckResult(what, "never", seconds(bound), False)]
         return [at_most(what, seconds(int(worst)), seconds(bound))]
 
     def rows(self):
@@ -78,7 +78,7 @@
             what = f"{phase}: a {kind} event at all fronts, worst of {histogram.total_count}, s"
             worst, bound = seconds(histogram.max_value), seconds(self.promise.event[phase])
             if incomplete:
-                rows.append(Row(what, f"{incomplete} never", bound, False))
+                rows.append(CheckResult(what, f"{incomplete} never", bound, False))
             else:
                 rows.append(at_most(what, worst, bound))
         for phase in dict.fromkeys(phase for phase, _ in self.histograms):
@@ -87,8 +87,8 @@
             *rows,
             *self.real_rows(),
             at_most("lost events, all fronts", self.lost(), 0),
-            Row("doubled events, all fronts", sum(self.seen.doubled.values())),
-            Row("generations of the list seen", len(self.seen.generations)),
+            CheckResult("doubled events, all fronts", sum(self.seen.doubled.values())),
+            CheckResult("generations of the list seen", len(self.seen.generations)),
         ]
 
     def data(self):
--- a/limepath/scale/report.py
+++ b/limepath/scale/report.py
@@ -8,14 +8,14 @@
 import psutil
 
 from limepath.duties.measure import machine
-from limepath.report_table import Row, at_most, hold, plain, seconds, table
+from limepath.report_table import CheckResult, all_passed, at_most, format_table, json_fields, seconds
 from limepath.scale.delivery import Delivery, delivery_table
 from limepath.scale.faults import Kind
 from limepath.scale.use import memory_by_role, statistics, use_by_role, use_table
 
 
 class Result(NamedTuple):
-    rows: list[Row]
+    rows: list[CheckResult]
     said: list[str]
     data: dict  # for --json, beside the rows
 
@@ -78,7 +78,7 @@
         cpu = told["cpu"]["all"]["worst"]
         rows += [
             at_most(f"{phase}: busiest front, bytes sent a second", round(busiest), round(budget.bytes_sent)),
-            Row(f"{phase}: busiest front, datagrams sent a second", round(datagrams, 1)),
+            CheckResult(f"{phase}: busiest front, datagrams sent a second", round(datagrams, 1)),
             at_most(
                 f"{phase}: worst front, % of a core", round(100 * cpu, 2), round(100 * budget.cpu_share, 2)
             ),
@@ -101,7 +101,7 @@
 
 
 def at_most_if_stated(what, measured, bound):
-    return Row(what, measured) if bound is None else at_most(what, measured, bound)
+    return CheckResult(what, measured) if bound is None else at_most(what, measured, bound)
 
 
 # Faults and agreement
@@ -110,7 +110,7 @@
 def fault_rows(run, promise, effects):
     rows = []
     for kind, count in effects.items():
-        rows.append(Row(f"{kind.value}: times that it took effect", count, "over 0", count > 0))
+        rows.append(CheckResult(f"{kind.value}: times that it took effect", count, "over 0", count > 0))
     for kind, spans in run.seen.whole_again.items():
         worst = seconds(max(spans.values()))
         what = f"{kind.value}: {len(spans)} fronts whole again after it, worst, s"
@@ -122,7 +122,7 @@
     if Kind.CUT in effects:
         rows += cut_rows(run, promise)
     if run.schedule.speed_up:
-        rows.append(Row("restarts, times an ordinary day's", round(run.schedule.speed_up, 1)))
+        rows.append(CheckResult("restarts, times an ordinary day's", round(run.schedule.speed_up, 1)))
     return rows
 
 
@@ -137,7 +137,7 @@
     once = 0 if bridged else None
     hollow = [span for name, span in known.items() if run.fleet.who[name] not in run.fleet.real]
     return [
-        Row(
+        CheckResult(
             "cut: hollow fronts behind it that knew that they were late",
             len(hollow),
             behind,
@@ -161,11 +161,17 @@
     ready, settled = run.ready, run.settled
     until = seconds(settled.took)
     return [
-        Row("fronts with the list before the measured time", ready.lists, ready.of, ready.lists == ready.of),
-        Row("fronts that saw all others by then", ready.views, ready.of, ready.views == ready.of),
-        Row("until all were ready, from the last group started, s", seconds(ready.took)),
-        Row("fronts with the list at the end", settled.lists, settled.of, settled.lists == settled.of),
-        Row("fronts that see all others at the end", settled.views, settled.of, settled.views == settled.of),
+        CheckResult(
+            "fronts with the list before the measured time", ready.lists, ready.of, ready.lists == ready.of
+        ),
+        CheckResult("fronts that saw all others by then", ready.views, ready.of, ready.views == ready.of),
+        CheckResult("until all were ready, from the last group started, s", seconds(ready.took)),
+        CheckResult(
+            "fronts with the list at the end", settled.lists, settled.of, settled.lists == settled.of
+        ),
+        CheckResult(
+            "fronts that see all others at the end", settled.views, settled.of, settled.views == settled.of
+        ),
         at_most("until lists and views were one at the end, s", until, seconds(promise.disagreement)),
     ]
 
@@ -173,16 +179,16 @@
 def shape_rows(run):
     sizes = run.plan.sizes
     return [
-        Row("fronts", sizes.fronts),
-        Row("of these processes of the program", sizes.real),
-        Row("processes of hollow fronts", len(run.plan.hollow)),
-        Row(
+        CheckResult("fronts", sizes.fronts),
+        CheckResult("of these processes of the program", sizes.real),
+        CheckResult("processes of hollow fronts", len(run.plan.hollow)),
+        CheckResult(
             "caches, zones, sites, regions", f"{sizes.caches}, {sizes.zones}, {sizes.sites}, {sizes.regions}"
         ),
-        Row("purges a second", sizes.purges),
-        Row("list events a second", sizes.settings_changes),
-        Row("measured, s", run.schedule.end / 1e6),
-        Row("real time for one of the run's, as all times and rates here are", run.options.stretch),
+        CheckResult("purges a second", sizes.purges),
+        CheckResult("list events a second", sizes.settings_changes),
+        CheckResult("measured, s", run.schedule.end / 1e6),
+        CheckResult("real time for one of the run's, as all times and rates here are", run.options.stretch),
     ]
 
 
@@ -190,23 +196,25 @@
     around, service = run.around, run.around.service
     wait = statistics(run.fleet.waits) or {"median": None, "worst": None}
     rows = [
-        Row("wait for a report of a hollow process, median, real s", seconds(wait["median"])),
-        Row("the same, worst: so late this machine was", seconds(wait["worst"])),
-        Row("events told", len(around.issued)),
-        Row("calls at the list service", len(service.calls)),
-        Row("most streams of a zone at the list service", max(service.most_streams.values(), default=0)),
-        Row("bytes that the list service sent", service.bytes),
-        Row("connections at all caches", around.connections_at_caches()),
-        Row("requests at all caches", around.requests_at_caches()),
+        CheckResult("wait for a report of a hollow process, median, real s", seconds(wait["median"])),
+        CheckResult("the same, worst: so late this machine was", seconds(wait["worst"])),
+        CheckResult("events told", len(around.issued)),
+        CheckResult("calls at the list service", len(service.calls)),
+        CheckResult(
+            "most streams of a zone at the list service", max(service.most_streams.values(), default=0)
+        ),
+        CheckResult("bytes that the list service sent", service.bytes),
+        CheckResult("connections at all caches", around.connections_at_caches()),
+        CheckResult("requests at all caches", around.requests_at_caches()),
     ]
     if run.fleet.real:
         clients = run.clients
         rows += [
-            Row("requests to real fronts, served", clients.served),
-            Row("requests to real fronts, failed, shed or not taken", clients.failed),
+            CheckResult("requests to real fronts, served", clients.served),
+            CheckResult("requests to real fronts, failed, shed or not taken", clients.failed),
         ]
         for phase, (shares, _) in real_cpu(run).items():
-            rows.append(Row(f"{phase}: worst real front, requests and control, % of a core", shares))
+            rows.append(CheckResult(f"{phase}: worst real front, requests and control, % of a core", shares))
     return rows
 
 
@@ -260,10 +268,10 @@
     for phase in result.data["use"]:
         lines += use_table(result.data["use"], phase)
     lines += delivery_table(result.data["arrivals"])
-    lines.append(table(result.rows))
-    lines.append("all bounds hold" if hold(result.rows) else "a stated bound is BROKEN")
+    lines.append(format_table(result.rows))
+    lines.append("all bounds hold" if all_passed(result.rows) else "a stated bound is BROKEN")
     return lines
 
 
 def plain_of(result, command):
-    return plain(result.rows, **result.data, said=result.said, command=command)
+    return json_fields(result.rows, **result.data, said=result.said, command=command)
--- a/limepath/scale/use.py
+++ b/limepath/scale/use.py
@@ -2,7 +2,7 @@
 
 import numpy
 
-from limepath.report_table import shown
+from limepath.report_table import format_value
 
 STATISTICS = ("median", "99%", "worst")
 MEASURES = {
@@ -85,4 +85,4 @@
 
 def three(values, measure):
     scale = 100 if measure == "cpu" else 1
-    return "".join(f"{shown(round(values[one] * scale, 2)):>14}" for one in STATISTICS)
+    return "".join(f"{format_value(round(values[one] * scale, 2)):>14}" for one in STATISTICS)
--- a/limepath/testbed/coldstart.py
+++ b/limepath/testbed/coldstart.py
@@ -27,7 +27,7 @@
 from limepath.discovery.simulate import most_in
 from limepath.discovery.state import List
 from limepath.membership.control import NoAnswerError, ask
-from limepath.report_table import Row, at_most, seconds
+from limepath.report_table import CheckResult, at_most, seconds
 from limepath.testbed.duties import SETTINGS
 from limepath.testbed.faults import Fault as Way
 from limepath.testbed.faults import Faults, Kind, both_ways
@@ -303,8 +303,8 @@
             )
             bound = self.bound()
             self.rows += [
-                Row("ready after the service's return, median, s", round(ready[len(ready) // 2], 2)),
-                Row("the same, 95%, s", round(ready[len(ready) * 95 // 100], 2)),
+                CheckResult("ready after the service's return, median, s", round(ready[len(ready) // 2], 2)),
+                CheckResult("the same, 95%, s", round(ready[len(ready) * 95 // 100], 2)),
                 at_most("the same, all, s", round(ready[-1], 2), seconds(bound.ready + SLACK)),
             ]
         else:
@@ -521,8 +521,8 @@
     )
     pressed = max(most_in(sorted(int(at * 1e6) for at, _ in cache.forwards), SECOND) for cache in caches)
     rows = [
-        Row("fronts", drill.count),
-        Row("zones", len(ZONES)),
+        CheckResult("fronts", drill.count),
+        CheckResult("zones", len(ZONES)),
         *drill.rows,
         at_most("most calls at the list service in a second", most_in(calls, SECOND), int(drill.terms.rate)),
         at_most("most calls in 100 ms", most_in(calls, SECOND // 10), int(drill.terms.rate) // 2),
@@ -531,9 +531,9 @@
             max(service.most_streams.values(), default=0),
             bound.streams,
         ),
-        Row("bytes that the list service sent", service.bytes),
+        CheckResult("bytes that the list service sent", service.bytes),
         at_most("GETs answered before any list was confirmed", drill.early, 0),
-        Row(
+        CheckResult(
             "GETs answered, shed, errored or not taken",
             ", ".join(f"{status or 'none'}: {count}" for status, count in sorted(drill.answers.items())),
         ),
@@ -543,13 +543,15 @@
             seconds(drains),
         ),
         at_most("most new connections at one cache in 100 ms", connected, rush(CONNECTIONS, SECOND // 10)),
-        Row("most forwards to one cache in a second", pressed),
-        Row(
+        CheckResult("most forwards to one cache in a second", pressed),
+        CheckResult(
             f"share of {WAVE} GETs at each front for the same {OBJECTS} objects that were answered",
             round(well, 3),
             0.9,
             drill.alone or well >= 0.9,
         ),
-        Row("faults of the ways that took no effect", len(drill.upon.unfelt()), 0, not drill.upon.unfelt()),
+        CheckResult(
+            "faults of the ways that took no effect", len(drill.upon.unfelt()), 0, not drill.upon.unfelt()
+        ),
     ]
     return Found(rows, drill.said + [f"took no effect: {name}" for name in drill.upon.unfelt()])
--- a/limepath/testbed/duties.py
+++ b/limepath/testbed/duties.py
@@ -22,7 +22,7 @@
 from limepath.duties.bounds import bounds
 from limepath.duties.simulate import Fault, findings
 from limepath.membership.control import NoAnswerError, ask
-from limepath.report_table import Row
+from limepath.report_table import CheckResult
 from limepath.testbed.faults import Fault as Way
 from limepath.testbed.faults import Faults, Kind, both_ways
 from limepath.testbed.process import HOST, NotStarted, Process, free_ports, raise_descriptors
@@ -488,10 +488,12 @@
     rows = findings(Told(drill), drill.plan, drill.caches_first)
     rows = [row for row in rows if not row.what.startswith(("messages", "bytes"))]
     rows += [
-        Row("messages per instance and second", round(drill.messages / drill.count / span, 1)),
-        Row("bytes per instance and second", round(drill.bytes / drill.count / span)),
-        Row("faults of the ways that took no effect", len(drill.upon.unfelt()), 0, not drill.upon.unfelt()),
-        Row("probes per target and interval", round(rounds * drill.plan.interval / max(1, alive), 3)),
+        CheckResult("messages per instance and second", round(drill.messages / drill.count / span, 1)),
+        CheckResult("bytes per instance and second", round(drill.bytes / drill.count / span)),
+        CheckResult(
+            "faults of the ways that took no effect", len(drill.upon.unfelt()), 0, not drill.upon.unfelt()
+        ),
+        CheckResult("probes per target and interval", round(rounds * drill.plan.interval / max(1, alive), 3)),
     ]
     said = (
         [
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -31,7 +31,7 @@
 from limepath.duties.world import World
 from limepath.interface.commands import ForwardRequest, SendProbe
 from limepath.interface.events import AttemptOutcome, ProbeEnded
-from limepath.report_table import hold
+from limepath.report_table import all_passed
 from limepath.timer_queue import TimerQueue
 from tests.fake_host import FakeHost
 
@@ -41,7 +41,7 @@
 
 
 def broken(found):
-    return [(row.what, row.measured, row.bound) for row in found.rows if not row.holds]
+    return [(row.what, row.measured, row.bound) for row in found.rows if not row.passed]
 
 
 def value(rows, what):
@@ -84,7 +84,7 @@
     world.open(True)
     world.run(40 * SECOND)
     rows = findings(day, plan)
-    assert hold(rows) and len(world.gone) == 200 and len(world.targets) == 200
+    assert all_passed(rows) and len(world.gone) == 200 and len(world.targets) == 200
     assert all(len(world.serves[0, target]) >= 4 for target in world.targets)
 
 
@@ -171,7 +171,7 @@
     day = Day(World(3, 0, world.plans, world.spans, world.leasing, 1), [], 40 * SECOND)
     day.world, day.end = world, world.now
     rows = findings(day, world.plans[0])
-    assert [row.what for row in rows if not row.holds] == ["longest gap, s"]
+    assert [row.what for row in rows if not row.passed] == ["longest gap, s"]
 
 
 # Leases
@@ -309,12 +309,16 @@
 
 def test_the_checker_finds_no_order_that_breaks_the_rule_and_the_broken_rule_at_once():
     good = explored(2, 5, 100_000)
-    assert hold(good.rows) and not good.trace and value(good.rows, "events in a row, all orders of them") == 5
+    assert (
+        all_passed(good.rows)
+        and not good.trace
+        and value(good.rows, "events in a row, all orders of them") == 5
+    )
     assert value(good.rows, "states in which one holds the slot") > 100
     three = explored(3, 3, 100_000)
-    assert hold(three.rows)
+    assert all_passed(three.rows)
     bad = explored(2, 9, 100_000, broken=True)
-    assert not hold(bad.rows) and bad.trace[-1].endswith("both hold the slot") and len(bad.trace) == 7
+    assert not all_passed(bad.rows) and bad.trace[-1].endswith("both hold the slot") and len(bad.trace) == 7
 
 
 # Rounds and results
--- a/tests/test_event_tree.py
+++ b/tests/test_event_tree.py
@@ -36,7 +36,7 @@
 from limepath.discovery.topology import Scope, Zone
 from limepath.interface.commands import ForwardRequest
 from limepath.interface.events import AttemptOutcome, EndpointListFreshnessChanged
-from limepath.report_table import hold
+from limepath.report_table import all_passed
 from tests.fake_host import FakeHost
 from tests.test_listing import PEERS, Fronting, command, drill, event, held, of, whole
 
@@ -46,7 +46,7 @@
 
 
 def broken(found):
-    return [row for row in found.rows if not row.holds]
+    return [row for row in found.rows if not row.passed]
 
 
 def small(**changes):
@@ -574,7 +574,7 @@
 def test_old_and_new_programs_stand_side_by_side(which):
     found = run_tree(small(fronts=24), 6, prepare=older(which))
     rows = {row.what: row for row in found.rows}
-    assert rows["the same, all, s"].holds and rows["events that a front never had"].measured == 0
+    assert rows["the same, all, s"].passed and rows["events that a front never had"].measured == 0
     assert not any(front.logic.counts["contradictions"] for front in found.world.running())
 
 
@@ -620,7 +620,7 @@
 
 
 def test_the_runs_hold_what_they_state():
-    assert hold([row for row in run_tree(small(fronts=16), 8).rows if row.bound is not None])
+    assert all_passed([row for row in run_tree(small(fronts=16), 8).rows if row.bound is not None])
 
 
 def test_a_purge_is_kept_until_its_copies_are_gone_everywhere_at_a_front_that_was_behind_by_a_whole_window():
--- a/tests/test_listing.py
+++ b/tests/test_listing.py
@@ -46,7 +46,7 @@
 from limepath.discovery.upstream import BAD
 from limepath.duties.world import World
 from limepath.membership.members import spread
-from limepath.report_table import hold
+from limepath.report_table import all_passed
 
 SECOND, MS = 1_000_000, 1000
 TERMS = DiscoverySettings(zone="sur", fronts=2)
@@ -347,17 +347,17 @@
 
 def test_a_fleet_that_starts_without_the_list_service_spares_it_and_knows_all_after_every_fault():
     found = simulated(40, 2, seed=3, kinds=KINDS, saved=0.5)
-    assert hold(found.rows), [row for row in found.rows if not row.holds]
+    assert all_passed(found.rows), [row for row in found.rows if not row.passed]
 
 
 @pytest.mark.parametrize("seed", range(3))
 def test_the_same_on_ways_that_lose_three_datagrams_of_ten(seed):
     found = simulated(24, 2, seed=seed, kinds=KINDS[seed::3], loss=0.3)
-    assert hold(found.rows), [row for row in found.rows if not row.holds]
+    assert all_passed(found.rows), [row for row in found.rows if not row.passed]
 
 
 def test_alone_the_same_fleet_breaks_the_bounds():
-    broken = {row.what for row in simulated(60, 2, alone=True).rows if not row.holds}
+    broken = {row.what for row in simulated(60, 2, alone=True).rows if not row.passed}
     assert {"most calls at the list service in a second", "most streams of one zone"} <= broken
 
 
--- a/tests/test_scale_faults.py
+++ b/tests/test_scale_faults.py
@@ -285,8 +285,8 @@
     )
     promise = promise_of(DiscoverySettings(fronts=40))
     felt, unfelt = (fault_rows(run, promise, {Kind.LOSS: count}) for count in (3, 0))
-    assert all(row.holds for row in felt) and not any(row.holds for row in unfelt)
+    assert all(row.passed for row in felt) and not any(row.passed for row in unfelt)
 
 
 def test_a_bound_that_nothing_states_is_not_judged():
-    assert at_most_if_stated("x", 5, None).holds and not at_most_if_stated("x", 5, 4).holds
+    assert at_most_if_stated("x", 5, None).passed and not at_most_if_stated("x", 5, 4).passed
