--- a/limepath/__main__.py
+++ b/limepath/__main__.py
@@ -6,8 +6,8 @@
     if len(sys.argv) > 1:
         from limepath.cli import main
     else:
-        from limepath.early_signals import hold
+        from limepath.early_signals import defer_signals
 
-        hold()
+        defer_signals()
         from limepath.front.start import main
     sys.exit(main())
--- a/limepath/front/start.py
+++ b/limepath/front/start.py
@@ -31,7 +31,7 @@
     """Act on these signals from now on, and on those that came during the start."""
     for number in numbers:
         signal.signal(number, lambda *_: reactor.callFromThread(act))
-    if not early_signals.held.isdisjoint(numbers):
+    if not early_signals.received.isdisjoint(numbers):
         reactor.callFromThread(act)
 
 
@@ -155,7 +155,7 @@
         flawed.append(f"listen: {failure.value.socketError}")
         reactor.callWhenRunning(reactor.stop)
 
-    early_signals.hold()
+    early_signals.defer_signals()
     try:
         shared = secured = None
         if tls:
