--- a/limepath/discovery/host.py
+++ b/limepath/discovery/host.py
@@ -26,7 +26,7 @@
 )
 from limepath.discovery.relay import Listing
 from limepath.duties.host import clock
-from limepath.frequency_exchange.host import Tallies
+from limepath.frequency_exchange.host import FrequencyExchange
 from limepath.front.changelog import BadEvent, ChangeLog, Stream
 from limepath.interface.events import EndpointListFreshnessChanged, PurgeAnnounced
 from limepath.logic_host import LogicHost
@@ -182,7 +182,7 @@
         reactor, turn, caches, limits, log, front.settings, front.seed, cooperation, terms
     )
     cooperation.guests.append(changes)
-    changes.tallies = Tallies(reactor, turn, cooperation, front.seed ^ 0x7A11)
+    changes.tallies = FrequencyExchange(reactor, turn, cooperation, front.seed ^ 0x7A11)
     cooperation.hearers.append(changes.tallies)
     if cooperation.told.connections:
         from limepath.connection_pacing.host import Paced
--- a/limepath/frequency_exchange/__init__.py
+++ b/limepath/frequency_exchange/__init__.py
@@ -1,12 +1,14 @@
-"""What is asked for, told to a front whose own table is still empty: a bounded summary of GET counts from one
-that has them.
+"""Gives a front whose frequency table is still empty a bounded summary of another front's request counts.
 
-A newcomer's decision module ranks everything low until it has counted for itself. `newcomer` (free of I/O)
-asks one live front, another if that is new too or silent, never waits for the answer with anything, and takes
-what comes within its bounds; `host` carries messages and hands counts to the module as a note. Read
-`interface` first.
+The decision module of a new front ranks every object low until it has counted requests for itself. Half a
+second after its start the front sends a `RequestCountsQuery` to one live front, and to another if that one is
+new too or does not answer. Nothing waits for the answer, which is taken within its bounds.
 
-A sketch (count-min, from a library) was weighed: it holds counts of all objects in fixed memory, but not
-their names, so the newcomer could only ask it, and its 64 kB would be 50 datagrams; the table's upper part by
-key is what the ranks are cut from, its names and counts fit six.
+Read `interface` first: messages between fronts, events and commands. `exchange` is the logic without I/O; it
+owns which front is asked and what has arrived. `host` carries messages, and hands counts from and to the
+decision module.
+
+A count-min sketch was weighed: it holds counts of all objects in fixed memory, but not their names, so the
+new front could only look names up in it, and its 64 kB would be 50 datagrams. Ranks are cut from the upper
+part of the table; its names and counts fit six.
 """
--- a/limepath/frequency_exchange/host.py
+++ b/limepath/frequency_exchange/host.py
@@ -1,6 +1,10 @@
-"""Beside a front that shares: counts from and to other instances, in and out of the module."""
+"""Runs the exchange of request counts beside a front: messages of members, counts of the decision module."""
+
+from collections.abc import Iterable
+from typing import TYPE_CHECKING, Any
 
 from limepath.duties.host import clock
+from limepath.frequency_exchange.exchange import Command, RequestCountsExchange
 from limepath.frequency_exchange.interface import (
     MESSAGES,
     AddCounts,
@@ -9,49 +13,66 @@
     ReadCounts,
     SendToMember,
 )
-from limepath.frequency_exchange.newcomer import Newcomer
 from limepath.interface.commands import ReportRequestCounts
 from limepath.interface.events import RequestArrived, RequestCountsReceived, RequestCountsWanted
 from limepath.logic_host import LogicHost
 
+if TYPE_CHECKING:
+    from twisted.internet.interfaces import IReactorTime
+
+    from limepath.duties.host import Cooperation
+    from limepath.front.turn import Turn
+
+
+class FrequencyExchange:
+    """Carries events to a `RequestCountsExchange` and executes its commands.
 
-class Tallies:
-    def __init__(self, reactor, turn, cooperation, seed):
-        self.turn, self.cooperation = turn, cooperation
+    Attributes:
+        turn: takes events to the decision module, and its commands to their handlers.
+        cooperation: the link to other instances.
+        logic: the exchange.
+        logic_host: runs it on the reactor.
+    """
+
+    def __init__(self, reactor: "IReactorTime", turn: "Turn", cooperation: "Cooperation", seed: int) -> None:
+        self.turn = turn
+        self.cooperation = cooperation
         members = cooperation.instance.members
-        self.logic = Newcomer(seed, lambda: members.ring)
+        self.logic = RequestCountsExchange(seed, lambda: members.ring)
         self.logic_host = LogicHost(reactor, clock, self.logic, self.execute, self.failed)
-        turn.carriers[ReportRequestCounts] = self.counted
+        turn.carriers[ReportRequestCounts] = self.report_counts
         cooperation.guests.append(self)
         cooperation.at_stop.append(self.logic_host.close)
-        cooperation.views["tallies"] = lambda: dict(self.logic.counts)
+        cooperation.views["tallies"] = self.logic.statistics.as_view
 
-    def start(self):
+    def start(self) -> None:
+        """Schedule the first query."""
         self.logic.start(clock())
         self.logic_host.submit()
 
-    def heard(self, sender, message):
-        """A message of another instance that is not of the duties."""
+    def heard(self, sender: Any, message: Any) -> None:
+        """Take a message of another instance, if it is of this package. Part of the interface of `guests`."""
         if isinstance(message, MESSAGES):
             self.logic_host.submit(PeerMessage(sender.token, message))
 
-    def counted(self, order):
-        """The module answers an AskCounts."""
-        self.logic_host.submit(CountsRead(order.cookie, order.counts))
-
-    def saw(self, notes):
-        """What the module is told: that GETs come."""
-        if any(isinstance(note, RequestArrived) for note in notes):
-            self.logic.saw_get(clock())
-
-    def execute(self, order):
-        if isinstance(order, SendToMember):
-            self.cooperation.reach(order.token, order.message)
-        elif isinstance(order, ReadCounts):
-            self.turn.gather(RequestCountsWanted(order.most, order.token))
-        elif isinstance(order, AddCounts):
-            self.turn.gather(RequestCountsReceived(order.counts))
-
-    def failed(self, error):
-        """The front goes on without what others counted."""
+    def report_counts(self, command: ReportRequestCounts) -> None:
+        """Hand on what the decision module answers to a `RequestCountsWanted`."""
+        self.logic_host.submit(CountsRead(command.cookie, command.counts))
+
+    def saw(self, events: Iterable[Any]) -> None:
+        """Look for requests among the events of the decision module. Part of the interface of `hearers`."""
+        if any(isinstance(event, RequestArrived) for event in events):
+            self.logic.record_request(clock())
+
+    def execute(self, command: Command) -> None:
+        """Carry out one command of the logic."""
+        if isinstance(command, SendToMember):
+            self.cooperation.reach(command.token, command.message)
+        elif isinstance(command, ReadCounts):
+            self.turn.gather(RequestCountsWanted(command.most, command.token))
+        elif isinstance(command, AddCounts):
+            self.turn.gather(RequestCountsReceived(command.counts))
+
+    def failed(self, error: Exception) -> None:
+        """Log an error of the logic; the front goes on without the counts of others."""
         self.cooperation.log.fault("tallies", error)
--- a/limepath/frequency_exchange/interface.py
+++ b/limepath/frequency_exchange/interface.py
@@ -1,65 +1,78 @@
-"""Messages between fronts, notes and orders of the summary. Times are whole microseconds of the instance's
-own clock.
+"""Messages between fronts, and events and commands between the logic and its host.
+
+Times are whole microseconds of the instance's own clock.
 """
 
 from typing import NamedTuple
 
 from limepath.membership.interface import Message
 
-MOST = 256  # counts in a summary
-CARRIED = 48  # in one datagram
-LARGEST = 1e6  # a count above this is nobody's
+MAX_COUNTS = 256  # in a summary
+COUNTS_PER_MESSAGE = 48
+MAX_COUNT_VALUE = 1e6  # no front counts more requests of one object within the age of its table
+
+ObjectCount = tuple[int, int, float]
+"""An object, its part, and how often that was requested."""
 
 
 class RequestCountsQuery(Message, tag="ta"):
-    """Tell me what is asked for most."""
+    """Asks for the request counts of another front."""
 
 
 class RequestCounts(Message, tag="tt"):
-    """(object, part, count), the highest key first; `age` since the last GET that was counted; `of` messages
-    in all. A front that is new itself tells 0 counts.
+    """One chunk of a front's request counts, the highest key first. A front that is new itself sends none.
+
+    Attributes:
+        age: time since the sender last counted a request.
+        counts: this chunk's counts.
+        chunk: the number of this chunk, from 0.
+        chunks: how many there are in all.
     """
 
     age: int
-    counts: tuple[tuple[int, int, float], ...]
-    at: int = 0
-    of: int = 1
+    counts: tuple[ObjectCount, ...]
+    chunk: int = 0
+    chunks: int = 1
 
 
 MESSAGES = (RequestCountsQuery, RequestCounts)
 
 
-# Notes in
+# Events
 
 
 class PeerMessage(NamedTuple):
+    """A message of another front has arrived. `token` identifies its sender."""
+
     token: int
     message: Message
 
 
 class CountsRead(NamedTuple):
-    """The module's own table: (object, part, count), for whom `token` asked."""
+    """The decision module has answered a `ReadCounts` of the same `token`."""
 
     token: int
-    counts: tuple
+    counts: tuple[ObjectCount, ...]
 
 
-# Orders out
+# Commands
 
 
 class ReadCounts(NamedTuple):
-    """Ask the module for its table."""
+    """Ask the decision module for its highest `most` counts, for the front with this `token`."""
 
     token: int
     most: int
 
 
 class AddCounts(NamedTuple):
-    """Hand these to the module."""
+    """Hand counts of another front to the decision module."""
 
-    counts: tuple
+    counts: tuple[ObjectCount, ...]
 
 
 class SendToMember(NamedTuple):
+    """Send a message to the front with this `token`."""
+
     token: int
     message: Message
--- a/tests/byte_records.py
+++ b/tests/byte_records.py
@@ -110,7 +110,7 @@
     "lease/epochs": leases.EpochReport(round=112, ceiling=113, sure=True),
     "request-counts/request": request_counts.RequestCountsQuery(),
     "request-counts/counts": request_counts.RequestCounts(
-        age=114, counts=((115, 116, 117.5),), at=121, of=122
+        age=114, counts=((115, 116, 117.5),), chunk=121, chunks=122
     ),
 }
 
--- a/tests/test_limits.py
+++ b/tests/test_connection_pacing.py
@@ -1,4 +1,4 @@
-"""Tests of what many fronts hold back together: new connections, and counts told to a newcomer."""
+"""New connections to an endpoint keep a pace over the whole fleet, and the decision module heeds it."""
 
 from random import Random
 
@@ -10,18 +10,6 @@
 from limepath.configuration.ini import SettingError
 from limepath.connection_pacing.connections import Connections, rush
 from limepath.discovery.simulate import most_in
-from limepath.frequency_exchange.interface import (
-    CARRIED,
-    MOST,
-    AddCounts,
-    CountsRead,
-    PeerMessage,
-    ReadCounts,
-    RequestCounts,
-    RequestCountsQuery,
-    SendToMember,
-)
-from limepath.frequency_exchange.newcomer import ANSWER_TIMEOUT, ASKED, HALF, TRIES, Newcomer
 from limepath.interface.commands import ForwardRequest, RejectRequest
 from limepath.interface.events import (
     AttemptEnded,
@@ -29,14 +17,10 @@
     CacheStatus,
     ConnectionAvailabilityChanged,
     RequestArrived,
-    RequestCountsReceived,
-    RequestCountsWanted,
 )
 from tests.fake_host import PARENT, SECOND, FakeHost
 from tests.test_listing import PEERS
 
-MS = 1000
-
 
 @settings(max_examples=40, deadline=None, derandomize=True)
 @given(fronts=st.integers(1, 300), seed=st.integers(0, 999))
@@ -108,103 +92,6 @@
     assert host.front.caches[forwards(told)[0].source].member.kind == PARENT
 
 
-def test_counts_of_another_front_rank_what_this_one_has_not_counted():
-    old, new, blank = FakeHost(), FakeHost(seed=8), FakeHost(seed=9)
-    ident = 0
-    for obj in range(1, 40):
-        for _ in range(20 if obj < 4 else 1):
-            ident += 1
-            old.hear(get(ident, obj))
-    counts = old.hear(RequestCountsWanted(10, 5))[-1]
-    assert (
-        counts.cookie == 5
-        and {obj for obj, _, _ in counts.counts[:3]} == {1, 2, 3}
-        and counts.counts[0][2] == 20
-    )
-    new.hear(RequestCountsReceived(counts.counts))
-    ranks = []
-    for host in (new, blank):
-        for obj in range(50, 110):
-            host.front.shelf.rank((obj, 0), 0)
-        ranks.append(host.front.shelf.rank((2, 0), 0))
-    assert ranks[0] == 3 > ranks[1]
-    assert len(new.front.shelf.side) < 10  # what was asked for has gone from the waiting ones
-
-
-def newcomer(live=(2, 3)):
-    one = Newcomer(1, lambda: list(live))
-    one.start(0)
-    return one
-
-
-def run(one, until):
-    out = []
-    while (due := one.next()) is not None and due <= until:
-        out += one.handle(due)
-    return out
-
-
-def test_a_newcomer_asks_another_where_one_is_silent_or_new_itself_and_gives_up_at_last():
-    one = newcomer()
-    asked = [order for order in run(one, 60 * SECOND) if isinstance(order, SendToMember)]
-    assert len(asked) == TRIES and all(order.message == RequestCountsQuery() for order in asked)
-    one = newcomer()
-    first = run(one, SECOND)[0].token
-    assert not one.handle(SECOND, [PeerMessage(first, RequestCounts(0, ()))])  # as new as this one
-    assert run(one, SECOND + 2 * ANSWER_TIMEOUT) and not one.done
-
-
-def test_counts_are_worth_less_with_age_and_come_only_from_the_one_that_was_asked():
-    one = newcomer()
-    asked = run(one, SECOND)[0].token
-    tally = RequestCounts(HALF, ((7, 0, 8.0),))
-    assert not one.handle(SECOND, [PeerMessage(9, tally)])
-    assert one.handle(SECOND, [PeerMessage(asked, tally)]) == [AddCounts(((7, 0, 4.0),))] and one.done
-    assert not one.handle(SECOND, [PeerMessage(asked, tally)]) and not run(one, 60 * SECOND)
-
-
-@pytest.mark.parametrize(
-    "nonsense",
-    [
-        RequestCounts(-1, ((7, 0, 8.0),)),
-        RequestCounts(0, ((7, 0, -1.0),)),
-        RequestCounts(0, ((7, 0, float("nan")),)),
-        RequestCounts(0, ((-7, 0, 1.0),)),
-        RequestCounts(0, ((7, 0, 1.0),), 3, 2),
-        RequestCounts(0, ((7, 0, 1.0),), 0, 99),
-        RequestCounts(0, ((7, 0, 1.0),) * (CARRIED + 1)),
-    ],
-)
-def test_nonsense_is_refused_whole_and_another_is_asked(nonsense):
-    one = newcomer()
-    asked = run(one, SECOND)[0].token
-    assert not one.handle(SECOND, [PeerMessage(asked, nonsense)]) and one.counts["refused"] == 1
-    assert run(one, SECOND + 2 * ANSWER_TIMEOUT)
-
-
-def test_a_whole_table_is_told_in_bounded_parts_and_a_fleet_that_asks_at_once_is_held_off():
-    one = newcomer()
-    one.handle(0, [])
-    asks = [
-        order
-        for token in range(300)
-        for order in one.handle(10, [PeerMessage(token, RequestCountsQuery())])
-        if isinstance(order, ReadCounts)
-    ]
-    assert len(asks) == ASKED and asks[0].most == MOST
-    table = tuple((obj, 0, 2.0) for obj in range(1000))
-    assert one.handle(20, [CountsRead(5, table)]) == [
-        SendToMember(5, RequestCounts(0, (), 0, 1))
-    ]  # it has counted nothing itself
-    one.saw_get(10)
-    parts = [order.message for order in one.handle(30, [CountsRead(5, table)])]
-    assert (
-        sum(len(part.counts) for part in parts) == MOST
-        and {part.of for part in parts} == {len(parts)}
-        and parts[0].age == 20
-    )
-
-
 def test_the_pace_wants_to_know_how_many_share_it(tmp_path):
     file = tmp_path / "peers.ini"
     file.write_text(PEERS + "[caches]\nconnections = 100\n")
--- /dev/null
+++ b/tests/test_frequency_exchange.py
@@ -0,0 +1,131 @@
+"""Request counts of one front rank objects at another, new one; queries and answers are bounded."""
+
+import pytest
+
+from limepath.frequency_exchange.exchange import (
+    ANSWER_TIMEOUT,
+    COUNT_HALF_LIFE,
+    MAX_ANSWERS_PER_SECOND,
+    MAX_QUERIES,
+    RequestCountsExchange,
+)
+from limepath.frequency_exchange.interface import (
+    COUNTS_PER_MESSAGE,
+    MAX_COUNTS,
+    AddCounts,
+    CountsRead,
+    PeerMessage,
+    ReadCounts,
+    RequestCounts,
+    RequestCountsQuery,
+    SendToMember,
+)
+from limepath.interface.events import RequestArrived, RequestCountsReceived, RequestCountsWanted
+from tests.fake_host import SECOND, FakeHost
+
+
+def get(ident, obj=7):
+    return RequestArrived(ident, 0, 0, obj, 5 * SECOND, 0.0, 0, 0, False, False)
+
+
+def test_counts_of_another_front_rank_what_this_one_has_not_counted():
+    old, new, blank = FakeHost(), FakeHost(seed=8), FakeHost(seed=9)
+    ident = 0
+    for obj in range(1, 40):
+        for _ in range(20 if obj < 4 else 1):
+            ident += 1
+            old.hear(get(ident, obj))
+    counts = old.hear(RequestCountsWanted(10, 5))[-1]
+    assert (
+        counts.cookie == 5
+        and {obj for obj, _, _ in counts.counts[:3]} == {1, 2, 3}
+        and counts.counts[0][2] == 20
+    )
+    new.hear(RequestCountsReceived(counts.counts))
+    ranks = []
+    for host in (new, blank):
+        for obj in range(50, 110):
+            host.front.shelf.rank((obj, 0), 0)
+        ranks.append(host.front.shelf.rank((2, 0), 0))
+    assert ranks[0] == 3 > ranks[1]
+    assert len(new.front.shelf.side) < 10  # what was asked for has gone from the waiting ones
+
+
+def new_front(live=(2, 3)):
+    exchange = RequestCountsExchange(1, lambda: list(live))
+    exchange.start(0)
+    return exchange
+
+
+def run(exchange, until):
+    out = []
+    while (due := exchange.next()) is not None and due <= until:
+        out += exchange.handle(due)
+    return out
+
+
+def test_a_new_front_asks_another_where_one_is_silent_or_new_itself_and_gives_up_in_the_end():
+    exchange = new_front()
+    asked = [command for command in run(exchange, 60 * SECOND) if isinstance(command, SendToMember)]
+    assert len(asked) == MAX_QUERIES and all(command.message == RequestCountsQuery() for command in asked)
+    exchange = new_front()
+    first = run(exchange, SECOND)[0].token
+    assert not exchange.handle(SECOND, [PeerMessage(first, RequestCounts(0, ()))])  # as new as this one
+    assert run(exchange, SECOND + 2 * ANSWER_TIMEOUT) and not exchange.complete
+
+
+def test_counts_weigh_less_with_age_and_are_taken_only_from_the_front_that_was_asked():
+    exchange = new_front()
+    asked = run(exchange, SECOND)[0].token
+    counts = RequestCounts(COUNT_HALF_LIFE, ((7, 0, 8.0),))
+    assert not exchange.handle(SECOND, [PeerMessage(9, counts)])
+    assert (
+        exchange.handle(SECOND, [PeerMessage(asked, counts)]) == [AddCounts(((7, 0, 4.0),))]
+        and exchange.complete
+    )
+    assert not exchange.handle(SECOND, [PeerMessage(asked, counts)]) and not run(exchange, 60 * SECOND)
+
+
+@pytest.mark.parametrize(
+    "nonsense",
+    [
+        RequestCounts(-1, ((7, 0, 8.0),)),
+        RequestCounts(0, ((7, 0, -1.0),)),
+        RequestCounts(0, ((7, 0, float("nan")),)),
+        RequestCounts(0, ((-7, 0, 1.0),)),
+        RequestCounts(0, ((7, 0, 1.0),), 3, 2),
+        RequestCounts(0, ((7, 0, 1.0),), 0, 99),
+        RequestCounts(0, ((7, 0, 1.0),) * (COUNTS_PER_MESSAGE + 1)),
+    ],
+)
+def test_a_message_out_of_bounds_is_rejected_and_another_front_is_asked(nonsense):
+    exchange = new_front()
+    asked = run(exchange, SECOND)[0].token
+    assert (
+        not exchange.handle(SECOND, [PeerMessage(asked, nonsense)])
+        and exchange.statistics.messages_rejected == 1
+    )
+    assert run(exchange, SECOND + 2 * ANSWER_TIMEOUT)
+
+
+def test_a_table_is_sent_in_bounded_chunks_and_answers_per_second_are_limited():
+    exchange = new_front()
+    exchange.handle(0, [])
+    asks = [
+        command
+        for token in range(300)
+        for command in exchange.handle(10, [PeerMessage(token, RequestCountsQuery())])
+        if isinstance(command, ReadCounts)
+    ]
+    assert len(asks) == MAX_ANSWERS_PER_SECOND and asks[0].most == MAX_COUNTS
+    table = tuple((obj, 0, 2.0) for obj in range(1000))
+    assert exchange.handle(20, [CountsRead(5, table)]) == [
+        SendToMember(5, RequestCounts(0, (), 0, 1))
+    ]  # it has counted nothing itself
+    exchange.record_request(10)
+    parts = [command.message for command in exchange.handle(30, [CountsRead(5, table)])]
+    assert (
+        sum(len(part.counts) for part in parts) == MAX_COUNTS
+        and {part.chunks for part in parts} == {len(parts)}
+        and parts[0].age == 20
+    )
