--- a/limepath/connection_pacing/__init__.py
+++ b/limepath/connection_pacing/__init__.py
@@ -1,7 +1,9 @@
-"""Limits that many fronts keep together without talking: each takes its share of what the settings allow the
-whole fleet.
+"""A limit that many fronts keep together without talking: a rate of new connections to each endpoint.
 
-`connections` is the pace of new connections at one member; what it allows reaches the decision module as room
-(`contract.Room`), and the module alone sheds, forwards and steps on. Free of I/O; the hosts are the front's
-own.
+Each front takes its share of the rate that the settings allow the whole fleet. `connections` computes, free
+of I/O, whether a front may connect to an endpoint now. `host` tells the network code that, and the decision
+module which endpoints can be reached (`ConnectionAvailabilityChanged`); the decision module alone rejects,
+forwards, or chooses another endpoint.
+
+Read `connections` first. It owns, by endpoint, when the next connection may be opened.
 """
--- a/limepath/connection_pacing/host.py
+++ b/limepath/connection_pacing/host.py
@@ -1,31 +1,73 @@
-"""The pace of connections at a front: what it allows goes to the module as room, and to the peers as leave to
-connect.
-"""
+"""The pace of connections at a front: asked by its network code, reported to the decision module."""
 
-from limepath.connection_pacing.connections import Connections
+from collections.abc import Callable
+from typing import TYPE_CHECKING
+
+from limepath.connection_pacing.connections import MICROSECONDS_PER_SECOND, ConnectionPacer
 from limepath.front.turn import clock
 from limepath.interface.events import ConnectionAvailabilityChanged
 
+if TYPE_CHECKING:
+    from twisted.internet.interfaces import IDelayedCall, IReactorTime
+
+    from limepath.front.caches import Caches
+    from limepath.front.turn import Turn
+
+TIMER_SLACK = 0.001  # seconds: the timer must not fire before the time that it is set to
+
 
-class Paced:
-    """`rate` as in Connections; `sharing()` tells how many fronts share it, `chance()` draws."""
+class PacedConnections:
+    """Keeps the pace of a front's connections to its endpoints.
 
-    def __init__(self, reactor, turn, caches, rate, sharing, chance):
-        self.reactor, self.turn, self.caches = reactor, turn, caches
-        self.pace, self.timer = Connections(rate, sharing, chance), None
-        self.may, caches.paced = self.pace.may, self
+    Attributes:
+        reactor: schedules the timer.
+        turn: takes events to the decision module.
+        caches: the network code of the endpoints; it asks here before it connects.
+        pacer: the logic.
+        timer: fires when the next endpoint becomes available, or None.
+    """
 
-    def took(self, ident):
-        self.pace.took(ident, clock())
+    def __init__(
+        self,
+        reactor: "IReactorTime",
+        turn: "Turn",
+        caches: "Caches",
+        rate: float,
+        sharing_fronts: Callable[[], int],
+        random_fraction: Callable[[], float],
+    ) -> None:
+        """Take the arguments of `ConnectionPacer`, and attach to `caches`."""
+        self.reactor = reactor
+        self.turn = turn
+        self.caches = caches
+        self.pacer: ConnectionPacer[int] = ConnectionPacer(rate, sharing_fronts, random_fraction)
+        self.timer: IDelayedCall | None = None
+        caches.paced = self
 
-    def look(self):
-        """After the list or a connection has changed, and when a turn has come."""
-        now, peers = clock(), self.caches.peers
-        self.pace.listed(now, [ident for ident, peer in peers.items() if peer.gone is None])
+    def may_connect(self, endpoint: int) -> bool:
+        """Return whether a connection to this endpoint may be opened now."""
+        return self.pacer.may_connect(endpoint, clock())
+
+    def connection_started(self, endpoint: int) -> None:
+        """Take note that a connection to this endpoint is being opened."""
+        self.pacer.connection_started(endpoint, clock())
+
+    def update(self) -> None:
+        """Report what is available, after the list or a connection has changed or the timer has fired."""
+        now = clock()
+        peers = self.caches.peers
+        self.pacer.update_endpoints(now, [ident for ident, peer in peers.items() if peer.gone is None])
         for ident, peer in peers.items():
-            self.pace.changed(ident, len(peer.connections) + peer.coming)
-        self.turn.gather(*(ConnectionAvailabilityChanged(ident, way) for ident, way in self.pace.rooms(now)))
+            self.pacer.set_open_connections(ident, len(peer.connections) + peer.coming)
+        changes = self.pacer.availability_changes(now)
+        self.turn.gather(*(ConnectionAvailabilityChanged(*change) for change in changes))
+        self._set_timer(now)
+
+    def _set_timer(self, now: int) -> None:
         if self.timer and self.timer.active():
             self.timer.cancel()
-        due = self.pace.next()
-        self.timer = due is not None and self.reactor.callLater(max(0, due - now) / 1e6 + 0.001, self.look)
+        self.timer = None
+        due = self.pacer.next()
+        if due is not None:
+            delay = max(0, due - now) / MICROSECONDS_PER_SECOND + TIMER_SLACK
+            self.timer = self.reactor.callLater(delay, self.update)
--- a/limepath/discovery/host.py
+++ b/limepath/discovery/host.py
@@ -128,7 +128,7 @@
             super().fleet(told)
         finally:  # some of it may have been unreadable
             if self.paced:
-                self.paced.look()
+                self.paced.update()
 
     def invalidated(self, told):
         """A purge is no older than this front's list was up to date, whatever the clocks say."""
@@ -185,10 +185,10 @@
     changes.tallies = FrequencyExchange(reactor, turn, cooperation, front.seed ^ 0x7A11)
     cooperation.hearers.append(changes.tallies)
     if cooperation.told.connections:
-        from limepath.connection_pacing.host import Paced
+        from limepath.connection_pacing.host import PacedConnections
 
         members = cooperation.instance.members
-        changes.paced = Paced(
+        changes.paced = PacedConnections(
             reactor,
             turn,
             caches,
--- a/limepath/front/cache_peer.py
+++ b/limepath/front/cache_peer.py
@@ -90,7 +90,7 @@
         paced = self.caches.paced  # probes are shared out among fronts by themselves
         if (
             paced
-            and not paced.may(self.ident, clock())
+            and not paced.may_connect(self.ident)
             and not any(isinstance(one, Probing) for one in self.waiting)
         ):
             return False
@@ -104,7 +104,7 @@
         self.coming += 1
         self.caches.held += 1
         if self.caches.paced:
-            self.caches.paced.took(self.ident)
+            self.caches.paced.connection_started(self.ident)
         connection = CacheConnection(self)
         coming = self.caches.secured and self.caches.secured.connect(
             self, connection, clock() + self.limits.wait
@@ -134,7 +134,7 @@
         self.coming -= 1
         self.caches.held -= 1
         if self.caches.paced:
-            self.caches.paced.look()
+            self.caches.paced.update()
         failure.trap(ConnectError)
         for _ in range(len(self.waiting) if not (self.coming or self.connections) else 1):
             if self.waiting:
@@ -156,7 +156,7 @@
         if connection in self.idle:
             self.idle.remove(connection)
         if self.caches.paced:
-            self.caches.paced.look()
+            self.caches.paced.update()
         out, connection.out = connection.out, {}
         for attempt in out.values():  # what was not written whole has not run
             self.caches.ended(
--- a/limepath/scale/hollow.py
+++ b/limepath/scale/hollow.py
@@ -80,7 +80,7 @@
         carriers[ReportRequestCounts] = account.charged(carriers[ReportRequestCounts], Subsystem.COUNTS)
         self.sweep_sharing = account.charged(cooperation.sweep, Subsystem.MEMBERSHIP)
         if changes.paced:
-            changes.paced.look = account.charged(changes.paced.look, Subsystem.LIMITS)
+            changes.paced.update = account.charged(changes.paced.update, Subsystem.LIMITS)
 
     def count(self):
         """Count datagrams and events where they pass the front's socket and its list."""
--- a/limepath/testbed/coldstart.py
+++ b/limepath/testbed/coldstart.py
@@ -22,7 +22,7 @@
 from twisted.internet.task import LoopingCall
 
 from limepath.configuration.sharing_settings import DiscoverySettings
-from limepath.connection_pacing.connections import rush
+from limepath.connection_pacing.connections import most_expected
 from limepath.discovery.bounds import bounds, tree_bounds
 from limepath.discovery.simulate import most_in
 from limepath.discovery.state import List
@@ -542,7 +542,9 @@
             round(max(late, default=0), 2),
             seconds(drains),
         ),
-        at_most("most new connections at one cache in 100 ms", connected, rush(CONNECTIONS, SECOND // 10)),
+        at_most(
+            "most new connections at one cache in 100 ms", connected, most_expected(CONNECTIONS, SECOND // 10)
+        ),
         CheckResult("most forwards to one cache in a second", pressed),
         CheckResult(
             f"share of {WAVE} GETs at each front for the same {OBJECTS} objects that were answered",
--- a/tests/test_connection_pacing.py
+++ b/tests/test_connection_pacing.py
@@ -1,4 +1,4 @@
-"""New connections to an endpoint keep a pace over the whole fleet, and the decision module heeds it."""
+"""New connections to an endpoint keep a pacer over the whole fleet, and the decision module heeds it."""
 
 from random import Random
 
@@ -8,7 +8,7 @@
 
 from limepath.configuration import peers_file
 from limepath.configuration.ini import SettingError
-from limepath.connection_pacing.connections import Connections, rush
+from limepath.connection_pacing.connections import ConnectionPacer, most_expected
 from limepath.discovery.simulate import most_in
 from limepath.interface.commands import ForwardRequest, RejectRequest
 from limepath.interface.events import (
@@ -24,34 +24,34 @@
 
 @settings(max_examples=40, deadline=None, derandomize=True)
 @given(fronts=st.integers(1, 300), seed=st.integers(0, 999))
-def test_however_many_fronts_start_at_once_a_member_sees_no_rush_of_connections(fronts, seed):
+def test_however_many_fronts_start_at_once_an_endpoint_receives_no_burst_of_connections(fronts, seed):
     chance, times = Random(seed), []
     for _ in range(fronts):
-        pace = Connections(100.0, lambda: fronts, chance.random)
-        pace.listed(0, [1])
+        pacer = ConnectionPacer(100.0, lambda: fronts, chance.random)
+        pacer.update_endpoints(0, [1])
         for now in range(0, 3_000_000, 10_000):  # each wants as many as it may have
-            if pace.may(1, now):
-                pace.took(1, now)
+            if pacer.may_connect(1, now):
+                pacer.connection_started(1, now)
                 times.append(now)
     assert most_in(sorted(times), 99_999) <= 28  # ten on average; by chance some more
     assert most_in(sorted(times), 999_999) <= 150
 
 
-def test_a_connection_that_is_up_is_a_way_though_no_turn_is_due():
-    pace = Connections(10.0, lambda: 100, lambda: 0.5)
-    pace.listed(0, [1, 2])
-    assert dict(pace.rooms(0)) == {1: False, 2: False} and pace.next() == 5 * SECOND
-    pace.took(1, 5 * SECOND)
-    pace.changed(1, 1)
+def test_an_endpoint_with_an_open_connection_is_available_though_none_may_be_opened():
+    pacer = ConnectionPacer(10.0, lambda: 100, lambda: 0.5)
+    pacer.update_endpoints(0, [1, 2])
+    assert dict(pacer.availability_changes(0)) == {1: False, 2: False} and pacer.next() == 5 * SECOND
+    pacer.connection_started(1, 5 * SECOND)
+    pacer.set_open_connections(1, 1)
     assert (
-        dict(pace.rooms(5 * SECOND)) == {1: True, 2: True}
-        and not pace.may(1, 14 * SECOND)
-        and pace.may(1, 15 * SECOND)
+        dict(pacer.availability_changes(5 * SECOND)) == {1: True, 2: True}
+        and not pacer.may_connect(1, 14 * SECOND)
+        and pacer.may_connect(1, 15 * SECOND)
     )
-    pace.changed(1, 0)
-    assert pace.rooms(6 * SECOND) == [(1, False)] and pace.next() == 15 * SECOND
-    pace.listed(6 * SECOND, [2])
-    assert pace.may(1, 6 * SECOND) and pace.next() is None  # one that has gone has no pace
+    pacer.set_open_connections(1, 0)
+    assert pacer.availability_changes(6 * SECOND) == [(1, False)] and pacer.next() == 15 * SECOND
+    pacer.update_endpoints(6 * SECOND, [2])
+    assert pacer.may_connect(1, 6 * SECOND) and pacer.next() is None  # one that has gone has no pacer
 
 
 def get(ident, obj=7):
@@ -62,7 +62,7 @@
     return [order for order in orders if isinstance(order, ForwardRequest)]
 
 
-def test_a_get_goes_to_no_cache_without_a_way_and_is_shed_at_once_where_there_is_none():
+def test_a_request_goes_to_no_unavailable_cache_and_is_rejected_at_once_where_none_is_available():
     host = FakeHost()
     home = forwards(host.hear(get(1)))[0].endpoint
     host.hear(ConnectionAvailabilityChanged(home, False))
@@ -76,7 +76,7 @@
     assert [type(order) for order in told] == [RejectRequest] and told[0].retry_after > 0
 
 
-def test_a_parent_without_a_way_from_here_is_a_fill_source_all_the_same():
+def test_a_parent_unavailable_from_here_is_a_fill_source_all_the_same():
     host = FakeHost()
     host.hear(
         *(
@@ -92,7 +92,7 @@
     assert host.front.caches[forwards(told)[0].source].member.kind == PARENT
 
 
-def test_the_pace_wants_to_know_how_many_share_it(tmp_path):
+def test_a_pace_requires_the_number_of_fronts_that_share_it(tmp_path):
     file = tmp_path / "peers.ini"
     file.write_text(PEERS + "[caches]\nconnections = 100\n")
     with pytest.raises(SettingError, match=r"\[caches\]: wants \[listing\]"):
@@ -102,16 +102,22 @@
     assert read.connections == 100 and read.listing.ready == 50.0
 
 
-def test_a_rush_is_three_deviations_above_the_mean():
-    assert (rush(100.0, 100_000), rush(100.0, 1_000_000)) == (20, 130)
+def test_most_expected_is_three_deviations_above_the_mean():
+    assert (most_expected(100.0, 100_000), most_expected(100.0, 1_000_000)) == (20, 130)
 
 
-def test_a_front_connects_to_a_member_when_its_turn_has_come():
-    pace = Connections(100.0, lambda: 200, lambda: 0.25)  # one in 2 s for each
-    pace.listed(0, ["s-1"])
-    assert not pace.may("s-1", 499_999) and pace.may("s-1", 500_000)
-    assert pace.rooms(0) == [("s-1", False)] and pace.next() == 500_000
-    assert pace.rooms(500_000) == [("s-1", True)] and pace.rooms(500_001) == []
-    pace.took("s-1", 500_000)
-    assert pace.may("s-1", 2_499_999) is False and pace.rooms(600_000) == [("s-1", False)]
-    assert pace.changed("s-1", 1) is None and pace.rooms(700_000) == [("s-1", True)]
+def test_a_front_connects_to_an_endpoint_when_its_interval_has_passed():
+    pacer = ConnectionPacer(100.0, lambda: 200, lambda: 0.25)  # one in 2 s for each
+    pacer.update_endpoints(0, ["s-1"])
+    assert not pacer.may_connect("s-1", 499_999) and pacer.may_connect("s-1", 500_000)
+    assert pacer.availability_changes(0) == [("s-1", False)] and pacer.next() == 500_000
+    assert (
+        pacer.availability_changes(500_000) == [("s-1", True)] and pacer.availability_changes(500_001) == []
+    )
+    pacer.connection_started("s-1", 500_000)
+    assert pacer.may_connect("s-1", 2_499_999) is False and pacer.availability_changes(600_000) == [
+        ("s-1", False)
+    ]
+    assert pacer.set_open_connections("s-1", 1) is None and pacer.availability_changes(700_000) == [
+        ("s-1", True)
+    ]
--- a/tests/test_frequency_exchange.py
+++ b/tests/test_frequency_exchange.py
@@ -28,7 +28,7 @@
     return RequestArrived(ident, 0, 0, obj, 5 * SECOND, 0.0, 0, 0, False, False)
 
 
-def test_counts_of_another_front_rank_what_this_one_has_not_counted():
+def test_counts_of_another_front_rank_objects_that_this_one_has_not_counted():
     old, new, blank = FakeHost(), FakeHost(seed=8), FakeHost(seed=9)
     ident = 0
     for obj in range(1, 40):
