--- a/limepath/connection_pacing/host.py
+++ b/limepath/connection_pacing/host.py
@@ -21,7 +21,7 @@
 
     Attributes:
         reactor: schedules the timer.
-        turn: takes events to the decision module.
+        decision_loop: takes events to the decision module.
         caches: the network code of the endpoints; it asks here before it connects.
         pacer: the logic.
         timer: fires when the next endpoint becomes available, or None.
@@ -30,7 +30,7 @@
     def __init__(
         self,
         reactor: "IReactorTime",
-        turn: "Turn",
+        decision_loop: "Turn",
         caches: "Caches",
         rate: float,
         sharing_fronts: Callable[[], int],
@@ -38,7 +38,7 @@
     ) -> None:
         """Take the arguments of `ConnectionPacer`, and attach to `caches`."""
         self.reactor = reactor
-        self.turn = turn
+        self.decision_loop = decision_loop
         self.caches = caches
         self.pacer: ConnectionPacer[int] = ConnectionPacer(rate, sharing_fronts, random_fraction)
         self.timer: IDelayedCall | None = None
@@ -60,7 +60,7 @@
         for ident, peer in peers.items():
             self.pacer.set_open_connections(ident, len(peer.connections) + peer.coming)
         changes = self.pacer.availability_changes(now)
-        self.turn.gather(*(ConnectionAvailabilityChanged(*change) for change in changes))
+        self.decision_loop.gather(*(ConnectionAvailabilityChanged(*change) for change in changes))
         self._set_timer(now)
 
     def _set_timer(self, now: int) -> None:
--- a/limepath/frequency_exchange/exchange.py
+++ b/limepath/frequency_exchange/exchange.py
@@ -25,8 +25,8 @@
 FIRST_QUERY_DELAY = 500_000  # from the start; the delay is drawn between this and twice this
 ANSWER_TIMEOUT = 1_000_000
 MAX_QUERIES = 4  # fronts that are asked in all
-COUNT_HALF_LIFE = 600_000_000  # age at which a count weighs half
-MAX_AGE = 6 * COUNT_HALF_LIFE
+HALF_WEIGHT_AGE = 600_000_000  # age at which a count weighs half
+MAX_AGE = 6 * HALF_WEIGHT_AGE
 MAX_ANSWERS_PER_SECOND = 64  # each one datagram to six
 MAX_CHUNKS = -(-MAX_COUNTS // COUNTS_PER_MESSAGE)  # rounded up
 
@@ -139,7 +139,7 @@
             return
         self.received_chunks.add(message.chunk)
         self.complete = len(self.received_chunks) == message.chunks
-        weight = 0.5 ** (message.age / COUNT_HALF_LIFE)
+        weight = 0.5 ** (message.age / HALF_WEIGHT_AGE)
         self.statistics.counts_received += len(message.counts)
         self.timers.emit(AddCounts(tuple((obj, part, count * weight) for obj, part, count in message.counts)))
 
--- a/limepath/frequency_exchange/host.py
+++ b/limepath/frequency_exchange/host.py
@@ -28,19 +28,21 @@
     """Carries events to a `RequestCountsExchange` and executes its commands.
 
     Attributes:
-        turn: takes events to the decision module, and its commands to their handlers.
+        decision_loop: takes events to the decision module, and its commands to their handlers.
         cooperation: the link to other instances.
         logic: the exchange.
         logic_host: runs it on the reactor.
     """
 
-    def __init__(self, reactor: "IReactorTime", turn: "Turn", cooperation: "Cooperation", seed: int) -> None:
-        self.turn = turn
+    def __init__(
+        self, reactor: "IReactorTime", decision_loop: "Turn", cooperation: "Cooperation", seed: int
+    ) -> None:
+        self.decision_loop = decision_loop
         self.cooperation = cooperation
         members = cooperation.instance.members
         self.logic = RequestCountsExchange(seed, lambda: members.ring)
         self.logic_host = LogicHost(reactor, clock, self.logic, self.execute, self.failed)
-        turn.carriers[ReportRequestCounts] = self.report_counts
+        decision_loop.carriers[ReportRequestCounts] = self.report_counts
         cooperation.guests.append(self)
         cooperation.at_stop.append(self.logic_host.close)
         cooperation.views["tallies"] = self.logic.statistics.as_view
@@ -69,9 +71,9 @@
         if isinstance(command, SendToMember):
             self.cooperation.reach(command.token, command.message)
         elif isinstance(command, ReadCounts):
-            self.turn.gather(RequestCountsWanted(command.most, command.token))
+            self.decision_loop.gather(RequestCountsWanted(command.most, command.token))
         elif isinstance(command, AddCounts):
-            self.turn.gather(RequestCountsReceived(command.counts))
+            self.decision_loop.gather(RequestCountsReceived(command.counts))
 
     def failed(self, error: Exception) -> None:
         """Log an error of the logic; the front goes on without the counts of others."""
--- a/tests/test_frequency_exchange.py
+++ b/tests/test_frequency_exchange.py
@@ -4,7 +4,7 @@
 
 from limepath.frequency_exchange.exchange import (
     ANSWER_TIMEOUT,
-    COUNT_HALF_LIFE,
+    HALF_WEIGHT_AGE,
     MAX_ANSWERS_PER_SECOND,
     MAX_QUERIES,
     RequestCountsExchange,
@@ -77,7 +77,7 @@
 def test_counts_weigh_less_with_age_and_are_taken_only_from_the_front_that_was_asked():
     exchange = new_front()
     asked = run(exchange, SECOND)[0].token
-    counts = RequestCounts(COUNT_HALF_LIFE, ((7, 0, 8.0),))
+    counts = RequestCounts(HALF_WEIGHT_AGE, ((7, 0, 8.0),))
     assert not exchange.handle(SECOND, [PeerMessage(9, counts)])
     assert (
         exchange.handle(SECOND, [PeerMessage(asked, counts)]) == [AddCounts(((7, 0, 4.0),))]
