--- a/limepath/cli/duties.py
+++ b/limepath/cli/duties.py
@@ -18,7 +18,7 @@
         if isinstance(value, int):
             return value
         try:
-            return ini.span(value)
+            return ini.parse_duration(value)
         except ValueError as flaw:
             self.fail(str(flaw), parameter, context)
 
@@ -28,7 +28,7 @@
 
     def convert(self, value, parameter, context):
         try:
-            share = value if isinstance(value, float) else ini.share(value)
+            share = value if isinstance(value, float) else ini.parse_fraction(value)
         except ValueError as flaw:
             self.fail(str(flaw), parameter, context)
         if not 0 <= share < 1:
@@ -60,7 +60,9 @@
     chosen = tuple(told.split(",")) if told else kinds
     for kind in chosen:
         if kind not in kinds:
-            raise click.BadParameter(f"{kind!r}: no such kind{ini.near(kind, kinds)}", param_hint=option)
+            raise click.BadParameter(
+                f"{kind!r}: no such kind{ini.suggestion(kind, kinds)}", param_hint=option
+            )
     return chosen
 
 
--- a/limepath/configuration/peers_file.py
+++ b/limepath/configuration/peers_file.py
@@ -1,10 +1,14 @@
-"""What may stand in a peers file (deploy/peers.ini): the instance, its peers, leases, duties and the log."""
+"""The peers file (deploy/peers.ini): the instance, members, leases, the endpoint list, duties and the log.
+
+`SCHEMA` says what may stand in it; `read` checks what one section says of another, and returns the settings.
+"""
 
 import os
+from collections.abc import Mapping
 from typing import NamedTuple
 
 from limepath.configuration import ini
-from limepath.configuration.ini import Key, Section, SettingError
+from limepath.configuration.ini import Key, Section, SettingError, Settings, Values, duration
 from limepath.configuration.sharing_settings import (
     DiscoverySettings,
     DutyMode,
@@ -16,131 +20,221 @@
 
 MODES = {"at-least-once": DutyMode.AT_LEAST_ONCE, "one-owner": DutyMode.ONE_OWNER}
 KINDS = ("caches", "parents", "origin")
-MS, SECOND = 1000, 1_000_000
-
+MAX_VOTERS = 15
+MS = 1000  # microseconds
+SECOND = 1_000_000
+HOUR = 3600 * SECOND
 
-def span(absent, least, most):
-    return Key(ini.span, absent, least, most, "span")
+Address = tuple[str, int]  # host and port
 
 
-FORM = {
-    "instance": Section({"name": Key(ini.word), "store": Key(ini.path), "control": Key(ini.path, "")}, True),
-    "log": Section({"form": Key(ini.one_of(*FORMS), FORMS[0])}),
+SCHEMA = {
+    "instance": Section(
+        {"name": Key(ini.parse_name), "store": Key(ini.parse_path), "control": Key(ini.parse_path, "")}, True
+    ),
+    "log": Section({"form": Key(ini.choice_parser(*FORMS), FORMS[0])}),
     "peers": Section(
         {
-            "listen": Key(ini.address),
-            "advertise": Key(ini.address, None),
-            "seeds": Key(ini.many(ini.address), ()),
-            "keys": Key(ini.path),
-            "period": span(SECOND, 100 * MS, 60 * SECOND),
-            "direct": span(300 * MS, 20 * MS, 20 * SECOND),
-            "indirect": Key(ini.whole, 3, 0, 8),
-            "suspicion": Key(ini.whole, 4, 1, 20),
-            "forget": span(3600 * SECOND, 10 * SECOND, 24 * 3600 * SECOND),
-            "keys-reread": span(2 * SECOND, 100 * MS, 3600 * SECOND),
+            "listen": Key(ini.parse_address),
+            "advertise": Key(ini.parse_address, None),
+            "seeds": Key(ini.list_parser(ini.parse_address), ()),
+            "keys": Key(ini.parse_path),
+            "period": duration(SECOND, 100 * MS, 60 * SECOND),
+            "direct": duration(300 * MS, 20 * MS, 20 * SECOND),
+            "indirect": Key(ini.parse_integer, 3, 0, 8),
+            "suspicion": Key(ini.parse_integer, 4, 1, 20),
+            "forget": duration(HOUR, 10 * SECOND, 24 * HOUR),
+            "keys-reread": duration(2 * SECOND, 100 * MS, HOUR),
         },
         True,
     ),
     "leases": Section(
         {
-            "voters": Key(ini.many(ini.word), ()),
-            "span": span(3 * SECOND, 200 * MS, 600 * SECOND),
-            "drift": Key(ini.share, 0.01, 0.0, 0.2),
-            "slots": Key(ini.whole, 32, 1, 256),
+            "voters": Key(ini.list_parser(ini.parse_name), ()),
+            "span": duration(3 * SECOND, 200 * MS, 600 * SECOND),
+            "drift": Key(ini.parse_fraction, 0.01, 0.0, 0.2),
+            "slots": Key(ini.parse_integer, 32, 1, 256),
         }
     ),
-    "sharing": Section({"batch": span(250 * MS, 20 * MS, 10 * SECOND), "copies": Key(ini.whole, 2, 1, 10)}),
+    "sharing": Section(
+        {"batch": duration(250 * MS, 20 * MS, 10 * SECOND), "copies": Key(ini.parse_integer, 2, 1, 10)}
+    ),
     "listing": Section(
         {
-            "fronts": Key(ini.whole, ini.REQUIRED, 1, 10_000),
-            "calls": Key(ini.whole, 20, 1, 10_000),
-            "relays": Key(ini.whole, 2, 1, 8),
-            "beat": span(500 * MS, 50 * MS, 10 * SECOND),
-            "patience": span(1500 * MS, 150 * MS, 60 * SECOND),
-            "silence": span(2500 * MS, 500 * MS, 60 * SECOND),
-            "save": span(SECOND, 100 * MS, 60 * SECOND),
-            "region": Key(ini.word, ""),
-            "site": Key(ini.word, ""),
-            "fan-out": Key(ini.whole, 4, 2, 16),
-            "gather": span(250 * MS, 10 * MS, 5 * SECOND),
-            "window": span(300 * SECOND, 10 * SECOND, 2 * 3600 * SECOND),
-            "window-bytes": Key(ini.whole, 1_000_000, 10_000, 100_000_000),
+            "fronts": Key(ini.parse_integer, ini.REQUIRED, 1, 10_000),
+            "calls": Key(ini.parse_integer, 20, 1, 10_000),
+            "relays": Key(ini.parse_integer, 2, 1, 8),
+            "beat": duration(500 * MS, 50 * MS, 10 * SECOND),
+            "patience": duration(1500 * MS, 150 * MS, 60 * SECOND),
+            "silence": duration(2500 * MS, 500 * MS, 60 * SECOND),
+            "save": duration(SECOND, 100 * MS, 60 * SECOND),
+            "region": Key(ini.parse_name, ""),
+            "site": Key(ini.parse_name, ""),
+            "fan-out": Key(ini.parse_integer, 4, 2, 16),
+            "gather": duration(250 * MS, 10 * MS, 5 * SECOND),
+            "window": duration(300 * SECOND, 10 * SECOND, 2 * HOUR),
+            "window-bytes": Key(ini.parse_integer, 1_000_000, 10_000, 100_000_000),
         }
     ),
     "caches": Section(
-        {"connections": Key(ini.whole, ini.REQUIRED, 1, 100_000), "ready": Key(ini.whole, 0, 0, 10_000)}
+        {
+            "connections": Key(ini.parse_integer, ini.REQUIRED, 1, 100_000),
+            "ready": Key(ini.parse_integer, 0, 0, 10_000),
+        }
     ),
     "duty *": Section(
         {
-            "mode": Key(ini.one_of(*MODES), "at-least-once"),
-            "interval": span(5 * SECOND, 100 * MS, 24 * 3600 * SECOND),
-            "targets": Key(ini.many(ini.one_of(*KINDS)), KINDS),
+            "mode": Key(ini.choice_parser(*MODES), "at-least-once"),
+            "interval": duration(5 * SECOND, 100 * MS, 24 * HOUR),
+            "targets": Key(ini.list_parser(ini.choice_parser(*KINDS)), KINDS),
         }
     ),
 }
 
 
 class PeersSettings(NamedTuple):
-    """Paths are resolved against the file's own folder."""
+    """What a peers file says. Paths are resolved against the file's own folder.
+
+    Attributes:
+        file: the file.
+        name: this instance.
+        store: the path of its store.
+        control: the path of its control socket, or "".
+        form: the form of the log, one of `limepath.log.FORMS`.
+        listen: where datagrams are received.
+        advertise: where other instances send them.
+        seeds: addresses of instances that are asked for members at first.
+        keys: the path of the keys file.
+        keys_reread: microseconds between looks at whether it has changed.
+        spans: timeouts and intervals of the membership.
+        leasing: settings of leases and of shared results.
+        plans: the duties.
+        kinds: the kinds of targets of each duty, by its name.
+        listing: settings of the endpoint list; None where each front reads the change log by itself.
+        connections: new connections a second to one endpoint, from all fronts; 0 where no pace is kept.
+    """
 
     file: str
     name: str
     store: str
     control: str
     form: str
-    listen: tuple
-    advertise: tuple
-    seeds: tuple
+    listen: Address
+    advertise: Address
+    seeds: tuple[Address, ...]
     keys: str
     keys_reread: int
     spans: MembershipTimeouts
     leasing: LeaseSettings
-    plans: tuple
-    kinds: dict  # a duty's name to the kinds of its targets
-    listing: DiscoverySettings = None  # None: each front follows the change log by itself
-    connections: int = 0  # new ones a second at one member, of all fronts; 0 where no pace is kept
+    plans: tuple[DutySettings, ...]
+    kinds: dict[str, tuple[str, ...]]
+    listing: DiscoverySettings | None = None
+    connections: int = 0
+
+
+def read(file: str) -> PeersSettings:
+    """Read and check a peers file; no other file is read.
+
+    Raises:
+        SettingError: the file cannot be used. The text names file, section and key.
+    """
+    sections = ini.read_file(file, SCHEMA)
+    instance = sections["instance"]
+    peers = sections["peers"]
+    duties = _duty_sections(sections)
+    plans = _duties(duties)
+    timeouts = _membership_timeouts(peers, file)
+    leases = _leases(sections["leases"], sections["sharing"], plans, file)
+    discovery = _discovery(sections["listing"], file)
+    if caches := sections["caches"]:
+        discovery = _with_readiness(discovery, caches, file)
+    folder = os.path.dirname(os.path.abspath(file))
+    return PeersSettings(
+        file=str(file),
+        name=instance["name"],
+        store=_resolve(folder, instance["store"]),
+        control=_resolve(folder, instance["control"]),
+        form=sections["log"]["form"],
+        listen=peers["listen"],
+        advertise=peers["advertise"] or peers["listen"],
+        seeds=peers["seeds"],
+        keys=_resolve(folder, peers["keys"]),
+        keys_reread=peers["keys-reread"],
+        spans=timeouts,
+        leasing=leases,
+        plans=plans,
+        kinds={name: duty["targets"] for name, duty in duties.items()},
+        listing=discovery,
+        connections=caches["connections"] if caches else 0,
+    )
+
 
+def _resolve(folder: str, path: str) -> str:
+    return os.path.join(folder, path) if path else ""
 
-def read(file):
-    """Give the PeersOpening that a file tells of; raise BadSetting with file, section and key."""
-    told = ini.read(file, FORM)
-    where = os.path.dirname(os.path.abspath(file))
-    instance, peers, leases, sharing = (told[name] for name in ("instance", "peers", "leases", "sharing"))
+
+def _duty_sections(sections: Settings) -> dict[str, Values]:
+    """Return the sections [duty NAME] by name."""
+    named = {section: values for section, values in sections.items() if isinstance(section, tuple)}
+    return {name: values for (kind, name), values in named.items() if kind == "duty"}
+
+
+def _duties(sections: Mapping[str, Values]) -> tuple[DutySettings, ...]:
+    return tuple(DutySettings(name, MODES[duty["mode"]], duty["interval"]) for name, duty in sections.items())
+
+
+def _membership_timeouts(peers: Values, file: str) -> MembershipTimeouts:
     if peers["direct"] * 2 >= peers["period"]:
         raise SettingError(
             f"{file}: [peers] direct: twice this must be below period, so that others can be asked too"
         )
-    duties = {
-        name: values
-        for (kind, name), values in ((key, values) for key, values in told.items() if isinstance(key, tuple))
-        if kind == "duty"
-    }
-    plans = tuple(
-        DutySettings(name, MODES[values["mode"]], values["interval"]) for name, values in duties.items()
+    return MembershipTimeouts(
+        period=peers["period"],
+        direct=peers["direct"],
+        indirect=peers["indirect"],
+        suspicion=peers["suspicion"],
+        forget=peers["forget"],
     )
-    for plan in plans:
-        if plan.mode == DutyMode.ONE_OWNER and not leases["voters"]:
-            raise SettingError(f"{file}: [leases] voters: missing; [duty {plan.name}] has mode one-owner")
-    if len(leases["voters"]) > 15:
+
+
+def _leases(leases: Values, sharing: Values, duties: tuple[DutySettings, ...], file: str) -> LeaseSettings:
+    for duty in duties:
+        if duty.mode == DutyMode.ONE_OWNER and not leases["voters"]:
+            raise SettingError(f"{file}: [leases] voters: missing; [duty {duty.name}] has mode one-owner")
+    if len(leases["voters"]) > MAX_VOTERS:
         raise SettingError(
-            f"{file}: [leases] voters: at most 15 are wanted; others may own duties all the same"
+            f"{file}: [leases] voters: at most {MAX_VOTERS} are wanted; others may own duties all the same"
         )
-    if not plans:
+    if not duties:
         raise SettingError(f"{file}: [duty NAME]: missing; without a duty there is nothing to share")
+    return LeaseSettings(
+        voters=leases["voters"],
+        span=leases["span"],
+        drift=leases["drift"],
+        slots=leases["slots"],
+        batch=sharing["batch"],
+        copies=sharing["copies"],
+    )
+
 
-    listing = told["listing"]
-    if listing and listing["patience"] < 2 * listing["beat"]:
+def _discovery(listing: Values | None, file: str) -> DiscoverySettings | None:
+    if not listing:
+        return None
+    if listing["patience"] < 2 * listing["beat"]:
         raise SettingError(
             f"{file}: [listing] patience: at least twice beat is wanted, or one lost datagram passes for a "
             "silent relay"
         )
-    if listing and listing["site"] and listing["gather"] > listing["beat"]:
+    if listing["site"] and listing["gather"] > listing["beat"]:
         raise SettingError(f"{file}: [listing] gather: at most beat is wanted, or heartbeats outrun events")
-    terms = listing and DiscoverySettings(
-        "",
-        listing["fronts"],
-        float(listing["calls"]),
-        *(listing[name] for name in ("relays", "beat", "patience", "silence", "save")),
+    return DiscoverySettings(
+        fronts=listing["fronts"],
+        rate=float(listing["calls"]),
+        relays=listing["relays"],
+        beat=listing["beat"],
+        heartbeat_timeout=listing["patience"],
+        stream_timeout=listing["silence"],
+        save_interval=listing["save"],
         region=listing["region"],
         site=listing["site"],
         fan_out=listing["fan-out"],
@@ -148,43 +242,9 @@
         window=listing["window"],
         window_bytes=listing["window-bytes"],
     )
-    caches = told["caches"]
-    if caches and not terms:
-        raise SettingError(f"{file}: [caches]: wants [listing] too, whose key fronts tells how many share")
-    if caches:
-        terms = terms._replace(ready=float(caches["ready"]))
 
-    def resolved(path):
-        return os.path.join(where, path) if path else ""
 
-    return PeersSettings(
-        str(file),
-        instance["name"],
-        resolved(instance["store"]),
-        resolved(instance["control"]),
-        told["log"]["form"],
-        peers["listen"],
-        peers["advertise"] or peers["listen"],
-        peers["seeds"],
-        resolved(peers["keys"]),
-        peers["keys-reread"],
-        MembershipTimeouts(
-            period=peers["period"],
-            direct=peers["direct"],
-            indirect=peers["indirect"],
-            suspicion=peers["suspicion"],
-            forget=peers["forget"],
-        ),
-        LeaseSettings(
-            voters=leases["voters"],
-            span=leases["span"],
-            drift=leases["drift"],
-            slots=leases["slots"],
-            batch=sharing["batch"],
-            copies=sharing["copies"],
-        ),
-        plans,
-        {name: values["targets"] for name, values in duties.items()},
-        terms,
-        caches["connections"] if caches else 0,
-    )
+def _with_readiness(discovery: DiscoverySettings | None, caches: Values, file: str) -> DiscoverySettings:
+    if not discovery:
+        raise SettingError(f"{file}: [caches]: wants [listing] too, whose key fronts tells how many share")
+    return discovery._replace(ready=float(caches["ready"]))
--- a/limepath/configuration/tls_settings.py
+++ b/limepath/configuration/tls_settings.py
@@ -1,11 +1,30 @@
-"""Settings of TLS to servers. Spans are whole microseconds. The file tls.ini tells them; see `tls_file`."""
+"""Settings of TLS to servers, read from tls.ini by `tls_file`. Durations are whole microseconds."""
 
 from typing import NamedTuple
 
 
+class SessionSettings(NamedTuple):
+    """The cache of TLS sessions.
+
+    Attributes:
+        most: sessions in all.
+        each: sessions of one server.
+        longest: microseconds until a session is dropped.
+    """
+
+    most: int = 512
+    each: int = 8
+    longest: int = 3_600_000_000
+
+
 class RetryDelays(NamedTuple):
-    """How long a server is left alone after failures that may pass, and after those that somebody must
-    mend.
+    """Backoff of a server after failures, and its limit.
+
+    Attributes:
+        passing: the first delay after a failure that may pass by itself.
+        passing_most: the longest delay after such failures.
+        lasting: the first delay after a failure that somebody must mend.
+        lasting_most: the longest delay after such failures.
     """
 
     passing: int = 200_000
@@ -15,8 +34,16 @@
 
 
 class HandshakePace(NamedTuple):
-    """Full handshakes: `rate` a second after `burst` at once, so many `at_once` under way; to one server and
-    in all.
+    """Token buckets of full handshakes, one for each server and one for all.
+
+    Attributes:
+        rate: handshakes a second to one server.
+        burst: how many may follow one another at once.
+        at_once: how many may be in progress with one server.
+        all_rate: handshakes a second to all servers.
+        all_burst: how many of these may follow one another at once.
+        all_at_once: how many of these may be in progress.
+        resumed_share: the cost of a resumed handshake, in full ones.
     """
 
     rate: float = 20.0
@@ -25,4 +52,4 @@
     all_rate: float = 100.0
     all_burst: int = 40
     all_at_once: int = 16
-    resumed_share: float = 0.25  # of a full handshake's cost, that a resumed one takes
+    resumed_share: float = 0.25
--- a/limepath/scale/faults.py
+++ b/limepath/scale/faults.py
@@ -8,7 +8,7 @@
 from random import Random
 from typing import NamedTuple
 
-from limepath.configuration.ini import near
+from limepath.configuration.ini import suggestion
 
 SECOND = 1_000_000
 DAY = 86_400 * SECOND
@@ -69,7 +69,8 @@
     for name in names:
         if name not in known:
             raise UnknownFault(
-                f"--faults {name!r}: no such fault{near(name, known)}; known are all, {', '.join(known)}"
+                f"--faults {name!r}: no such fault{suggestion(name, known)}; "
+                f"known are all, {', '.join(known)}"
             )
     return tuple(dict.fromkeys(known[name] for name in names))
 
--- a/limepath/scale/settings.py
+++ b/limepath/scale/settings.py
@@ -10,7 +10,8 @@
 from random import Random
 from typing import NamedTuple
 
-from limepath.configuration.peers_file import FORM
+from limepath.configuration import ini
+from limepath.configuration.peers_file import SCHEMA
 from limepath.scale.control import FrontConfig, Place, ProcessConfig, encode
 from limepath.store import Store
 from limepath.testbed.duties import SETTINGS
@@ -52,7 +53,7 @@
 
 def knows(key):
     """Whether this program has a key of [listing]."""
-    return key in FORM["listing"].keys
+    return key in SCHEMA["listing"].keys
 
 
 def broken_of(what, fronts):
@@ -61,10 +62,10 @@
         return Broken()
     if not knows(what):
         raise UnknownSetting(f"--broken {what}: this program has no [listing] {what}")
-    key = FORM["listing"].keys[what]  # no further off than the program takes it
+    key = SCHEMA["listing"].keys[what]  # no further off than the program takes it
     if what == "fan-out":
-        return Broken(fan_out=min(fronts, key.most or fronts))
-    return Broken(window=max(BROKEN_WINDOW, key.least or 0))
+        return Broken(fan_out=min(fronts, key.maximum or fronts))
+    return Broken(window=max(BROKEN_WINDOW, key.minimum or 0))
 
 
 def span_lines(section, stretch, broken=STATED):
@@ -72,9 +73,9 @@
     broken on purpose.
     """
     lines = []
-    for name, key in FORM[section].keys.items():
-        if key.unit == "span":
-            span = broken.window if name == "window" and broken.window else key.absent
+    for name, key in SCHEMA[section].keys.items():
+        if key.unit == ini.DURATION:
+            span = broken.window if name == "window" and broken.window else key.default
             lines.append(f"{name} = {span * stretch}us")
     return lines
 
--- a/limepath/tls/host.py
+++ b/limepath/tls/host.py
@@ -111,7 +111,7 @@
 
     def connectionMade(self):
         self.timer = self.secured.reactor.callLater(
-            self.secured.opening.limit / 1e6, self.fail, Failure.TIMED_OUT
+            self.secured.opening.handshake_timeout / 1e6, self.fail, Failure.TIMED_OUT
         )
 
     def handshakeCompleted(self):
@@ -243,8 +243,8 @@
 
     def context(self, trust, found):
         context = SSL.Context(SSL.TLS_CLIENT_METHOD)
-        context.set_min_proto_version(VERSIONS[self.opening.least])
-        context.set_max_proto_version(VERSIONS[self.opening.most])
+        context.set_min_proto_version(VERSIONS[self.opening.min_version])
+        context.set_max_proto_version(VERSIONS[self.opening.max_version])
         context.set_options(SSL.OP_NO_COMPRESSION | SSL.OP_NO_RENEGOTIATION)
         context.set_session_cache_mode(SSL.SESS_CACHE_CLIENT | SSL.SESS_CACHE_NO_INTERNAL)
         store = context.get_cert_store()
--- a/tests/test_ini.py
+++ b/tests/test_ini.py
@@ -1,25 +1,27 @@
-"""Values of settings files."""
+"""Parsers of values in INI files."""
 
 import pytest
 
-from limepath.configuration.ini import address, share, span, yes
+from limepath.configuration.ini import parse_address, parse_boolean, parse_duration, parse_fraction
 
 
 def test_a_duration_has_its_unit():
-    assert (span("250ms"), span("1.5 s"), span("2m")) == (250_000, 1_500_000, 120_000_000)
+    assert parse_duration("250ms") == 250_000
+    assert parse_duration("1.5 s") == 1_500_000
+    assert parse_duration("2m") == 120_000_000
     with pytest.raises(ValueError) as error:
-        span("250")
+        parse_duration("250")
     assert str(error.value) == "a duration with its unit (us, ms, s, m, h) is wanted, as in 250ms"
 
 
-def test_a_share_is_told_in_percent_or_as_a_part_of_one():
-    assert (share("30%"), share("0.5")) == (0.3, 0.5)
+def test_a_fraction_is_given_in_percent_or_as_a_part_of_one():
+    assert (parse_fraction("30%"), parse_fraction("0.5")) == (0.3, 0.5)
 
 
-def test_on_and_off_have_their_words():
-    assert (yes("on"), yes("no")) == (True, False)
+def test_a_switch_is_on_or_off():
+    assert (parse_boolean("on"), parse_boolean("no")) == (True, False)
 
 
 def test_an_address_is_a_numeric_host_with_a_port():
-    assert address("127.0.0.1:7946") == ("127.0.0.1", 7946)
-    assert address("[::1]:7946") == ("::1", 7946)
+    assert parse_address("127.0.0.1:7946") == ("127.0.0.1", 7946)
+    assert parse_address("[::1]:7946") == ("::1", 7946)
--- a/tests/test_scale_plan.py
+++ b/tests/test_scale_plan.py
@@ -6,7 +6,7 @@
 
 from limepath.configuration import ini, peers_file
 from limepath.configuration.ini import Key
-from limepath.configuration.peers_file import FORM
+from limepath.configuration.peers_file import SCHEMA
 from limepath.scale import plan, settings
 from limepath.scale.plan import BadSize, Machine, Sizes
 
@@ -125,20 +125,20 @@
 def test_settings_hold_only_keys_that_the_program_knows(monkeypatch):
     made = plan.plan_of(Sizes(fronts=6, sites=2), LARGE)
     scoped = {
-        "region": Key(ini.word, ""),
-        "site": Key(ini.word, ""),
-        "fan-out": Key(ini.whole, 4),
-        "gather": Key(ini.span, 250_000, unit="span"),
-        "window": Key(ini.span, 300_000_000, unit="span"),
+        "region": Key(ini.parse_name, ""),
+        "site": Key(ini.parse_name, ""),
+        "fan-out": Key(ini.parse_integer, 4),
+        "gather": Key(ini.parse_duration, 250_000, unit=ini.DURATION),
+        "window": Key(ini.parse_duration, 300_000_000, unit=ini.DURATION),
     }
-    form = FORM["listing"]
+    form = SCHEMA["listing"]
     without = {key: value for key, value in form.keys.items() if key not in scoped}
-    monkeypatch.setitem(FORM, "listing", form._replace(keys=without))
+    monkeypatch.setitem(SCHEMA, "listing", form._replace(keys=without))
     text = settings.peers_text(made, addresses_of(made), 0, "peers.keys")
     assert not any(line.startswith(f"{key} =") for key in scoped for line in text.splitlines())
     with pytest.raises(settings.UnknownSetting, match="--broken fan-out"):
         settings.broken_of("fan-out", 6)
-    monkeypatch.setitem(FORM, "listing", form._replace(keys=without | scoped))
+    monkeypatch.setitem(SCHEMA, "listing", form._replace(keys=without | scoped))
 
     def lines(what):
         broken = settings.broken_of(what, 6)
--- a/tests/test_settings_files.py
+++ b/tests/test_settings_files.py
@@ -91,7 +91,7 @@
 @given(st.text(max_size=300))
 def test_any_text_is_read_or_refused_with_the_file_named(text):
     try:
-        ini.check(text, "x", peers_file.FORM)
+        ini.check_text(text, "x", peers_file.SCHEMA)
     except SettingError as error:
         assert str(error).startswith("x: ")
 
