--- a/limepath/configuration/decision_settings.py
+++ b/limepath/configuration/decision_settings.py
@@ -1,4 +1,10 @@
-"""From the settings, as JSON gives them, to the arguments of `limepath.choice.Front`; all hosts use this."""
+"""From the platform's settings, as JSON gives them, to those of the decision module; all hosts use this.
+
+The names in the JSON are the platform's. They are mapped to the field's terms here and nowhere else.
+"""
+
+from collections.abc import Mapping
+from typing import Any, TypedDict
 
 from limepath.interface.settings import (
     DeliveryService,
@@ -10,6 +16,9 @@
     Topology,
 )
 
+NANOSECONDS_PER_MICROSECOND = 1000
+
+# Load fields that endpoints report
 LOAD_NAMES = {
     "rif": "inflight",
     "q": "queue",
@@ -18,23 +27,70 @@
     "rate": "qps",
     "fail_rate": "eps",
 }
-REPEATS = {
+IDEMPOTENCY_BY_NAME = {
     "free": Idempotency.IDEMPOTENT,
     "guarded": Idempotency.KEYED,
     "single_shot": Idempotency.NON_IDEMPOTENT,
 }
-SCOPES = {"all": KeyScope.ALL, "zone": KeyScope.ZONE, "cell": KeyScope.CELL}
-LATERAL = {"none": "none", "location": "zone", "any": "any"}
+KEY_SCOPE_BY_NAME = {"all": KeyScope.ALL, "zone": KeyScope.ZONE, "cell": KeyScope.CELL}
+LATERAL_BY_NAME = {"none": "none", "location": "zone", "any": "any"}
+
+
+class DecisionArguments(TypedDict):
+    """The keyword arguments of the decision module, beside its seed."""
+
+    services: tuple[DeliveryService, ...]
+    footprint: Topology
+    allowance: Permissions
+    cache_warmup: SlowStart
+    parent_warmup: SlowStart
+    grace: GracePeriods
+
+
+def us(nanoseconds: float) -> int:
+    """Return nanoseconds, as the settings give durations, in whole microseconds."""
+    return int(nanoseconds) // NANOSECONDS_PER_MICROSECOND
+
+
+def decision_arguments(settings: Mapping[str, Any]) -> DecisionArguments:
+    """Return the settings of the decision module.
+
+    Raises:
+        KeyError, TypeError, ValueError: the settings cannot be used.
+    """
+    family = settings.get("family-info", {})
+    safety = settings["safety"]
+    return {
+        "services": tuple(
+            delivery_service(entry, index, family) for index, entry in enumerate(settings["classes"])
+        ),
+        "footprint": _topology(settings, family),
+        "allowance": _permissions(settings, family),
+        "cache_warmup": slow_start(
+            safety["cold-share"], safety["cold"], safety["overload-factor"], safety["tip-after"]
+        ),
+        "parent_warmup": slow_start(
+            family.get("parent-floor", safety["cold-share"]),
+            family.get("parent-cold", safety["cold"]),
+            family.get("upper-fall-multiple", safety["overload-factor"]),
+            safety["tip-after"],
+        ),
+        "grace": _grace_periods(safety, family),
+    }
 
 
-def us(ns):
-    return int(ns) // 1000
+def delivery_service(entry: Mapping[str, Any], index: int, family: Mapping[str, Any]) -> DeliveryService:
+    """Return the settings of one service.
 
+    Args:
+        entry: its entry in `classes`.
+        index: its place there.
+        family: `family-info`, whose lists have a value for each service, or none.
+    """
 
-def service_of(entry, i, family):
-    def per_class(name, absent):
-        values = family.get(name) or []
-        return values[i] if i < len(values) else absent
+    def per_service(key: str, default: Any) -> Any:
+        values = family.get(key) or []
+        return values[index] if index < len(values) else default
 
     return DeliveryService(
         latency_objective=us(entry["aim"]),
@@ -42,30 +98,33 @@
         deadline=us(entry["deadline"]),
         priority_weight=entry.get("worth", 1.0),
         late_share=entry.get("late-worth", 0.0),
-        idempotency=REPEATS[entry["idempotency"]],
-        key_scope=SCOPES[entry.get("key-scope", "all")],
+        idempotency=IDEMPOTENCY_BY_NAME[entry["idempotency"]],
+        key_scope=KEY_SCOPE_BY_NAME[entry.get("key-scope", "all")],
         retry_window=us(entry.get("repeat-window", 0)),
         streamed=bool(entry.get("stream", False)),
-        max_age=us(per_class("max-age", 0)),
-        stale_grace=us(per_class("class-grace", 0)),
-        stale_share=per_class("class-stale-worth", 0.0),
-        uncacheable=bool(per_class("never-kept", False)),
-        segmented=bool(per_class("segmented", False)),
+        max_age=us(per_service("max-age", 0)),
+        stale_grace=us(per_service("class-grace", 0)),
+        stale_share=per_service("class-stale-worth", 0.0),
+        uncacheable=bool(per_service("never-kept", False)),
+        segmented=bool(per_service("segmented", False)),
     )
 
 
-def warmup(share, span, factor, window):
-    """A multiple or a time of 0 says that nothing topples: then there is no budget to keep."""
-    return SlowStart(share, us(span) if factor and window else 0, factor, us(window))
+def slow_start(share: float, duration_ns: float, overload_factor: float, window_ns: float) -> SlowStart:
+    """Return the settings of a slow start.
+
+    An overload factor or window of 0 says that no endpoint fails by overload: then there is no budget to
+    keep, and the slow start has no duration.
+    """
+    duration = us(duration_ns) if overload_factor and window_ns else 0
+    return SlowStart(share, duration, overload_factor, us(window_ns))
 
 
-def start_of(settings):
-    """Turn the settings into the keyword arguments of `Front`; bad ones raise Key-, Type- or ValueError."""
-    family, limits, safety = settings.get("family-info", {}), settings.get("limits", {}), settings["safety"]
-    zone, fronts = settings["az"], settings["replicas-of-me"]
+def _topology(settings: Mapping[str, Any], family: Mapping[str, Any]) -> Topology:
+    zone = settings["az"]
+    fronts = settings["replicas-of-me"]
     zone_fronts = family.get("zone-balancers") or []
-    services = tuple(service_of(entry, i, family) for i, entry in enumerate(settings["classes"]))
-    footprint = Topology(
+    return Topology(
         zone=zone,
         hub_of=tuple(family.get("hub-of", ())),
         link_kb_s=tuple(family.get("pipe-kb-per-s", ())),
@@ -76,7 +135,11 @@
         transfer_kb_s=family.get("one-flow-kb-per-s", 0.0),
         weighted=settings.get("weight-kind") in ("nominal", "rough"),
     )
-    allowance = Permissions(
+
+
+def _permissions(settings: Mapping[str, Any], family: Mapping[str, Any]) -> Permissions:
+    limits = settings.get("limits", {})
+    return Permissions(
         max_attempts=limits.get("max-attempts", 1),
         hedging=limits.get("second-copies", False),
         cancellation=limits.get("cancel", False),
@@ -85,34 +148,22 @@
         max_retry_after=us(limits.get("max-retry-after", 0)) if limits.get("retry-after", False) else 0,
         direct=family.get("direct", False),
         join_fills=family.get("shares-fills", False),
-        lateral=LATERAL[family.get("lateral", "none")],
+        lateral=LATERAL_BY_NAME[family.get("lateral", "none")],
         subscribe=settings.get("membership-mode") == "subscribe",
     )
-    cache_warmup = warmup(
-        safety["cold-share"], safety["cold"], safety["overload-factor"], safety["tip-after"]
-    )
-    parent_warmup = warmup(
-        family.get("parent-floor", safety["cold-share"]),
-        family.get("parent-cold", safety["cold"]),
-        family.get("upper-fall-multiple", safety["overload-factor"]),
-        safety["tip-after"],
-    )
-    grace = GracePeriods(
+
+
+def _grace_periods(safety: Mapping[str, Any], family: Mapping[str, Any]) -> GracePeriods:
+    return GracePeriods(
         us(safety["answer-slack"]),
         us(safety["drain-grace"]),
         us(family.get("heed-within", 0)),
         us(family.get("gone-everywhere", 0)),
         us(safety.get("must-ask-in", 0)),
     )
-    return {
-        "services": services,
-        "footprint": footprint,
-        "allowance": allowance,
-        "cache_warmup": cache_warmup,
-        "parent_warmup": parent_warmup,
-        "grace": grace,
-    }
 
 
-def load_fields(settings):
-    return tuple(LOAD_NAMES.get(name, name) for name in settings.get("stats", {}).get("fields", ()))
+def load_fields(settings: Mapping[str, Any]) -> tuple[str, ...]:
+    """Return the names of the load fields that endpoints report, in their order."""
+    fields = settings.get("stats", {}).get("fields", ())
+    return tuple(LOAD_NAMES.get(name, name) for name in fields)
--- a/limepath/scale/roles_decision.py
+++ b/limepath/scale/roles_decision.py
@@ -7,7 +7,7 @@
 from random import Random
 
 from limepath.choice import Front
-from limepath.configuration.decision_settings import start_of
+from limepath.configuration.decision_settings import decision_arguments
 from limepath.interface.commands import ForwardRequest
 from limepath.interface.events import (
     AttemptEnded,
@@ -41,7 +41,7 @@
 
 def front_of(caches, parents):
     """A Front that has heard of so many members."""
-    front = Front(seed=1, **start_of(settings()))
+    front = Front(seed=1, **decision_arguments(settings()))
     members = [member(1 + index, CACHE_KIND) for index in range(caches)]
     members += [member(100_000 + index, PARENT_KIND) for index in range(parents)]
     members.append(member(200_000, ORIGIN_KIND))
--- a/limepath/scale/roles_listing.py
+++ b/limepath/scale/roles_listing.py
@@ -9,7 +9,7 @@
 from functools import partial
 
 from limepath.choice import Front
-from limepath.configuration.decision_settings import start_of
+from limepath.configuration.decision_settings import decision_arguments
 from limepath.discovery import state
 from limepath.discovery.state import List, parsed, unpacked
 from limepath.front.changelog import Entry
@@ -47,7 +47,7 @@
     told = json.loads(text)
     reference = ReferenceClock(skew=0)
     entries = {one["id"]: Entry(one, ZONES, KINDS, {}, reference) for one in told["fleet"]["members"]}
-    front = Front(seed=1, **start_of(settings()))
+    front = Front(seed=1, **decision_arguments(settings()))
     members = tuple(entry.member for entry in entries.values())
     front.handle(1_000_000, (EndpointListUpdated(UpdateKind.FULL, 1, members),))
     return entries, front
--- a/limepath/simulator_host/host.py
+++ b/limepath/simulator_host/host.py
@@ -19,7 +19,7 @@
     def start(self, instance, seed, raw):
         try:
             settings = json.loads(raw)
-            arguments = decision_settings.start_of(settings)
+            arguments = decision_settings.decision_arguments(settings)
             self.fields[instance] = decision_settings.load_fields(settings)
         except (ValueError, KeyError, TypeError, AttributeError, IndexError) as flaw:
             raise WireError(f"settings of instance {instance}: {type(flaw).__name__}: {flaw}") from None
