--- a/limepath/configuration/platform.py
+++ b/limepath/configuration/platform.py
@@ -41,7 +41,7 @@
 DRAINED_BEFORE_LAST_ANSWER = 100_000
 
 MILLISECOND = 1000  # in microseconds
-WHOLE = Number(integer=True)
+INTEGER = Number(integer=True)
 
 
 class Service(NamedTuple):
@@ -186,7 +186,7 @@
 
 def _known_endpoints(document: Mapping[str, Any]) -> dict[str, Any]:
     known = require(document, "known", dict, {"seq": 0, "results": []})
-    require(known, "seq", WHOLE, where="known.")
+    require(known, "seq", INTEGER, where="known.")
     require(known, "results", list, where="known.")
     return known
 
@@ -207,12 +207,12 @@
 
 def _shutdown_times(machine: Mapping[str, Any], longest_deadline: int) -> _ShutdownTimes:
     default_last_answer = min(longest_deadline, LONGEST_DEADLINE_AWAITED) + LAST_ANSWER_AFTER_DEADLINE
-    last_answer_ms = require(machine, "last_answer_ms", WHOLE, default_last_answer // MILLISECOND, "limits.")
+    last_answer_ms = require(machine, "last_answer_ms", INTEGER, default_last_answer // MILLISECOND, "limits.")
     last_answer = int(last_answer_ms) * MILLISECOND
     default_drain_period = min(
         LONGEST_DRAIN_PERIOD, max(REQUESTS_ARRIVE, last_answer - DRAINED_BEFORE_LAST_ANSWER)
     )
-    drain_period_ms = require(machine, "leaving_ms", WHOLE, default_drain_period // MILLISECOND, "limits.")
+    drain_period_ms = require(machine, "leaving_ms", INTEGER, default_drain_period // MILLISECOND, "limits.")
     return _ShutdownTimes(last_answer, int(drain_period_ms) * MILLISECOND)
 
 
--- a/limepath/configuration/sharing_settings.py
+++ b/limepath/configuration/sharing_settings.py
@@ -1,6 +1,6 @@
 """Settings of what fronts share: membership, duties and leases, the endpoint list.
 
-Spans are whole microseconds, sizes bytes. The file peers.ini tells them; see `peers_file`.
+They are read from peers.ini by `peers_file`. Durations are whole microseconds, sizes bytes.
 """
 
 from enum import IntEnum
@@ -8,7 +8,15 @@
 
 
 class MembershipTimeouts(NamedTuple):
-    """`suspicion` counts periods; `indirect` instances are asked to check in our stead."""
+    """Timeouts of the SWIM failure detector.
+
+    Attributes:
+        period: the protocol period, in which one member is pinged.
+        direct: until a ping that is not answered is sent through other members.
+        indirect: how many members are asked to ping in our stead.
+        suspicion: periods of which the suspicion timeout is made.
+        forget: until a member that has failed or left is forgotten.
+    """
 
     period: int = 1_000_000
     direct: int = 300_000
@@ -18,11 +26,18 @@
 
 
 class LeaseSettings(NamedTuple):
-    """`voters` are names, fixed: a majority is counted of them. Clocks run apart by `drift` of a span at
-    most. Results are passed on every `batch`, to `copies` others at a time.
+    """Leases, and results that are shared.
+
+    Attributes:
+        voters: names of the instances that grant leases, fixed: a majority is counted of them.
+        span: the duration of a lease.
+        drift: how far clocks run apart at the most, as a fraction of a lease's duration.
+        slots: into how many leases a duty is divided.
+        batch: the interval in which results are collected before they are sent.
+        copies: how many others they are sent to.
     """
 
-    voters: tuple = ()
+    voters: tuple[str, ...] = ()
     span: int = 3_000_000
     drift: float = 0.01
     slots: int = 32
@@ -46,8 +61,26 @@
 
 
 class DiscoverySettings(NamedTuple):
-    """What the settings tell. `rate` is calls a second of the whole fleet at the list service, `fronts` how
-    many share it at the least; a zone has `relays`.
+    """How the endpoint list reaches the fronts.
+
+    Attributes:
+        zone: this front's zone.
+        fronts: how many fronts share the list service, at the least.
+        rate: calls a second at the list service, of the whole fleet.
+        relays: fronts of each zone that hold a stream of the list service.
+        beat: the interval between heartbeats.
+        heartbeat_timeout: until a relay that does not answer is replaced.
+        stream_timeout: until a silent stream of the list service is given up.
+        save_interval: the least time between two writes of the list to the store.
+        max_snapshot_bytes: the largest list that is taken, decoded.
+        ready: fronts that become ready a second, of the whole fleet; 0 if each does at once.
+        region: this front's region.
+        site: this front's site; "" if it subscribes to the relays of its zone and stands in no tree.
+        fan_out: children of a front in its own site's tree, and of a site's head in the tree of sites.
+        gather: for how long events are collected before they are sent to children.
+        window: for how long events are kept for subscribers that lag behind.
+        window_bytes: how many bytes of them are kept at the most, encoded.
+        purge_lifetime: after a purge, until its copies are gone everywhere.
     """
 
     zone: str = ""
@@ -58,12 +91,12 @@
     heartbeat_timeout: int = 1_500_000
     stream_timeout: int = 2_500_000
     save_interval: int = 1_000_000
-    max_snapshot_bytes: int = 4_000_000  # of a list, decoded
-    ready: float = 0.0  # fronts that become ready a second, of the whole fleet; 0: each at once
+    max_snapshot_bytes: int = 4_000_000
+    ready: float = 0.0
     region: str = ""
-    site: str = ""  # empty: this front subscribes to the relays of its zone and stands in no tree
-    fan_out: int = 4  # children of a front in its own site's tree, and of a site's head in that of sites
-    gather: int = 250_000  # for which events are gathered before they go to children
-    window: int = 300_000_000  # events kept for those behind: so long, ...
-    window_bytes: int = 1_000_000  # ... and at most so many bytes of them, coded
-    purge_lifetime: int = 60_000_000  # after a purge, until its copies are gone everywhere
+    site: str = ""
+    fan_out: int = 4
+    gather: int = 250_000
+    window: int = 300_000_000
+    window_bytes: int = 1_000_000
+    purge_lifetime: int = 60_000_000
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -15,18 +15,18 @@
 NAN, INFINITE = float("nan"), float("inf")
 
 
-def told(path, value):
+def configuration_with(path, value):
     """The configuration with this value at the path; None takes the key out."""
-    whole = configuration(free_address(), settings=copy.deepcopy(SETTINGS))
-    *way, last = path
-    place = whole["settings"]
-    for step in way:
-        place = place.setdefault(step, {}) if isinstance(place, dict) else place[step]
+    document = configuration(free_address(), settings=copy.deepcopy(SETTINGS))
+    *parents, last = path
+    section = document["settings"]
+    for key in parents:
+        section = section.setdefault(key, {}) if isinstance(section, dict) else section[key]
     if value is None:
-        del place[last]
+        del section[last]
     else:
-        place[last] = value
-    return whole
+        section[last] = value
+    return document
 
 
 BAD = [
@@ -80,7 +80,7 @@
 @pytest.mark.parametrize(("path", "value", "named"), BAD)
 def test_a_setting_that_cannot_be_used_is_named(path, value, named):
     with pytest.raises(ConfigurationError, match=named):
-        front_settings(told(path, value), {})
+        front_settings(configuration_with(path, value), {})
 
 
 @pytest.mark.parametrize(
@@ -98,21 +98,28 @@
         (("tenants",), []),
     ],
 )
-def test_zero_and_absent_are_taken_where_they_have_a_meaning(path, value):
-    assert front_settings(told(path, value), {}).arguments
+def test_zero_and_absent_values_are_accepted_where_they_have_a_meaning(path, value):
+    assert front_settings(configuration_with(path, value), {}).arguments
 
 
-def test_a_fleet_in_which_nothing_topples_has_no_cold_budget():
-    for key in ("overload-factor", "tip-after"):
-        arguments = front_settings(told(("safety", key), 0), {}).arguments
-        assert (
-            arguments["cache_warmup"].duration == 0
-        )  # once a division by zero at the first forward to a new cache
-    assert front_settings(told(("safety", "tip-after"), MS), {}).arguments["cache_warmup"].duration > 0
+@pytest.mark.parametrize("key", ["overload-factor", "tip-after"])
+def test_a_fleet_that_cannot_fail_by_overload_has_no_slow_start(key):
+    arguments = front_settings(configuration_with(("safety", key), 0), {}).arguments
+    # Once a division by zero at the first attempt to a new cache.
+    assert arguments["cache_warmup"].duration == 0
 
 
-def test_times_are_whole_microseconds_however_they_are_told():
-    service = front_settings(told(("classes", 0, "deadline"), 2.5e9), {}).arguments["services"][0]
+def test_a_fleet_that_can_fail_by_overload_has_a_slow_start():
+    assert (
+        front_settings(configuration_with(("safety", "tip-after"), MS), {}).arguments["cache_warmup"].duration
+        > 0
+    )
+
+
+def test_durations_are_whole_microseconds_however_they_are_given():
+    service = front_settings(configuration_with(("classes", 0, "deadline"), 2.5e9), {}).arguments["services"][
+        0
+    ]
     assert service.deadline == 2_500_000 and isinstance(service.deadline, int)
     assert service.idempotency is Idempotency.IDEMPOTENT
 
@@ -133,11 +140,14 @@
         assert viewer.answer()[2] == b"x" and site.log.calls.empty()
 
 
-def test_addresses_have_a_host_and_a_port():
+def test_an_address_has_a_host_and_a_port():
     assert address_of("127.1.0.9:8080") == ("127.1.0.9", 8080)
-    for text in ("8080", ":8080", "127.0.0.1:", "127.0.0.1:0", "127.0.0.1:99999"):
-        with pytest.raises(ValueError):
-            address_of(text)
+
+
+@pytest.mark.parametrize("text", ["8080", ":8080", "127.0.0.1:", "127.0.0.1:0", "127.0.0.1:99999"])
+def test_an_address_without_host_or_port_is_an_error(text):
+    with pytest.raises(ValueError):
+        address_of(text)
 
 
 def test_the_variants_differ_where_the_program_could_have_assumed():
--- a/tests/test_terms_folder.py
+++ b/tests/test_terms_folder.py
@@ -39,7 +39,7 @@
 """
 
 
-def test_writes_that_fail_for_a_while_leave_what_was_there_and_go_on_after(tmp_path):
+def test_writes_that_fail_for_a_while_keep_the_former_rows_and_succeed_later(tmp_path):
     """Real files: the system refuses to let them grow, at once or in the middle of a write."""
     path = str(tmp_path / "peers.db")
     done = subprocess.run(
@@ -96,7 +96,7 @@
     assert "event=store-fails" in said and "event=store-written" in said
 
 
-def test_a_list_that_cannot_be_saved_is_followed_all_the_same():
+def test_an_endpoint_list_that_cannot_be_saved_is_followed_all_the_same():
     """What comes behind it in the same pass, a drain for one, is carried out; it is saved once it can be."""
     store = FailingStore()
     changes = GuidedChangeLog.__new__(GuidedChangeLog)
--- a/tests/test_timer_queue.py
+++ b/tests/test_timer_queue.py
@@ -4,7 +4,7 @@
 from limepath.timer_queue import TimerQueue
 
 
-def test_mixing_is_a_function_that_tells_numbers_apart():
+def test_mix64_is_a_function_that_maps_different_numbers_apart():
     assert mix64(1) == mix64(1) != mix64(2)
 
 
