--- a/limepath/configuration/platform.py
+++ b/limepath/configuration/platform.py
@@ -207,7 +207,9 @@
 
 def _shutdown_times(machine: Mapping[str, Any], longest_deadline: int) -> _ShutdownTimes:
     default_last_answer = min(longest_deadline, LONGEST_DEADLINE_AWAITED) + LAST_ANSWER_AFTER_DEADLINE
-    last_answer_ms = require(machine, "last_answer_ms", INTEGER, default_last_answer // MILLISECOND, "limits.")
+    last_answer_ms = require(
+        machine, "last_answer_ms", INTEGER, default_last_answer // MILLISECOND, "limits."
+    )
     last_answer = int(last_answer_ms) * MILLISECOND
     default_drain_period = min(
         LONGEST_DRAIN_PERIOD, max(REQUESTS_ARRIVE, last_answer - DRAINED_BEFORE_LAST_ANSWER)
