--- a/tests/test_terms_folder.py
+++ b/tests/test_failing_disk.py
@@ -1,5 +1,6 @@
-"""Terms of the operators' notes: where a folder lasts, writes and syncs to it may fail for a while (ENOSPC,
-EIO), and a kill may leave a write half done; what was taken on is still owed.
+"""The store's folder may refuse writes for a while (ENOSPC, EIO): what was accepted is kept and retried.
+
+Terms of the operators' notes: writes and syncs may fail for a while, and a kill may leave a write half done.
 """
 
 import json
@@ -18,7 +19,7 @@
 from limepath.membership.interface import SendMessage
 from limepath.store import PendingWrites, Store
 
-FAILING = """
+WRITES_THAT_FAIL = """
 import json, resource, sqlite3, sys
 from limepath.store import Store
 store = Store(sys.argv[1])
@@ -43,7 +44,7 @@
     """Real files: the system refuses to let them grow, at once or in the middle of a write."""
     path = str(tmp_path / "peers.db")
     done = subprocess.run(
-        [sys.executable, "-c", FAILING, path],
+        [sys.executable, "-c", WRITES_THAT_FAIL, path],
         capture_output=True,
         text=True,
         env=os.environ | {"PYTHONPATH": os.getcwd()},
@@ -54,13 +55,15 @@
 
 
 class FailingStore:
-    """Fails until it is told not to."""
+    """Raises at each write while `fails` is set."""
 
     def __init__(self):
-        self.fails, self.rows, self.tried = True, {}, 0
+        self.fails = True
+        self.rows = {}
+        self.attempts = 0
 
     def put(self, rows):
-        self.tried += 1
+        self.attempts += 1
         if self.fails:
             raise sqlite3.OperationalError("disk full")
         self.rows |= rows
@@ -75,7 +78,7 @@
     return one, sent
 
 
-def test_no_vote_goes_out_while_what_it_rests_on_cannot_be_written(capsys):
+def test_no_lease_is_granted_while_the_epoch_ceiling_cannot_be_written(capsys):
     """A voter's ceiling has to outlive a crash before the vote is sent; all else is said as ever."""
     store = FailingStore()
     one, sent = cooperation_on(store, Log("n1", 5, 10**6))
@@ -86,7 +89,7 @@
     assert sent == [ping] and store.rows == {}
     one.writes.retry()
     one.execute(vote)
-    assert sent == [ping] and store.tried == 2
+    assert sent == [ping] and store.attempts == 2
     one.execute(PersistEpochCeiling(8192))  # stands for both
     store.fails = False
     one.writes.retry()
@@ -108,4 +111,4 @@
     store.fails = False
     changes.cooperation.writes.retry()
     changes.cooperation.writes.retry()
-    assert store.rows == {"list": b"second"} and store.tried == 3
+    assert store.rows == {"list": b"second"} and store.attempts == 3
