--- a/tests/test_settings_files.py
+++ b/tests/test_settings_files.py
@@ -104,6 +104,12 @@
         read_keys(str(file))
     file.chmod(0o600)
     assert len(read_keys(str(file))[0]) == 1
-    for text, expected in (("", "no key"), ("ab" * 8, "16 to 64"), ("ab" * 16 + "\n" + "ab" * 16, "line 2")):
-        with pytest.raises(BadKeys, match=expected):
-            keys_of(text)
+
+
+@pytest.mark.parametrize(
+    "text, expected",
+    [("", "no key"), ("ab" * 8, "16 to 64"), ("ab" * 16 + "\n" + "ab" * 16, "line 2")],
+)
+def test_an_error_in_a_keys_file_says_what_is_expected(text, expected):
+    with pytest.raises(BadKeys, match=expected):
+        keys_of(text)
--- a/tests/test_timer_queue.py
+++ b/tests/test_timer_queue.py
@@ -1,5 +1,7 @@
 """Timers run in order of their time; what is drawn depends on the seed alone."""
 
+import pytest
+
 from limepath.hashing import mix64
 from limepath.timer_queue import TimerQueue
 
@@ -18,11 +20,11 @@
     assert run == ["first", "second", "later"] and timers.next_due() == 30
 
 
-def test_a_sample_has_distinct_items_and_the_same_for_the_same_seed():
-    for count in (2, 9, 50):
-        drawn = TimerQueue(seed=5).sample(range(10), count)
-        assert len(set(drawn)) == len(drawn) == min(count, 10)
-        assert drawn == TimerQueue(seed=5).sample(range(10), count)
+@pytest.mark.parametrize("count", [2, 9, 50])
+def test_a_sample_has_distinct_items_and_the_same_for_the_same_seed(count):
+    drawn = TimerQueue(seed=5).sample(range(10), count)
+    assert len(set(drawn)) == len(drawn) == min(count, 10)
+    assert drawn == TimerQueue(seed=5).sample(range(10), count)
 
 
 def test_commands_are_taken_once():
