--- a/limepath/configuration/platform.py
+++ b/limepath/configuration/platform.py
@@ -28,7 +28,7 @@
 DEFAULT_CACHE_IDLE_NS = 30_000_000_000
 CACHE_IDLE_PERCENT = 80  # of the endpoint's own idle timeout, so that the front closes first
 OVERLOAD_RETRY_AFTER_DIVISOR = 10  # of the longest Retry-After permitted
-LATE_REQUEST_FACTOR = 2  # deadlines of a service after which its requests' time is over in any case
+LONGEST_CLIENT_DEADLINE = 2  # that a request may bring, in deadlines of its service
 
 # The protocol page: SIGKILL comes no sooner than the longest deadline, 3 s of it at most, and 0.7 s after
 # SIGTERM. Microseconds.
@@ -49,13 +49,13 @@
 
     Attributes:
         index: its place in the settings.
-        uncacheable: whether its objects are never cached.
-        longest: microseconds after which a request's time is over, whatever the client says.
+        uncacheable: whether its objects are never cached; its requests are writes.
+        max_deadline: the longest deadline that a request may bring, in microseconds.
     """
 
     index: int
     uncacheable: bool
-    longest: int
+    max_deadline: int
 
 
 class FrontSettings(NamedTuple):
@@ -193,7 +193,9 @@
 
 def _services(settings: Mapping[str, Any], arguments: DecisionArguments) -> dict[bytes, Service]:
     return {
-        entry["name"].encode(): Service(index, service.uncacheable, service.deadline * LATE_REQUEST_FACTOR)
+        entry["name"].encode(): Service(
+            index, service.uncacheable, service.deadline * LONGEST_CLIENT_DEADLINE
+        )
         for index, (entry, service) in enumerate(zip(settings["classes"], arguments["services"], strict=True))
     }
 
