--- a/limepath/connection_pacing/host.py
+++ b/limepath/connection_pacing/host.py
@@ -3,7 +3,7 @@
 """
 
 from limepath.connection_pacing.connections import Connections
-from limepath.front.turn import clock
+from limepath.front.clock import clock
 from limepath.interface.events import ConnectionAvailabilityChanged
 
 
--- a/limepath/front/attempt.py
+++ b/limepath/front/attempt.py
@@ -1,6 +1,6 @@
 """Forwards and probes on their way, and the command that a forward becomes."""
 
-from limepath.front.turn import clock
+from limepath.front.clock import clock
 
 HOW = (
     ("join", "join_fill"),
--- a/limepath/front/cache_connection.py
+++ b/limepath/front/cache_connection.py
@@ -17,7 +17,7 @@
     check_copy,
     read_answer,
 )
-from limepath.front.turn import clock
+from limepath.front.clock import clock
 
 
 class State(Enum):
--- a/limepath/front/cache_peer.py
+++ b/limepath/front/cache_peer.py
@@ -8,7 +8,7 @@
 
 from limepath.front.attempt import Attempt, Probing
 from limepath.front.cache_connection import CacheConnection, State
-from limepath.front.turn import clock
+from limepath.front.clock import clock
 from limepath.interface.events import AttemptOutcome, EndpointState
 
 
--- a/limepath/front/cache_protocol.py
+++ b/limepath/front/cache_protocol.py
@@ -1,7 +1,7 @@
 """The protocol of caches, parents and the origin: answers and load reports, read and checked."""
 
 from limepath.configuration.decision_settings import LOAD_NAMES
-from limepath.front.turn import clock
+from limepath.front.clock import clock
 from limepath.interface.events import AttemptOutcome
 
 VERDICTS = {
--- a/limepath/front/caches.py
+++ b/limepath/front/caches.py
@@ -7,8 +7,8 @@
 from limepath.front.cache_connection import State
 from limepath.front.cache_peer import Peer
 from limepath.front.cache_protocol import read_load
+from limepath.front.clock import clock
 from limepath.front.reference_clock import ReferenceClock
-from limepath.front.turn import clock
 from limepath.interface.events import AttemptEnded, AttemptOutcome, CacheStatus, EndpointState, ProbeEnded
 
 
--- a/limepath/front/changelog.py
+++ b/limepath/front/changelog.py
@@ -9,7 +9,7 @@
 from twisted.internet.protocol import Factory, Protocol
 
 from limepath.configuration.addresses import address_of
-from limepath.front.turn import clock
+from limepath.front.clock import clock
 from limepath.interface.events import Endpoint, EndpointListUpdated, EndpointState, PurgeAnnounced, UpdateKind
 
 STANDINGS = {
--- a/limepath/front/client_connection.py
+++ b/limepath/front/client_connection.py
@@ -9,8 +9,8 @@
 from zope.interface import implementer
 
 from limepath.front.client_request import Flaw, read_head, whole_number
+from limepath.front.clock import clock
 from limepath.front.departures import has_ended, since_last_data, since_last_packet
-from limepath.front.turn import clock
 
 REASONS = {
     200: b"OK",
--- a/limepath/front/client_request.py
+++ b/limepath/front/client_request.py
@@ -1,6 +1,6 @@
 """Requests of clients: a head parsed and checked, and what has become of each."""
 
-from limepath.front.turn import clock
+from limepath.front.clock import clock
 from limepath.interface.events import RequestArrived
 
 PATH = b"/invoke/"
--- a/limepath/front/clients.py
+++ b/limepath/front/clients.py
@@ -11,9 +11,9 @@
 from limepath.configuration.process_limits import ACCEPTED_AT_ONCE
 from limepath.front.client_connection import YOUNG, ClientConnection, State
 from limepath.front.client_request import Flaw, Request
+from limepath.front.clock import clock
 from limepath.front.departures import Departures
 from limepath.front.descriptors import descriptor_use
-from limepath.front.turn import clock
 from limepath.interface.events import ClientDisconnected, ShutdownStarted
 
 
--- a/limepath/front/turn.py
+++ b/limepath/front/decision_loop.py
@@ -1,7 +1,6 @@
 """The loop between sockets and module: the notes of one pass of the reactor, one `handle`, then orders."""
 
-import time
-
+from limepath.front.clock import clock
 from limepath.interface.commands import (
     CancelAttempt,
     CloseIdleConnections,
@@ -25,16 +24,7 @@
 NEWS = (EndpointListUpdated, PurgeAnnounced)
 
 
-def clock():
-    """The front's clock, in whole microseconds; it does not follow steps of the system's."""
-    return time.monotonic_ns() // 1000
-
-
-def unix_clock():
-    return time.time_ns() // 1000
-
-
-class Turn:
+class DecisionLoop:
     def __init__(self, reactor, front, limits, log):
         self.reactor, self.front, self.limits, self.log = reactor, front, limits, log
         self.notes, self.called, self.retold = [], False, set()
--- a/limepath/front/poll_times.py
+++ b/limepath/front/poll_times.py
@@ -2,7 +2,7 @@
 they may have come as early as the last look at the sockets.
 """
 
-from limepath.front.turn import clock
+from limepath.front.clock import clock
 
 AT_ONCE = 1_000  # microseconds; a look at the sockets that took longer had to wait for what it brought
 
--- a/limepath/front/reference_clock.py
+++ b/limepath/front/reference_clock.py
@@ -7,7 +7,7 @@
 forgotten early and a member not taken for warm early.
 """
 
-from limepath.front.turn import clock, unix_clock
+from limepath.front.clock import clock, unix_clock
 
 TOLD_LATE = 7_000_000  # microseconds: the protocol page's bound on how late the change log tells anything
 RECENT = 60_000_000  # microseconds: a copy given out so shortly before shows that the own clock is not behind
--- a/limepath/front/start.py
+++ b/limepath/front/start.py
@@ -19,8 +19,8 @@
 from limepath.front.caches import Caches
 from limepath.front.changelog import BadEvent, ChangeLog
 from limepath.front.clients import Clients
+from limepath.front.decision_loop import DecisionLoop
 from limepath.front.poll_times import lateness_of
-from limepath.front.turn import Turn
 from limepath.log import Log
 
 # Twisted takes its timers from the wall clock, which may be stepped; deadlines are spans of real time.
@@ -42,7 +42,7 @@
     limits = told.limits
     log = Log(told.name, limits.log_lines, limits.log_span, form)
     globalLogBeginner.beginLoggingTo([log.observe], discardBuffer=True, redirectStandardIO=False)
-    turn = Turn(reactor, Front(seed=told.seed, **told.arguments), limits, log)
+    turn = DecisionLoop(reactor, Front(seed=told.seed, **told.arguments), limits, log)
     clients = Clients(reactor, turn, limits, log, told.services)
     clients.lateness = lateness_of(reactor)
     probe_word = b"INFO" if told.reports else b"NOOP"
--- a/limepath/scale/data_path.py
+++ b/limepath/scale/data_path.py
@@ -1,15 +1,16 @@
 """A front's data path as its control logic sees it, without requests and without sockets.
 
-The stand-ins hold what the hosts of the control logic use of `front.turn.Turn` and `front.caches.Caches`. The
-decision module is left out. A probe costs no socket: it is answered after PROBE_US as a cache in order would
-do, so the duties' results flow. A front asked for its counts tells COUNTS of them, as one in service would.
+The stand-ins hold what the hosts of the control logic use of `front.decision_loop.DecisionLoop` and
+`front.caches.Caches`. The decision module is left out. A probe costs no socket: it is answered after
+PROBE_US as a cache in order would do, so the duties' results flow. A front asked for its counts tells COUNTS
+of them, as one in service would.
 """
 
 from zlib import crc32
 
 from limepath.configuration.decision_settings import LOAD_NAMES
+from limepath.front.clock import clock
 from limepath.front.reference_clock import ReferenceClock
-from limepath.front.turn import clock
 from limepath.interface.commands import ReportRequestCounts, SendProbe
 from limepath.interface.events import (
     AttemptOutcome,
@@ -26,7 +27,7 @@
 
 
 class HollowTurn:
-    """In place of Turn: notes go to the listener and nowhere else; `answer` is the front's callLater."""
+    """In place of DecisionLoop: notes go to the listener only; `answer` is the front's callLater."""
 
     def __init__(self, call_later, seed):
         self.call_later, self.seed = call_later, seed
--- a/tests/test_departed_clients.py
+++ b/tests/test_departed_clients.py
@@ -18,7 +18,7 @@
 from limepath.front import departures
 from limepath.front.client_connection import ClientConnection
 from limepath.front.clients import Clients
-from limepath.front.turn import clock
+from limepath.front.clock import clock
 from limepath.interface.events import EndpointState
 from limepath.log import Log
 from tests.stand_ins import BOUND, Site, Viewer, connections, listening, until
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -22,7 +22,7 @@
 from limepath.front.caches import Caches
 from limepath.front.client_connection import ClientConnection, State
 from limepath.front.clients import Clients
-from limepath.front.turn import Turn
+from limepath.front.decision_loop import DecisionLoop
 from limepath.interface.commands import ForwardRequest
 from limepath.interface.events import (
     AttemptEnded,
@@ -247,7 +247,7 @@
     """The front's parts on a reactor of the test's own, and a way to send one GET in."""
     reactor, limits = reactor or MemoryReactorClock(), planned(1024, 192, 32, **{"open_gets": 9} | limits)
     log = Log("n1", 5, 1)
-    turn = Turn(reactor, front, limits, log)
+    turn = DecisionLoop(reactor, front, limits, log)
     clients = Clients(reactor, turn, limits, log, {b"video": (0, False, 5_000_000)})
     caches = Caches(reactor, turn, clients, limits, log, b"INFO")
     turn.joined(clients, caches)
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -21,8 +21,8 @@
 from limepath.front.client_connection import ClientConnection
 from limepath.front.client_request import Flaw, read_head
 from limepath.front.clients import Clients
+from limepath.front.decision_loop import DecisionLoop
 from limepath.front.reference_clock import ReferenceClock
-from limepath.front.turn import Turn
 from limepath.interface.commands import ForwardRequest
 from limepath.interface.events import (
     AttemptEnded,
@@ -291,7 +291,7 @@
 def test_what_was_never_written_whole_has_not_run():
     reactor, front, limits = MemoryReactorClock(), EagerFront(), planned(1024, 192, 32, open_gets=9)
     log = Log("n1", 0, 1)
-    turn = Turn(reactor, front, limits, log)
+    turn = DecisionLoop(reactor, front, limits, log)
     clients = Clients(reactor, turn, limits, log, {b"video": (0, False, 5_000_000)})
     caches = Caches(reactor, turn, clients, limits, log, b"INFO")
     turn.joined(clients, caches)
@@ -449,7 +449,9 @@
 
 def test_what_is_read_once_its_connection_is_being_closed_is_not_taken():
     limits, front = planned(1024, 192, 32, open_gets=9), BrokenFront()
-    clients = Clients(Clock(), Turn(Clock(), front, limits, Log("n1", 0, 1)), limits, Log("n1", 0, 1), {})
+    clients = Clients(
+        Clock(), DecisionLoop(Clock(), front, limits, Log("n1", 0, 1)), limits, Log("n1", 0, 1), {}
+    )
     connection, transport = ClientConnection(clients), StringTransport()
     transport.setTcpNoDelay = lambda on: None
     transport.loseWriteConnection = lambda: None
@@ -472,7 +474,7 @@
 def test_of_many_generations_only_the_last_is_held():
     reactor, host, limits = MemoryReactorClock(), FakeHost(), planned(1024, 192, 32, open_gets=9, gone=-1)
     log = Log("n1", 0, 1)
-    turn = Turn(reactor, host.front, limits, log)
+    turn = DecisionLoop(reactor, host.front, limits, log)
     clients = Clients(reactor, turn, limits, log, {})
     caches = Caches(reactor, turn, clients, limits, log, b"INFO")
     turn.joined(clients, caches)
@@ -577,7 +579,7 @@
 def test_a_fault_of_the_module_errors_its_gets_and_loses_no_purge():
     clock, front, limits = Clock(), BrokenFront(), planned(1024, 192, 32, open_gets=9)
     log = Log("n1", 0, 1)
-    turn = Turn(clock, front, limits, log)
+    turn = DecisionLoop(clock, front, limits, log)
     clients = Clients(clock, turn, limits, log, {b"video": (0, False, 5_000_000)})
     connection = FakeConnection()
     turn.joined(clients, Caches(clock, turn, clients, limits, log, b"INFO"))
@@ -726,7 +728,7 @@
 def test_a_forward_ordered_as_its_viewer_leaves_still_has_its_outcome():
     reactor, front, limits = MemoryReactorClock(), EagerFront(), planned(1024, 192, 32, open_gets=9)
     log = Log("n1", 0, 1)
-    turn = Turn(reactor, front, limits, log)
+    turn = DecisionLoop(reactor, front, limits, log)
     clients = Clients(reactor, turn, limits, log, {b"video": (0, False, 5_000_000)})
     caches = Caches(reactor, turn, clients, limits, log, b"INFO")
     turn.joined(clients, caches)
@@ -756,7 +758,7 @@
     clock, front, limits = Clock(), BrokenFront(), planned(1024, 192, 32, open_gets=9)
     front.handle = lambda now, notes: []
     log, connection = Log("n1", 0, 1), FakeConnection()
-    turn = Turn(clock, front, limits, log)
+    turn = DecisionLoop(clock, front, limits, log)
     clients = Clients(clock, turn, limits, log, {b"video": (0, False, 5_000_000)})
     turn.joined(clients, Caches(clock, turn, clients, limits, log, b"INFO"))
     clients.arrived(
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -11,7 +11,7 @@
 from limepath.configuration.platform import front_settings
 from limepath.front.caches import Caches
 from limepath.front.changelog import ChangeLog
-from limepath.front.turn import Turn
+from limepath.front.decision_loop import DecisionLoop
 from limepath.interface.events import TimerFired
 from limepath.log import Log
 from limepath.testbed.process import free_ports
@@ -93,7 +93,7 @@
     """Take in a list of which every other member is in this phase, then a second one without those."""
     told = front_settings(configuration("127.0.0.1:9"), {})
     log = Log("n1", told.limits.log_lines, told.limits.log_span, "person")
-    turn = Turn(Clock(), FakeHost(fleet=()).front, told.limits, log)
+    turn = DecisionLoop(Clock(), FakeHost(fleet=()).front, told.limits, log)
     caches = Caches(turn.reactor, turn, None, told.limits, log, b"INFO")
     changes = ChangeLog(turn.reactor, turn, caches, told.limits, log, SETTINGS, 1)
     lines = [line(number, phase if number % 2 else "in_service") for number in range(members)]
