--- a/limepath/front/attempt.py
+++ b/limepath/front/attempt.py
@@ -28,19 +28,19 @@
     )
 
     def __init__(self, get, order, name_of, decided_at, wait):
-        self.get, self.order, self.number, self.tag = get, order, get.sent, get.txn
+        self.get, self.order, self.number, self.tag = get, order, get.attempt_count, get.transaction_id
         self.source = b"" if order.source == order.endpoint else name_of[order.source]
         self.at, self.connection, self.timer = clock(), None, None
         may_wait = min(wait, order.send_within or wait)  # what its rules let it wait, wherever it does
         self.send_by = decided_at + may_wait
-        self.limit = min(get.due, self.at + order.time_limit) if order.time_limit else get.due
+        self.limit = min(get.deadline, self.at + order.time_limit) if order.time_limit else get.deadline
 
     def words(self):
         """The command's first line, written when it is sent, with what is left of its time."""
         get, order = self.get, self.order
-        told = [b"queue=%b,path=%b" % (get.service, get.object)]
-        if get.part is not None:
-            told.append(b"blk=%b" % get.part)
+        told = [b"queue=%b,path=%b" % (get.service, get.object_id)]
+        if get.block is not None:
+            told.append(b"blk=%b" % get.block)
         told.append(b"budget=%d" % max(1, (self.limit - clock()) // 1000))
         if self.source:
             told.append(b"up=%b" % self.source)
@@ -50,11 +50,11 @@
             told.append(b"cap=%d" % max(1, order.max_age // 1000))
         if how := "+".join(word for word, flag in HOW if getattr(order, flag)):
             told.append(b"do=%b" % how.encode())
-        if get.have:
-            told.append(b"inm=%b" % get.have)
-        if get.key:
-            told.append(b"uniq=%b" % get.key)
-        return b"ASK %b %b %d\r\n" % (get.txn, b",".join(told), len(get.body))
+        if get.cached_tag:
+            told.append(b"inm=%b" % get.cached_tag)
+        if get.idempotency_key:
+            told.append(b"uniq=%b" % get.idempotency_key)
+        return b"ASK %b %b %d\r\n" % (get.transaction_id, b",".join(told), len(get.body))
 
 
 class Probing:
--- a/limepath/front/cache_peer.py
+++ b/limepath/front/cache_peer.py
@@ -55,9 +55,9 @@
             self.caches.time(attempt, self.limits.probe, self.caches.unanswered)
         else:
             connection.send(attempt, attempt.words(), attempt.get.body, b"\r\n")
-            attempt.get.begun.append(clock())
-            if attempt.limit < attempt.get.due:
-                self.caches.time(attempt, attempt.limit - clock(), self.caches.timed_out)
+            attempt.get.attempt_start_times.append(clock())
+            if attempt.limit < attempt.get.deadline:
+                self.caches.time(attempt, attempt.limit - clock(), self.caches.time_out)
 
     def fit_for(self, attempt):
         """The connection that was idle last; a probe asks where it has been quiet for longest."""
--- a/limepath/front/cache_protocol.py
+++ b/limepath/front/cache_protocol.py
@@ -57,14 +57,14 @@
 def check_copy(attempt, word, fields, body, reference):
     """What is spoilt must not pass for a whole answer: a copy tells its tag and since when it is out."""
     get, oldest = attempt.get, attempt.order.max_age
-    if word == b"KEEP" and (not get.have or body):
+    if word == b"KEEP" and (not get.cached_tag or body):
         raise Unreadable("KEEP without a copy to keep, or with one")
     tag, since = fields.get(b"rev"), fields.get(b"since")
-    if get.note.is_write and tag is since is None:
+    if get.event.is_write and tag is since is None:
         return
     if not tag or not tag.isalnum() or not since or not since.isdigit() or len(since) > 15:
         raise Unreadable("no tag or no time of the copy")
-    if word == b"KEEP" and tag != get.have:
+    if word == b"KEEP" and tag != get.cached_tag:
         raise Unreadable("KEEP of another copy than the client's")
     given_out = int(since) * 1000
     if not reference.has_passed(given_out):
--- a/limepath/front/caches.py
+++ b/limepath/front/caches.py
@@ -76,15 +76,15 @@
     def purged(self, purge):
         self.recall(
             lambda order, get: (
-                get.note.object == purge.object if purge.object else get.note.group == purge.group
+                get.event.object == purge.object if purge.object else get.event.group == purge.group
             )
         )
 
     def forward(self, order, get, decided_at):
         attempt = Attempt(get, order, self.names, decided_at, self.limits.wait)
-        get.sent += 1
+        get.attempt_count += 1
         get.attempts[attempt.number] = attempt
-        if get.closed or attempt.limit <= attempt.at:
+        if not get.is_open or attempt.limit <= attempt.at:
             self.ended(attempt, AttemptOutcome.SUPERSEDED)
         else:
             self.peers[order.endpoint].send(attempt)
@@ -99,10 +99,10 @@
             if not connection.out:
                 connection.retire()
 
-    def withdraw(self, attempt):
+    def cancel(self, attempt):
         self.stop(attempt, AttemptOutcome.CANCELLED)
 
-    def timed_out(self, attempt):
+    def time_out(self, attempt):
         self.stop(attempt, AttemptOutcome.TIMED_OUT)
 
     def stop(self, attempt, verdict):
@@ -127,12 +127,12 @@
         the system before each attempt: a late pass, or one that brings an answer before an end, can't know.
         """
         client = attempt.get.connection
-        if client is None or not client.has_gone():
+        if client is None or not client.is_disconnected():
             return False
-        client.hold_back()
+        client.disconnected_before_attempt()
         return True
 
-    def abandoned(self, get):
+    def cancel_unsent(self, get):
         """The client has left: what has not gone out whole goes no more, whether its effect could be repeated
         or not.
         """
@@ -159,7 +159,7 @@
         get, order = attempt.get, attempt.order
         get.attempts.pop(attempt.number, None)
         if verdict == AttemptOutcome.SUCCEEDED:
-            self.clients.returned(get, word == b"KEEP", fields.get(b"rev"), body)
+            self.clients.answer_with_copy(get, word == b"KEEP", fields.get(b"rev"), body)
         self.turn.gather(
             AttemptEnded(
                 order.request,
@@ -168,13 +168,13 @@
                 order.endpoint,
                 clock() - attempt.at,
                 0,
-                get.closed,
+                not get.is_open,
                 CacheStatus.NONE,
                 load,
             )
         )
-        if get.closed:
-            self.clients.settled(get)
+        if not get.is_open:
+            self.clients.release_if_done(get)
 
     def sweep(self):
         """Close what has been idle for long, before the cache does, and what stands still in an answer."""
--- a/limepath/front/decision_loop.py
+++ b/limepath/front/decision_loop.py
@@ -45,13 +45,13 @@
         self.clients, clients.caches = clients, caches
         self.carriers |= {
             ForwardRequest: lambda order: caches.forward(
-                order, clients.open.get(order.request), self.decided_at
+                order, clients.requests.get(order.request), self.decided_at
             ),
-            CancelAttempt: lambda order: clients.withdraw(order, caches),
+            CancelAttempt: clients.cancel_attempt,
             SendProbe: caches.probe,
             CloseIdleConnections: caches.close_idle,
-            RejectRequest: clients.shed,
-            FailRequest: clients.errored,
+            RejectRequest: clients.reject,
+            FailRequest: clients.fail,
         }
 
     def gather(self, *notes):
@@ -86,9 +86,9 @@
             self.log.fault("handle", flaw)
             for note in notes:
                 if isinstance(note, RequestArrived):
-                    self.clients.errored(FailRequest(note.id))
+                    self.clients.fail(FailRequest(note.id))
                 elif isinstance(note, AttemptEnded):
-                    self.clients.errored(FailRequest(note.request))
+                    self.clients.fail(FailRequest(note.request))
             # drains and purges must not be lost with the rest; they are told once more, which is harmless
             told = {note for note in notes if isinstance(note, NEWS)} - self.retold
             self.retold = told
@@ -100,7 +100,7 @@
                 self.carriers.get(type(order), self.unknown)(order)
             except Exception as flaw:
                 self.log.fault(type(order).__name__, flaw)
-        self.clients.clear()
+        self.clients.forget_released()
 
     def followed(self, order):
         """The change log is followed always."""
--- /dev/null
+++ b/limepath/front/response.py
@@ -0,0 +1,34 @@
+"""HTTP responses to clients: the status line and the fields that the front adds by itself."""
+
+REASONS = {
+    200: b"OK",
+    304: b"Not Modified",
+    400: b"Bad Request",
+    404: b"Not Found",
+    405: b"Method Not Allowed",
+    409: b"Conflict",
+    411: b"Length Required",
+    413: b"Content Too Large",
+    431: b"Request Header Fields Too Large",
+    501: b"Not Implemented",
+    502: b"Bad Gateway",
+    503: b"Service Unavailable",
+    504: b"Gateway Timeout",
+    505: b"HTTP Version Not Supported",
+}
+
+
+def response_head(status: int, fields: bytes, body_size: int, keep_alive: bool) -> bytes:
+    """Give the head of a response; `fields` are complete lines. A 304 has no length (RFC 9110, 8.6)."""
+    return b"HTTP/1.1 %d %b\r\n%b%b%b\r\n" % (
+        status,
+        REASONS[status],
+        b"" if status == 304 else b"Content-Length: %d\r\n" % body_size,
+        fields,
+        b"" if keep_alive else b"Connection: close\r\n",
+    )
+
+
+def retry_after_field(retry_after: int) -> bytes:
+    """The field that asks a client to wait for `retry_after` microseconds; none where that is 0."""
+    return b"X-Throttle-Ms: %d\r\n" % -(-retry_after // 1000) if retry_after else b""
--- a/limepath/front/start.py
+++ b/limepath/front/start.py
@@ -44,7 +44,7 @@
     globalLogBeginner.beginLoggingTo([log.observe], discardBuffer=True, redirectStandardIO=False)
     turn = DecisionLoop(reactor, Front(seed=told.seed, **told.arguments), limits, log)
     clients = Clients(reactor, turn, limits, log, told.services)
-    clients.lateness = lateness_of(reactor)
+    clients.read_delay = lateness_of(reactor)
     probe_word = b"INFO" if told.reports else b"NOOP"
     caches = Caches(reactor, turn, clients, limits, log, probe_word)
     turn.joined(clients, caches)
@@ -83,7 +83,7 @@
 
         changes = guided(reactor, turn, caches, limits, log, told, cooperation, shared.listing)
         changes.confirmed = lambda: confirmed()
-        clients.unready = True
+        clients.is_waiting_for_list = True
     else:
         changes = ChangeLog(reactor, turn, caches, limits, log, told.settings, told.seed)
     try:
@@ -91,7 +91,7 @@
     except BadEvent as flaw:
         raise opening.ConfigurationError(f"known.results: {flaw}") from None
     turn.run()
-    clients.gone.addCallback(lambda _: reactor.stop())
+    clients.shutdown.finished.addCallback(lambda _: reactor.stop())
 
     def sweep():
         """Judge what is idle or silent by what has been read; what came while this process stood still, or
@@ -123,7 +123,7 @@
     def leave():
         if cooperation:
             cooperation.leave()
-        clients.leave()
+        clients.shutdown.start()
 
     def ready(_):
         LoopingCall(reactor.callLater, 0, sweep).start(limits.sweep / 1e6, now=False)
@@ -133,13 +133,13 @@
             cooperation.start()
         changes.follow(*told.changelog)
         gc.freeze()
-        if clients.unready:
+        if clients.is_waiting_for_list:
             log.say("waits-for-list", listening=f"{told.listen[0]}:{told.listen[1]}")
         else:
             confirmed()
 
     def confirmed():
-        clients.unready = False
+        clients.is_waiting_for_list = False
         log.say("ready", members=len(changes.entries), listening=f"{told.listen[0]}:{told.listen[1]}")
 
     host, port = told.listen
--- a/tests/test_departed_clients.py
+++ b/tests/test_departed_clients.py
@@ -15,7 +15,7 @@
 from twisted.python.failure import Failure
 
 from limepath.configuration.process_limits import planned
-from limepath.front import departures
+from limepath.front import client_disconnects
 from limepath.front.client_connection import ClientConnection
 from limepath.front.clients import Clients
 from limepath.front.clock import clock
@@ -237,7 +237,7 @@
         self.clients.listen(TCP4ServerEndpoint(self.reactor, 0, interface="127.0.0.1"))
 
     def viewer(self):
-        return Viewer(f"127.0.0.1:{self.clients.port.getHost().port}")
+        return Viewer(f"127.0.0.1:{self.clients.listener.port.getHost().port}")
 
     def passes_until(self, holds):
         def passed():
@@ -253,7 +253,7 @@
 
     def attempts(self):
         """Those that have been ordered and have not ended."""
-        return [attempt for get in self.clients.open.values() for attempt in get.attempts.values()]
+        return [attempt for get in self.clients.requests.values() for attempt in get.attempts.values()]
 
     def accept(self):
         """The cache's end of the next connection."""
@@ -284,7 +284,7 @@
     front.passes_until(lambda: select.select([cache], [], [], 0)[0])
     cache.recv(4096)
     cache.sendall(b"9b1f03aa5c7e2d41 DONE %b 0\r\n\r\n" % NOW.encode())
-    front.passes_until(lambda: not front.clients.open)
+    front.passes_until(lambda: not front.clients.requests)
     front.passes_until(lambda: select.select([first.socket], [], [], 0)[0])
     assert first.answer()[0] == 200
     viewer = front.viewer().send(txn="00000000000000aa", ttl=5000)
@@ -338,13 +338,15 @@
     near, far = connected_pair()
     with near, far:
         near.sendall(b"unread")
-        assert not departures.has_ended(far)
+        assert not client_disconnects.has_ended(far)
         before = clock()
         near.shutdown(socket.SHUT_WR)
-        until(lambda: departures.has_ended(far))
+        until(lambda: client_disconnects.has_ended(far))
         until(lambda: clock() - before > 150_000)
-        ago = departures.since_last_packet(far)
-        assert 150_000 - departures.RESOLUTION <= ago <= clock() - before + departures.RESOLUTION
+        ago = client_disconnects.since_last_packet(far)
+        assert (
+            150_000 - client_disconnects.RESOLUTION <= ago <= clock() - before + client_disconnects.RESOLUTION
+        )
         assert far.recv(9) == b"unread"  # nothing was read by asking
 
 
@@ -353,7 +355,7 @@
     turn = SimpleNamespace(gather=lambda *notes: None)
     log = Log("n1", 5, 10_000_000)
     clients = Clients(None, turn, limits, log, {})
-    clients.caches = SimpleNamespace(abandoned=lambda get: None)
+    clients.caches = SimpleNamespace(cancel_unsent=lambda get: None)
     near, far = connected_pair()
     with near, far:
         connection = ClientConnection(clients)
@@ -362,14 +364,21 @@
         )
         before = clock()
         near.close()
-        until(lambda: departures.has_ended(far))
+        until(lambda: client_disconnects.has_ended(far))
         until(lambda: clock() - before > 150_000)
-        connection.get = SimpleNamespace(
-            id=1, txn=b"aa", attempts={}, timer=None, begun=[before - 50_000, clock()], closed=False
+        connection.request = SimpleNamespace(
+            id=1,
+            transaction_id=b"aa",
+            attempts={},
+            timer=None,
+            attempt_start_times=[before - 50_000, clock()],
+            end=lambda state: None,
         )
         connection.readConnectionLost()
-    counted = clients.departures
-    assert counted.begun == 1 and 140_000 <= counted.latest <= clock() - before + departures.RESOLUTION
+    counted = clients.disconnects
+    assert (
+        counted.begun == 1 and 140_000 <= counted.latest <= clock() - before + client_disconnects.RESOLUTION
+    )
     assert "event=client-gone attempt=further" in capsys.readouterr().err
 
 
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -168,7 +168,7 @@
         front.caches.listed(member, cache.name, cache.listener.getsockname(), 0, front.ready)
         for one, viewer in enumerate(viewers):
             viewer.send(txn=f"{start + one:016x}", ttl=BOUND * 1000)
-        front.passes_until(lambda: len(front.clients.open) == number)
+        front.passes_until(lambda: len(front.clients.requests) == number)
 
         def all_asked():
             nonlocal most
@@ -177,7 +177,7 @@
 
         front.passes_until(all_asked)
         cache.answer_all(number)
-        front.passes_until(lambda: not front.clients.open)
+        front.passes_until(lambda: not front.clients.requests)
 
     ask(1, first, 0)
     assert front.caches.held == number and len(front.caches.idle()) == number
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -20,9 +20,10 @@
 from limepath.front import cache_peer
 from limepath.front.cache_connection import CacheConnection
 from limepath.front.caches import Caches
-from limepath.front.client_connection import ClientConnection, State
+from limepath.front.client_connection import ClientConnection, ConnectionState
 from limepath.front.clients import Clients
 from limepath.front.decision_loop import DecisionLoop
+from limepath.front.request_head import RequestHead
 from limepath.interface.commands import ForwardRequest
 from limepath.interface.events import (
     AttemptEnded,
@@ -254,15 +255,18 @@
     caches.listed(1, "s-1", ("127.0.0.1", 9), 0, EndpointState.READY)
 
     def get():
-        clients.arrived(
-            SimpleNamespace(write=lambda *_: None, has_gone=lambda: False),
-            b"GET",
-            b"/invoke/video/1",
-            {b"x-txn": b"9b1f03aa5c7e2d41", b"x-ttl-ms": b"900", b"x-family": b"1"},
+        clients.accept_request(
+            SimpleNamespace(send_response=lambda *_: None, is_disconnected=lambda: False),
+            RequestHead(
+                b"GET",
+                b"/invoke/video/1",
+                {b"x-txn": b"9b1f03aa5c7e2d41", b"x-ttl-ms": b"900", b"x-family": b"1"},
+                0,
+            ),
             b"",
         )
         reactor.advance(0)
-        return list(clients.open.values())[-1]
+        return list(clients.requests.values())[-1]
 
     return reactor, clients, caches, get
 
@@ -330,7 +334,7 @@
     connection = up(caches, CacheTransport(taken=20))  # the cache does not read: the system takes no more
     waiting = get()
     assert connection.transport.dataBuffer
-    clients.left(waiting)
+    clients.client_disconnected(waiting)
     assert connection.transport.aborted
     caches.reactor.advance(0)
     assert [note.outcome for note in front.heard if isinstance(note, AttemptEnded)] == [
@@ -354,7 +358,7 @@
 def test_news_of_one_pass_comes_before_what_is_decided_by_it():
     front = Ordering()
     reactor, clients, _, _ = parts(front)
-    turn = clients.turn
+    turn = clients.decision_loop
     left, roster, purge = (
         ClientDisconnected(1),
         EndpointListUpdated(UpdateKind.DELTA, 2, ()),
@@ -507,17 +511,19 @@
     told = front_settings(configuration(free_address()), {})
     assert told.limits.last_call == max(one.deadline for one in told.arguments["services"])
     reactor, clients, _, _ = parts(Ordering(), last_call=5_000_000)
-    clients.port = SimpleNamespace(doRead=lambda: None, stopListening=lambda: None, socket=listening())
+    clients.listener.port = SimpleNamespace(
+        doRead=lambda: None, stopListening=lambda: None, socket=listening()
+    )
     taking = ClientConnection(clients)  # its answer is held
-    taking.state = State.LINGERING
+    taking.state = ConnectionState.LINGERING
     clients.connections.add(taking)
-    clients.leave()
+    clients.shutdown.start()
     reactor.advance(clients.limits.leaving / 1e6)
     reactor.advance(0)
     reactor.advance(4.9)
-    assert not clients.gone.called
+    assert not clients.shutdown.finished.called
     reactor.advance(0.2)
-    assert clients.gone.called
+    assert clients.shutdown.finished.called
 
 
 def test_sigterm_twice_and_sighup_in_between_end_it_once_and_well():
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -19,10 +19,10 @@
 from limepath.front.caches import Caches
 from limepath.front.changelog import ChangeLog, Chunks, EventReader, ident_of
 from limepath.front.client_connection import ClientConnection
-from limepath.front.client_request import Flaw, read_head
 from limepath.front.clients import Clients
 from limepath.front.decision_loop import DecisionLoop
 from limepath.front.reference_clock import ReferenceClock
+from limepath.front.request_head import RequestError, RequestHead, parse_head
 from limepath.interface.commands import ForwardRequest
 from limepath.interface.events import (
     AttemptEnded,
@@ -456,7 +456,7 @@
     transport.setTcpNoDelay = lambda on: None
     transport.loseWriteConnection = lambda: None
     connection.makeConnection(transport)
-    connection.finish()
+    connection.close_gracefully()
     connection.dataReceived(b"GET /_health HTTP/1.1\r\n\r\n")  # read in the pass in which it was closed
     assert transport.value() == b""  # taken, it would be sent again by its client
 
@@ -572,7 +572,7 @@
     def __init__(self):
         self.answers = []
 
-    def write(self, status, *_):
+    def send_response(self, status, *_):
         self.answers.append(status)
 
 
@@ -583,11 +583,14 @@
     clients = Clients(clock, turn, limits, log, {b"video": (0, False, 5_000_000)})
     connection = FakeConnection()
     turn.joined(clients, Caches(clock, turn, clients, limits, log, b"INFO"))
-    clients.arrived(
+    clients.accept_request(
         connection,
-        b"GET",
-        b"/invoke/video/1",
-        {b"x-txn": b"9b1f03aa5c7e2d41", b"x-ttl-ms": b"900", b"x-family": b"1"},
+        RequestHead(
+            b"GET",
+            b"/invoke/video/1",
+            {b"x-txn": b"9b1f03aa5c7e2d41", b"x-ttl-ms": b"900", b"x-family": b"1"},
+            0,
+        ),
         b"",
     )
     purge = PurgeAnnounced(1, 0, 0)
@@ -596,7 +599,7 @@
     assert connection.answers == [502]
     clock.advance(1)
     clock.advance(0)
-    assert purge in front.told and not clients.open
+    assert purge in front.told and not clients.requests
 
 
 def test_a_cache_s_answer_line_is_read_or_named_as_what_it_is():
@@ -623,13 +626,13 @@
 
 def test_a_head_is_read_once_whole_and_refused_for_what_is_wrong():
     whole = b"GET /a?block=1 HTTP/1.1\r\nHost: x\r\nX-Txn:  9b\r\n\r\n"
-    assert read_head(bytearray(whole), 100, 9) == (
+    assert parse_head(bytearray(whole), 100, 9) == (
         b"GET",
         b"/a?block=1",
         {b"host": b"x", b"x-txn": b"9b"},
         48,
     )
-    assert {read_head(bytearray(whole[:i]), 100, 9) for i in range(len(whole))} == {None}
+    assert {parse_head(bytearray(whole[:i]), 100, 9) for i in range(len(whole))} == {None}
     for head, status in (
         (b"GET / HTTP/1.1\r\na: " + b"x" * 60, 431),
         (b"GET / HTTP/1.1\r\na:\r\nb:\r\nc:\r\n\r\n", 431),
@@ -639,9 +642,9 @@
         (b"G\0T / HTTP/1.1\r\na : 1\r\n\r\n", 400),
         (b"GET / HTTP/1.1\r\nhost: 1\r\nHost: 2\r\n\r\n", 400),
     ):
-        with pytest.raises(Flaw) as flaw:
-            read_head(bytearray(head), 60, 2)
-        assert flaw.value.status == status, head
+        with pytest.raises(RequestError) as error:
+            parse_head(bytearray(head), 60, 2)
+        assert error.value.status == status, head
 
 
 def test_a_member_has_the_same_number_at_every_front():
@@ -680,7 +683,7 @@
         )
         connection = CacheConnection(told)
         attempt = SimpleNamespace(
-            get=SimpleNamespace(note=SimpleNamespace(is_write=False)), order=SimpleNamespace(max_age=0)
+            get=SimpleNamespace(event=SimpleNamespace(is_write=False)), order=SimpleNamespace(max_age=0)
         )
         told.idle, told.waiting = [], []
         connection.out = {b"aa": attempt, b"bb": attempt, b"p7": Probing(1, b"p7", 1)}
@@ -733,17 +736,20 @@
     caches = Caches(reactor, turn, clients, limits, log, b"INFO")
     turn.joined(clients, caches)
     caches.listed(1, "s-1", ("127.0.0.1", 9), 0, EndpointState.READY)
-    clients.arrived(
+    clients.accept_request(
         FakeConnection(),
-        b"GET",
-        b"/invoke/video/1",
-        {b"x-txn": b"9b1f03aa5c7e2d41", b"x-ttl-ms": b"900", b"x-family": b"1"},
+        RequestHead(
+            b"GET",
+            b"/invoke/video/1",
+            {b"x-txn": b"9b1f03aa5c7e2d41", b"x-ttl-ms": b"900", b"x-family": b"1"},
+            0,
+        ),
         b"",
     )
     reactor.advance(0)
-    (get,) = clients.open.values()
+    (get,) = clients.requests.values()
     caches.ended(get.attempts[0], AttemptOutcome.MISS)  # in one pass with the viewer's end
-    clients.left(get)
+    clients.client_disconnected(get)
     reactor.advance(0)
     reactor.advance(0)
     outcomes = [note for note in front.told if isinstance(note, AttemptEnded)]
@@ -751,7 +757,7 @@
         (0, AttemptOutcome.MISS, False),
         (1, AttemptOutcome.SUPERSEDED, True),
     ]
-    assert not clients.open
+    assert not clients.requests
 
 
 def test_a_get_that_the_module_forgets_is_errored_after_its_time():
@@ -761,11 +767,14 @@
     turn = DecisionLoop(clock, front, limits, log)
     clients = Clients(clock, turn, limits, log, {b"video": (0, False, 5_000_000)})
     turn.joined(clients, Caches(clock, turn, clients, limits, log, b"INFO"))
-    clients.arrived(
+    clients.accept_request(
         connection,
-        b"GET",
-        b"/invoke/video/1",
-        {b"x-txn": b"9b1f03aa5c7e2d41", b"x-ttl-ms": b"900", b"x-family": b"1"},
+        RequestHead(
+            b"GET",
+            b"/invoke/video/1",
+            {b"x-txn": b"9b1f03aa5c7e2d41", b"x-ttl-ms": b"900", b"x-family": b"1"},
+            0,
+        ),
         b"",
     )
     clock.advance(0.9)
--- a/tests/test_terms_standstill.py
+++ b/tests/test_terms_standstill.py
@@ -112,7 +112,7 @@
     monkeypatch.setattr(client_connection, "since_last_data", lambda connected: 0)
     for connected in (True, False):
         front = driven()
-        front.clients.lateness = lateness_of(front.reactor)
+        front.clients.read_delay = lateness_of(front.reactor)
         viewers = []
         if connected:
             viewers.append(front.viewer())
@@ -125,23 +125,29 @@
             passed(began, 0.5)
 
         front.reactor.callLater(0, drag_on)
-        front.passes_until(lambda front=front: front.clients.open)
-        (request,) = front.clients.open.values()
-        assert request.note.time_left <= 1_500_000, connected
+        front.passes_until(lambda front=front: front.clients.requests)
+        (request,) = front.clients.requests.values()
+        assert request.event.time_left <= 1_500_000, connected
 
 
 def test_news_that_lies_unread_comes_before_a_decision_that_is_late(driven):  # noqa: F811
     """The process stands still between the pass that read a request and the decision on it."""
     front, log = driven(), StandInChangeLog()
     changes = ChangeLog(
-        front.reactor, front.clients.turn, front.caches, front.clients.limits, front.clients.log, SETTINGS, 7
+        front.reactor,
+        front.clients.decision_loop,
+        front.caches,
+        front.clients.limits,
+        front.clients.log,
+        SETTINGS,
+        7,
     )
     changes.follow(*log.listener.getsockname())
     front.passes_until(lambda: changes.stream and changes.stream.body)
     viewer = front.viewer()
     front.passes_until(lambda: front.clients.connections)
     viewer.send(ttl=5000)
-    until(lambda: front.reactor.doIteration(0.01) or front.clients.open)
+    until(lambda: front.reactor.doIteration(0.01) or front.clients.requests)
     began = time.monotonic()
     log.tell(1, invalidate={"bucket": 17, "time": 1})
     until(lambda: select.select([changes.stream.transport.socket], [], [], 0)[0])
@@ -195,7 +201,7 @@
     until(lambda: front.reactor.doIteration(0.01) or len(front.clients.connections) > limits.viewers)
     resting[0].send(ttl=5000)
     front.passes_until(lambda: len(front.clients.connections) <= limits.viewers)
-    front.passes_until(lambda: front.clients.open)
+    front.passes_until(lambda: front.clients.requests)
     assert len(crowd) == 2
 
 
@@ -217,11 +223,11 @@
 def end_resting(front, kept, way):
     if way == "for room":
         front.clients.limits = front.clients.limits._replace(viewers=0)
-        front.clients.make_room()
+        front.clients.connection_limit.enforce()
     elif way == "shutdown":
-        front.clients.close_resting()
+        front.clients.shutdown.close_idle_connections()
     else:
-        kept.moved -= 60_000_000
+        kept.last_activity_at -= 60_000_000
         front.clients.sweep()
 
 
@@ -237,7 +243,7 @@
             viewer.send(ttl=5000)
             passes = iter(range(5))
             front.passes_until(lambda passes=passes: next(passes, None) is None)
-            assert kept in front.clients.connections and kept.dropped
+            assert kept in front.clients.connections and kept.discarded_bytes
             viewer.socket.shutdown(socket.SHUT_WR)  # no reset
 
 
@@ -248,7 +254,7 @@
         viewer.send(ttl=5000)
         until(lambda kept=kept: select.select([kept.transport.socket], [], [], 0)[0])
         end_resting(front, kept, way)
-        front.passes_until(lambda front=front: front.clients.open)
+        front.passes_until(lambda front=front: front.clients.requests)
 
 
 def test_a_standstill_between_the_word_of_the_system_and_the_clock_adds_no_time(driven, monkeypatch):  # noqa: F811
@@ -261,6 +267,6 @@
     viewer = front.viewer()
     front.passes_until(lambda: front.clients.connections)
     viewer.send(ttl=2000)
-    front.passes_until(lambda: front.clients.open)
-    (request,) = front.clients.open.values()
-    assert request.note.time_left <= 1_700_000
+    front.passes_until(lambda: front.clients.requests)
+    (request,) = front.clients.requests.values()
+    assert request.event.time_left <= 1_700_000
