--- a/limepath/front/attempt.py
+++ b/limepath/front/attempt.py
@@ -1,67 +1,67 @@
-"""Forwards and probes on their way, and the command that a forward becomes."""
+"""Attempts and probes that are out: when they began, until when, and what of them has been sent."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
 
 from limepath.front.clock import clock
+from limepath.interface.commands import ForwardRequest
 
-HOW = (
-    ("join", "join_fill"),
-    ("held", "cached_only"),
-    ("nocopy", "no_copy_above"),
-    ("renew", "revalidate"),
-)
+if TYPE_CHECKING:
+    from limepath.front.client_request import ClientRequest
+    from limepath.front.server_connection import ServerConnection
 
 
 class Attempt:
-    """One forward on its way."""
+    """One attempt of a request at a server. Times are microseconds on the front's clock."""
 
     __slots__ = (
-        "get",
+        "request",
         "number",
-        "order",
-        "at",
-        "limit",
+        "command",
+        "started_at",
+        "deadline",
         "connection",
         "tag",
         "timer",
-        "end",
-        "source",
+        "end_offset",
+        "source_name",
         "send_by",
     )
 
-    def __init__(self, get, order, name_of, decided_at, wait):
-        self.get, self.order, self.number, self.tag = get, order, get.attempt_count, get.transaction_id
-        self.source = b"" if order.source == order.endpoint else name_of[order.source]
-        self.at, self.connection, self.timer = clock(), None, None
-        may_wait = min(wait, order.send_within or wait)  # what its rules let it wait, wherever it does
-        self.send_by = decided_at + may_wait
-        self.limit = min(get.deadline, self.at + order.time_limit) if order.time_limit else get.deadline
-
-    def words(self):
-        """The command's first line, written when it is sent, with what is left of its time."""
-        get, order = self.get, self.order
-        told = [b"queue=%b,path=%b" % (get.service, get.object_id)]
-        if get.block is not None:
-            told.append(b"blk=%b" % get.block)
-        told.append(b"budget=%d" % max(1, (self.limit - clock()) // 1000))
-        if self.source:
-            told.append(b"up=%b" % self.source)
-        if order.keep_rank:
-            told.append(b"store=%d" % order.keep_rank)
-        if order.max_age:
-            told.append(b"cap=%d" % max(1, order.max_age // 1000))
-        if how := "+".join(word for word, flag in HOW if getattr(order, flag)):
-            told.append(b"do=%b" % how.encode())
-        if get.cached_tag:
-            told.append(b"inm=%b" % get.cached_tag)
-        if get.idempotency_key:
-            told.append(b"uniq=%b" % get.idempotency_key)
-        return b"ASK %b %b %d\r\n" % (get.transaction_id, b",".join(told), len(get.body))
+    def __init__(
+        self,
+        request: ClientRequest,
+        command: ForwardRequest,
+        server_names: dict[int, bytes],
+        decided_at: int,
+        max_wait: int,
+    ):
+        self.request = request
+        self.command = command
+        self.number = request.attempt_count
+        self.tag = request.transaction_id  # by which the server names it in its answer
+        self.source_name = b"" if command.source == command.endpoint else server_names[command.source]
+        self.started_at = clock()
+        self.connection: ServerConnection | None = None  # None while it waits for one
+        self.timer = None
+        self.end_offset = 0  # of its last byte, in all that was ever queued on its connection
+        self.send_by = decided_at + min(max_wait, command.send_within or max_wait)  # wherever it waits
+        self.deadline = request.deadline
+        if command.time_limit:
+            self.deadline = min(request.deadline, self.started_at + command.time_limit)
 
 
-class Probing:
-    """One probe on its way."""
+class Probe:
+    """One health check of a server. Times are microseconds on the front's clock."""
 
-    __slots__ = ("cache", "at", "tag", "timer", "connection", "end", "send_by")
+    __slots__ = ("server", "started_at", "tag", "timer", "connection", "end_offset", "send_by")
 
-    def __init__(self, cache, tag, wait):
-        self.cache, self.at, self.tag, self.timer, self.connection = cache, clock(), tag, None, None
-        self.send_by = self.at + wait
+    def __init__(self, server: int, tag: bytes, max_wait: int):
+        self.server = server
+        self.tag = tag
+        self.started_at = clock()
+        self.timer = None
+        self.connection: ServerConnection | None = None
+        self.end_offset = 0
+        self.send_by = self.started_at + max_wait
--- a/limepath/front/changelog.py
+++ b/limepath/front/changelog.py
@@ -267,7 +267,9 @@
             )
         out = {entry.member.id for entry in news if entry.member.state != EndpointState.READY}
         if out:  # once for all of them: each asks every member for what waits there
-            self.caches.recall(lambda order, get: not out.isdisjoint((order.endpoint, order.source)))
+            self.caches.cancel_waiting(
+                lambda command, request: not out.isdisjoint((command.endpoint, command.source))
+            )
         listing = UpdateKind.FULL if whole else UpdateKind.DELTA
         self.turn.gather(
             EndpointListUpdated(
--- a/limepath/front/client_connection.py
+++ b/limepath/front/client_connection.py
@@ -45,7 +45,7 @@
         self.buffer = bytearray()  # input that is not parsed yet
         self.head: RequestHead | None = None  # parsed, its body is not complete
         self.request: ClientRequest | None = None  # the one that is owed its answer
-        self.keep_alive = True  # whether the connection stays after the next answer
+        self.is_persistent = True  # whether the connection stays after the next answer
         self.has_requested = False  # whether a complete request has come on it
         self.output_blocked = False  # the client does not take its answer
         self.discarded_bytes = 0  # read since the lingering close began
@@ -104,7 +104,7 @@
         self.clients.log.say("client", str(error), status=error.status)
         if self.request is not None:
             self.clients.client_disconnected(self.request)
-        self.keep_alive = False
+        self.is_persistent = False
         self.buffer = bytearray()
         self.send_response(error.status)
 
@@ -132,7 +132,7 @@
         self.last_activity_at = clock()
         self.has_requested = True
         if b"close" in head.fields.get(b"connection", b"").lower():
-            self.keep_alive = False
+            self.is_persistent = False
         self._handle_request(head, body)
 
     def _handle_request(self, head: RequestHead, body: bytes) -> None:
@@ -159,10 +159,10 @@
         self.state = ConnectionState.IDLE
         self.close_deferred = False
         if self.clients.shutdown.is_started:
-            self.keep_alive = False
-        head = response_head(status, fields, len(body), self.keep_alive)
+            self.is_persistent = False
+        head = response_head(status, fields, len(body), self.is_persistent)
         self.transport.writeSequence((head, body) if body else (head,))
-        if not self.keep_alive:
+        if not self.is_persistent:
             self.close_gracefully()
 
     @property
@@ -185,7 +185,7 @@
             return
         at_once = self._can_end_at_once()
         self.state = ConnectionState.LINGERING
-        self.keep_alive = False
+        self.is_persistent = False
         self.last_activity_at = clock()
         self.discarded_bytes = 0
         self.buffer = bytearray()
--- a/limepath/front/client_listener.py
+++ b/limepath/front/client_listener.py
@@ -12,6 +12,8 @@
 from limepath.front.client_connection import ClientConnection
 
 if TYPE_CHECKING:
+    from twisted.internet.interfaces import IStreamServerEndpoint
+
     from limepath.front.clients import Clients
 
 
@@ -24,7 +26,7 @@
         self.is_paused = False  # there are too many connections
         self.accepted_count = 0
 
-    def listen(self, endpoint) -> Deferred:
+    def listen(self, endpoint: IStreamServerEndpoint) -> Deferred:
         """Listen on a Twisted server endpoint; the Deferred fires once clients can connect."""
         return endpoint.listen(Factory.forProtocol(self._accept)).addCallback(self._listening)
 
--- a/limepath/front/client_request.py
+++ b/limepath/front/client_request.py
@@ -125,12 +125,7 @@
     if head.method != (b"PUT" if is_write else b"GET"):
         raise RequestError(405, "not this method here")
     block = _block_of(target)
-    transaction_id = head.fields.get(b"x-txn", b"")
-    if len(transaction_id) != TRANSACTION_ID_LENGTH or not HEX_DIGITS.issuperset(transaction_id.lower()):
-        raise RequestError(400, "X-Txn")
-    object_id = target.object_id
-    if not object_id or len(object_id) > MAX_OBJECT_ID_LENGTH or not HEX_DIGITS.issuperset(object_id.lower()):
-        raise RequestError(404, "no such object")
+    _check_ids(head.fields.get(b"x-txn", b""), target.object_id)
     time_to_live = parse_integer(head.fields.get(b"x-ttl-ms", b""), longest // 1000, "X-Ttl-Ms") * 1000
     if not time_to_live:
         raise RequestError(400, "X-Ttl-Ms")
@@ -140,7 +135,7 @@
         id=request_id,
         service=service_number,
         tenant=0,
-        object=int(object_id, 16),
+        object=int(target.object_id, 16),
         time_left=time_left,
         size_kb=0.0,
         group=parse_integer(head.fields.get(b"x-family", b""), MAX_GROUP, "X-Family"),
@@ -167,6 +162,13 @@
     return target
 
 
+def _check_ids(transaction_id: bytes, object_id: bytes) -> None:
+    if len(transaction_id) != TRANSACTION_ID_LENGTH or not HEX_DIGITS.issuperset(transaction_id.lower()):
+        raise RequestError(400, "X-Txn")
+    if not object_id or len(object_id) > MAX_OBJECT_ID_LENGTH or not HEX_DIGITS.issuperset(object_id.lower()):
+        raise RequestError(404, "no such object")
+
+
 def _block_of(target: RequestTarget) -> bytes | None:
     """The block that `block=NUMBER` names, as the client wrote it; None for the whole object."""
     if target.query is None:
--- a/limepath/front/clients.py
+++ b/limepath/front/clients.py
@@ -21,9 +21,11 @@
 from limepath.interface.events import ClientDisconnected
 
 if TYPE_CHECKING:
+    from twisted.internet.interfaces import IStreamServerEndpoint
+
     from limepath.configuration.process_limits import Limits
-    from limepath.front.caches import Caches
     from limepath.front.decision_loop import DecisionLoop
+    from limepath.front.servers import Servers
     from limepath.log import Log
 
 MICROSECONDS = 1e6
@@ -32,7 +34,7 @@
 class Clients:
     """Owns all client connections, and all requests that are owed an answer or have an attempt out."""
 
-    caches: Caches  # set where the parts are joined
+    servers: Servers  # set by `DecisionLoop.connect`
 
     def __init__(
         self,
@@ -59,7 +61,7 @@
         self.connection_limit = ClientConnectionLimit(self)
         self.shutdown = GracefulShutdown(self)
 
-    def listen(self, endpoint) -> Deferred:
+    def listen(self, endpoint: IStreamServerEndpoint) -> Deferred:
         """Listen on a Twisted server endpoint; the Deferred fires once clients can connect."""
         return self.listener.listen(endpoint)
 
@@ -98,7 +100,7 @@
         """What is out has timed out; the decisions answer, else the backstop does soon."""
         request.timer = None
         for attempt in list(request.attempts.values()):
-            self.caches.time_out(attempt)
+            self.servers.time_out(attempt)
         if request.is_open:
             backstop = self.limits.backstop
             request.timer = self.reactor.callLater(backstop / MICROSECONDS, self._fail_unanswered, request)
@@ -113,7 +115,7 @@
         """The client of this request has gone: no answer is owed."""
         request.end(RequestState.ABANDONED)
         self.transaction_ids.discard(request.transaction_id)
-        self.caches.cancel_unsent(request)
+        self.servers.cancel_unsent(request)
         self.decision_loop.gather(ClientDisconnected(request.id))
         self.release_if_done(request)
 
@@ -171,14 +173,14 @@
         request = self.requests.get(command.request)
         attempt = request and request.attempts.get(command.attempt)
         if attempt:
-            self.caches.cancel(attempt)
+            self.servers.cancel(attempt)
 
     def sweep(self) -> None:
         """Close what is idle, half sent or not taken for long; log who holds the descriptors once clients
         have all of theirs.
         """
         if len(self.connections) >= self.limits.viewers:
-            self.log.say("descriptors-by-use", **descriptor_use(self, self.caches, self.limits)._asdict())
+            self.log.say("descriptors-by-use", **descriptor_use(self, self.servers, self.limits)._asdict())
         now = clock()
         for connection in list(self.connections):
             if connection.request is None and now - connection.last_activity_at > self._timeout_of(
--- a/limepath/front/response.py
+++ b/limepath/front/response.py
@@ -18,14 +18,14 @@
 }
 
 
-def response_head(status: int, fields: bytes, body_size: int, keep_alive: bool) -> bytes:
+def response_head(status: int, fields: bytes, body_size: int, is_persistent: bool) -> bytes:
     """Give the head of a response; `fields` are complete lines. A 304 has no length (RFC 9110, 8.6)."""
     return b"HTTP/1.1 %d %b\r\n%b%b%b\r\n" % (
         status,
         REASONS[status],
         b"" if status == 304 else b"Content-Length: %d\r\n" % body_size,
         fields,
-        b"" if keep_alive else b"Connection: close\r\n",
+        b"" if is_persistent else b"Connection: close\r\n",
     )
 
 
--- a/limepath/front/start.py
+++ b/limepath/front/start.py
@@ -16,11 +16,11 @@
 from limepath.choice import Front
 from limepath.configuration import platform as opening
 from limepath.configuration.ini import SettingError
-from limepath.front.caches import Caches
 from limepath.front.changelog import BadEvent, ChangeLog
 from limepath.front.clients import Clients
 from limepath.front.decision_loop import DecisionLoop
 from limepath.front.poll_times import lateness_of
+from limepath.front.servers import Servers
 from limepath.log import Log
 
 # Twisted takes its timers from the wall clock, which may be stepped; deadlines are spans of real time.
@@ -46,8 +46,8 @@
     clients = Clients(reactor, turn, limits, log, told.services)
     clients.read_delay = lateness_of(reactor)
     probe_word = b"INFO" if told.reports else b"NOOP"
-    caches = Caches(reactor, turn, clients, limits, log, probe_word)
-    turn.joined(clients, caches)
+    caches = Servers(reactor, turn, clients, limits, log, probe_word)
+    turn.connect(clients, caches)
     cooperation = None
     if secured:
         from limepath.tls.host import Secured  # nothing of it is loaded where the way to servers is plain
--- a/tests/test_departed_clients.py
+++ b/tests/test_departed_clients.py
@@ -297,7 +297,7 @@
 def test_an_attempt_does_not_wait_behind_what_its_cache_does_not_read_until_its_client_has_gone(driven):
     front = driven(cache_connections=1, wait=5_000_000)
     body, sent, cache = b"z" * 40_000, [], None
-    while cache is None or not front.caches.peers[1].connections[0].unsent():
+    while cache is None or not front.caches.peers[1].connections[0].unsent_bytes():
         sent.append(front.viewer().send("/invoke/tarea/1", body, txn=f"{len(sent):016x}", ttl=5000))
         cache = cache or front.accept()  # reads nothing
         front.passes_until(lambda: len(front.attempts()) == len(sent))
@@ -355,7 +355,7 @@
     turn = SimpleNamespace(gather=lambda *notes: None)
     log = Log("n1", 5, 10_000_000)
     clients = Clients(None, turn, limits, log, {})
-    clients.caches = SimpleNamespace(cancel_unsent=lambda get: None)
+    clients.servers = SimpleNamespace(cancel_unsent=lambda get: None)
     near, far = connected_pair()
     with near, far:
         connection = ClientConnection(clients)
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -172,7 +172,7 @@
 
         def all_asked():
             nonlocal most
-            most = max(most, front.caches.held)
+            most = max(most, front.caches.connection_count)
             return cache.asked.qsize() == number
 
         front.passes_until(all_asked)
@@ -180,7 +180,7 @@
         front.passes_until(lambda: not front.clients.requests)
 
     ask(1, first, 0)
-    assert front.caches.held == number and len(front.caches.idle()) == number
+    assert front.caches.connection_count == number and len(front.caches.idle_connections()) == number
     ask(2, second, 1000)  # in one pass more than may cross
     assert number < most <= number + CROSSING_CLOSES
 
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -17,13 +17,13 @@
 
 from limepath.configuration.platform import front_settings
 from limepath.configuration.process_limits import planned
-from limepath.front import cache_peer
-from limepath.front.cache_connection import CacheConnection
-from limepath.front.caches import Caches
+from limepath.front import server_endpoint
 from limepath.front.client_connection import ClientConnection, ConnectionState
 from limepath.front.clients import Clients
 from limepath.front.decision_loop import DecisionLoop
 from limepath.front.request_head import RequestHead
+from limepath.front.server_connection import ServerConnection
+from limepath.front.servers import Servers
 from limepath.interface.commands import ForwardRequest
 from limepath.interface.events import (
     AttemptEnded,
@@ -250,8 +250,8 @@
     log = Log("n1", 5, 1)
     turn = DecisionLoop(reactor, front, limits, log)
     clients = Clients(reactor, turn, limits, log, {b"video": (0, False, 5_000_000)})
-    caches = Caches(reactor, turn, clients, limits, log, b"INFO")
-    turn.joined(clients, caches)
+    caches = Servers(reactor, turn, clients, limits, log, b"INFO")
+    turn.connect(clients, caches)
     caches.listed(1, "s-1", ("127.0.0.1", 9), 0, EndpointState.READY)
 
     def get():
@@ -292,10 +292,10 @@
     """A connection to member 1 comes up; give it."""
     peer = caches.peers[1]
     peer.coming += 1
-    caches.held += 1
-    connection = CacheConnection(peer)
+    caches.connection_count += 1
+    connection = ServerConnection(peer)
     connection.makeConnection(transport or CacheTransport())
-    peer.came_up(connection)
+    peer.connected(connection)
     return connection
 
 
@@ -303,9 +303,9 @@
     front = Ordering(send_within=40_000)
     _, _, caches, get = parts(front)
     waiting = get()
-    now = waiting.attempts[0].at
+    now = waiting.attempts[0].started_at
     monkeypatch.setattr(
-        cache_peer, "clock", lambda: now + 41_000
+        server_endpoint, "clock", lambda: now + 41_000
     )  # the process stood still, its timer is not yet run
     connection = up(caches)
     assert connection.transport.value() == b""
@@ -318,12 +318,12 @@
 def test_a_connection_that_comes_up_once_its_member_has_gone_takes_nothing():
     _, _, caches, get = parts(Ordering())
     get()
-    peer, old = caches.peers[1], CacheConnection(caches.peers[1])
+    peer, old = caches.peers[1], ServerConnection(caches.peers[1])
     caches.listed(
         1, "s-1", ("127.0.0.1", 9), 7, EndpointState.READY
     )  # started anew, at the address of the old one
     old.makeConnection(CacheTransport())
-    peer.came_up(old)
+    peer.connected(old)
     assert old.transport.value() == b"" and old.transport.disconnecting
     assert b"ASK" in up(caches).transport.value()
 
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -13,16 +13,16 @@
 
 from limepath.configuration.platform import front_settings
 from limepath.configuration.process_limits import planned
-from limepath.front.attempt import Probing
-from limepath.front.cache_connection import CacheConnection
-from limepath.front.cache_protocol import Unreadable, read_answer, read_load
-from limepath.front.caches import Caches
+from limepath.front.attempt import Probe
 from limepath.front.changelog import ChangeLog, Chunks, EventReader, ident_of
 from limepath.front.client_connection import ClientConnection
 from limepath.front.clients import Clients
 from limepath.front.decision_loop import DecisionLoop
 from limepath.front.reference_clock import ReferenceClock
 from limepath.front.request_head import RequestError, RequestHead, parse_head
+from limepath.front.server_connection import ServerConnection
+from limepath.front.server_protocol import ParseError, parse_answer_line, parse_load
+from limepath.front.servers import Servers
 from limepath.interface.commands import ForwardRequest
 from limepath.interface.events import (
     AttemptEnded,
@@ -293,13 +293,13 @@
     log = Log("n1", 0, 1)
     turn = DecisionLoop(reactor, front, limits, log)
     clients = Clients(reactor, turn, limits, log, {b"video": (0, False, 5_000_000)})
-    caches = Caches(reactor, turn, clients, limits, log, b"INFO")
-    turn.joined(clients, caches)
+    caches = Servers(reactor, turn, clients, limits, log, b"INFO")
+    turn.connect(clients, caches)
     caches.listed(1, "s-1", ("127.0.0.1", 9), 0, EndpointState.READY)
     verdicts = []
-    caches.ended = lambda attempt, verdict, *_: verdicts.append(verdict)
+    caches.end_attempt = lambda attempt, outcome, *_: verdicts.append(outcome)
     for unsent in (0, 1):
-        connection = CacheConnection(caches.peers[1])
+        connection = ServerConnection(caches.peers[1])
         caches.peers[1].idle.append(connection)
         connection.transport = SimpleNamespace(
             dataBuffer=b"x" * (unsent + 1), offset=1, _tempDataBuffer=[], writeSequence=lambda pieces: None
@@ -476,8 +476,8 @@
     log = Log("n1", 0, 1)
     turn = DecisionLoop(reactor, host.front, limits, log)
     clients = Clients(reactor, turn, limits, log, {})
-    caches = Caches(reactor, turn, clients, limits, log, b"INFO")
-    turn.joined(clients, caches)
+    caches = Servers(reactor, turn, clients, limits, log, b"INFO")
+    turn.connect(clients, caches)
     changes = ChangeLog(reactor, turn, caches, limits, log, SETTINGS, 7)
 
     def tell(name, phase):
@@ -582,7 +582,7 @@
     turn = DecisionLoop(clock, front, limits, log)
     clients = Clients(clock, turn, limits, log, {b"video": (0, False, 5_000_000)})
     connection = FakeConnection()
-    turn.joined(clients, Caches(clock, turn, clients, limits, log, b"INFO"))
+    turn.connect(clients, Servers(clock, turn, clients, limits, log, b"INFO"))
     clients.accept_request(
         connection,
         RequestHead(
@@ -603,13 +603,13 @@
 
 
 def test_a_cache_s_answer_line_is_read_or_named_as_what_it_is():
-    assert read_answer(b"9b1f DONE rev=4be0,since=1764576000123 5", 10) == (
+    assert parse_answer_line(b"9b1f DONE rev=4be0,since=1764576000123 5", 10) == (
         b"9b1f",
         b"DONE",
         {b"rev": b"4be0", b"since": b"1764576000123"},
         5,
     )
-    assert read_answer(b"9b1f LACK - 0", 10) == (b"9b1f", b"LACK", {}, 0)
+    assert parse_answer_line(b"9b1f LACK - 0", 10) == (b"9b1f", b"LACK", {}, 0)
     for line, said in (
         (b"x", "1 of 4 words"),
         (b"x MAYBE - 0", "unknown word b'MAYBE'"),
@@ -618,10 +618,10 @@
         (b"x DONE rev 1", "field b'rev'"),
         (b"x DONE - -1", "length b'-1'"),
     ):
-        with pytest.raises(Unreadable, match=re.escape(said)):
-            read_answer(line, 10)
-    assert read_load(b"inflight:7;util:0.61") == {"inflight": 7.0, "util": 0.61}
-    assert read_load(b"rif:x;busy:1") == {"util": 1.0}
+        with pytest.raises(ParseError, match=re.escape(said)):
+            parse_answer_line(line, 10)
+    assert parse_load(b"inflight:7;util:0.61") == {"inflight": 7.0, "util": 0.61}
+    assert parse_load(b"rif:x;busy:1") == {"util": 1.0}
 
 
 def test_a_head_is_read_once_whole_and_refused_for_what_is_wrong():
@@ -672,21 +672,22 @@
         told = SimpleNamespace(
             limits=planned(1024, 192, 32, open_gets=9),
             send_waiting=lambda: None,
-            address=None,
-            since=0,
-            answered_probe=lambda: None,
-            caches=SimpleNamespace(
-                ended=lambda *told, heard=heard: heard.append((told[2], told[4])),
-                crowded=False,
+            incarnation=None,
+            probe_answered=lambda: None,
+            servers=SimpleNamespace(
+                end_attempt=lambda attempt, outcome, answer, heard=heard: heard.append(
+                    (answer.word, answer.body)
+                ),
+                lacks_connections=False,
                 reference=ReferenceClock(100_000),
             ),
         )
-        connection = CacheConnection(told)
+        connection = ServerConnection(told)
         attempt = SimpleNamespace(
-            get=SimpleNamespace(event=SimpleNamespace(is_write=False)), order=SimpleNamespace(max_age=0)
+            request=SimpleNamespace(event=SimpleNamespace(is_write=False)), command=SimpleNamespace(max_age=0)
         )
         told.idle, told.waiting = [], []
-        connection.out = {b"aa": attempt, b"bb": attempt, b"p7": Probing(1, b"p7", 1)}
+        connection.attempts = {b"aa": attempt, b"bb": attempt, b"p7": Probe(1, b"p7", 1)}
         connection.dataReceived(stream[:split])
         connection.dataReceived(stream[split:])
         assert heard == [(b"DONE", b"x\r\ny"), (b"LACK", b""), (b"FIT", b"")], (split, heard)
@@ -733,8 +734,8 @@
     log = Log("n1", 0, 1)
     turn = DecisionLoop(reactor, front, limits, log)
     clients = Clients(reactor, turn, limits, log, {b"video": (0, False, 5_000_000)})
-    caches = Caches(reactor, turn, clients, limits, log, b"INFO")
-    turn.joined(clients, caches)
+    caches = Servers(reactor, turn, clients, limits, log, b"INFO")
+    turn.connect(clients, caches)
     caches.listed(1, "s-1", ("127.0.0.1", 9), 0, EndpointState.READY)
     clients.accept_request(
         FakeConnection(),
@@ -748,7 +749,7 @@
     )
     reactor.advance(0)
     (get,) = clients.requests.values()
-    caches.ended(get.attempts[0], AttemptOutcome.MISS)  # in one pass with the viewer's end
+    caches.end_attempt(get.attempts[0], AttemptOutcome.MISS)  # in one pass with the viewer's end
     clients.client_disconnected(get)
     reactor.advance(0)
     reactor.advance(0)
@@ -766,7 +767,7 @@
     log, connection = Log("n1", 0, 1), FakeConnection()
     turn = DecisionLoop(clock, front, limits, log)
     clients = Clients(clock, turn, limits, log, {b"video": (0, False, 5_000_000)})
-    turn.joined(clients, Caches(clock, turn, clients, limits, log, b"INFO"))
+    turn.connect(clients, Servers(clock, turn, clients, limits, log, b"INFO"))
     clients.accept_request(
         connection,
         RequestHead(
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -9,9 +9,9 @@
 from twisted.internet.task import Clock
 
 from limepath.configuration.platform import front_settings
-from limepath.front.caches import Caches
 from limepath.front.changelog import ChangeLog
 from limepath.front.decision_loop import DecisionLoop
+from limepath.front.servers import Servers
 from limepath.interface.events import TimerFired
 from limepath.log import Log
 from limepath.testbed.process import free_ports
@@ -94,7 +94,7 @@
     told = front_settings(configuration("127.0.0.1:9"), {})
     log = Log("n1", told.limits.log_lines, told.limits.log_span, "person")
     turn = DecisionLoop(Clock(), FakeHost(fleet=()).front, told.limits, log)
-    caches = Caches(turn.reactor, turn, None, told.limits, log, b"INFO")
+    caches = Servers(turn.reactor, turn, None, told.limits, log, b"INFO")
     changes = ChangeLog(turn.reactor, turn, caches, told.limits, log, SETTINGS, 1)
     lines = [line(number, phase if number % 2 else "in_service") for number in range(members)]
 
--- a/tests/test_terms_standstill.py
+++ b/tests/test_terms_standstill.py
@@ -6,7 +6,15 @@
 import socket
 import time
 
-from limepath.front import attempt, cache_peer, client_connection, client_request, clients, decision_loop
+from limepath.front import (
+    attempt,
+    client_connection,
+    client_request,
+    clients,
+    decision_loop,
+    server_endpoint,
+    server_protocol,
+)
 from limepath.front.changelog import ChangeLog
 from limepath.front.poll_times import lateness_of
 from limepath.interface.events import AttemptEnded, AttemptOutcome, PurgeAnnounced, RequestArrived
@@ -174,7 +182,7 @@
     """Also where a connection is free: a repeat by key past its window would run twice."""
     for takes, sent in ((39_000, True), (41_000, False)):
         now = [10**12]
-        for module in (attempt, cache_peer, client_request, clients, decision_loop):
+        for module in (attempt, server_endpoint, server_protocol, client_request, clients, decision_loop):
             monkeypatch.setattr(module, "clock", lambda now=now: now[0])
         front = Late(now, takes, send_within=40_000)
         _, _, caches, get = parts(front)
