--- a/limepath/discovery/host.py
+++ b/limepath/discovery/host.py
@@ -27,26 +27,32 @@
 from limepath.discovery.relay import Listing
 from limepath.duties.host import clock
 from limepath.frequency_exchange.host import Tallies
-from limepath.front.changelog import BadEvent, ChangeLog, Stream
+from limepath.front.endpoint_watch import EndpointWatch
+from limepath.front.event_stream import EventStream
+from limepath.front.watch_error import WatchError
 from limepath.interface.events import EndpointListFreshnessChanged, PurgeAnnounced
 from limepath.logic_host import LogicHost
 
 ROW = "list"  # of the store
 
 
-class GuidedStream(Stream):
+class GuidedStream(EventStream):
     """A stream that tells when the service has accepted the call, and each time it says that it is alive."""
 
     def dataReceived(self, data):
-        before, events = self.body, self.feed.events_heard
+        before, events = self.is_accepted, self.watch.events_heard
         super().dataReceived(data)
-        if self.body and not before:
-            self.feed.gather(StreamOpened())
-        elif self.body and self.feed.events_heard == events and not (self.reader.rest or self.reader.data):
-            self.feed.gather(StreamActive())
+        if self.is_accepted and not before:
+            self.watch.gather(StreamOpened())
+        elif (
+            self.is_accepted
+            and self.watch.events_heard == events
+            and not (self.reader.rest or self.reader.data)
+        ):
+            self.watch.gather(StreamActive())
 
 
-class GuidedChangeLog(ChangeLog):
+class GuidedChangeLog(EndpointWatch):
     """The list of a front that shares. `cooperation` carries messages to other instances and keeps the
     store.
     """
@@ -110,7 +116,7 @@
             if self.confirmed:
                 self.confirmed()
         elif isinstance(order, ListFreshnessChanged):
-            self.turn.gather(EndpointListFreshnessChanged(order.late))
+            self.decision_loop.gather(EndpointListFreshnessChanged(order.late))
             self.log.say("list-late" if order.late else "list-in-time")
         elif isinstance(order, LogEvent):
             self.log.say(order.event, **order.fields)
@@ -119,7 +125,7 @@
         self.oldest = order.oldest
         try:
             self.take(order.told)
-        except BadEvent as flaw:  # its form was checked; what it names this front does not know
+        except WatchError as flaw:  # its form was checked; what it names this front does not know
             self.log.say("changelog", f"{flaw}; skipped", number=order.told["seq"])
         self.last = order.told["seq"]
 
@@ -134,11 +140,11 @@
         """A purge is no older than this front's list was up to date, whatever the clocks say."""
         if self.oldest < 0:
             return super().invalidated(told)
-        plain, self.turn = self.turn, _Capped(self.turn, self.oldest)
+        plain, self.decision_loop = self.decision_loop, _Capped(self.decision_loop, self.oldest)
         try:
             super().invalidated(told)
         finally:
-            self.turn = plain
+            self.decision_loop = plain
 
     # The stream
 
@@ -148,7 +154,7 @@
         endpoint = TCP4ClientEndpoint(self.reactor, self.host, self.port, timeout=self.limits.connect / 1e6)
         feed = _Called(self, serial, after)
         self.coming = endpoint.connect(Factory.forProtocol(lambda: GuidedStream(feed)))
-        self.coming.addCallbacks(self.came_up, lambda failure: self.did_not_come(failure, serial))
+        self.coming.addCallbacks(self.connected, lambda failure: self.did_not_come(failure, serial))
 
     def did_not_come(self, failure, serial):
         self.coming = None
--- /dev/null
+++ b/limepath/front/event_stream.py
@@ -0,0 +1,88 @@
+"""One call of the list service: the request for its stream of watch events, and the events read from it."""
+
+from __future__ import annotations
+
+from enum import Enum
+from typing import TYPE_CHECKING
+
+from twisted.internet.protocol import Protocol
+
+from limepath.front.chunked_coding import ChunkedDecoder, transfer_codings
+from limepath.front.clock import clock
+from limepath.front.server_sent_events import EventReader
+from limepath.front.watch_error import WatchError
+
+if TYPE_CHECKING:
+    from limepath.front.endpoint_watch import EndpointWatch
+
+
+class StreamState(Enum):
+    """How far the answer has been read."""
+
+    READING_HEAD = 0
+    READING_EVENTS = 1
+
+
+class EventStream(Protocol):
+    """One call. `watch` is told of the answer, of each event and of the end."""
+
+    def __init__(self, watch: EndpointWatch):
+        self.watch = watch
+        self.state = StreamState.READING_HEAD
+        self.head = b""  # what has come of the answer's head
+        self.decoder: ChunkedDecoder | None = None
+        self.reader = EventReader(watch.limits.event)
+        self.last_read_at = clock()
+
+    @property
+    def is_accepted(self) -> bool:
+        """Whether the service has answered the call."""
+        return self.state is StreamState.READING_EVENTS
+
+    def connectionMade(self):
+        self.watch.stream = self
+        self.transport.writeSequence(
+            (
+                b"GET /changes HTTP/1.1\r\nHost: ",
+                self.watch.host.encode(),
+                b"\r\nAccept: text/event-stream\r\nLast-Event-ID: %d\r\n\r\n" % self.watch.last,
+            )
+        )
+
+    def dataReceived(self, data):
+        self.last_read_at = clock()
+        try:
+            if not self.is_accepted:
+                data = self._read_head(data)
+            if self.is_accepted:
+                self._read_events(data)
+        except WatchError as error:
+            self.watch.log.say("changelog", f"{error}; called anew")
+            self.transport.abortConnection()
+
+    def _read_head(self, data: bytes) -> bytes:
+        """Read the answer's head; gives what came behind it."""
+        self.head += data
+        head, end, rest = self.head.partition(b"\r\n\r\n")
+        if not end:
+            if len(self.head) > self.watch.limits.head:
+                raise WatchError("over-long head")
+            return b""
+        status = head.split(b"\r\n")[0].split(b" ")
+        if len(status) < 2 or status[1] != b"200":
+            raise WatchError(f"answered {head[:40]!r}")
+        self.state = StreamState.READING_EVENTS
+        self.watch.answered(self)
+        if b"chunked" in transfer_codings(head):
+            self.decoder = ChunkedDecoder()
+        return rest
+
+    def _read_events(self, data: bytes) -> None:
+        if self.decoder:
+            data = self.decoder.feed(data)
+        for event in self.reader.feed(data):
+            self.watch.event(event.id, event.data)
+            self.watch.pauses = 0
+
+    def connectionLost(self, reason):
+        self.watch.lost(self)
--- a/limepath/front/poll_times.py
+++ b/limepath/front/poll_times.py
@@ -1,39 +1,49 @@
-"""How long what the reactor hands out may have waited for it: where the system does not tell when bytes came,
-they may have come as early as the last look at the sockets.
+"""How long what the reactor hands out may have waited for it.
+
+Where the system does not tell when bytes came, they may have come as early as the last poll of the sockets.
 """
 
+from __future__ import annotations
+
+from collections.abc import Callable
+
 from limepath.front.clock import clock
 
-AT_ONCE = 1_000  # microseconds; a look at the sockets that took longer had to wait for what it brought
+IMMEDIATE = 1_000  # microseconds; a poll that took longer had to wait for what it brought
 
 
 class TimedPoller:
-    """The epoll object of a reactor, with the times of its looks at the sockets."""
+    """The epoll object of a reactor, with the times of its polls."""
 
     def __init__(self, poller):
-        self.poller = poller
-        self.entered = self.returned = clock()
-        self.late = 0
-
-    def __getattr__(self, name):
-        return getattr(self.poller, name)
-
-    def poll(self, *told):
-        """Look once. What is there at once may have been there since the look before."""
-        before, self.entered = self.returned, clock()
-        events = self.poller.poll(*told)
+        self.poller = poller  # a select.epoll
+        self.register = poller.register
+        self.modify = poller.modify
+        self.unregister = poller.unregister
+        self.close = poller.close
+        self.fileno = poller.fileno
+        self.entered = clock()
+        self.returned = self.entered
+        self.delay = 0
+
+    def poll(self, *arguments) -> list[tuple[int, int]]:
+        """Poll once, as select.epoll does. What is there at once may be as old as the poll before."""
+        returned_before = self.returned
+        self.entered = clock()
+        events = self.poller.poll(*arguments)
         self.returned = clock()
-        self.late = self.entered - before if self.returned - self.entered < AT_ONCE else 0
+        was_immediate = self.returned - self.entered < IMMEDIATE
+        self.delay = self.entered - returned_before if was_immediate else 0
         return events
 
-    def lateness(self):
-        """For how many microseconds at the most what this look brought has waited for the pass before it."""
-        return self.late
+    def read_delay(self) -> int:
+        """Microseconds at the most that what this poll brought has waited for the iteration before it."""
+        return self.delay
 
 
-def lateness_of(reactor):
-    """Take the times of this reactor's looks from now on; give the function that tells how late it was."""
-    if not hasattr(reactor, "_poller"):  # a reactor on another system call than epoll
+def measure_read_delay(reactor) -> Callable[[], int]:
+    """Time this reactor's polls from now on; gives `TimedPoller.read_delay`, or 0 for one without epoll."""
+    if not hasattr(reactor, "_poller"):
         return lambda: 0
     reactor._poller = TimedPoller(reactor._poller)
-    return reactor._poller.lateness
+    return reactor._poller.read_delay
--- a/limepath/front/reference_clock.py
+++ b/limepath/front/reference_clock.py
@@ -1,58 +1,59 @@
-"""What the time is by the Unix clocks of other machines, which tell when members started, when objects were
-purged and when copies were given out.
+"""What the time is by the Unix clocks of other machines, which tell when endpoints started, when objects were
+purged and when copies were served.
 
 This machine's own wall clock may be stepped, so it is read once, at the start, and carried on by the
-monotonic clock. It may have been wrong then, too: what others have told bounds their clock from below, as
-they speak of the past. Ages come from that bound alone. They are never too long, so that a purge is not
-forgotten early and a member not taken for warm early.
+monotonic clock. It may have been wrong then, too: times received from others bound their clock from below, as
+they are of the past. Ages come from that bound alone. They are never too long, so that a purge is not
+forgotten early and a server not taken for warm early.
 """
 
 from limepath.front.clock import clock, unix_clock
 
-TOLD_LATE = 7_000_000  # microseconds: the protocol page's bound on how late the change log tells anything
-RECENT = 60_000_000  # microseconds: a copy given out so shortly before shows that the own clock is not behind
-BEHIND_AFTER = 3  # copies in a row from the future, until the own clock is taken for behind
+MAX_LIST_DELAY = 7_000_000  # microseconds: the protocol page's bound on how late watch events are
+RECENT = 60_000_000  # microseconds: a copy served so shortly before shows that the own clock is not behind
+BEHIND_AFTER = 3  # copies in a row from the future, until the own clock counts as behind
 
 
 class ReferenceClock:
     """The others' clock against the monotonic clock; all times are microseconds."""
 
-    def __init__(self, skew):
-        """`skew` is by how much two right clocks may differ."""
-        self.tolerance = skew
-        self.skew = skew
-        self.told_offset = None  # their clock less the monotonic one: at least so much
-        self.own_offset = unix_clock() - clock()
-        self.ahead = []  # by how much the last copies were from the future
+    def __init__(self, skew: int):
+        self.skew = skew  # by how much two right clocks may differ
+        self.tolerance = skew  # by how much a copy may be from the future
+        self.lower_bound: int | None = None  # of their clock less the monotonic one
+        self.own_offset = unix_clock() - clock()  # the same by this machine's wall clock, corrected
+        self.recent_leads: list[int] = []  # by how much the last copies were from the future
 
-    def hear(self, unix_time):
+    def observe(self, unix_time: int) -> None:
         """Take in a time that others have told of something past."""
         offset = unix_time - clock()
-        if self.told_offset is None or offset > self.told_offset:
-            self.told_offset = offset
-        if offset > self.own_offset + self.skew:  # the own clock is behind; this is behind by the news' way
+        if self.lower_bound is None or offset > self.lower_bound:
+            self.lower_bound = offset
+        if offset > self.own_offset + self.skew:  # the own clock is behind; this is, by the event's delay
             self.own_offset = offset
-            self.tolerance = TOLD_LATE
+            self.tolerance = MAX_LIST_DELAY
 
-    def age(self, unix_time):
+    def age(self, unix_time: int) -> int:
         """How long ago that was, at the least."""
-        if self.told_offset is None:
+        if self.lower_bound is None:
             return 0
-        return max(0, clock() + self.told_offset - unix_time)
+        return max(0, clock() + self.lower_bound - unix_time)
 
-    def has_passed(self, unix_time):
-        """Whether a copy can have been given out then. One from the future is spoilt; several in a row, and
-        none recent between, show that the own clock is behind.
+    def has_passed(self, unix_time: int) -> bool:
+        """Whether a copy can have been served then.
+
+        One from the future is corrupt; several in a row, and none recent between, show that the own clock is
+        behind.
         """
-        ahead = unix_time - clock() - self.own_offset
-        if ahead <= self.tolerance:
-            if ahead > -RECENT:
-                self.ahead.clear()
+        lead = unix_time - clock() - self.own_offset
+        if lead <= self.tolerance:
+            if lead > -RECENT:
+                self.recent_leads.clear()
             return True
-        self.ahead.append(ahead)
-        if len(self.ahead) < BEHIND_AFTER:
+        self.recent_leads.append(lead)
+        if len(self.recent_leads) < BEHIND_AFTER:
             return False
-        self.own_offset += min(self.ahead)
-        self.tolerance = TOLD_LATE
-        self.ahead.clear()
+        self.own_offset += min(self.recent_leads)
+        self.tolerance = MAX_LIST_DELAY
+        self.recent_leads.clear()
         return True
--- a/limepath/front/start.py
+++ b/limepath/front/start.py
@@ -16,11 +16,12 @@
 from limepath.choice import Front
 from limepath.configuration import platform as opening
 from limepath.configuration.ini import SettingError
-from limepath.front.changelog import BadEvent, ChangeLog
 from limepath.front.clients import Clients
 from limepath.front.decision_loop import DecisionLoop
-from limepath.front.poll_times import lateness_of
+from limepath.front.endpoint_watch import EndpointWatch
+from limepath.front.poll_times import measure_read_delay
 from limepath.front.servers import Servers
+from limepath.front.watch_error import WatchError
 from limepath.log import Log
 
 # Twisted takes its timers from the wall clock, which may be stepped; deadlines are spans of real time.
@@ -44,7 +45,7 @@
     globalLogBeginner.beginLoggingTo([log.observe], discardBuffer=True, redirectStandardIO=False)
     turn = DecisionLoop(reactor, Front(seed=told.seed, **told.arguments), limits, log)
     clients = Clients(reactor, turn, limits, log, told.services)
-    clients.read_delay = lateness_of(reactor)
+    clients.read_delay = measure_read_delay(reactor)
     probe_word = b"INFO" if told.reports else b"NOOP"
     caches = Servers(reactor, turn, clients, limits, log, probe_word)
     turn.connect(clients, caches)
@@ -85,10 +86,10 @@
         changes.confirmed = lambda: confirmed()
         clients.is_waiting_for_list = True
     else:
-        changes = ChangeLog(reactor, turn, caches, limits, log, told.settings, told.seed)
+        changes = EndpointWatch(reactor, turn, caches, limits, log, told.settings, told.seed)
     try:
         changes.known(told.known)
-    except BadEvent as flaw:
+    except WatchError as flaw:
         raise opening.ConfigurationError(f"known.results: {flaw}") from None
     turn.run()
     clients.shutdown.finished.addCallback(lambda _: reactor.stop())
--- a/limepath/scale/roles_listing.py
+++ b/limepath/scale/roles_listing.py
@@ -12,7 +12,7 @@
 from limepath.configuration.decision_settings import start_of
 from limepath.discovery import state
 from limepath.discovery.state import List, parsed, unpacked
-from limepath.front.changelog import Entry
+from limepath.front.endpoint_entry import EndpointEntry
 from limepath.front.reference_clock import ReferenceClock
 from limepath.interface.events import EndpointListUpdated, UpdateKind
 from limepath.scale.measured import Fact, Found, Series
@@ -46,9 +46,9 @@
     """What a front holds of a list: entries and the module's list; kept by the caller to be measured."""
     told = json.loads(text)
     reference = ReferenceClock(skew=0)
-    entries = {one["id"]: Entry(one, ZONES, KINDS, {}, reference) for one in told["fleet"]["members"]}
+    entries = {one["id"]: EndpointEntry(one, ZONES, KINDS, {}, reference) for one in told["fleet"]["members"]}
     front = Front(seed=1, **start_of(settings()))
-    members = tuple(entry.member for entry in entries.values())
+    members = tuple(entry.endpoint for entry in entries.values())
     front.handle(1_000_000, (EndpointListUpdated(UpdateKind.FULL, 1, members),))
     return entries, front
 
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -14,14 +14,17 @@
 from limepath.configuration.platform import front_settings
 from limepath.configuration.process_limits import planned
 from limepath.front.attempt import Probe
-from limepath.front.changelog import ChangeLog, Chunks, EventReader, ident_of
+from limepath.front.chunked_coding import ChunkedDecoder
 from limepath.front.client_connection import ClientConnection
 from limepath.front.clients import Clients
 from limepath.front.decision_loop import DecisionLoop
+from limepath.front.endpoint_entry import endpoint_ident
+from limepath.front.endpoint_watch import EndpointWatch
 from limepath.front.reference_clock import ReferenceClock
 from limepath.front.request_head import RequestError, RequestHead, parse_head
 from limepath.front.server_connection import ServerConnection
 from limepath.front.server_protocol import ParseError, parse_answer_line, parse_load
+from limepath.front.server_sent_events import EventReader
 from limepath.front.servers import Servers
 from limepath.interface.commands import ForwardRequest
 from limepath.interface.events import (
@@ -478,7 +481,7 @@
     clients = Clients(reactor, turn, limits, log, {})
     caches = Servers(reactor, turn, clients, limits, log, b"INFO")
     turn.connect(clients, caches)
-    changes = ChangeLog(reactor, turn, caches, limits, log, SETTINGS, 7)
+    changes = EndpointWatch(reactor, turn, caches, limits, log, SETTINGS, 7)
 
     def tell(name, phase):
         changes.take(
@@ -648,11 +651,11 @@
 
 
 def test_a_member_has_the_same_number_at_every_front():
-    assert ident_of("s-00c41f7a") == ident_of("s-00c41f7a") != ident_of("s-00c41f7b")
+    assert endpoint_ident("s-00c41f7a") == endpoint_ident("s-00c41f7a") != endpoint_ident("s-00c41f7b")
 
 
 def test_events_and_chunks_may_be_split_at_any_byte():
-    reader, chunks = EventReader(100), Chunks()
+    reader, chunks = EventReader(100), ChunkedDecoder()
     stream = b": hi\n\nid: 4\ndata: {\ndata: }\n\nid:5\r\ndata:x\r\n\r\n"
     events = [event for i in range(len(stream)) for event in reader.feed(stream[i : i + 1])]
     assert events == [("4", "{\n}"), ("5", "x")]
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -9,8 +9,8 @@
 from twisted.internet.task import Clock
 
 from limepath.configuration.platform import front_settings
-from limepath.front.changelog import ChangeLog
 from limepath.front.decision_loop import DecisionLoop
+from limepath.front.endpoint_watch import EndpointWatch
 from limepath.front.servers import Servers
 from limepath.interface.events import TimerFired
 from limepath.log import Log
@@ -95,7 +95,7 @@
     log = Log("n1", told.limits.log_lines, told.limits.log_span, "person")
     turn = DecisionLoop(Clock(), FakeHost(fleet=()).front, told.limits, log)
     caches = Servers(turn.reactor, turn, None, told.limits, log, b"INFO")
-    changes = ChangeLog(turn.reactor, turn, caches, told.limits, log, SETTINGS, 1)
+    changes = EndpointWatch(turn.reactor, turn, caches, told.limits, log, SETTINGS, 1)
     lines = [line(number, phase if number % 2 else "in_service") for number in range(members)]
 
     def take():
--- a/tests/test_terms_discovery.py
+++ b/tests/test_terms_discovery.py
@@ -8,7 +8,7 @@
 import time
 from itertools import count
 
-from limepath.front.changelog import EventReader
+from limepath.front.server_sent_events import EventReader
 from tests.stand_ins import BOUND, Site, accepting, address, listening, until
 from tests.test_endings import NOW
 
--- a/tests/test_terms_standstill.py
+++ b/tests/test_terms_standstill.py
@@ -15,8 +15,8 @@
     server_endpoint,
     server_protocol,
 )
-from limepath.front.changelog import ChangeLog
-from limepath.front.poll_times import lateness_of
+from limepath.front.endpoint_watch import EndpointWatch
+from limepath.front.poll_times import measure_read_delay
 from limepath.interface.events import AttemptEnded, AttemptOutcome, PurgeAnnounced, RequestArrived
 from tests.stand_ins import SETTINGS, Site, StandInChangeLog, until
 from tests.test_departed_clients import driven  # noqa: F401 (a fixture)
@@ -120,7 +120,7 @@
     monkeypatch.setattr(client_connection, "since_last_data", lambda connected: 0)
     for connected in (True, False):
         front = driven()
-        front.clients.read_delay = lateness_of(front.reactor)
+        front.clients.read_delay = measure_read_delay(front.reactor)
         viewers = []
         if connected:
             viewers.append(front.viewer())
@@ -141,7 +141,7 @@
 def test_news_that_lies_unread_comes_before_a_decision_that_is_late(driven):  # noqa: F811
     """The process stands still between the pass that read a request and the decision on it."""
     front, log = driven(), StandInChangeLog()
-    changes = ChangeLog(
+    changes = EndpointWatch(
         front.reactor,
         front.clients.decision_loop,
         front.caches,
@@ -151,7 +151,7 @@
         7,
     )
     changes.follow(*log.listener.getsockname())
-    front.passes_until(lambda: changes.stream and changes.stream.body)
+    front.passes_until(lambda: changes.stream and changes.stream.is_accepted)
     viewer = front.viewer()
     front.passes_until(lambda: front.clients.connections)
     viewer.send(ttl=5000)
