--- a/limepath/front/__init__.py
+++ b/limepath/front/__init__.py
@@ -7,5 +7,6 @@
 
 State, and who owns it: client connections and open requests, `Clients`; endpoints, connections to them and
 attempts that are out, `Servers`; the endpoint list as received, `EndpointWatch`; what other machines' clocks
-say, `ReferenceClock`. Nothing of it outlives the process. `start.py` puts the parts together.
+say, `ReferenceClock`. Nothing of it outlives the process. `front_process.py` puts the
+parts together, `start.py` runs it.
 """
--- /dev/null
+++ b/limepath/front/front_process.py
@@ -0,0 +1,200 @@
+"""The parts of one front put together, and what the process does at signals and at regular intervals."""
+
+from __future__ import annotations
+
+import gc
+import os
+import signal
+import time
+from collections.abc import Callable, Iterable
+from typing import TYPE_CHECKING
+
+from twisted.internet import reactor
+from twisted.internet.endpoints import TCP4ServerEndpoint
+from twisted.internet.task import LoopingCall
+from twisted.logger import globalLogBeginner
+
+from limepath import early_signals
+from limepath.choice import Front
+from limepath.configuration import platform
+from limepath.configuration.ini import SettingError
+from limepath.front.clients import Clients
+from limepath.front.decision_loop import DecisionLoop
+from limepath.front.endpoint_watch import EndpointWatch
+from limepath.front.poll_times import measure_read_delay
+from limepath.front.servers import Servers
+from limepath.front.watch_error import WatchError
+from limepath.log import Log
+
+if TYPE_CHECKING:
+    from twisted.internet.defer import Deferred
+
+    from limepath.configuration.peers_file import PeersSettings
+    from limepath.configuration.tls_file import TlsSettings
+
+# Twisted takes its timers from the wall clock, which may be stepped; deadlines are spans of real time.
+reactor.seconds = time.monotonic
+
+MICROSECONDS = 1e6
+PROBE_WITH_LOAD_REPORT = b"INFO"
+PLAIN_PROBE = b"NOOP"
+
+
+def on_signals(numbers: Iterable[int], handler: Callable[[], None]) -> None:
+    """Call `handler` at these signals from now on, and for those that came during the start."""
+    for number in numbers:
+        signal.signal(number, lambda *_: reactor.callFromThread(handler))
+    if not early_signals.held.isdisjoint(numbers):
+        reactor.callFromThread(handler)
+
+
+class FrontProcess:
+    """Owns the parts of one front. Nothing of TLS or of sharing is loaded where the front has none."""
+
+    def __init__(
+        self,
+        settings: platform.FrontSettings,
+        shared: PeersSettings | None = None,
+        log_format: str = "person",
+        tls: TlsSettings | None = None,
+    ):
+        """Put the parts together; `shared` is what fronts have in common, `tls` its TLS to servers.
+
+        Raises SettingError or ConfigurationError, which name the key, for settings that cannot be used.
+        """
+        self.settings = settings
+        limits = settings.limits
+        self.log = Log(settings.name, limits.log_lines, limits.log_span, log_format)
+        globalLogBeginner.beginLoggingTo([self.log.observe], discardBuffer=True, redirectStandardIO=False)
+        decisions = Front(seed=settings.seed, **settings.arguments)
+        self.decision_loop = DecisionLoop(reactor, decisions, limits, self.log)
+        self.clients = Clients(reactor, self.decision_loop, limits, self.log, settings.services)
+        self.clients.read_delay = measure_read_delay(reactor)
+        probe_word = PROBE_WITH_LOAD_REPORT if settings.reports else PLAIN_PROBE
+        self.servers = Servers(reactor, self.decision_loop, self.clients, limits, self.log, probe_word)
+        self.decision_loop.connect(self.clients, self.servers)
+        if tls:
+            self._secure_servers(tls)
+        self.cooperation = self._cooperation(shared) if shared else None
+        self.watch = self._watch(shared)
+        try:
+            self.watch.known(settings.known)
+        except WatchError as error:
+            raise platform.ConfigurationError(f"known.results: {error}") from None
+        self.decision_loop.run()
+        self.clients.shutdown.finished.addCallback(lambda _: reactor.stop())
+
+    def _secure_servers(self, tls: TlsSettings) -> None:
+        from limepath.tls.host import Secured
+
+        kinds = trusts_by_kind(self.settings, tls)
+        try:
+            self.servers.secured = Secured(reactor, self.log, tls, kinds, self.settings.seed)
+        except ValueError as error:
+            raise SettingError(f"{tls.file}: {error}") from None
+
+    def _cooperation(self, shared: PeersSettings):
+        from limepath.duties.host import Cooperation
+        from limepath.membership.host import StartError
+
+        try:
+            return Cooperation(reactor, self.decision_loop, self.servers, self.log, shared, self.settings)
+        except StartError as error:
+            raise SettingError(f"{shared.file}: {error}") from None
+
+    def _watch(self, shared: PeersSettings | None) -> EndpointWatch:
+        limits, settings = self.settings.limits, self.settings
+        if not (self.cooperation and shared.listing):
+            return EndpointWatch(
+                reactor, self.decision_loop, self.servers, limits, self.log, settings.settings, settings.seed
+            )
+        from limepath.discovery.host import guided
+
+        watch = guided(
+            reactor,
+            self.decision_loop,
+            self.servers,
+            limits,
+            self.log,
+            settings,
+            self.cooperation,
+            shared.listing,
+        )
+        watch.confirmed = self._list_confirmed
+        self.clients.is_waiting_for_list = True
+        return watch
+
+    def listen(self) -> Deferred:
+        """Begin to serve; the Deferred fires once clients can connect."""
+        host, port = self.settings.listen
+        endpoint = TCP4ServerEndpoint(reactor, port, self.settings.limits.backlog, host)
+        return self.clients.listen(endpoint).addCallback(self._listening)
+
+    def _listening(self, _) -> None:
+        interval = self.settings.limits.sweep / MICROSECONDS
+        LoopingCall(reactor.callLater, 0, self._sweep).start(interval, now=False)
+        on_signals((signal.SIGTERM, signal.SIGINT), self._shut_down)
+        on_signals((signal.SIGHUP,), self._reload)
+        if self.cooperation:
+            self.cooperation.start()
+        self.watch.follow(*self.settings.changelog)
+        gc.freeze()
+        if self.clients.is_waiting_for_list:
+            self.log.say("waits-for-list", listening=self._listen_address())
+        else:
+            self._list_confirmed()
+
+    def _list_confirmed(self) -> None:
+        self.clients.is_waiting_for_list = False
+        self.log.say("ready", members=len(self.watch.entries), listening=self._listen_address())
+
+    def _listen_address(self) -> str:
+        host, port = self.settings.listen
+        return f"{host}:{port}"
+
+    def _sweep(self) -> None:
+        """Judge what is idle or silent by what has been read.
+
+        What came while this process stood still, or was late, is read first, in the iteration that the caller
+        leaves to it.
+        """
+        if self.servers.secured:
+            self.servers.secured.announce()
+        for part in filter(None, (self.clients, self.servers, self.watch, self.cooperation)):
+            try:
+                part.sweep()
+            except Exception as error:  # the other parts are swept, and this one the next time
+                self.log.fault("sweep", error)
+
+    def _reload(self) -> None:
+        try:
+            (host, port), differing = platform.read_again(os.environ, self.settings)
+        except platform.ConfigurationError as error:
+            self.log.say("reload", f"{error}; the running values stay")
+            return
+        for key in differing:
+            self.log.say("reload", "differs; it changes at a restart only", key=key)
+        self.log.say("reload", "follows the change log", address=f"{host}:{port}", after=self.watch.last)
+        self.watch.follow(host, port)
+        if self.cooperation:
+            self.cooperation.reload()
+        if self.servers.secured:
+            self.servers.secured.reload()
+
+    def _shut_down(self) -> None:
+        if self.cooperation:
+            self.cooperation.leave()
+        self.clients.shutdown.start()
+
+
+def trusts_by_kind(settings: platform.FrontSettings, tls: TlsSettings) -> dict:
+    """By what servers are trusted, for each kind that TLS is for; all but the upper two are caches."""
+    footprint = settings.arguments["footprint"]
+    upper_kinds = {"parents": footprint.parent_kind, "origin": footprint.origin_kind}
+    cache_kinds = set(range(len(settings.settings["models"]))) - set(upper_kinds.values())
+    trusts = {}
+    for trust in tls.trusts:
+        for name in trust.members:
+            for kind in [upper_kinds[name]] if name in upper_kinds else cache_kinds:
+                trusts[kind] = trust
+    return trusts
--- a/limepath/front/poll_times.py
+++ b/limepath/front/poll_times.py
@@ -6,9 +6,13 @@
 from __future__ import annotations
 
 from collections.abc import Callable
+from typing import TYPE_CHECKING
 
 from limepath.front.clock import clock
 
+if TYPE_CHECKING:
+    from twisted.internet.base import ReactorBase
+
 IMMEDIATE = 1_000  # microseconds; a poll that took longer had to wait for what it brought
 
 
@@ -41,7 +45,7 @@
         return self.delay
 
 
-def measure_read_delay(reactor) -> Callable[[], int]:
+def measure_read_delay(reactor: ReactorBase) -> Callable[[], int]:
     """Time this reactor's polls from now on; gives `TimedPoller.read_delay`, or 0 for one without epoll."""
     if not hasattr(reactor, "_poller"):
         return lambda: 0
--- a/limepath/front/start.py
+++ b/limepath/front/start.py
@@ -1,179 +1,65 @@
-"""Start one front: `ROUTER_CONFIG` names its configuration; a peers file, if one is told, what it shares."""
+"""Start one front: `ROUTER_CONFIG` names its configuration; other files name what it shares, and its TLS."""
+
+from __future__ import annotations
 
-import gc
 import os
-import signal
 import sys
-import time
+from typing import TYPE_CHECKING
 
 from twisted.internet import reactor
-from twisted.internet.endpoints import TCP4ServerEndpoint
 from twisted.internet.error import CannotListenError
-from twisted.internet.task import LoopingCall
-from twisted.logger import globalLogBeginner
 
 from limepath import early_signals
-from limepath.choice import Front
-from limepath.configuration import platform as opening
+from limepath.configuration import platform
 from limepath.configuration.ini import SettingError
-from limepath.front.clients import Clients
-from limepath.front.decision_loop import DecisionLoop
-from limepath.front.endpoint_watch import EndpointWatch
-from limepath.front.poll_times import measure_read_delay
-from limepath.front.servers import Servers
-from limepath.front.watch_error import WatchError
-from limepath.log import Log
+from limepath.front.front_process import FrontProcess
 
-# Twisted takes its timers from the wall clock, which may be stepped; deadlines are spans of real time.
-reactor.seconds = time.monotonic
+if TYPE_CHECKING:
+    from twisted.python.failure import Failure
 
+DEFAULT_LOG_FORMAT = "person"
+BAD_CONFIGURATION = 2  # exit status
 
-def on(numbers, act):
-    """Act on these signals from now on, and on those that came during the start."""
-    for number in numbers:
-        signal.signal(number, lambda *_: reactor.callFromThread(act))
-    if not early_signals.held.isdisjoint(numbers):
-        reactor.callFromThread(act)
 
+def main(peers: str | None = None, log_format: str | None = None, tls: str | None = None) -> int:
+    """Run until told to end; give the exit status.
 
-def build(told, shared=None, form="person", secured=None):
-    """Put the parts together; give a Deferred that fires once clients can connect. `shared` is a
-    PeersOpening, `secured` a TlsOpening.
+    `peers` and `tls` name files, `log_format` is one of `limepath.log.FORMS`; the peers file's by default.
     """
-    limits = told.limits
-    log = Log(told.name, limits.log_lines, limits.log_span, form)
-    globalLogBeginner.beginLoggingTo([log.observe], discardBuffer=True, redirectStandardIO=False)
-    turn = DecisionLoop(reactor, Front(seed=told.seed, **told.arguments), limits, log)
-    clients = Clients(reactor, turn, limits, log, told.services)
-    clients.read_delay = measure_read_delay(reactor)
-    probe_word = b"INFO" if told.reports else b"NOOP"
-    caches = Servers(reactor, turn, clients, limits, log, probe_word)
-    turn.connect(clients, caches)
-    cooperation = None
-    if secured:
-        from limepath.tls.host import Secured  # nothing of it is loaded where the way to servers is plain
-
-        place = told.arguments["footprint"]
-        upper = {"parents": place.parent_kind, "origin": place.origin_kind}
-        kinds = {
-            kind: trust
-            for trust in secured.trusts
-            for name in trust.members
-            for kind in (
-                [upper[name]]
-                if name in upper
-                else set(range(len(told.settings["models"]))) - set(upper.values())
-            )
-        }
-        try:
-            caches.secured = Secured(reactor, log, secured, kinds, told.seed)
-        except ValueError as flaw:
-            raise SettingError(f"{secured.file}: {flaw}") from None
-    if shared:
-        from limepath.duties.host import Cooperation  # nothing of it is loaded where nothing is shared
-        from limepath.membership.host import StartError
-
-        try:
-            cooperation = Cooperation(reactor, turn, caches, log, shared, told)
-        except StartError as flaw:
-            raise SettingError(f"{shared.file}: {flaw}") from None
-    if cooperation and shared.listing:
-        from limepath.discovery.host import (
-            guided,  # nothing of it is loaded where each front follows the log by itself
-        )
-
-        changes = guided(reactor, turn, caches, limits, log, told, cooperation, shared.listing)
-        changes.confirmed = lambda: confirmed()
-        clients.is_waiting_for_list = True
-    else:
-        changes = EndpointWatch(reactor, turn, caches, limits, log, told.settings, told.seed)
-    try:
-        changes.known(told.known)
-    except WatchError as flaw:
-        raise opening.ConfigurationError(f"known.results: {flaw}") from None
-    turn.run()
-    clients.shutdown.finished.addCallback(lambda _: reactor.stop())
-
-    def sweep():
-        """Judge what is idle or silent by what has been read; what came while this process stood still, or
-        was late, is read first, in the pass that the caller leaves to it.
-        """
-        if caches.secured:
-            caches.secured.announce()
-        for part in filter(None, (clients, caches, changes, cooperation)):
-            try:
-                part.sweep()
-            except Exception as flaw:  # whatever it is, the others' turn comes, and this one's again
-                log.fault("sweep", flaw)
-
-    def reload():
-        try:
-            (host, port), differing = opening.read_again(os.environ, told)
-        except opening.ConfigurationError as flaw:
-            log.say("reload", f"{flaw}; the running values stay")
-            return
-        for key in differing:
-            log.say("reload", "differs; it changes at a restart only", key=key)
-        log.say("reload", "follows the change log", address=f"{host}:{port}", after=changes.last)
-        changes.follow(host, port)
-        if cooperation:
-            cooperation.reload()
-        if caches.secured:
-            caches.secured.reload()
-
-    def leave():
-        if cooperation:
-            cooperation.leave()
-        clients.shutdown.start()
-
-    def ready(_):
-        LoopingCall(reactor.callLater, 0, sweep).start(limits.sweep / 1e6, now=False)
-        on((signal.SIGTERM, signal.SIGINT), leave)
-        on((signal.SIGHUP,), reload)
-        if cooperation:
-            cooperation.start()
-        changes.follow(*told.changelog)
-        gc.freeze()
-        if clients.is_waiting_for_list:
-            log.say("waits-for-list", listening=f"{told.listen[0]}:{told.listen[1]}")
-        else:
-            confirmed()
-
-    def confirmed():
-        clients.is_waiting_for_list = False
-        log.say("ready", members=len(changes.entries), listening=f"{told.listen[0]}:{told.listen[1]}")
-
-    host, port = told.listen
-    return clients.listen(TCP4ServerEndpoint(reactor, port, limits.backlog, host)).addCallback(ready)
-
-
-def main(peers=None, form=None, tls=None):
-    """Run until told to leave; give the exit status. `peers` and `tls` name files, `form` the log's form."""
-    flawed = []
-
-    def fail(failure):
+    errors = []
+
+    def listen_failed(failure: Failure) -> None:
         failure.trap(CannotListenError)
-        flawed.append(f"listen: {failure.value.socketError}")
+        errors.append(f"listen: {failure.value.socketError}")
         reactor.callWhenRunning(reactor.stop)
 
     early_signals.hold()
     try:
-        shared = secured = None
-        if tls:
-            from limepath.configuration import tls_file
-
-            secured = tls_file.read(tls)
-        if peers:
-            from limepath.configuration import peers_file
-
-            shared = peers_file.read(peers)
-        build(
-            opening.read(os.environ), shared, form or (shared.form if shared else "person"), secured
-        ).addErrback(fail)
-    except (opening.ConfigurationError, SettingError) as flaw:
-        print(f"limepath: configuration: {flaw}", file=sys.stderr)
-        return 2
+        _create(peers, log_format, tls).listen().addErrback(listen_failed)
+    except (platform.ConfigurationError, SettingError) as error:
+        _print_error(error)
+        return BAD_CONFIGURATION
     reactor.run(installSignalHandlers=False)
-    for flaw in flawed:
-        print(f"limepath: configuration: {flaw}", file=sys.stderr)
-    return 2 if flawed else 0
+    for error in errors:
+        _print_error(error)
+    return BAD_CONFIGURATION if errors else 0
+
+
+def _create(peers: str | None, log_format: str | None, tls: str | None) -> FrontProcess:
+    """Read the files and put the front together; what is not named is not loaded."""
+    tls_settings = shared = None
+    if tls:
+        from limepath.configuration import tls_file
+
+        tls_settings = tls_file.read(tls)
+    if peers:
+        from limepath.configuration import peers_file
+
+        shared = peers_file.read(peers)
+    settings = platform.read(os.environ)
+    shared_format = shared.form if shared else DEFAULT_LOG_FORMAT
+    return FrontProcess(settings, shared, log_format or shared_format, tls_settings)
+
+
+def _print_error(error: object) -> None:
+    print(f"limepath: configuration: {error}", file=sys.stderr)
--- a/limepath/scale/hollow.py
+++ b/limepath/scale/hollow.py
@@ -1,6 +1,6 @@
 """One hollow front: the program's own control logic and hosts, over real sockets, without a data path.
 
-It is put together as `front.start.build` does for `limepath run --peers`: settings by the same readers,
+It is put together as `front.front_process` does for `limepath run --peers`: settings by the same readers,
 `duties.host.Cooperation`, `listing.host.guided` with its tallies and limits. Left out are clients, the
 decision module and connections to caches (`data_path`). Every datagram passes the faults of `links` before
 anything reads it, and is counted by its message's subsystem.
