--- a/limepath/connection_pacing/host.py
+++ b/limepath/connection_pacing/host.py
@@ -20,10 +20,10 @@
 
     def look(self):
         """After the list or a connection has changed, and when a turn has come."""
-        now, peers = clock(), self.caches.peers
-        self.pace.listed(now, [ident for ident, peer in peers.items() if peer.gone is None])
+        now, peers = clock(), self.caches.endpoints
+        self.pace.listed(now, [ident for ident, peer in peers.items() if peer.removed_at is None])
         for ident, peer in peers.items():
-            self.pace.changed(ident, len(peer.connections) + peer.coming)
+            self.pace.changed(ident, len(peer.connections) + peer.connecting)
         self.turn.gather(*(ConnectionAvailabilityChanged(ident, way) for ident, way in self.pace.rooms(now)))
         if self.timer and self.timer.active():
             self.timer.cancel()
--- a/limepath/duties/host.py
+++ b/limepath/duties/host.py
@@ -241,7 +241,7 @@
     def serve(self, order):
         if order.until and clock() >= order.until:
             self.counts["too_late"] += 1
-        elif order.target in self.caches.peers:
+        elif order.target in self.caches.endpoints:
             self.counts["rounds"] += 1
             self.serving[order.target] = order.duty
             self.caches.probe(SendProbe(order.target), order.epoch)
--- a/limepath/front/endpoint_watch.py
+++ b/limepath/front/endpoint_watch.py
@@ -165,7 +165,7 @@
         self.entries[entry.name] = entry
         if endpoint.state == EndpointState.REMOVED:
             del self.entries[entry.name]
-        self.servers.listed(
+        self.servers.update_endpoint(
             endpoint.id, entry.name, entry.address, entry.started_ms, endpoint.state, endpoint.kind
         )
 
@@ -193,7 +193,7 @@
             announced = PurgeAnnounced(0, age, int(purge["object"], 16))
         else:
             announced = PurgeAnnounced(int(purge["bucket"]), age, 0)
-        self.servers.purged(announced)
+        self.servers.apply_purge(announced)
         self.decision_loop.gather(announced)
 
     # Calls
--- a/limepath/front/server_endpoint.py
+++ b/limepath/front/server_endpoint.py
@@ -42,10 +42,10 @@
         self.limits = servers.limits
         self.incarnation: Incarnation | None = None
         self.kind: int | None = None
-        self.gone: int | None = None  # when it was removed from the list, on the front's clock
+        self.removed_at: int | None = None  # from the list, on the front's clock
         self.connections: list[ServerConnection] = []
         self.idle: list[ServerConnection] = []  # with nothing out, the last used at the end
-        self.coming = 0  # connections that are not up yet
+        self.connecting = 0  # connections that are not up yet
         self.waiting: deque[Attempt | Probe] = deque()
 
     @property
@@ -59,18 +59,18 @@
         secured = self.servers.secured
         return bool(secured and self.kind in secured.kinds)
 
-    def listed(self, incarnation: Incarnation, state: EndpointState) -> None:
+    def update(self, incarnation: Incarnation, state: EndpointState) -> None:
         """The list has this entry now: connections to what was there before take nothing new."""
         if incarnation != self.incarnation or state == EndpointState.REMOVED:
             for connection in list(self.connections):
                 connection.drain()
         self.incarnation = incarnation
-        self.gone = clock() if state == EndpointState.REMOVED else None
+        self.removed_at = clock() if state == EndpointState.REMOVED else None
 
     def is_forgettable(self, now: int) -> bool:
         """Whether it was removed a while ago, and nothing is out or waits there."""
-        in_use = self.connections or self.waiting or self.coming
-        return self.gone is not None and now - self.gone > self.limits.gone and not in_use
+        in_use = self.connections or self.waiting or self.connecting
+        return self.removed_at is not None and now - self.removed_at > self.limits.gone and not in_use
 
     def send(self, attempt: Attempt | Probe) -> None:
         """Send it on a connection, or have it wait for one."""
@@ -105,7 +105,7 @@
         for connection in reversed(self.idle):
             if connection.can_send(attempt.tag):
                 return connection
-        if self.coming > len(self.waiting) or self._may_connect():
+        if self.connecting > len(self.waiting) or self._may_connect():
             return None
         return min(self._busy_connections(attempt.tag), key=lambda one: len(one.attempts), default=None)
 
@@ -132,16 +132,16 @@
         if paced and not paced.may(self.ident, clock()):
             if not any(isinstance(one, Probe) for one in self.waiting):
                 return False
-        if self.coming + len(self.connections) >= self.limits.cache_connections:
+        if self.connecting + len(self.connections) >= self.limits.cache_connections:
             return False
         return self.servers.may_connect()
 
     def connect(self) -> None:
         """Open one more connection if there are fewer coming than attempts that wait, and room for it."""
-        if self.coming >= len(self.waiting) or not self._may_connect():
+        if self.connecting >= len(self.waiting) or not self._may_connect():
             return
         self.servers.drain_longest_idle()
-        self.coming += 1
+        self.connecting += 1
         self.servers.connection_count += 1
         if self.servers.paced:
             self.servers.paced.took(self.ident)
@@ -164,12 +164,12 @@
 
     def connected(self, connection: ServerConnection) -> None:
         """A connection is up."""
-        self.coming -= 1
+        self.connecting -= 1
         if connection.state is not ConnectionState.OPEN:
             return
         self.connections.append(connection)
         self.idle.append(connection)
-        if self.gone is not None or connection.incarnation != self.incarnation:
+        if self.removed_at is not None or connection.incarnation != self.incarnation:
             connection.drain()  # it leads to what has gone since, or to another that has its address now
         self.send_waiting()
         if self.waiting:
@@ -177,12 +177,12 @@
 
     def _connect_failed(self, failure: Failure) -> None:
         """The first that waits has failed; all have, where no other connection is there or coming."""
-        self.coming -= 1
+        self.connecting -= 1
         self.servers.connection_count -= 1
         if self.servers.paced:
             self.servers.paced.look()
         failure.trap(ConnectError)
-        for _ in range(len(self.waiting) if not (self.coming or self.connections) else 1):
+        for _ in range(len(self.waiting) if not (self.connecting or self.connections) else 1):
             if self.waiting:
                 self.servers.end_attempt(self.waiting.popleft(), AttemptOutcome.CONNECT_FAILED)
 
--- a/limepath/front/servers.py
+++ b/limepath/front/servers.py
@@ -51,7 +51,7 @@
         self.limits = limits
         self.log = log
         self.probe_word = probe_word
-        self.peers: dict[int, ServerEndpoint] = {}  # by ident
+        self.endpoints: dict[int, ServerEndpoint] = {}  # by ident
         self.names: dict[int, bytes] = {}  # of endpoints, as servers know them
         self.probe_numbers = count(1)
         self.connection_count = 0  # up, or on their way
@@ -88,7 +88,7 @@
     def connection_freed(self) -> None:
         """A connection has closed or become idle: endpoints that found no room look again."""
         self.lacks_connections = False
-        for endpoint in self.peers.values():
+        for endpoint in self.endpoints.values():
             if endpoint.waiting:
                 endpoint.connect()
 
@@ -96,7 +96,7 @@
         """Open connections with nothing out."""
         return [
             connection
-            for endpoint in self.peers.values()
+            for endpoint in self.endpoints.values()
             for connection in endpoint.idle
             if connection.state is ConnectionState.OPEN
         ]
@@ -109,7 +109,7 @@
 
     # Endpoint list and purges
 
-    def listed(
+    def update_endpoint(
         self,
         ident: int,
         name: str,
@@ -119,20 +119,20 @@
         kind: int | None = None,
     ) -> None:
         """The list has this entry now; `since` is when it started, in milliseconds by the Unix clock."""
-        if ident not in self.peers and state == EndpointState.REMOVED:
+        if ident not in self.endpoints and state == EndpointState.REMOVED:
             return
-        if ident not in self.peers:
-            self.peers[ident] = ServerEndpoint(self, ident, name)
+        if ident not in self.endpoints:
+            self.endpoints[ident] = ServerEndpoint(self, ident, name)
             self.names[ident] = name.encode()
-        self.peers[ident].kind = kind
-        self.peers[ident].listed(Incarnation(address, since), state)
+        self.endpoints[ident].kind = kind
+        self.endpoints[ident].update(Incarnation(address, since), state)
 
     def cancel_waiting(self, is_concerned: Callable[[ForwardRequest, ClientRequest], bool]) -> None:
         """Cancel what still waits for a connection and is out of date by a watch event: it was not executed,
         and the decisions choose anew. Sent by the old command, it could go out past the grace, which counts
         from when the event was told.
         """
-        for endpoint in self.peers.values():
+        for endpoint in self.endpoints.values():
             concerned = [
                 one
                 for one in endpoint.waiting
@@ -141,7 +141,7 @@
             for attempt in concerned:
                 self._stop(attempt, AttemptOutcome.SUPERSEDED)
 
-    def purged(self, purge: PurgeAnnounced) -> None:
+    def apply_purge(self, purge: PurgeAnnounced) -> None:
         """Cancel what waits and concerns a purged object or group."""
         if purge.object:
             self.cancel_waiting(lambda command, request: request.event.object == purge.object)
@@ -158,17 +158,17 @@
         if not request.is_open or attempt.deadline <= attempt.started_at:
             self.end_attempt(attempt, AttemptOutcome.SUPERSEDED)
         else:
-            self.peers[command.endpoint].send(attempt)
+            self.endpoints[command.endpoint].send(attempt)
 
     def probe(self, command: SendProbe, epoch: int = 0) -> None:
         """Send a health check; under a lease its tag has the epoch: a server can reject an older one."""
         number = next(self.probe_numbers)
         tag = b"p%d-e%d" % (number, epoch) if epoch else b"p%d" % number
-        self.peers[command.endpoint].send(Probe(command.endpoint, tag, self.limits.wait))
+        self.endpoints[command.endpoint].send(Probe(command.endpoint, tag, self.limits.wait))
 
     def close_idle(self, command: CloseIdleConnections) -> None:
         """Close the connections to an endpoint that have nothing out."""
-        for connection in list(self.peers[command.endpoint].connections):
+        for connection in list(self.endpoints[command.endpoint].connections):
             if not connection.attempts:
                 connection.drain()
 
@@ -191,7 +191,7 @@
         """End an attempt early. One that was never sent whole was not executed, and a server that does not
         even read is out of reach.
         """
-        endpoint = self.peers[attempt.command.endpoint]
+        endpoint = self.endpoints[attempt.command.endpoint]
         timed_out = outcome == AttemptOutcome.TIMED_OUT
         if attempt.connection is None:
             if attempt in endpoint.waiting:
@@ -260,10 +260,10 @@
         middle of an answer.
         """
         now = clock()
-        for ident in [ident for ident, endpoint in self.peers.items() if endpoint.is_forgettable(now)]:
-            del self.peers[ident]
+        for ident in [ident for ident, endpoint in self.endpoints.items() if endpoint.is_forgettable(now)]:
+            del self.endpoints[ident]
             del self.names[ident]
-        for endpoint in self.peers.values():
+        for endpoint in self.endpoints.values():
             for connection in list(endpoint.connections):
                 self._sweep_connection(connection, now)
 
--- a/limepath/scale/data_path.py
+++ b/limepath/scale/data_path.py
@@ -54,11 +54,11 @@
 class HollowPeer:
     """One member of the list; no connection ever leads to it."""
 
-    __slots__ = ("kind", "gone")
-    connections, coming = (), 0
+    __slots__ = ("kind", "removed_at")
+    connections, connecting = (), 0
 
     def __init__(self):
-        self.kind = self.gone = None
+        self.kind = self.removed_at = None
 
 
 class HollowCaches:
@@ -66,18 +66,18 @@
 
     def __init__(self, call_later, turn, limits):
         self.call_later, self.turn, self.limits = call_later, turn, limits
-        self.peers, self.secured, self.paced = {}, None, None
+        self.endpoints, self.secured, self.paced = {}, None, None
         self.reference = ReferenceClock(limits.skew)
 
-    def listed(self, ident, name, address, since, standing, kind=None):
-        if ident not in self.peers:
+    def update_endpoint(self, ident, name, address, since, standing, kind=None):
+        if ident not in self.endpoints:
             if standing == EndpointState.REMOVED:
                 return
-            self.peers[ident] = HollowPeer()
-        peer = self.peers[ident]
-        peer.kind, peer.gone = kind, clock() if standing == EndpointState.REMOVED else None
+            self.endpoints[ident] = HollowPeer()
+        peer = self.endpoints[ident]
+        peer.kind, peer.removed_at = kind, clock() if standing == EndpointState.REMOVED else None
 
-    def purged(self, purge):
+    def apply_purge(self, purge):
         """No request waits that a purge could concern."""
 
     def probe(self, order, epoch=0):
@@ -89,6 +89,10 @@
     def sweep(self):
         """Forget members that have been gone for long."""
         oldest = clock() - self.limits.gone
-        gone = [ident for ident, peer in self.peers.items() if peer.gone is not None and peer.gone < oldest]
+        gone = [
+            ident
+            for ident, peer in self.endpoints.items()
+            if peer.removed_at is not None and peer.removed_at < oldest
+        ]
         for ident in gone:
-            del self.peers[ident]
+            del self.endpoints[ident]
--- a/tests/test_departed_clients.py
+++ b/tests/test_departed_clients.py
@@ -233,7 +233,7 @@
         self.listener.bind(("127.0.0.1", 0))
         self.listener.listen()
         self.listener.settimeout(BOUND)
-        self.caches.listed(1, "s-1", self.listener.getsockname(), 0, EndpointState.READY)
+        self.caches.update_endpoint(1, "s-1", self.listener.getsockname(), 0, EndpointState.READY)
         self.clients.listen(TCP4ServerEndpoint(self.reactor, 0, interface="127.0.0.1"))
 
     def viewer(self):
@@ -257,7 +257,7 @@
 
     def accept(self):
         """The cache's end of the next connection."""
-        self.passes_until(lambda: self.caches.peers[1].connections)
+        self.passes_until(lambda: self.caches.endpoints[1].connections)
         connection, _ = self.listener.accept()
         return connection
 
@@ -297,7 +297,7 @@
 def test_an_attempt_does_not_wait_behind_what_its_cache_does_not_read_until_its_client_has_gone(driven):
     front = driven(cache_connections=1, wait=5_000_000)
     body, sent, cache = b"z" * 40_000, [], None
-    while cache is None or not front.caches.peers[1].connections[0].unsent_bytes():
+    while cache is None or not front.caches.endpoints[1].connections[0].unsent_bytes():
         sent.append(front.viewer().send("/invoke/tarea/1", body, txn=f"{len(sent):016x}", ttl=5000))
         cache = cache or front.accept()  # reads nothing
         front.passes_until(lambda: len(front.attempts()) == len(sent))
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -165,7 +165,7 @@
     def ask(member, cache, start):
         nonlocal most
         front.front.member = member
-        front.caches.listed(member, cache.name, cache.listener.getsockname(), 0, front.ready)
+        front.caches.update_endpoint(member, cache.name, cache.listener.getsockname(), 0, front.ready)
         for one, viewer in enumerate(viewers):
             viewer.send(txn=f"{start + one:016x}", ttl=BOUND * 1000)
         front.passes_until(lambda: len(front.clients.requests) == number)
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -252,7 +252,7 @@
     clients = Clients(reactor, turn, limits, log, {b"video": (0, False, 5_000_000)})
     caches = Servers(reactor, turn, clients, limits, log, b"INFO")
     turn.connect(clients, caches)
-    caches.listed(1, "s-1", ("127.0.0.1", 9), 0, EndpointState.READY)
+    caches.update_endpoint(1, "s-1", ("127.0.0.1", 9), 0, EndpointState.READY)
 
     def get():
         clients.accept_request(
@@ -290,8 +290,8 @@
 
 def up(caches, transport=None):
     """A connection to member 1 comes up; give it."""
-    peer = caches.peers[1]
-    peer.coming += 1
+    peer = caches.endpoints[1]
+    peer.connecting += 1
     caches.connection_count += 1
     connection = ServerConnection(peer)
     connection.makeConnection(transport or CacheTransport())
@@ -318,8 +318,8 @@
 def test_a_connection_that_comes_up_once_its_member_has_gone_takes_nothing():
     _, _, caches, get = parts(Ordering())
     get()
-    peer, old = caches.peers[1], ServerConnection(caches.peers[1])
-    caches.listed(
+    peer, old = caches.endpoints[1], ServerConnection(caches.endpoints[1])
+    caches.update_endpoint(
         1, "s-1", ("127.0.0.1", 9), 7, EndpointState.READY
     )  # started anew, at the address of the old one
     old.makeConnection(CacheTransport())
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -298,12 +298,12 @@
     clients = Clients(reactor, turn, limits, log, {b"video": (0, False, 5_000_000)})
     caches = Servers(reactor, turn, clients, limits, log, b"INFO")
     turn.connect(clients, caches)
-    caches.listed(1, "s-1", ("127.0.0.1", 9), 0, EndpointState.READY)
+    caches.update_endpoint(1, "s-1", ("127.0.0.1", 9), 0, EndpointState.READY)
     verdicts = []
     caches.end_attempt = lambda attempt, outcome, *_: verdicts.append(outcome)
     for unsent in (0, 1):
-        connection = ServerConnection(caches.peers[1])
-        caches.peers[1].idle.append(connection)
+        connection = ServerConnection(caches.endpoints[1])
+        caches.endpoints[1].idle.append(connection)
         connection.transport = SimpleNamespace(
             dataBuffer=b"x" * (unsent + 1), offset=1, _tempDataBuffer=[], writeSequence=lambda pieces: None
         )
@@ -509,7 +509,7 @@
         tell(f"s-{number - 1}", "terminating")
         tell(f"s-{number - 1}", "terminated")
         caches.sweep()
-    assert len(changes.entries) == len(caches.peers) == len(caches.names) == 1
+    assert len(changes.entries) == len(caches.endpoints) == len(caches.names) == 1
     assert (len(host.front.caches), len(gate.members), len(gate.starts)) == tuple(n + 1 for n in before)
 
 
@@ -739,7 +739,7 @@
     clients = Clients(reactor, turn, limits, log, {b"video": (0, False, 5_000_000)})
     caches = Servers(reactor, turn, clients, limits, log, b"INFO")
     turn.connect(clients, caches)
-    caches.listed(1, "s-1", ("127.0.0.1", 9), 0, EndpointState.READY)
+    caches.update_endpoint(1, "s-1", ("127.0.0.1", 9), 0, EndpointState.READY)
     clients.accept_request(
         FakeConnection(),
         RequestHead(
