--- a/limepath/discovery/host.py
+++ b/limepath/discovery/host.py
@@ -69,7 +69,7 @@
         self.confirmed = None  # called once the front's list is the service's and its turn has come
         self.paced = None
 
-    def known(self, known):
+    def load_known_events(self, known):
         """What the configuration holds is as old as its file; the service or a relay tells."""
 
     def follow(self, host, port):
@@ -124,25 +124,25 @@
     def give(self, order):
         self.oldest = order.oldest
         try:
-            self.take(order.told)
+            self.apply_event(order.told)
         except WatchError as flaw:  # its form was checked; what it names this front does not know
             self.log.say("changelog", f"{flaw}; skipped", number=order.told["seq"])
         self.last = order.told["seq"]
 
-    def fleet(self, told):
+    def apply_update(self, told):
         try:
-            super().fleet(told)
+            super().apply_update(told)
         finally:  # some of it may have been unreadable
             if self.paced:
                 self.paced.look()
 
-    def invalidated(self, told):
+    def apply_purge(self, told):
         """A purge is no older than this front's list was up to date, whatever the clocks say."""
         if self.oldest < 0:
-            return super().invalidated(told)
+            return super().apply_purge(told)
         plain, self.decision_loop = self.decision_loop, _Capped(self.decision_loop, self.oldest)
         try:
-            super().invalidated(told)
+            super().apply_purge(told)
         finally:
             self.decision_loop = plain
 
@@ -222,10 +222,10 @@
         if self.serial == self.changes.serial:
             self.changes.stream = stream
 
-    def answered(self, stream):
+    def handle_answer(self, stream):
         """Nothing to let go of: there is one call at a time."""
 
-    def event(self, number, text):
+    def handle_event(self, number, text):
         self.events_heard += 1
         self.gather(StreamEventReceived(text, number))
 
@@ -233,7 +233,7 @@
         if self.serial == self.changes.serial:
             self.changes.gather(*notes)
 
-    def lost(self, stream):
+    def handle_disconnect(self, stream):
         if self.changes.stream is stream:
             self.changes.stream = None
         self.gather(StreamClosed("the stream ended"))
--- a/limepath/duties/host.py
+++ b/limepath/duties/host.py
@@ -95,7 +95,7 @@
         self.kinds = self.kinds_of(front)
         self.members, self.over = {}, False
         self.serving, self.asked, self.control, self.looked, self.said = {}, set(), None, clock(), clock()
-        self.plain_probe = turn.carriers[SendProbe]
+        self.plain_probe = turn.command_handlers[SendProbe]
         self.guests, self.views = (
             [],
             {"peers": self.shown},
@@ -105,7 +105,7 @@
         self.counts = {"probes_asked": 0, "probes_shared": 0, "probes_sent": 0, "rounds": 0, "too_late": 0}
         self.counts["held_back"] = 0
         turn.listener = self.overheard
-        turn.carriers[SendProbe] = self.probe
+        turn.command_handlers[SendProbe] = self.probe
 
     def kinds_of(self, front):
         """For each duty, the module's kinds of its targets."""
@@ -293,7 +293,7 @@
     def stop(self):
         """Share nothing any more; the front goes on by itself."""
         self.over = True
-        self.turn.listener, self.turn.carriers[SendProbe] = None, self.plain_probe
+        self.turn.listener, self.turn.command_handlers[SendProbe] = None, self.plain_probe
         self.line.close()
         self.line.report()
         self.logic_host.close()
--- a/limepath/frequency_exchange/host.py
+++ b/limepath/frequency_exchange/host.py
@@ -21,7 +21,7 @@
         members = cooperation.instance.members
         self.logic = Newcomer(seed, lambda: members.ring)
         self.logic_host = LogicHost(reactor, clock, self.logic, self.execute, self.failed)
-        turn.carriers[ReportRequestCounts] = self.counted
+        turn.command_handlers[ReportRequestCounts] = self.counted
         cooperation.guests.append(self)
         cooperation.at_stop.append(self.logic_host.close)
         cooperation.views["tallies"] = lambda: dict(self.logic.counts)
--- a/limepath/front/decision_loop.py
+++ b/limepath/front/decision_loop.py
@@ -58,7 +58,7 @@
         self.decided_at = 0
         self.redelivered: set = set()  # watch events that were handed over again after a fault
         self.listener: Callable[[Sequence], object] | None = None  # has all events too, where fronts share
-        self.carriers: dict[type, Callable] = {  # how commands are carried out, by their type
+        self.command_handlers: dict[type, Callable] = {  # how commands are carried out, by their type
             ScheduleWakeup: self._schedule_wakeup,
             SetSubscription: self._ignore,
             QueryEndpointList: self._ignore,
@@ -70,7 +70,7 @@
         self.clients = clients
         self.servers = servers
         clients.servers = servers
-        self.carriers |= {
+        self.command_handlers |= {
             ForwardRequest: self._forward_request,
             CancelAttempt: clients.cancel_attempt,
             SendProbe: servers.probe,
@@ -141,7 +141,7 @@
 
     def _carry_out(self, command: tuple) -> None:
         try:
-            self.carriers.get(type(command), self._log_unknown)(command)
+            self.command_handlers.get(type(command), self._log_unknown)(command)
         except Exception as error:  # the other commands are carried out all the same
             self.log.fault(type(command).__name__, error)
 
--- a/limepath/front/endpoint_watch.py
+++ b/limepath/front/endpoint_watch.py
@@ -72,7 +72,7 @@
 
     # Events
 
-    def known(self, known: dict) -> None:
+    def load_known_events(self, known: dict) -> None:
         """Take in the events of the configuration: first the times in all of them, which ages follow from.
 
         Raises WatchError for one that cannot be used.
@@ -80,10 +80,10 @@
         for event in known["results"]:
             self._observe_times(event)
         for event in known["results"]:
-            self._apply(event)
+            self._apply_contents(event)
         self.last = max(self.last, known["seq"])
 
-    def event(self, number: str, text: str) -> None:
+    def handle_event(self, number: str, text: str) -> None:
         """Take the stream's next event in.
 
         Raises WatchError for a bad event, or one after a gap, so that the service is called again; met again
@@ -97,7 +97,7 @@
                 return
             if event["seq"] > self.last + 1 and self.suspect_event != number:
                 raise WatchError(f"comes after {self.last}")
-            self.take(event)
+            self.apply_event(event)
             self.last = event["seq"]
             self.suspect_event = None
         except (WatchError, ValueError) as error:
@@ -107,10 +107,10 @@
             self.log.say("changelog", f"{error}; skipped", number=number)
             self.last = max(self.last, int(number) if number.isdigit() else 0)
 
-    def take(self, event: dict) -> None:
+    def apply_event(self, event: dict) -> None:
         """Take in an event; raises WatchError where it, or a part of it, cannot be used."""
         self._observe_times(event)
-        self._apply(event)
+        self._apply_contents(event)
 
     def _observe_times(self, event: dict) -> None:
         """Hand the reference clock the times in this event, which are of something past."""
@@ -121,20 +121,20 @@
             else:
                 latest = int(event["invalidate"]["time"])
         except UNREADABLE:
-            return  # `_apply` says what is wrong with it
+            return  # `_apply_contents` says what is wrong with it
         if latest:
             self.servers.reference.observe(latest * 1000)
 
-    def _apply(self, event: dict) -> None:
+    def _apply_contents(self, event: dict) -> None:
         try:
             if "fleet" in event:
-                self.fleet(event["fleet"])
+                self.apply_update(event["fleet"])
             elif "invalidate" in event:
-                self.invalidated(event["invalidate"])
+                self.apply_purge(event["invalidate"])
         except UNREADABLE as error:
             raise WatchError(f"{type(error).__name__}: {error}") from None
 
-    def fleet(self, update: dict) -> None:
+    def apply_update(self, update: dict) -> None:
         """Apply an endpoint update, complete or not; raises WatchError where lines of it cannot be read."""
         entries, errors = self._read_entries(update["members"])
         is_complete = update.get("complete", False)
@@ -186,7 +186,7 @@
                     entries.append(known)
         return ReadEntries(entries, errors)
 
-    def invalidated(self, purge: dict) -> None:
+    def apply_purge(self, purge: dict) -> None:
         """Apply a purge of one object or of a group."""
         age = self.servers.reference.age(int(purge["time"]) * 1000)
         if "object" in purge:
@@ -217,7 +217,7 @@
         for one in others:
             one.transport.abortConnection()
 
-    def answered(self, stream: EventStream) -> None:
+    def handle_answer(self, stream: EventStream) -> None:
         """The first answer to any of the calls."""
         self._drop_other_calls(stream)
 
@@ -235,7 +235,7 @@
         if not failure.check(ConnectingCancelledError):  # another address is followed now
             self._call_again(failure.getErrorMessage())
 
-    def lost(self, stream: EventStream) -> None:
+    def handle_disconnect(self, stream: EventStream) -> None:
         """A call has ended."""
         if stream in self.unanswered:
             self.unanswered.remove(stream)
--- a/limepath/front/event_stream.py
+++ b/limepath/front/event_stream.py
@@ -72,7 +72,7 @@
         if len(status) < 2 or status[1] != b"200":
             raise WatchError(f"answered {head[:40]!r}")
         self.state = StreamState.READING_EVENTS
-        self.watch.answered(self)
+        self.watch.handle_answer(self)
         if b"chunked" in transfer_codings(head):
             self.decoder = ChunkedDecoder()
         return rest
@@ -81,8 +81,8 @@
         if self.decoder:
             data = self.decoder.feed(data)
         for event in self.reader.feed(data):
-            self.watch.event(event.id, event.data)
+            self.watch.handle_event(event.id, event.data)
             self.watch.pauses = 0
 
     def connectionLost(self, reason):
-        self.watch.lost(self)
+        self.watch.handle_disconnect(self)
--- a/limepath/front/front_process.py
+++ b/limepath/front/front_process.py
@@ -78,7 +78,7 @@
         self.cooperation = self._cooperation(shared) if shared else None
         self.watch = self._watch(shared)
         try:
-            self.watch.known(settings.known)
+            self.watch.load_known_events(settings.known)
         except WatchError as error:
             raise platform.ConfigurationError(f"known.results: {error}") from None
         self.decision_loop.run()
--- a/limepath/scale/data_path.py
+++ b/limepath/scale/data_path.py
@@ -31,10 +31,10 @@
 
     def __init__(self, call_later, seed):
         self.call_later, self.seed = call_later, seed
-        self.listener, self.carriers = None, {}
+        self.listener, self.command_handlers = None, {}
 
     def joined(self, caches):
-        self.carriers[SendProbe] = caches.probe
+        self.command_handlers[SendProbe] = caches.probe
 
     def gather(self, *notes):
         if self.listener:
@@ -48,7 +48,7 @@
             (crc32(b"%d:%d" % (self.seed, rank)), 0, float(COUNTS - rank))
             for rank in range(min(COUNTS, asked.limit))
         )
-        self.carriers[ReportRequestCounts](ReportRequestCounts(asked.cookie, counts))
+        self.command_handlers[ReportRequestCounts](ReportRequestCounts(asked.cookie, counts))
 
 
 class HollowPeer:
--- a/limepath/scale/hollow.py
+++ b/limepath/scale/hollow.py
@@ -73,7 +73,7 @@
     def charge(self):
         """Charge calls from one host into another; timers and sockets are charged by the reactor."""
         account, cooperation, changes = self.account, self.cooperation, self.changes
-        members, tallies, carriers = cooperation.instance.members, changes.tallies, self.turn.carriers
+        members, tallies, carriers = cooperation.instance.members, changes.tallies, self.turn.command_handlers
         members.handle = account.charged(members.handle, Subsystem.MEMBERSHIP)
         self.turn.listener = account.charged(self.turn.listener, Subsystem.DUTIES)
         tallies.heard = account.charged(tallies.heard, Subsystem.COUNTS)
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -484,7 +484,7 @@
     changes = EndpointWatch(reactor, turn, caches, limits, log, SETTINGS, 7)
 
     def tell(name, phase):
-        changes.take(
+        changes.apply_event(
             {
                 "fleet": {
                     "members": [
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -99,9 +99,9 @@
     lines = [line(number, phase if number % 2 else "in_service") for number in range(members)]
 
     def take():
-        changes.known(known(lines))
+        changes.load_known_events(known(lines))
         turn.gather(TimerFired(0))
-        changes.known(known(lines[::2]))
+        changes.load_known_events(known(lines[::2]))
 
     work = lines_run(take)
     assert len(changes.entries) == members / 2
