--- a/tests/test_departed_clients.py
+++ b/tests/test_client_disconnects.py
@@ -225,7 +225,7 @@
 
     def __init__(self, **limits):
         self.front, self.reactor, self.ready = OrderingAt(), EPollReactor(), EndpointState.READY
-        _, self.clients, self.caches, _ = parts(self.front, self.reactor, **limits)
+        _, self.clients, self.servers, _ = parts(self.front, self.reactor, **limits)
         self.clients.services[b"tarea"] = (1, True, 5_000_000)
         self.listener = socket.socket()
         self.listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
@@ -233,7 +233,7 @@
         self.listener.bind(("127.0.0.1", 0))
         self.listener.listen()
         self.listener.settimeout(BOUND)
-        self.caches.update_endpoint(1, "s-1", self.listener.getsockname(), 0, EndpointState.READY)
+        self.servers.update_endpoint(1, "s-1", self.listener.getsockname(), 0, EndpointState.READY)
         self.clients.listen(TCP4ServerEndpoint(self.reactor, 0, interface="127.0.0.1"))
 
     def viewer(self):
@@ -257,7 +257,7 @@
 
     def accept(self):
         """The cache's end of the next connection."""
-        self.passes_until(lambda: self.caches.endpoints[1].connections)
+        self.passes_until(lambda: self.servers.endpoints[1].connections)
         connection, _ = self.listener.accept()
         return connection
 
@@ -297,7 +297,7 @@
 def test_an_attempt_does_not_wait_behind_what_its_cache_does_not_read_until_its_client_has_gone(driven):
     front = driven(cache_connections=1, wait=5_000_000)
     body, sent, cache = b"z" * 40_000, [], None
-    while cache is None or not front.caches.endpoints[1].connections[0].unsent_bytes():
+    while cache is None or not front.servers.endpoints[1].connections[0].unsent_bytes():
         sent.append(front.viewer().send("/invoke/tarea/1", body, txn=f"{len(sent):016x}", ttl=5000))
         cache = cache or front.accept()  # reads nothing
         front.passes_until(lambda: len(front.attempts()) == len(sent))
@@ -352,9 +352,9 @@
 
 def test_an_attempt_that_began_after_its_client_had_gone_is_counted_with_how_late(capsys):
     limits = planned(1024, 192, 32, open_gets=9)
-    turn = SimpleNamespace(gather=lambda *notes: None)
+    decision_loop = SimpleNamespace(gather=lambda *notes: None)
     log = Log("n1", 5, 10_000_000)
-    clients = Clients(None, turn, limits, log, {})
+    clients = Clients(None, decision_loop, limits, log, {})
     clients.servers = SimpleNamespace(cancel_unsent=lambda get: None)
     near, far = connected_pair()
     with near, far:
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -15,7 +15,7 @@
     planned,
 )
 from tests.stand_ins import BOUND, Site, StandInCache, accepting, until
-from tests.test_departed_clients import driven  # noqa: F401 (a fixture)
+from tests.test_client_disconnects import driven  # noqa: F401 (a fixture)
 from tests.test_endings import NOW, going_on, stopped
 
 SOCKETS = 120
@@ -158,21 +158,21 @@
     number = 2 * CROSSING_CLOSES
     front = driven(open_gets=number, wait=BOUND * 1_000_000, connect=BOUND * 1_000_000)  # however slow it is
     front.clients.services[b"video"] = (0, False, BOUND * 1_000_000)
-    front.caches.limits = front.caches.limits._replace(all_cache_connections=number)
+    front.servers.limits = front.servers.limits._replace(all_cache_connections=number)
     first, second = Answering("s-1"), Answering("s-2")
     viewers, most = [front.viewer() for _ in range(number)], 0
 
     def ask(member, cache, start):
         nonlocal most
         front.front.member = member
-        front.caches.update_endpoint(member, cache.name, cache.listener.getsockname(), 0, front.ready)
+        front.servers.update_endpoint(member, cache.name, cache.listener.getsockname(), 0, front.ready)
         for one, viewer in enumerate(viewers):
             viewer.send(txn=f"{start + one:016x}", ttl=BOUND * 1000)
         front.passes_until(lambda: len(front.clients.requests) == number)
 
         def all_asked():
             nonlocal most
-            most = max(most, front.caches.connection_count)
+            most = max(most, front.servers.connection_count)
             return cache.asked.qsize() == number
 
         front.passes_until(all_asked)
@@ -180,7 +180,7 @@
         front.passes_until(lambda: not front.clients.requests)
 
     ask(1, first, 0)
-    assert front.caches.connection_count == number and len(front.caches.idle_connections()) == number
+    assert front.servers.connection_count == number and len(front.servers.idle_connections()) == number
     ask(2, second, 1000)  # in one pass more than may cross
     assert number < most <= number + CROSSING_CLOSES
 
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -248,11 +248,11 @@
     """The front's parts on a reactor of the test's own, and a way to send one GET in."""
     reactor, limits = reactor or MemoryReactorClock(), planned(1024, 192, 32, **{"open_gets": 9} | limits)
     log = Log("n1", 5, 1)
-    turn = DecisionLoop(reactor, front, limits, log)
-    clients = Clients(reactor, turn, limits, log, {b"video": (0, False, 5_000_000)})
-    caches = Servers(reactor, turn, clients, limits, log, b"INFO")
-    turn.connect(clients, caches)
-    caches.update_endpoint(1, "s-1", ("127.0.0.1", 9), 0, EndpointState.READY)
+    decision_loop = DecisionLoop(reactor, front, limits, log)
+    clients = Clients(reactor, decision_loop, limits, log, {b"video": (0, False, 5_000_000)})
+    servers = Servers(reactor, decision_loop, clients, limits, log, b"INFO")
+    decision_loop.connect(clients, servers)
+    servers.update_endpoint(1, "s-1", ("127.0.0.1", 9), 0, EndpointState.READY)
 
     def get():
         clients.accept_request(
@@ -268,7 +268,7 @@
         reactor.advance(0)
         return list(clients.requests.values())[-1]
 
-    return reactor, clients, caches, get
+    return reactor, clients, servers, get
 
 
 class CacheTransport(StringTransport):
@@ -288,11 +288,11 @@
         self.aborted = True
 
 
-def up(caches, transport=None):
+def up(servers, transport=None):
     """A connection to member 1 comes up; give it."""
-    peer = caches.endpoints[1]
+    peer = servers.endpoints[1]
     peer.connecting += 1
-    caches.connection_count += 1
+    servers.connection_count += 1
     connection = ServerConnection(peer)
     connection.makeConnection(transport or CacheTransport())
     peer.connected(connection)
@@ -301,42 +301,42 @@
 
 def test_the_wait_is_counted_at_the_moment_of_the_send_not_by_the_timer_alone(monkeypatch):
     front = Ordering(send_within=40_000)
-    _, _, caches, get = parts(front)
+    _, _, servers, get = parts(front)
     waiting = get()
     now = waiting.attempts[0].started_at
     monkeypatch.setattr(
         server_endpoint, "clock", lambda: now + 41_000
     )  # the process stood still, its timer is not yet run
-    connection = up(caches)
+    connection = up(servers)
     assert connection.transport.value() == b""
-    caches.reactor.advance(0)
+    servers.reactor.advance(0)
     assert [note.outcome for note in front.heard if isinstance(note, AttemptEnded)] == [
         AttemptOutcome.CONNECT_FAILED
     ]
 
 
 def test_a_connection_that_comes_up_once_its_member_has_gone_takes_nothing():
-    _, _, caches, get = parts(Ordering())
+    _, _, servers, get = parts(Ordering())
     get()
-    peer, old = caches.endpoints[1], ServerConnection(caches.endpoints[1])
-    caches.update_endpoint(
+    peer, old = servers.endpoints[1], ServerConnection(servers.endpoints[1])
+    servers.update_endpoint(
         1, "s-1", ("127.0.0.1", 9), 7, EndpointState.READY
     )  # started anew, at the address of the old one
     old.makeConnection(CacheTransport())
     peer.connected(old)
     assert old.transport.value() == b"" and old.transport.disconnecting
-    assert b"ASK" in up(caches).transport.value()
+    assert b"ASK" in up(servers).transport.value()
 
 
 def test_a_put_half_written_when_its_client_leaves_never_becomes_whole():
     front = Ordering()
-    _, clients, caches, get = parts(front)
-    connection = up(caches, CacheTransport(taken=20))  # the cache does not read: the system takes no more
+    _, clients, servers, get = parts(front)
+    connection = up(servers, CacheTransport(taken=20))  # the cache does not read: the system takes no more
     waiting = get()
     assert connection.transport.dataBuffer
     clients.client_disconnected(waiting)
     assert connection.transport.aborted
-    caches.reactor.advance(0)
+    servers.reactor.advance(0)
     assert [note.outcome for note in front.heard if isinstance(note, AttemptEnded)] == [
         AttemptOutcome.SUPERSEDED
     ]
@@ -344,8 +344,8 @@
 
 def test_a_request_that_a_cache_never_read_whole_has_not_run_when_its_time_is_over():
     front = Ordering()
-    reactor, clients, caches, get = parts(front)
-    connection = up(caches, CacheTransport(taken=20))
+    reactor, clients, servers, get = parts(front)
+    connection = up(servers, CacheTransport(taken=20))
     get()
     reactor.advance(0.9)
     reactor.advance(0)
@@ -358,14 +358,14 @@
 def test_news_of_one_pass_comes_before_what_is_decided_by_it():
     front = Ordering()
     reactor, clients, _, _ = parts(front)
-    turn = clients.decision_loop
+    decision_loop = clients.decision_loop
     left, roster, purge = (
         ClientDisconnected(1),
         EndpointListUpdated(UpdateKind.DELTA, 2, ()),
         PurgeAnnounced(1, 0, 0),
     )
-    turn.gather(left, roster)
-    turn.gather(purge)
+    decision_loop.gather(left, roster)
+    decision_loop.gather(purge)
     reactor.advance(0)
     assert front.heard == [roster, purge, left]
 
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -286,16 +286,16 @@
 def test_what_was_never_written_whole_has_not_run():
     reactor, front, limits = MemoryReactorClock(), EagerFront(), planned(1024, 192, 32, open_gets=9)
     log = Log("n1", 0, 1)
-    turn = DecisionLoop(reactor, front, limits, log)
-    clients = Clients(reactor, turn, limits, log, {b"video": (0, False, 5_000_000)})
-    caches = Servers(reactor, turn, clients, limits, log, b"INFO")
-    turn.connect(clients, caches)
-    caches.update_endpoint(1, "s-1", ("127.0.0.1", 9), 0, EndpointState.READY)
+    decision_loop = DecisionLoop(reactor, front, limits, log)
+    clients = Clients(reactor, decision_loop, limits, log, {b"video": (0, False, 5_000_000)})
+    servers = Servers(reactor, decision_loop, clients, limits, log, b"INFO")
+    decision_loop.connect(clients, servers)
+    servers.update_endpoint(1, "s-1", ("127.0.0.1", 9), 0, EndpointState.READY)
     verdicts = []
-    caches.end_attempt = lambda attempt, outcome, *_: verdicts.append(outcome)
+    servers.end_attempt = lambda attempt, outcome, *_: verdicts.append(outcome)
     for unsent in (0, 1):
-        connection = ServerConnection(caches.endpoints[1])
-        caches.endpoints[1].idle.append(connection)
+        connection = ServerConnection(servers.endpoints[1])
+        servers.endpoints[1].idle.append(connection)
         connection.transport = SimpleNamespace(
             dataBuffer=b"x" * (unsent + 1), offset=1, _tempDataBuffer=[], writeSequence=lambda pieces: None
         )
@@ -469,11 +469,11 @@
 def test_of_many_generations_only_the_last_is_held():
     reactor, host, limits = MemoryReactorClock(), FakeHost(), planned(1024, 192, 32, open_gets=9, gone=-1)
     log = Log("n1", 0, 1)
-    turn = DecisionLoop(reactor, host.front, limits, log)
-    clients = Clients(reactor, turn, limits, log, {})
-    caches = Servers(reactor, turn, clients, limits, log, b"INFO")
-    turn.connect(clients, caches)
-    changes = EndpointWatch(reactor, turn, caches, limits, log, SETTINGS, 7)
+    decision_loop = DecisionLoop(reactor, host.front, limits, log)
+    clients = Clients(reactor, decision_loop, limits, log, {})
+    servers = Servers(reactor, decision_loop, clients, limits, log, b"INFO")
+    decision_loop.connect(clients, servers)
+    changes = EndpointWatch(reactor, decision_loop, servers, limits, log, SETTINGS, 7)
 
     def tell(name, phase):
         changes.apply_event(
@@ -500,8 +500,8 @@
         tell(f"s-{number}", "in_service")
         tell(f"s-{number - 1}", "terminating")
         tell(f"s-{number - 1}", "terminated")
-        caches.sweep()
-    assert len(changes.entries) == len(caches.endpoints) == len(caches.names) == 1
+        servers.sweep()
+    assert len(changes.entries) == len(servers.endpoints) == len(servers.names) == 1
     assert (len(host.front.caches), len(gate.members), len(gate.starts)) == tuple(n + 1 for n in before)
 
 
@@ -574,10 +574,10 @@
 def test_a_fault_of_the_module_errors_its_gets_and_loses_no_purge():
     clock, front, limits = Clock(), BrokenFront(), planned(1024, 192, 32, open_gets=9)
     log = Log("n1", 0, 1)
-    turn = DecisionLoop(clock, front, limits, log)
-    clients = Clients(clock, turn, limits, log, {b"video": (0, False, 5_000_000)})
+    decision_loop = DecisionLoop(clock, front, limits, log)
+    clients = Clients(clock, decision_loop, limits, log, {b"video": (0, False, 5_000_000)})
     connection = FakeConnection()
-    turn.connect(clients, Servers(clock, turn, clients, limits, log, b"INFO"))
+    decision_loop.connect(clients, Servers(clock, decision_loop, clients, limits, log, b"INFO"))
     clients.accept_request(
         connection,
         RequestHead(
@@ -589,7 +589,7 @@
         b"",
     )
     purge = PurgeAnnounced(1, 0, 0)
-    turn.gather(purge)
+    decision_loop.gather(purge)
     clock.advance(0)
     assert connection.answers == [502]
     clock.advance(1)
@@ -642,11 +642,11 @@
 def test_a_forward_ordered_as_its_viewer_leaves_still_has_its_outcome():
     reactor, front, limits = MemoryReactorClock(), EagerFront(), planned(1024, 192, 32, open_gets=9)
     log = Log("n1", 0, 1)
-    turn = DecisionLoop(reactor, front, limits, log)
-    clients = Clients(reactor, turn, limits, log, {b"video": (0, False, 5_000_000)})
-    caches = Servers(reactor, turn, clients, limits, log, b"INFO")
-    turn.connect(clients, caches)
-    caches.update_endpoint(1, "s-1", ("127.0.0.1", 9), 0, EndpointState.READY)
+    decision_loop = DecisionLoop(reactor, front, limits, log)
+    clients = Clients(reactor, decision_loop, limits, log, {b"video": (0, False, 5_000_000)})
+    servers = Servers(reactor, decision_loop, clients, limits, log, b"INFO")
+    decision_loop.connect(clients, servers)
+    servers.update_endpoint(1, "s-1", ("127.0.0.1", 9), 0, EndpointState.READY)
     clients.accept_request(
         FakeConnection(),
         RequestHead(
@@ -659,7 +659,7 @@
     )
     reactor.advance(0)
     (get,) = clients.requests.values()
-    caches.end_attempt(get.attempts[0], AttemptOutcome.MISS)  # in one pass with the viewer's end
+    servers.end_attempt(get.attempts[0], AttemptOutcome.MISS)  # in one pass with the viewer's end
     clients.client_disconnected(get)
     reactor.advance(0)
     reactor.advance(0)
@@ -675,9 +675,9 @@
     clock, front, limits = Clock(), BrokenFront(), planned(1024, 192, 32, open_gets=9)
     front.handle = lambda now, notes: []
     log, connection = Log("n1", 0, 1), FakeConnection()
-    turn = DecisionLoop(clock, front, limits, log)
-    clients = Clients(clock, turn, limits, log, {b"video": (0, False, 5_000_000)})
-    turn.connect(clients, Servers(clock, turn, clients, limits, log, b"INFO"))
+    decision_loop = DecisionLoop(clock, front, limits, log)
+    clients = Clients(clock, decision_loop, limits, log, {b"video": (0, False, 5_000_000)})
+    decision_loop.connect(clients, Servers(clock, decision_loop, clients, limits, log, b"INFO"))
     clients.accept_request(
         connection,
         RequestHead(
--- a/tests/test_terms_standstill.py
+++ b/tests/test_terms_standstill.py
@@ -19,7 +19,7 @@
 from limepath.front.poll_times import measure_read_delay
 from limepath.interface.events import AttemptEnded, AttemptOutcome, PurgeAnnounced, RequestArrived
 from tests.stand_ins import SETTINGS, Site, StandInChangeLog, until
-from tests.test_departed_clients import driven  # noqa: F401 (a fixture)
+from tests.test_client_disconnects import driven  # noqa: F401 (a fixture)
 from tests.test_endings import NOW, Ordering, going_on, parts, stopped, up
 
 SLACK_MS = 150  # the operators' notes: of the time passed to a server, over what the client has left
@@ -144,7 +144,7 @@
     changes = EndpointWatch(
         front.reactor,
         front.clients.decision_loop,
-        front.caches,
+        front.servers,
         front.clients.limits,
         front.clients.log,
         SETTINGS,
@@ -185,12 +185,12 @@
         for module in (attempt, server_endpoint, server_protocol, client_request, clients, decision_loop):
             monkeypatch.setattr(module, "clock", lambda now=now: now[0])
         front = Late(now, takes, send_within=40_000)
-        _, _, caches, get = parts(front)
-        connection = up(caches)
+        _, _, servers, get = parts(front)
+        connection = up(servers)
         get()
         assert (connection.transport.value() != b"") == sent
         if not sent:
-            caches.reactor.advance(0)
+            servers.reactor.advance(0)
             verdicts = [note.outcome for note in front.heard if isinstance(note, AttemptEnded)]
             assert verdicts == [AttemptOutcome.SUPERSEDED]  # nobody is at fault
 
