--- a/limepath/connection_pacing/host.py
+++ b/limepath/connection_pacing/host.py
@@ -4,14 +4,14 @@
 from typing import TYPE_CHECKING
 
 from limepath.connection_pacing.connections import MICROSECONDS_PER_SECOND, ConnectionPacer
-from limepath.front.turn import clock
+from limepath.front.clock import clock
 from limepath.interface.events import ConnectionAvailabilityChanged
 
 if TYPE_CHECKING:
     from twisted.internet.interfaces import IDelayedCall, IReactorTime
 
-    from limepath.front.caches import Caches
-    from limepath.front.turn import Turn
+    from limepath.front.decision_loop import DecisionLoop
+    from limepath.front.servers import Servers
 
 TIMER_SLACK = 0.001  # seconds: the timer must not fire before the time that it is set to
 
@@ -22,7 +22,7 @@
     Attributes:
         reactor: schedules the timer.
         decision_loop: takes events to the decision module.
-        caches: the network code of the endpoints; it asks here before it connects.
+        servers: the network code of the endpoints; it asks here before it connects.
         pacer: the logic.
         timer: fires when the next endpoint becomes available, or None.
     """
@@ -30,19 +30,19 @@
     def __init__(
         self,
         reactor: "IReactorTime",
-        decision_loop: "Turn",
-        caches: "Caches",
+        decision_loop: "DecisionLoop",
+        servers: "Servers",
         rate: float,
         sharing_fronts: Callable[[], int],
         random_fraction: Callable[[], float],
     ) -> None:
-        """Take the arguments of `ConnectionPacer`, and attach to `caches`."""
+        """Take the arguments of `ConnectionPacer`, and attach to `servers`."""
         self.reactor = reactor
         self.decision_loop = decision_loop
-        self.caches = caches
+        self.servers = servers
         self.pacer: ConnectionPacer[int] = ConnectionPacer(rate, sharing_fronts, random_fraction)
         self.timer: IDelayedCall | None = None
-        caches.paced = self
+        servers.paced = self
 
     def may_connect(self, endpoint: int) -> bool:
         """Return whether a connection to this endpoint may be opened now."""
@@ -55,10 +55,12 @@
     def update(self) -> None:
         """Report what is available, after the list or a connection has changed or the timer has fired."""
         now = clock()
-        peers = self.caches.peers
-        self.pacer.update_endpoints(now, [ident for ident, peer in peers.items() if peer.gone is None])
-        for ident, peer in peers.items():
-            self.pacer.set_open_connections(ident, len(peer.connections) + peer.coming)
+        endpoints = self.servers.endpoints
+        self.pacer.update_endpoints(
+            now, [ident for ident, endpoint in endpoints.items() if endpoint.removed_at is None]
+        )
+        for ident, endpoint in endpoints.items():
+            self.pacer.set_open_connections(ident, len(endpoint.connections) + endpoint.connecting)
         changes = self.pacer.availability_changes(now)
         self.decision_loop.gather(*(ConnectionAvailabilityChanged(*change) for change in changes))
         self._set_timer(now)
--- a/limepath/discovery/host.py
+++ b/limepath/discovery/host.py
@@ -27,26 +27,29 @@
 from limepath.discovery.relay import Listing
 from limepath.duties.host import clock
 from limepath.frequency_exchange.host import FrequencyExchange
-from limepath.front.changelog import BadEvent, ChangeLog, Stream
 from limepath.interface.events import EndpointListFreshnessChanged, PurgeAnnounced
 from limepath.logic_host import LogicHost
 
 ROW = "list"  # of the store
 
 
-class GuidedStream(Stream):
+class GuidedStream(EventStream):
     """A stream that tells when the service has accepted the call, and each time it says that it is alive."""
 
     def dataReceived(self, data):
-        before, events = self.body, self.feed.events_heard
+        before, events = self.is_accepted, self.watch.events_heard
         super().dataReceived(data)
-        if self.body and not before:
-            self.feed.gather(StreamOpened())
-        elif self.body and self.feed.events_heard == events and not (self.reader.rest or self.reader.data):
-            self.feed.gather(StreamActive())
+        if self.is_accepted and not before:
+            self.watch.gather(StreamOpened())
+        elif (
+            self.is_accepted
+            and self.watch.events_heard == events
+            and not (self.reader.rest or self.reader.data)
+        ):
+            self.watch.gather(StreamActive())
 
 
-class GuidedChangeLog(ChangeLog):
+class GuidedChangeLog(EndpointWatch):
     """The list of a front that shares. `cooperation` carries messages to other instances and keeps the
     store.
     """
@@ -63,7 +66,7 @@
         self.confirmed = None  # called once the front's list is the service's and its turn has come
         self.paced = None
 
-    def known(self, known):
+    def load_known_events(self, known):
         """What the configuration holds is as old as its file; the service or a relay tells."""
 
     def follow(self, host, port):
@@ -110,7 +113,7 @@
             if self.confirmed:
                 self.confirmed()
         elif isinstance(order, ListFreshnessChanged):
-            self.turn.gather(EndpointListFreshnessChanged(order.late))
+            self.decision_loop.gather(EndpointListFreshnessChanged(order.late))
             self.log.say("list-late" if order.late else "list-in-time")
         elif isinstance(order, LogEvent):
             self.log.say(order.event, **order.fields)
@@ -118,27 +121,27 @@
     def give(self, order):
         self.oldest = order.oldest
         try:
-            self.take(order.told)
-        except BadEvent as flaw:  # its form was checked; what it names this front does not know
+            self.apply_event(order.told)
+        except WatchError as flaw:  # its form was checked; what it names this front does not know
             self.log.say("changelog", f"{flaw}; skipped", number=order.told["seq"])
         self.last = order.told["seq"]
 
-    def fleet(self, told):
+    def apply_update(self, told):
         try:
-            super().fleet(told)
+            super().apply_update(told)
         finally:  # some of it may have been unreadable
             if self.paced:
                 self.paced.update()
 
-    def invalidated(self, told):
+    def apply_purge(self, told):
         """A purge is no older than this front's list was up to date, whatever the clocks say."""
         if self.oldest < 0:
-            return super().invalidated(told)
-        plain, self.turn = self.turn, _Capped(self.turn, self.oldest)
+            return super().apply_purge(told)
+        plain, self.decision_loop = self.decision_loop, _Capped(self.decision_loop, self.oldest)
         try:
-            super().invalidated(told)
+            super().apply_purge(told)
         finally:
-            self.turn = plain
+            self.decision_loop = plain
 
     # The stream
 
@@ -148,7 +151,7 @@
         endpoint = TCP4ClientEndpoint(self.reactor, self.host, self.port, timeout=self.limits.connect / 1e6)
         feed = _Called(self, serial, after)
         self.coming = endpoint.connect(Factory.forProtocol(lambda: GuidedStream(feed)))
-        self.coming.addCallbacks(self.came_up, lambda failure: self.did_not_come(failure, serial))
+        self.coming.addCallbacks(self.connected, lambda failure: self.did_not_come(failure, serial))
 
     def did_not_come(self, failure, serial):
         self.coming = None
@@ -216,10 +219,10 @@
         if self.serial == self.changes.serial:
             self.changes.stream = stream
 
-    def answered(self, stream):
+    def handle_answer(self, stream):
         """Nothing to let go of: there is one call at a time."""
 
-    def event(self, number, text):
+    def handle_event(self, number, text):
         self.events_heard += 1
         self.gather(StreamEventReceived(text, number))
 
@@ -227,7 +230,7 @@
         if self.serial == self.changes.serial:
             self.changes.gather(*notes)
 
-    def lost(self, stream):
+    def handle_disconnect(self, stream):
         if self.changes.stream is stream:
             self.changes.stream = None
         self.gather(StreamClosed("the stream ended"))
--- a/limepath/duties/probe_sharing.py
+++ b/limepath/duties/probe_sharing.py
@@ -26,20 +26,20 @@
 
 
 class DecisionLoop(Protocol):
-    """What is used of the front's loop around its decision module (`front.turn.Turn`)."""
+    """What is used of the front's loop around its decision module (`front.decision_loop.DecisionLoop`)."""
 
     listener: Callable[[Sequence[Any]], object] | None
-    carriers: dict[type, Callable[[Any], object]]
+    command_handlers: dict[type, Callable[[Any], object]]
 
     def gather(self, *events: object) -> None:
         """Hand events to the decision module in the next pass."""
 
 
 class ProbeSender(Protocol):
-    """What is used of the front's connections to its servers (`front.caches.Caches`)."""
+    """What is used of the front's connections to its servers (`front.servers.Servers`)."""
 
     @property
-    def peers(self) -> Mapping[int, object]:
+    def endpoints(self) -> Mapping[int, object]:
         """The endpoints that can be probed, by id."""
 
     def probe(self, command: SendProbe, epoch: int = 0) -> object:
@@ -97,17 +97,17 @@
         self.event_listeners: list[Any] = []
         """Their `saw(events)` is called with all events that the decision module receives."""
         self.counts = {"probes_asked": 0, "probes_shared": 0, "probes_sent": 0, "rounds": 0, "too_late": 0}
-        self.send_probe_unshared = loop.carriers[SendProbe]
+        self.send_probe_unshared = loop.command_handlers[SendProbe]
 
     def attach(self) -> None:
         """Listen to the decision module's events and take over its probes."""
         self.loop.listener = self.handle_front_events
-        self.loop.carriers[SendProbe] = self.send_probe
+        self.loop.command_handlers[SendProbe] = self.send_probe
 
     def detach(self) -> None:
         """Leave the probes to the front alone again."""
         self.loop.listener = None
-        self.loop.carriers[SendProbe] = self.send_probe_unshared
+        self.loop.command_handlers[SendProbe] = self.send_probe_unshared
 
     # From the front to the instance
 
@@ -165,7 +165,7 @@
         """Probe a target that is due, unless its lease has expired meanwhile."""
         if command.until and self.clock() >= command.until:
             self.counts["too_late"] += 1
-        elif command.target in self.probes.peers:
+        elif command.target in self.probes.endpoints:
             self.counts["rounds"] += 1
             self.serving[command.target] = command.duty
             self.probes.probe(SendProbe(command.target), command.epoch)
--- a/limepath/frequency_exchange/host.py
+++ b/limepath/frequency_exchange/host.py
@@ -21,7 +21,7 @@
     from twisted.internet.interfaces import IReactorTime
 
     from limepath.duties.host import Cooperation
-    from limepath.front.turn import Turn
+    from limepath.front.decision_loop import DecisionLoop
 
 
 class FrequencyExchange:
@@ -35,14 +35,14 @@
     """
 
     def __init__(
-        self, reactor: "IReactorTime", decision_loop: "Turn", cooperation: "Cooperation", seed: int
+        self, reactor: "IReactorTime", decision_loop: "DecisionLoop", cooperation: "Cooperation", seed: int
     ) -> None:
         self.decision_loop = decision_loop
         self.cooperation = cooperation
         members = cooperation.instance.members
         self.logic = RequestCountsExchange(seed, lambda: members.ring)
         self.logic_host = LogicHost(reactor, clock, self.logic, self.execute, self.failed)
-        decision_loop.carriers[ReportRequestCounts] = self.counted
+        decision_loop.command_handlers[ReportRequestCounts] = self.report_counts
         cooperation.message_handlers.append(self)
         cooperation.at_stop.append(self.logic_host.close)
         cooperation.views["tallies"] = self.logic.statistics.as_view
--- a/limepath/scale/data_path.py
+++ b/limepath/scale/data_path.py
@@ -1,15 +1,16 @@
 """A front's data path as its control logic sees it, without requests and without sockets.
 
-The stand-ins hold what the hosts of the control logic use of `front.turn.Turn` and `front.caches.Caches`. The
-decision module is left out. A probe costs no socket: it is answered after PROBE_US as a cache in order would
-do, so the duties' results flow. A front asked for its counts tells COUNTS of them, as one in service would.
+The stand-ins hold what the hosts of the control logic use of `front.decision_loop.DecisionLoop` and
+`front.caches.Caches`. The decision module is left out. A probe costs no socket: it is answered after
+PROBE_US as a cache in order would do, so the duties' results flow. A front asked for its counts tells COUNTS
+of them, as one in service would.
 """
 
 from zlib import crc32
 
 from limepath.configuration.decision_settings import LOAD_NAMES
+from limepath.front.clock import clock
 from limepath.front.reference_clock import ReferenceClock
-from limepath.front.turn import clock
 from limepath.interface.commands import ReportRequestCounts, SendProbe
 from limepath.interface.events import (
     AttemptOutcome,
@@ -26,14 +27,14 @@
 
 
 class HollowTurn:
-    """In place of Turn: notes go to the listener and nowhere else; `answer` is the front's callLater."""
+    """In place of DecisionLoop: notes go to the listener only; `answer` is the front's callLater."""
 
     def __init__(self, call_later, seed):
         self.call_later, self.seed = call_later, seed
-        self.listener, self.carriers = None, {}
+        self.listener, self.command_handlers = None, {}
 
     def joined(self, caches):
-        self.carriers[SendProbe] = caches.probe
+        self.command_handlers[SendProbe] = caches.probe
 
     def gather(self, *notes):
         if self.listener:
@@ -47,17 +48,17 @@
             (crc32(b"%d:%d" % (self.seed, rank)), 0, float(COUNTS - rank))
             for rank in range(min(COUNTS, asked.limit))
         )
-        self.carriers[ReportRequestCounts](ReportRequestCounts(asked.cookie, counts))
+        self.command_handlers[ReportRequestCounts](ReportRequestCounts(asked.cookie, counts))
 
 
 class HollowPeer:
     """One member of the list; no connection ever leads to it."""
 
-    __slots__ = ("kind", "gone")
-    connections, coming = (), 0
+    __slots__ = ("kind", "removed_at")
+    connections, connecting = (), 0
 
     def __init__(self):
-        self.kind = self.gone = None
+        self.kind = self.removed_at = None
 
 
 class HollowCaches:
@@ -65,18 +66,18 @@
 
     def __init__(self, call_later, turn, limits):
         self.call_later, self.turn, self.limits = call_later, turn, limits
-        self.peers, self.secured, self.paced = {}, None, None
+        self.endpoints, self.secured, self.paced = {}, None, None
         self.reference = ReferenceClock(limits.skew)
 
-    def listed(self, ident, name, address, since, standing, kind=None):
-        if ident not in self.peers:
+    def update_endpoint(self, ident, name, address, since, standing, kind=None):
+        if ident not in self.endpoints:
             if standing == EndpointState.REMOVED:
                 return
-            self.peers[ident] = HollowPeer()
-        peer = self.peers[ident]
-        peer.kind, peer.gone = kind, clock() if standing == EndpointState.REMOVED else None
+            self.endpoints[ident] = HollowPeer()
+        peer = self.endpoints[ident]
+        peer.kind, peer.removed_at = kind, clock() if standing == EndpointState.REMOVED else None
 
-    def purged(self, purge):
+    def apply_purge(self, purge):
         """No request waits that a purge could concern."""
 
     def probe(self, order, epoch=0):
@@ -88,6 +89,10 @@
     def sweep(self):
         """Forget members that have been gone for long."""
         oldest = clock() - self.limits.removed_endpoint_lifetime
-        gone = [ident for ident, peer in self.peers.items() if peer.gone is not None and peer.gone < oldest]
+        gone = [
+            ident
+            for ident, peer in self.endpoints.items()
+            if peer.removed_at is not None and peer.removed_at < oldest
+        ]
         for ident in gone:
-            del self.peers[ident]
+            del self.endpoints[ident]
