--- a/limepath/discovery/calls.py
+++ b/limepath/discovery/calls.py
@@ -16,13 +16,20 @@
     """`chance()` gives a number from 0 to 1, drawn."""
 
     def __init__(self, terms, chance):
-        self.terms, self.chance = terms, chance
-        self.seen, self.since, self.due, self.span, self.share, self.first = 1, None, None, None, 0.0, True
+        self.terms = terms
+        self.chance = chance
+        self.seen = 1
+        self.since = None
+        self.due = None
+        self.span = None
+        self.share = 0.0
+        self.first = True
 
     def view(self, now, size):
         """So many instances live, this one among them."""
         if size != self.seen or self.since is None:
-            self.seen, self.since = size, now
+            self.seen = size
+            self.since = now
 
     def settled(self, now):
         return self.since is not None and now - self.since >= SETTLED
@@ -63,7 +70,8 @@
 
     def called(self):
         """A call goes out now."""
-        self.due, self.first = None, False
+        self.due = None
+        self.first = False
 
     def unwanted(self):
         """No call is wanted any more."""
--- a/limepath/discovery/catch_up.py
+++ b/limepath/discovery/catch_up.py
@@ -75,7 +75,8 @@
     """
 
     def __init__(self, contents: Contents, limit: int = CHUNK_BYTES):
-        self.contents, self.limit = contents, limit
+        self.contents = contents
+        self.limit = limit
         self.digests = digests(contents)
         self.pages = spread(contents, self.digests.layout)
         self.packed = {INDEX: packed_index(self.digests)}
@@ -111,7 +112,8 @@
     """The chunks of one page that have come."""
 
     def __init__(self):
-        self.count, self.data = None, {}
+        self.count = None
+        self.data = {}
 
     def missing(self) -> range | list[int]:
         if self.count is None:
@@ -153,7 +155,8 @@
         if parts is None or chunk.chunk in parts.data:
             return False
         self.check(chunk, parts)
-        self.place, self.mark = chunk.place, chunk.mark
+        self.place = chunk.place
+        self.mark = chunk.mark
         parts.count = chunk.count
         parts.data[chunk.chunk] = chunk.data
         if not parts.missing():
--- a/limepath/discovery/children.py
+++ b/limepath/discovery/children.py
@@ -25,8 +25,12 @@
     __slots__ = ("until", "reads", "sent", "unanswered", "stamp", "stamp_at")
 
     def __init__(self):
-        self.until, self.reads, self.sent, self.unanswered = 0, SubscriptionMode.HEARTBEATS, None, []
-        self.stamp = self.stamp_at = 0
+        self.until = 0
+        self.reads = SubscriptionMode.HEARTBEATS
+        self.sent = None
+        self.unanswered = []
+        self.stamp = 0
+        self.stamp_at = 0
 
     def overdue(self, now):
         """The last event that must have been acknowledged by now, or None."""
@@ -38,12 +42,12 @@
 class Children(Component):
     def __init__(self, listing):
         super().__init__(listing)
-        self.known, self.ticking = {}, False
-        self.further, self.refilled = FURTHER, 0
-        self.pieces, self.askers = (
-            {},
-            0,
-        )  # of lists sent in this tick, by token; who asked for any in the last
+        self.known = {}
+        self.ticking = False
+        self.further = FURTHER
+        self.refilled = 0
+        self.pieces = {}
+        self.askers = 0  # of lists sent in this tick, by token; who asked for any in the last
 
     def readers(self):
         return [child for child in self.known.values() if child.reads == SubscriptionMode.BATCHES]
@@ -72,8 +76,10 @@
             beat = self.followers.my_beat()
             return self.timers.emit(SendToMember(token, answering(beat, message.stamp, refused=True)))
         child = self.known.setdefault(token, Child())
-        child.until, child.reads = now + LEASE * self.terms.beat, message.reads
-        child.stamp, child.stamp_at = message.stamp, now
+        child.until = now + LEASE * self.terms.beat
+        child.reads = message.reads
+        child.stamp = message.stamp
+        child.stamp_at = now
         self.timers.emit(SendToMember(token, answering(self.followers.my_beat(), message.stamp)))
         if message.reads != SubscriptionMode.BATCHES:
             child.sent = None
@@ -90,7 +96,8 @@
         lost = overdue is not None and message.number < overdue
         if child.sent is None or message.lacks or lost or message.number > child.sent:
             self.counts["sent again"] += child.sent is not None and child.sent > message.number
-            child.sent, child.unanswered = message.number, []
+            child.sent = message.number
+            child.unanswered = []
 
     # Sending
 
@@ -166,7 +173,8 @@
     def refill(self):
         """So many further datagrams of events and so many of lists in each span of a tick."""
         if self.timers.now - self.refilled >= self.terms.gather:
-            self.further, self.refilled = FURTHER, self.timers.now
+            self.further = FURTHER
+            self.refilled = self.timers.now
             self.pieces, self.askers = {}, len(self.pieces)
 
 
--- a/limepath/discovery/coding.py
+++ b/limepath/discovery/coding.py
@@ -169,8 +169,11 @@
     """A batch that grows by events that follow each other, the first with the number `first`."""
 
     def __init__(self, first: int):
-        self.first, self.parts, self.size = first, [], 0
-        self.base = self.time = None  # of the first purge here and of the last
+        self.first = first
+        self.parts = []
+        self.size = 0
+        self.base = None
+        self.time = None  # of the first purge here and of the last
 
     def add(self, seq: int, entry: Entry, limit: int) -> bool:
         """Take one more event in, or give False where it does not follow or the batch would pass `limit`."""
@@ -183,7 +186,8 @@
         part = self.part(entry)
         if len(self.head(base, len(self.parts) + 1)) + self.size + len(part) > limit:
             return False
-        self.base, self.time = base, time
+        self.base = base
+        self.time = time
         self.parts.append(part)
         self.size += len(part)
         return True
--- a/limepath/discovery/component.py
+++ b/limepath/discovery/component.py
@@ -6,8 +6,11 @@
 
     def __init__(self, listing):
         self.listing = listing
-        self.me, self.terms, self.live = listing.me, listing.terms, listing.live
-        self.timers, self.counts = listing.timers, listing.counts
+        self.me = listing.me
+        self.terms = listing.terms
+        self.live = listing.live
+        self.timers = listing.timers
+        self.counts = listing.counts
 
     @property
     def held(self):
--- a/limepath/discovery/followers.py
+++ b/limepath/discovery/followers.py
@@ -18,7 +18,8 @@
 
     def __init__(self, listing):
         super().__init__(listing)
-        self.known, self.to_push = {}, []
+        self.known = {}
+        self.to_push = []
 
     def my_beat(self):
         now, place, held = self.timers.now, self.held.list.place, self.held
@@ -47,7 +48,8 @@
             self.timers.emit(SendToMember(token, self.my_beat()))
 
     def push(self):
-        numbers, self.to_push = self.to_push, []
+        numbers = self.to_push
+        self.to_push = []
         if numbers and self.known:
             messages = self.events_from(numbers[0])
             for token in self.known:
--- a/limepath/discovery/heard.py
+++ b/limepath/discovery/heard.py
@@ -22,7 +22,8 @@
     def __init__(self, listing):
         super().__init__(listing)
         self.behind_since = None
-        self.early, self.waits = {}, False  # batches that came before those before them, by first event
+        self.early = {}
+        self.waits = False  # batches that came before those before them, by first event
 
     def beat(self, token, message):
         now, place = self.timers.now, self.held.list.place
@@ -30,7 +31,9 @@
         source = self.upstream.sources.get(token)
         if source is None:
             return
-        source.beat, source.at, source.owes = message, now, None
+        source.beat = message
+        source.at = now
+        source.owes = None
         theirs = Revision(message.generation, message.number)
         if message.refused:
             return self.tree.turned_away(token)
@@ -96,12 +99,15 @@
         """
         source = self.upstream.sources.get(token)
         if source:
-            source.bad_until, source.behind = self.timers.now + BAD, None
+            source.bad_until = self.timers.now + BAD
+            source.behind = None
         self.counts["contradictions"] += 1
         self.timers.emit(LogEvent("list-contradiction", {"peer": f"{token:016x}", "why": why}))
-        self.roles.suspicious = self.stream.whole = True
+        self.roles.suspicious = True
+        self.stream.whole = True
         if self.stream.state and self.stream.caught_up:  # we hold the service's own word
-            self.roles.suspicious = self.stream.whole = False
+            self.roles.suspicious = False
+            self.stream.whole = False
 
     def nonsense(self, token, why):
         if token in self.upstream.sources:
--- a/limepath/discovery/held.py
+++ b/limepath/discovery/held.py
@@ -30,8 +30,12 @@
 
     def __init__(self, listing):
         super().__init__(listing)
-        self.list, self.window = self.empty(), Window(self.terms.window, self.terms.window_bytes)
-        self.given, self.confirmed_at, self.saving, self.stale = False, None, False, False
+        self.list = self.empty()
+        self.window = Window(self.terms.window, self.terms.window_bytes)
+        self.given = False
+        self.confirmed_at = None
+        self.saving = False
+        self.stale = False
 
     def empty(self):
         return List(self.terms.gone + self.terms.window)
@@ -84,7 +88,8 @@
 
     def adopt(self, new):
         """Put another list in the place of ours."""
-        self.list, self.given = new, False
+        self.list = new
+        self.given = False
         self.window.restart(new.place.number)
         self.save_soon()
         if self.confirmed_at is not None:
--- a/limepath/discovery/host.py
+++ b/limepath/discovery/host.py
@@ -59,7 +59,8 @@
             members.me.token, terms, seed, lambda: members.ring, cooperation.store.all().get(ROW)
         )
         self.logic_host = LogicHost(reactor, clock, self.logic, self.execute, self.failed)
-        self.serial, self.oldest = 0, -1
+        self.serial = 0
+        self.oldest = -1
         self.confirmed = None  # called once the front's list is the service's and its turn has come
         self.paced = None
 
@@ -68,7 +69,9 @@
 
     def follow(self, host, port):
         """The address of the service; the logic says when to call."""
-        moved, self.host, self.port = hasattr(self, "host"), host, port
+        moved = hasattr(self, "host")
+        self.host = host
+        self.port = port
         if moved:
             self.gather(ServiceMoved())
         else:
@@ -134,7 +137,8 @@
         """A purge is no older than this front's list was up to date, whatever the clocks say."""
         if self.oldest < 0:
             return super().invalidated(told)
-        plain, self.turn = self.turn, _Capped(self.turn, self.oldest)
+        plain = self.turn
+        self.turn = _Capped(self.turn, self.oldest)
         try:
             super().invalidated(told)
         finally:
@@ -161,7 +165,8 @@
             self.coming.cancel()
         if self.stream:
             self.stream.transport.abortConnection()
-        self.stream = self.coming = None
+        self.stream = None
+        self.coming = None
 
     def sweep(self):
         """Silence is the logic's to judge."""
@@ -204,8 +209,14 @@
     """What one stream knows of its change log: so that a former call's bytes reach nobody."""
 
     def __init__(self, changes, serial, last):
-        self.changes, self.serial, self.last, self.pauses, self.events_heard = changes, serial, last, 0, 0
-        self.host, self.limits, self.log = changes.host, changes.limits, changes.log
+        self.changes = changes
+        self.serial = serial
+        self.last = last
+        self.pauses = 0
+        self.events_heard = 0
+        self.host = changes.host
+        self.limits = changes.limits
+        self.log = changes.log
 
     @property
     def stream(self):
@@ -237,7 +248,8 @@
     """A turn to which no purge is older than so many microseconds."""
 
     def __init__(self, turn, oldest):
-        self.turn, self.oldest = turn, oldest
+        self.turn = turn
+        self.oldest = oldest
 
     def gather(self, *notes):
         self.turn.gather(
--- a/limepath/discovery/integers.py
+++ b/limepath/discovery/integers.py
@@ -38,7 +38,8 @@
     """Reads bytes from a place on; raises Damaged where they end too early."""
 
     def __init__(self, data: bytes, at: int = 0):
-        self.data, self.at = data, at
+        self.data = data
+        self.at = at
 
     def left(self) -> int:
         return len(self.data) - self.at
--- a/limepath/discovery/page_transfer.py
+++ b/limepath/discovery/page_transfer.py
@@ -22,7 +22,10 @@
     """A list on its way here from one front."""
 
     def __init__(self, token, mine):
-        self.token, self.catch_up, self.asked, self.stalls = token, CatchUp(mine), set(), 0
+        self.token = token
+        self.catch_up = CatchUp(mine)
+        self.asked = set()
+        self.stalls = 0
 
 
 class Pages(Component):
@@ -30,7 +33,10 @@
 
     def __init__(self, listing):
         super().__init__(listing)
-        self.snapshots, self.asked_at, self.made_at, self.transfer = {}, {}, 0, None
+        self.snapshots = {}
+        self.asked_at = {}
+        self.made_at = 0
+        self.transfer = None
 
     def contents(self):
         """The list as it stands."""
@@ -52,7 +58,8 @@
                 return last
         self.drop()
         made = Standing(self.contents())
-        self.snapshots[made.place, made.mark], self.made_at = made, self.timers.now
+        self.snapshots[made.place, made.mark] = made
+        self.made_at = self.timers.now
         return made
 
     def drop(self):
@@ -150,5 +157,6 @@
             new.put(member)
         for kept in contents.purges:
             new.purges.add_kept(self.timers.now, kept)
-        new.place, new.revision = contents.place, contents.revision
+        new.place = contents.place
+        new.revision = contents.revision
         return new
--- a/limepath/discovery/relay.py
+++ b/limepath/discovery/relay.py
@@ -67,13 +67,22 @@
     """`me` is this instance's token, `live()` the others that live; `saved` what the store held, or None."""
 
     def __init__(self, me, terms, seed, live, saved=None):
-        self.me, self.terms, self.live = me, terms, live
-        self.timers, self.counts = TimerQueue(seed), dict.fromkeys(COUNTED, 0)
-        self.scopes, self.tree = KnownScopes(self), Tree(self)
-        self.held, self.upstream, self.roles = Held(self), Upstream(self), Roles(self)
-        self.stream, self.heard = Stream(self), Heard(self)
+        self.me = me
+        self.terms = terms
+        self.live = live
+        self.timers = TimerQueue(seed)
+        self.counts = dict.fromkeys(COUNTED, 0)
+        self.scopes = KnownScopes(self)
+        self.tree = Tree(self)
+        self.held = Held(self)
+        self.upstream = Upstream(self)
+        self.roles = Roles(self)
+        self.stream = Stream(self)
+        self.heard = Heard(self)
         self.pages = Pages(self)
-        self.followers, self.children, self.snapshot = Followers(self), Children(self), Snapshot(self)
+        self.followers = Followers(self)
+        self.children = Children(self)
+        self.snapshot = Snapshot(self)
         self.desks = {
             StreamOpened: self.stream.up,
             StreamActive: self.stream.says,
--- a/limepath/discovery/roles.py
+++ b/limepath/discovery/roles.py
@@ -19,8 +19,12 @@
     def __init__(self, listing):
         super().__init__(listing)
         self.budget = Budget(self.terms, self.timers.random_fraction)
-        self.role, self.unneeded, self.unheard, self.looking = Role.FOLLOWS, None, None, 0
-        self.tries_since, self.suspicious = None, False
+        self.role = Role.FOLLOWS
+        self.unneeded = None
+        self.unheard = None
+        self.looking = 0
+        self.tries_since = None
+        self.suspicious = False
 
     def look(self):
         """Every beat: who is to be followed, who is passed over, whether to call."""
--- a/limepath/discovery/scopes.py
+++ b/limepath/discovery/scopes.py
@@ -27,10 +27,16 @@
     def __init__(self, listing):
         super().__init__(listing)
         self.mine = Scope(self.terms.zone, self.terms.site)
-        self.known, self.shared = {}, {}  # by token; one Scope for all fronts of a site
-        self.mates, self.digest = {self.me: self.mine}, digest_of(self.me, self.mine)
-        self.version, self.changed_at = 0, 0
-        self.after, self.same, self.beats, self.served = -1, False, 0, 0
+        self.known = {}
+        self.shared = {}  # by token; one Scope for all fronts of a site
+        self.mates = {self.me: self.mine}
+        self.digest = digest_of(self.me, self.mine)
+        self.version = 0
+        self.changed_at = 0
+        self.after = -1
+        self.same = False
+        self.beats = 0
+        self.served = 0
 
     def learn(self, token, zone, site=""):
         """A front has told its scope, or another did."""
@@ -84,7 +90,8 @@
 
     def ask(self, live):
         """The tree, every beat: a few of unknown scope, and one of the zone for what differs."""
-        self.beats, self.served = self.beats + 1, 0
+        self.beats = self.beats + 1
+        self.served = 0
         unknown = [token for token in live if token not in self.known]
         for token in self.timers.sample(unknown, self.how_many(len(unknown), len(live))):
             self.timers.emit(SendToMember(token, ScopeAnnouncement(self.terms.zone, True, self.terms.site)))
--- a/limepath/discovery/simulate.py
+++ b/limepath/discovery/simulate.py
@@ -64,8 +64,13 @@
     """
 
     def __init__(self, world, caches):
-        self.world, self.mode, self.events, self.streams = world, "up", [], {}
-        self.calls, self.most_streams, self.told_at = [], {}, {}
+        self.world = world
+        self.mode = "up"
+        self.events = []
+        self.streams = {}
+        self.calls = []
+        self.most_streams = {}
+        self.told_at = {}
         self.add(
             {"fleet": {"complete": True, "revision": 1, "members": [member(f"s-{i}") for i in range(caches)]}}
         )
@@ -126,10 +131,20 @@
 
 class Node:
     def __init__(self, world, index):
-        self.world, self.index, self.zone = world, index, f"z{index % world.zones}"
-        self.token, self.life, self.serial = world.chance.getrandbits(63), 0, 0
-        self.members = self.logic = self.wake_at = None
-        self.saved, self.paused, self.queue, self.front, self.ready_at = None, False, [], 0, None
+        self.world = world
+        self.index = index
+        self.zone = f"z{index % world.zones}"
+        self.token = world.chance.getrandbits(63)
+        self.life = 0
+        self.serial = 0
+        self.members = None
+        self.logic = None
+        self.wake_at = None
+        self.saved = None
+        self.paused = False
+        self.queue = []
+        self.front = 0
+        self.ready_at = None
 
     def start(self, seeds):
         world = self.world
@@ -138,7 +153,11 @@
             self.token, f"n{self.index}", str(self.index), PORT, self.life << REFUTATION_BITS, world.now
         )
         self.members = Members(me, seeds, world.spans, world.chance.getrandbits(32))
-        self.wake_at, self.paused, self.queue, self.ready_at, self.front = None, False, [], None, 0
+        self.wake_at = None
+        self.paused = False
+        self.queue = []
+        self.ready_at = None
+        self.front = 0
         self.born = world.now
         terms = world.terms._replace(zone=self.zone)
         kind = Lone if world.alone else Listing
@@ -149,7 +168,8 @@
         self.carry(self.logic.start(world.now))
 
     def stop(self):
-        self.members = self.logic = None
+        self.members = None
+        self.logic = None
         self.serial += 1
         self.world.service.streams.pop(self, None)
 
@@ -167,7 +187,8 @@
 
     def resume(self):
         self.paused = False
-        notes, self.queue = self.queue[-2000:], []
+        notes = self.queue[-2000:]
+        self.queue = []
         for note in notes:
             self.heard(note) if isinstance(note, MessageReceived) else self.hear([note])
         self.wake(self.wake_at)
@@ -215,14 +236,12 @@
     """A front as it is without relays: it calls when it has no stream, after a pause that doubles."""
 
     def __init__(self, me, terms, seed, live, saved):
-        self.chance, self.now, self.due, self.pauses, self.up, self.number = (
-            Random(seed),
-            0,
-            None,
-            0,
-            False,
-            0,
-        )
+        self.chance = Random(seed)
+        self.now = 0
+        self.due = None
+        self.pauses = 0
+        self.up = False
+        self.number = 0
 
     def start(self, now):
         return [OpenStream(0)]
@@ -236,10 +255,12 @@
                     orders += [ApplyEvent(told)] + (
                         [] if self.number else [ListConfirmed((0, told["seq"]), 0)]
                     )
-                    self.number, self.pauses = told["seq"], 0
+                    self.number = told["seq"]
+                    self.pauses = 0
             elif isinstance(note, (StreamClosed, ServiceMoved)):
                 pause = min(600 * MS, 100 * MS << min(10, self.pauses))
-                self.pauses, self.due = self.pauses + 1, now + int(pause * (0.5 + self.chance.random()))
+                self.pauses = self.pauses + 1
+                self.due = now + int(pause * (0.5 + self.chance.random()))
         if self.due is not None and now >= self.due:
             self.due = None
             orders.append(OpenStream(self.number))
@@ -251,17 +272,21 @@
 
 class World:
     def __init__(self, fronts, zones, seed, terms, loss, alone, caches, spans):
-        self.chance, self.now, self.order, self.calendar = Random(seed), 0, 0, []
-        self.zones, self.alone, self.spans, self.epoch, self.messages, self.list_messages = (
-            zones,
-            alone,
-            spans,
-            0,
-            0,
-            0,
-        )
-        self.terms, self.network = terms, Network(Random(seed + 1), loss)
-        self.service, self.lates, self.wrong = Service(self, caches), [], 0
+        self.chance = Random(seed)
+        self.now = 0
+        self.order = 0
+        self.calendar = []
+        self.zones = zones
+        self.alone = alone
+        self.spans = spans
+        self.epoch = 0
+        self.messages = 0
+        self.list_messages = 0
+        self.terms = terms
+        self.network = Network(Random(seed + 1), loss)
+        self.service = Service(self, caches)
+        self.lates = []
+        self.wrong = 0
         self.nodes = [Node(self, index) for index in range(fronts)]
 
     def at(self, when, call, *said):
@@ -425,7 +450,8 @@
     service, since = world.service, world.now
     zone = world.chance.choice(sorted({node.zone for node in world.nodes}))
     relays = world.relays(zone)
-    count, world.lates = len(service.events), []
+    count = len(service.events)
+    world.lates = []
     limit, back = bound.relays_gone, None
     if kind == "relays-killed":
         for node in relays:
@@ -467,7 +493,8 @@
 
 
 def _again(service):
-    streams, service.streams = service.streams, {}
+    streams = service.streams
+    service.streams = {}
     service.turn("up")
     for node, serial in streams.items():  # what stood still is of no use any more
         service.say(node, serial, StreamClosed("ended"))
--- a/limepath/discovery/simulate_tree.py
+++ b/limepath/discovery/simulate_tree.py
@@ -93,16 +93,31 @@
 
     def __init__(self, world, index):
         plan = world.plan
-        self.world, self.index, self.token = world, index, world.chance.getrandbits(63)
+        self.world = world
+        self.index = index
+        self.token = world.chance.getrandbits(63)
         site = index % plan.sites
-        self.zone, self.site = f"z{site % plan.zones}", f"site{site}"
+        self.zone = f"z{site % plan.zones}"
+        self.site = f"site{site}"
         self.region = site % plan.zones % plan.regions
         self.me = MemberRecord(self.token, f"n{index}", "127.0.0.1", PORT, 1 << REFUTATION_BITS, 0)
-        self.logic, self.paused, self.queue, self.wake_at, self.serial = None, False, [], None, 0
+        self.logic = None
+        self.paused = False
+        self.queue = []
+        self.wake_at = None
+        self.serial = 0
         self.older = False
-        self.delay, self.front, self.got, self.stale, self.fetched = 0, 0, {}, [], 0
-        self.bytes = self.datagrams = self.most_bytes = 0
-        self.second, self.second_bytes, self.readers_seen = 0, 0, 0
+        self.delay = 0
+        self.front = 0
+        self.got = {}
+        self.stale = []
+        self.fetched = 0
+        self.bytes = 0
+        self.datagrams = 0
+        self.most_bytes = 0
+        self.second = 0
+        self.second_bytes = 0
+        self.readers_seen = 0
 
     def start(self):
         world = self.world
@@ -112,18 +127,22 @@
         self.carry(self.logic.start(world.now))
 
     def kill(self):
-        self.logic, self.serial = None, self.serial + 1
+        self.logic = None
+        self.serial = self.serial + 1
         self.world.service.streams.pop(self, None)
 
     def restart(self):
         """Start again with nothing."""
         self.world.alive[self.token] = None
-        self.front, self.wake_at, self.queue = 0, None, []
+        self.front = 0
+        self.wake_at = None
+        self.queue = []
         self.start()
 
     def resume(self):
         self.paused = False
-        notes, self.queue = self.queue[-2000:], []
+        notes = self.queue[-2000:]
+        self.queue = []
         self.hear(notes)
 
     def hear(self, notes):
@@ -166,7 +185,8 @@
     def sent(self, size):
         second = self.world.now // SECOND
         if second != self.second:
-            self.second, self.second_bytes = second, 0
+            self.second = second
+            self.second_bytes = 0
         self.second_bytes += size
         self.most_bytes = max(self.most_bytes, self.second_bytes)
         self.bytes += size
@@ -177,8 +197,12 @@
     """The list service; a stream of a region that is cut off from it stands still."""
 
     def __init__(self, world, caches):
-        self.world, self.streams, self.events, self.told_at = world, {}, [], {}
-        self.calls, self.most_streams = [], {}  # when; the most streams of a zone at once
+        self.world = world
+        self.streams = {}
+        self.events = []
+        self.told_at = {}
+        self.calls = []
+        self.most_streams = {}  # when; the most streams of a zone at once
         members = [member(f"s-{index}") for index in range(caches)]
         self.add({"fleet": {"complete": True, "revision": 1, "members": members}})
 
@@ -222,16 +246,25 @@
     """The fleet, its network and its clock."""
 
     def __init__(self, plan, seed, terms=None):
-        self.plan, self.chance, self.now, self.order, self.timers = plan, Random(seed), 0, 0, []
+        self.plan = plan
+        self.chance = Random(seed)
+        self.now = 0
+        self.order = 0
+        self.timers = []
         self.terms = (terms or DiscoverySettings())._replace(fronts=plan.fronts)
         if plan.broken == "window":
             self.terms = self.terms._replace(window=10 * SECOND, window_bytes=10_000)
-        self.network, self.cuts = Network(Random(seed + 1), plan.loss), set()
-        self.service, self.gone = Service(self, plan.caches), {}
+        self.network = Network(Random(seed + 1), plan.loss)
+        self.cuts = set()
+        self.service = Service(self, plan.caches)
+        self.gone = {}
         self.fronts = [Front(self, index) for index in range(plan.fronts)]
         self.by_token = {front.token: front for front in self.fronts}
-        self.alive, self.hidden = {front.token: None for front in self.fronts}, {}
-        self.encoder, self.sizes, self.counted = msgspec.msgpack.Encoder(), {}, {}
+        self.alive = {front.token: None for front in self.fronts}
+        self.hidden = {}
+        self.encoder = msgspec.msgpack.Encoder()
+        self.sizes = {}
+        self.counted = {}
 
     def at(self, when, call, *said):
         self.order += 1
@@ -395,7 +428,9 @@
     """Figures of the fleet while nothing but the loss of datagrams happens."""
     since = world.now
     for front in world.fronts:
-        front.bytes = front.datagrams = front.most_bytes = 0
+        front.bytes = 0
+        front.datagrams = 0
+        front.most_bytes = 0
     world.run(since + plan.span)
     told_until = world.now
     sent = sorted(front.bytes * SECOND / plan.span for front in world.fronts)
--- a/limepath/discovery/snapshot.py
+++ b/limepath/discovery/snapshot.py
@@ -20,8 +20,13 @@
     """A whole list on its way here, in pieces."""
 
     def __init__(self, token):
-        self.token, self.place, self.of, self.mark, self.pieces = token, None, 1, b"", {}
-        self.asked, self.stalls = set(), 0
+        self.token = token
+        self.place = None
+        self.of = 1
+        self.mark = b""
+        self.pieces = {}
+        self.asked = set()
+        self.stalls = 0
 
 
 class Snapshot(Component):
@@ -29,14 +34,17 @@
 
     def __init__(self, listing):
         super().__init__(listing)
-        self.packs, self.packed_at, self.fetch = OrderedDict(), 0, None
+        self.packs = OrderedDict()
+        self.packed_at = 0
+        self.fetch = None
 
     def pack(self, place):
         """The packed list at a place, if it is held; `place` with number -1 is the newest."""
         if place.number < 0 and self.held.list.place.number and self.held.confirmed_at is not None:
             place = self.recent() or self.held.list.place
             if place not in self.packs:
-                self.packs[place], self.packed_at = self.held.list.packed(self.timers.now), self.timers.now
+                self.packs[place] = self.held.list.packed(self.timers.now)
+                self.packed_at = self.timers.now
                 while len(self.packs) > 2:
                     self.packs.popitem(last=False)
         return place, self.packs.get(place)
@@ -104,7 +112,9 @@
             self.fetch = None
             return self.heard.nonsense(token, f"a list of {message.of} pieces")
         if fetch.place is None:
-            fetch.place, fetch.of, fetch.mark = place, message.of, message.mark
+            fetch.place = place
+            fetch.of = message.of
+            fetch.mark = message.mark
         if (place, message.of, message.mark) != (fetch.place, fetch.of, fetch.mark):
             return
         fetch.stalls = 0
--- a/limepath/discovery/state.py
+++ b/limepath/discovery/state.py
@@ -25,7 +25,10 @@
     """`place` is (generation, number); (0, 0) until something was taken. Purges are kept for `kept_for`."""
 
     def __init__(self, kept_for=PURGES_KEPT):
-        self.place, self.members, self.revision, self.digest = Revision(), {}, 0, 0
+        self.place = Revision()
+        self.members = {}
+        self.revision = 0
+        self.digest = 0
         self.purges = RecentPurges(kept_for, 0, PURGE_BYTES)
 
     def take(self, told, now=0, age=0):
@@ -35,7 +38,8 @@
         if "fleet" in told:
             fleet = told["fleet"]
             if fleet.get("complete"):
-                self.members, self.digest = {}, 0
+                self.members = {}
+                self.digest = 0
             for member in fleet["members"]:
                 self.put(member)
             self.revision = fleet.get("revision", 0) if isinstance(fleet.get("revision", 0), int) else 0
--- a/limepath/discovery/stream.py
+++ b/limepath/discovery/stream.py
@@ -20,31 +20,40 @@
 
     def __init__(self, listing):
         super().__init__(listing)
-        self.state, self.heard_at, self.event_at, self.serial = None, 0, 0, 0
-        self.incoming, self.caught_up, self.overlapped = None, False, False
-        self.whole, self.doubted, self.times = True, None, EventTimes()
-        self.meets, self.tail = False, []  # the events told anew lead through our list; those beyond it
+        self.state = None
+        self.heard_at = 0
+        self.event_at = 0
+        self.serial = 0
+        self.incoming = None
+        self.caught_up = False
+        self.overlapped = False
+        self.whole = True
+        self.doubted = None
+        self.times = EventTimes()
+        self.meets = False
+        self.tail = []  # the events told anew lead through our list; those beyond it
         self.differs = False  # one of them is not as we hold it
 
     def call(self):
         self.roles.budget.called()
         self.counts["calls"] += 1
         self.serial += 1
-        self.state, self.heard_at, self.event_at, self.caught_up = (
-            CALLING,
-            self.timers.now,
-            self.timers.now,
-            False,
-        )
+        self.state = CALLING
+        self.heard_at = self.timers.now
+        self.event_at = self.timers.now
+        self.caught_up = False
         number = self.held.list.place.number
         self.whole |= number not in self.held.window
-        self.incoming, self.overlapped = self.held.empty() if self.whole else None, False
+        self.incoming = self.held.empty() if self.whole else None
+        self.overlapped = False
         self.timers.emit(
             OpenStream(0 if self.whole else number - 1)
         )  # one that we hold: a service restored from an older
         # state, which would say nothing until its numbers pass ours, does not tell it again
         self.times.clear()
-        self.meets, self.differs, self.tail = False, False, []
+        self.meets = False
+        self.differs = False
+        self.tail = []
         self.timers.schedule(self.timers.now + self.terms.silence, self.still_silent, self.serial)
 
     def still_silent(self, serial):
@@ -65,14 +74,16 @@
         self.whole |= (
             not self.caught_up or now - self.heard_at >= self.terms.silence
         )  # it may have been restored meanwhile
-        self.state, self.incoming = None, None
+        self.state = None
+        self.incoming = None
         self.serial += 1
         if self.roles.role != Role.FOLLOWS:
             self.roles.tries_since = self.roles.tries_since or now
             self.roles.decide()
 
     def up(self, note):
-        self.state, self.heard_at = UP, self.timers.now
+        self.state = UP
+        self.heard_at = self.timers.now
         self.timers.schedule(self.timers.now + QUIET, self.told_all, self.serial)
 
     def says(self, note):
@@ -104,7 +115,8 @@
         except BadList as flaw:
             mark = crc32(note.text.encode())
             if self.doubted != mark:  # it may have been damaged on the way: once more from the start
-                self.doubted, self.whole = mark, True
+                self.doubted = mark
+                self.whole = True
                 return self.hang_up(f"event: {flaw}"[:120])
             self.timers.emit(LogEvent("list-event", {"skipped": str(flaw)[:120], "number": note.number}))
             self.counts["nonsense"] += 1
@@ -162,17 +174,16 @@
             if now < due and not self.times.live(now, self.terms.silence if behind else LIVE):
                 return self.timers.schedule(due, self.told_all, serial)
         if self.incoming is not None:
-            incoming, self.incoming = self.incoming, None
+            incoming = self.incoming
+            self.incoming = None
             self.replaced(incoming)
         elif not (self.caught_up or self.overlapped):
             self.whole = True
             return self.hang_up(f"event {self.held.list.place.number} is not told again")
-        self.caught_up, self.whole, self.roles.suspicious, self.roles.tries_since = (
-            True,
-            False,
-            False,
-            None,
-        )
+        self.caught_up = True
+        self.whole = False
+        self.roles.suspicious = False
+        self.roles.tries_since = None
         self.held.confirm(now)
 
     def replaced(self, incoming):
@@ -196,7 +207,8 @@
 
     def caught(self, number):
         """What was told anew goes through our list: its last events alone are new, to those below as well."""
-        tail, self.tail = self.tail, []
+        tail = self.tail
+        self.tail = []
         for told, text in tail:
             if told["seq"] == self.held.list.place.number + 1:
                 self.held.advance(told, text)
--- a/limepath/discovery/tree.py
+++ b/limepath/discovery/tree.py
@@ -19,9 +19,13 @@
 
     def __init__(self, listing):
         super().__init__(listing)
-        self.position, self.version, self.hops = None, None, 0
-        self.first, self.next = [], []  # the roots, and the fronts next by hash
-        self.parent = self.backup = None
+        self.position = None
+        self.version = None
+        self.hops = 0
+        self.first = []
+        self.next = []  # the roots, and the fronts next by hash
+        self.parent = None
+        self.backup = None
         self.refused = {}  # until when, by token
         self.wanted = None  # (number, when another was first heard to have it), while this front lacks it
 
--- a/limepath/discovery/upstream.py
+++ b/limepath/discovery/upstream.py
@@ -22,7 +22,10 @@
     __slots__ = ("beat", "at", "owes", "bad_until", "behind")
 
     def __init__(self):
-        self.beat = self.at = self.owes = self.behind = None
+        self.beat = None
+        self.at = None
+        self.owes = None
+        self.behind = None
         self.bad_until = 0
 
 
@@ -32,7 +35,10 @@
     def __init__(self, listing):
         super().__init__(listing)
         self.salt = mix64(crc32(self.terms.zone.encode()))
-        self.sources, self.first, self.chosen, self.helps = {}, [], [], 0
+        self.sources = {}
+        self.first = []
+        self.chosen = []
+        self.helps = 0
 
     def ranked(self, count):
         """The first of this zone by hash, as far as zones are known; this front among them."""
@@ -53,7 +59,8 @@
         if self.tree.watches():
             self.choose()
         else:
-            self.first, self.helps = self.tree.first, 0
+            self.first = self.tree.first
+            self.helps = 0
         wanted = self.tree.subscriptions()
         if not self.tree.watches():
             self.chosen = [token for token in (self.tree.parent, self.tree.backup) if token is not None]
@@ -62,7 +69,8 @@
     def choose(self):
         """The first relays that are not passed over. Those that call in vain get helpers, as many at most."""
         wanted, helpers = self.terms.relays, 0
-        self.first, self.chosen = None, []
+        self.first = None
+        self.chosen = []
         rank = self.ranked(wanted * 8)
         self.first = rank[:wanted]
         for token in rank:
--- a/limepath/discovery/window.py
+++ b/limepath/discovery/window.py
@@ -30,9 +30,11 @@
     """The events that were accepted within the last `span`, at most `most_bytes` of them together."""
 
     def __init__(self, span: int, most_bytes: int):
-        self.span, self.most_bytes = span, most_bytes
+        self.span = span
+        self.most_bytes = most_bytes
         self.events: dict[int, HeldEvent] = {}  # by number, which follow each other
-        self.oldest, self.newest = None, None  # the newest number stays known when its event is not held
+        self.oldest = None
+        self.newest = None  # the newest number stays known when its event is not held
         self.bytes = 0
         self.cut = Cut(span)
 
@@ -53,7 +55,10 @@
         """Begin anew behind this number: another list took the place of the one that the events led to, or
         an event has no bytes.
         """
-        self.events, self.oldest, self.newest, self.bytes = {}, None, number, 0
+        self.events = {}
+        self.oldest = None
+        self.newest = number
+        self.bytes = 0
 
     def add(self, now: int, number: int, encoded: bytes, digest: int) -> None:
         """Take the next event in. ValueError where its number does not follow."""
@@ -108,7 +113,9 @@
     """That a bound in bytes made something be forgotten before its time, which is `span` after `accepted`."""
 
     def __init__(self, span: int):
-        self.span, self.count, self.accepted = span, 0, None
+        self.span = span
+        self.count = 0
+        self.accepted = None
 
     def made(self, accepted: int) -> None:
         self.count += 1
@@ -146,7 +153,8 @@
     """
 
     def __init__(self, gone_everywhere: int, span: int, most_bytes: int):
-        self.kept_for, self.most_bytes = gone_everywhere + span, most_bytes
+        self.kept_for = gone_everywhere + span
+        self.most_bytes = most_bytes
         self.purges: OrderedDict[tuple[str, int], HeldPurge] = OrderedDict()
         self.bytes = 0
         self.cut = Cut(self.kept_for)
