--- a/limepath/discovery/calls.py
+++ b/limepath/discovery/call_budget.py
@@ -7,12 +7,12 @@
 tell and what has been seen counts, and nobody is a relay to the budget. Free of I/O.
 """
 
-SETTLED = 2_000_000  # for which a view must not have changed in size
-PART = 0.4  # of the budget for each half; the rest is for views that differ
-LEAST = 300_000  # between calls of one front
+VIEW_SETTLED_US = 2_000_000  # for which a view must not have changed in size
+BUDGET_SHARE = 0.4  # of the budget for each half; the rest is for views that differ
+MIN_CALL_INTERVAL_US = 300_000  # between calls of one front
 
 
-class Budget:
+class CallBudget:
     """`chance()` gives a number from 0 to 1, drawn."""
 
     def __init__(self, terms, chance):
@@ -32,7 +32,7 @@
             self.since = now
 
     def settled(self, now):
-        return self.since is not None and now - self.since >= SETTLED
+        return self.since is not None and now - self.since >= VIEW_SETTLED_US
 
     def sharing(self, now, relays):
         """How many share the half of the budget that this front calls under; `relays` are those of all zones,
@@ -45,12 +45,12 @@
     def span_of(self, sharing):
         """The mean time between two calls of one of so many.
 
-        >>> from limepath.discovery.interface import Terms
-        >>> budget = Budget(Terms(fronts=200, rate=20.0), lambda: 0.5)
+        >>> from limepath.configuration.sharing_settings import DiscoverySettings
+        >>> budget = CallBudget(DiscoverySettings(fronts=200, rate=20.0), lambda: 0.5)
         >>> budget.span_of(200), budget.span_of(2)
         (25000000, 300000)
         """
-        return max(LEAST, int(sharing / (PART * self.terms.rate) * 1e6))
+        return max(MIN_CALL_INTERVAL_US, int(sharing / (BUDGET_SHARE * self.terms.rate) * 1e6))
 
     def may_call(self, now, relays):
         """Whether to call now; asked again and again while a call is wanted. The time drawn moves along when
--- a/limepath/discovery/relay.py
+++ b/limepath/discovery/engine.py
@@ -13,10 +13,8 @@
 zone.
 """
 
-from limepath.discovery.children import Children
-from limepath.discovery.followers import Followers
-from limepath.discovery.heard import Heard
-from limepath.discovery.held import Held
+from limepath.discovery.event_intake import EventIntake
+from limepath.discovery.held_list import HeldList
 from limepath.discovery.interface import (
     EventBatch,
     Events,
@@ -37,16 +35,18 @@
     StreamOpened,
     Subscribe,
 )
-from limepath.discovery.page_transfer import Pages
-from limepath.discovery.roles import Roles
-from limepath.discovery.scopes import KnownScopes
-from limepath.discovery.snapshot import Snapshot
-from limepath.discovery.stream import Stream
-from limepath.discovery.tree import Tree
+from limepath.discovery.page_transfer import PageTransfer
+from limepath.discovery.roles import RoleSelection
+from limepath.discovery.scopes import ScopeDirectory
+from limepath.discovery.service_stream import ServiceStream
+from limepath.discovery.snapshot_transfer import SnapshotTransfer
+from limepath.discovery.star_subscribers import StarSubscribers
+from limepath.discovery.tree import TreeSubscriptions
+from limepath.discovery.tree_subscribers import TreeSubscribers
 from limepath.discovery.upstream import Upstream
 from limepath.timer_queue import TimerQueue
 
-COUNTED = (
+COUNTERS = (
     "calls",
     "pushed",
     "fetched",
@@ -63,7 +63,7 @@
 )
 
 
-class Listing:
+class DiscoveryEngine:
     """`me` is this instance's token, `live()` the others that live; `saved` what the store held, or None."""
 
     def __init__(self, me, terms, seed, live, saved=None):
@@ -71,18 +71,18 @@
         self.terms = terms
         self.live = live
         self.timers = TimerQueue(seed)
-        self.counts = dict.fromkeys(COUNTED, 0)
-        self.scopes = KnownScopes(self)
-        self.tree = Tree(self)
-        self.held = Held(self)
+        self.counts = dict.fromkeys(COUNTERS, 0)
+        self.scopes = ScopeDirectory(self)
+        self.tree = TreeSubscriptions(self)
+        self.held = HeldList(self)
         self.upstream = Upstream(self)
-        self.roles = Roles(self)
-        self.stream = Stream(self)
-        self.heard = Heard(self)
-        self.pages = Pages(self)
-        self.followers = Followers(self)
-        self.children = Children(self)
-        self.snapshot = Snapshot(self)
+        self.roles = RoleSelection(self)
+        self.stream = ServiceStream(self)
+        self.heard = EventIntake(self)
+        self.pages = PageTransfer(self)
+        self.followers = StarSubscribers(self)
+        self.children = TreeSubscribers(self)
+        self.snapshot = SnapshotTransfer(self)
         self.desks = {
             StreamOpened: self.stream.up,
             StreamActive: self.stream.says,
--- a/limepath/discovery/coding.py
+++ b/limepath/discovery/event_coding.py
@@ -27,17 +27,24 @@
 from enum import IntEnum
 from typing import NamedTuple
 
-from limepath.discovery.events import BadList, parsed
-from limepath.discovery.integers import CodingError, Damaged, Reader, integer, unzigzag, zigzag
-from limepath.discovery.purge_fields import PurgeFields, fits, purge_of
-
-LONGEST_TEXT = 65_536  # bytes of one event's JSON text; what is longer comes by pages of the list
-BATCH_LIMIT = 1000  # bytes of a batch: with envelope and seal it stays under `peers.guard.LARGEST`
+from limepath.discovery.event_checks import InvalidEventError, parse_event
+from limepath.discovery.purge_fields import PurgeFields, is_uint63, purge_fields_of
+from limepath.discovery.varint import (
+    ByteReader,
+    CodingError,
+    DamagedError,
+    encode_varint,
+    zigzag_decode,
+    zigzag_encode,
+)
+
+MAX_TEXT_BYTES = 65_536  # bytes of one event's JSON text; what is longer comes by pages of the list
+MAX_BATCH_BYTES = 1000  # bytes of a batch: with envelope and seal it stays under `peers.guard.LARGEST`
 RESERVED_KINDS = range(16, 32)  # for changes of configuration
 OBJECT_BYTES = 8
 
 
-class Kind(IntEnum):
+class EventKind(IntEnum):
     """The byte that leads."""
 
     TEXT = 0
@@ -47,14 +54,14 @@
     BATCH = 4
 
 
-TEXT_KINDS = (Kind.TEXT, Kind.DEFLATED)
+TEXT_KINDS = (EventKind.TEXT, EventKind.DEFLATED)
 
 
-class Oversized(CodingError):
+class OversizedError(CodingError):
     """An event or a batch over its bound."""
 
 
-class UnknownKind(CodingError):
+class UnknownKindError(CodingError):
     """A kind of a later program."""
 
     def __init__(self, kind: int):
@@ -63,77 +70,77 @@
         self.kind = kind
 
 
-class Event(NamedTuple):
+class ServiceEvent(NamedTuple):
     """`told` is the parsed JSON object of `text`."""
 
     told: dict
     text: str
 
 
-def encode(told: dict, text: str) -> bytes:
-    """The bytes of an event whose JSON text was parsed to `told`; raise Oversized where it is too long."""
-    if purge := purge_of(told):
-        kind = Kind.PURGE_OBJECT if purge.is_object else Kind.PURGE_BUCKET
-        return bytes((kind,)) + integer(purge.seq) + integer(purge.time) + target_bytes(purge)
+def encode_event(told: dict, text: str) -> bytes:
+    """The bytes of an event whose JSON text was parsed to `told`; raise OversizedError where it is too long."""
+    if purge := purge_fields_of(told):
+        kind = EventKind.PURGE_OBJECT if purge.is_object else EventKind.PURGE_BUCKET
+        return bytes((kind,)) + encode_varint(purge.seq) + encode_varint(purge.time) + encode_target(purge)
     try:
         plain = text.encode()
     except UnicodeEncodeError:  # half a surrogate pair, which JSON can name and UTF-8 can't
         plain = json.dumps(told).encode()
-    if len(plain) > LONGEST_TEXT:
-        raise Oversized(f"an event of {len(plain)} bytes, {LONGEST_TEXT} at the most")
+    if len(plain) > MAX_TEXT_BYTES:
+        raise OversizedError(f"an event of {len(plain)} bytes, {MAX_TEXT_BYTES} at the most")
     deflated = zlib.compress(plain, 9)
     if len(deflated) < len(plain):
-        return bytes((Kind.DEFLATED,)) + deflated
-    return bytes((Kind.TEXT,)) + plain
+        return bytes((EventKind.DEFLATED,)) + deflated
+    return bytes((EventKind.TEXT,)) + plain
 
 
-def decode(data: bytes) -> Event:
+def decode_event(data: bytes) -> ServiceEvent:
     """The event of bytes made by `encode`; raise a CodingError."""
-    entry = entry_of(data)
-    return purge_event(entry.purge) if entry.purge else text_event(entry.kind, entry.text)
+    entry = parse_entry(data)
+    return event_of_purge(entry.purge) if entry.purge else event_of_text(entry.kind, entry.text)
 
 
-def batches(encoded: Iterable[bytes], limit: int = BATCH_LIMIT) -> list[bytes]:
+def encode_batches(encoded: Iterable[bytes], limit: int = MAX_BATCH_BYTES) -> list[bytes]:
     """Events as `encode` made them, packed in their order into as few byte strings of at most `limit` bytes
-    as go in that order. A batch ends before a number that does not follow. Raise Oversized where one event
+    as go in that order. A batch ends before a number that does not follow. Raise OversizedError where one event
     alone does not fit.
     """
     packed, writer = [], None
     for data in encoded:
-        entry = entry_of(data)
-        seq = sequence_of(entry)
+        entry = parse_entry(data)
+        seq = entry_number(entry)
         if writer and writer.add(seq, entry, limit):
             continue
         if writer:
             packed.append(writer.packed())
         writer = BatchWriter(seq)
         if not writer.add(seq, entry, limit):
-            raise Oversized(f"event {seq} of {len(data)} bytes in a batch of {limit}")
+            raise OversizedError(f"event {seq} of {len(data)} bytes in a batch of {limit}")
     if writer:
         packed.append(writer.packed())
     return packed
 
 
-def events_of(batch: bytes, limit: int = BATCH_LIMIT) -> tuple[Event, ...]:
+def decode_batch(batch: bytes, limit: int = MAX_BATCH_BYTES) -> tuple[ServiceEvent, ...]:
     """All events of a batch; raise a CodingError, and then none of them counts."""
     if len(batch) > limit:
-        raise Oversized(f"a batch of {len(batch)} bytes, {limit} at the most")
-    reader = Reader(batch)
-    if kind_from(reader) != Kind.BATCH:
-        raise Damaged("an event in the place of a batch")
+        raise OversizedError(f"a batch of {len(batch)} bytes, {limit} at the most")
+    reader = ByteReader(batch)
+    if read_kind(reader) != EventKind.BATCH:
+        raise DamagedError("an event in the place of a batch")
     first, time, count = reader.integer(), reader.integer(), reader.integer()
     if not 0 < count <= reader.left():
-        raise Damaged(f"{count} events in {reader.left()} bytes")
+        raise DamagedError(f"{count} events in {reader.left()} bytes")
     events = []
     for seq in range(first, first + count):
-        kind = kind_from(reader)
+        kind = read_kind(reader)
         if kind in TEXT_KINDS:
-            events.append(text_event(kind, reader.take(reader.integer())))
+            events.append(event_of_text(kind, reader.take(reader.integer())))
         else:
-            time += unzigzag(reader.integer())
-            events.append(purge_event(purge_from(reader, kind, seq, time)))
+            time += zigzag_decode(reader.integer())
+            events.append(event_of_purge(read_purge(reader, kind, seq, time)))
         if events[-1].told["seq"] != seq:
-            raise Damaged(f"event {events[-1].told['seq']} told as {seq}")
+            raise DamagedError(f"event {events[-1].told['seq']} told as {seq}")
     reader.end()
     return tuple(events)
 
@@ -144,25 +151,25 @@
 class Entry(NamedTuple):
     """An event between its bytes alone and those in a batch: the fields of a purge, else the text's bytes."""
 
-    kind: Kind
+    kind: EventKind
     purge: PurgeFields | None
     text: bytes
 
 
-def entry_of(data: bytes) -> Entry:
+def parse_entry(data: bytes) -> Entry:
     """What the bytes of one event hold; a text is not looked into."""
-    reader = Reader(data)
-    kind = kind_from(reader)
+    reader = ByteReader(data)
+    kind = read_kind(reader)
     if kind in TEXT_KINDS:
         return Entry(kind, None, data[1:])
-    purge = purge_from(reader, kind, reader.integer(), reader.integer())
+    purge = read_purge(reader, kind, reader.integer(), reader.integer())
     reader.end()
     return Entry(kind, purge, b"")
 
 
-def sequence_of(entry: Entry) -> int:
+def entry_number(entry: Entry) -> int:
     """The event's number, which is in its text where it is no purge; raise a CodingError."""
-    return entry.purge.seq if entry.purge else text_event(entry.kind, entry.text).told["seq"]
+    return entry.purge.seq if entry.purge else event_of_text(entry.kind, entry.text).told["seq"]
 
 
 class BatchWriter:
@@ -177,7 +184,7 @@
 
     def add(self, seq: int, entry: Entry, limit: int) -> bool:
         """Take one more event in, or give False where it does not follow or the batch would pass `limit`."""
-        if seq != self.first + len(self.parts) or not fits(seq):
+        if seq != self.first + len(self.parts) or not is_uint63(seq):
             return False
         base, time = self.base, self.time
         if entry.purge:
@@ -196,12 +203,17 @@
         """The bytes of an event here; a purge's time counts from that of the purge before."""
         kind = bytes((entry.kind,))
         if not entry.purge:
-            return kind + integer(len(entry.text)) + entry.text
+            return kind + encode_varint(len(entry.text)) + entry.text
         since = 0 if self.time is None else entry.purge.time - self.time
-        return kind + integer(zigzag(since)) + target_bytes(entry.purge)
+        return kind + encode_varint(zigzag_encode(since)) + encode_target(entry.purge)
 
     def head(self, base: int | None, count: int) -> bytes:
-        return bytes((Kind.BATCH,)) + integer(self.first) + integer(base or 0) + integer(count)
+        return (
+            bytes((EventKind.BATCH,))
+            + encode_varint(self.first)
+            + encode_varint(base or 0)
+            + encode_varint(count)
+        )
 
     def packed(self) -> bytes:
         return self.head(self.base, len(self.parts)) + b"".join(self.parts)
@@ -210,60 +222,60 @@
 # Events
 
 
-def purge_event(purge: PurgeFields) -> Event:
+def event_of_purge(purge: PurgeFields) -> ServiceEvent:
     if not purge.valid():
-        raise Damaged(f"a purge that cannot be: {purge.seq} at {purge.time}")
+        raise DamagedError(f"a purge that cannot be: {purge.seq} at {purge.time}")
     told = purge.told()
-    return Event(told, json.dumps(told))
+    return ServiceEvent(told, json.dumps(told))
 
 
-def text_event(kind: Kind, data: bytes) -> Event:
+def event_of_text(kind: EventKind, data: bytes) -> ServiceEvent:
     """The event of a JSON text, checked as one that the service tells itself."""
-    if kind == Kind.DEFLATED:
-        data = inflated(data, LONGEST_TEXT)
-    elif len(data) > LONGEST_TEXT:
-        raise Oversized(f"an event over {LONGEST_TEXT} bytes")
+    if kind == EventKind.DEFLATED:
+        data = decompress(data, MAX_TEXT_BYTES)
+    elif len(data) > MAX_TEXT_BYTES:
+        raise OversizedError(f"an event over {MAX_TEXT_BYTES} bytes")
     try:
         text = data.decode()
-        return Event(parsed(text), text)
+        return ServiceEvent(parse_event(text), text)
     except UnicodeDecodeError:
-        raise Damaged("no UTF-8") from None
-    except BadList as error:
-        raise Damaged(str(error)) from None
+        raise DamagedError("no UTF-8") from None
+    except InvalidEventError as error:
+        raise DamagedError(str(error)) from None
 
 
-def inflated(data: bytes, longest: int) -> bytes:
+def decompress(data: bytes, longest: int) -> bytes:
     """The bytes that zlib made `data` of, at most `longest`; no more is unpacked. Raise CodingError."""
     opening = zlib.decompressobj()
     try:
         plain = opening.decompress(data, longest + 1)
     except zlib.error:
-        raise Damaged("no zlib data") from None
+        raise DamagedError("no zlib data") from None
     if len(plain) > longest:
-        raise Oversized(f"over {longest} bytes")
+        raise OversizedError(f"over {longest} bytes")
     if not opening.eof or opening.unused_data:
-        raise Damaged("cut, or more than one text")
+        raise DamagedError("cut, or more than one text")
     return plain
 
 
-def kind_from(reader: Reader) -> Kind:
+def read_kind(reader: ByteReader) -> EventKind:
     kind = reader.take(1)[0]
     try:
-        return Kind(kind)
+        return EventKind(kind)
     except ValueError:
-        raise UnknownKind(kind) from None
+        raise UnknownKindError(kind) from None
 
 
-def purge_from(reader: Reader, kind: Kind, seq: int, time: int) -> PurgeFields:
+def read_purge(reader: ByteReader, kind: EventKind, seq: int, time: int) -> PurgeFields:
     """The purge of which the object or bucket follows."""
-    if kind == Kind.PURGE_OBJECT:
+    if kind == EventKind.PURGE_OBJECT:
         return PurgeFields(seq, time, int.from_bytes(reader.take(OBJECT_BYTES), "big"), is_object=True)
-    if kind == Kind.PURGE_BUCKET:
+    if kind == EventKind.PURGE_BUCKET:
         return PurgeFields(seq, time, reader.integer(), is_object=False)
-    raise Damaged("a batch in the place of an event")
+    raise DamagedError("a batch in the place of an event")
 
 
-def target_bytes(purge: PurgeFields) -> bytes:
+def encode_target(purge: PurgeFields) -> bytes:
     if purge.is_object:
         return purge.target.to_bytes(OBJECT_BYTES, "big")
-    return integer(purge.target)
+    return encode_varint(purge.target)
--- a/limepath/discovery/heard.py
+++ b/limepath/discovery/event_intake.py
@@ -3,20 +3,20 @@
 Free of I/O.
 """
 
-from limepath.discovery.coding import CodingError, events_of
 from limepath.discovery.component import Component
-from limepath.discovery.events import BadList, parsed
+from limepath.discovery.event_checks import InvalidEventError, parse_event
+from limepath.discovery.event_coding import CodingError, decode_batch
 from limepath.discovery.interface import LogEvent, Revision, SendToMember, SubscriptionMode
-from limepath.discovery.upstream import BAD
+from limepath.discovery.upstream import BAD_PEER_US
 
-IN_FLIGHT = 5_000  # microseconds added to an age for the way, where no stamp measures it
-KEPT = 512  # events that one keeps at the least who does not tell how far it reaches
-REORDERED = 50_000  # until a batch that another has overtaken counts as lost
-EARLY = 16  # batches kept meanwhile
-STAMP_KEPT = 60_000_000  # for which an answer to a Follow counts as one
+ASSUMED_DELAY_US = 5_000  # microseconds added to an age for the way, where no stamp measures it
+DEFAULT_HELD_EVENTS = 512  # events that one keeps at the least who does not tell how far it reaches
+REORDERING_TIMEOUT_US = 50_000  # until a batch that another has overtaken counts as lost
+MAX_EARLY_BATCHES = 16  # batches kept meanwhile
+MAX_STAMP_AGE_US = 60_000_000  # for which an answer to a Follow counts as one
 
 
-class Heard(Component):
+class EventIntake(Component):
     """`behind_since` is a place of our list and since when another is known to be ahead of it."""
 
     def __init__(self, listing):
@@ -55,7 +55,7 @@
                 self.contradicted(token, f"another list at {place.number}")
             elif message.age >= 0 and place.number:
                 self.held.confirm(self.vouched(message.age, message.stamp))
-        elif self.tree.on and message.age + IN_FLIGHT >= (self.held.age() or 0) - self.tree.patience():
+        elif self.tree.on and message.age + ASSUMED_DELAY_US >= (self.held.age() or 0) - self.tree.patience():
             source.behind = None  # it told this before the last events came
         elif 0 <= message.age < (self.held.age() or 0) and not self.held.late():
             source.behind = source.behind or now  # it says that it is up to date, and is not
@@ -75,7 +75,7 @@
         if theirs.generation != place.generation or not place.number:
             return False
         if message.reaches < 0:
-            return theirs.number - place.number <= KEPT
+            return theirs.number - place.number <= DEFAULT_HELD_EVENTS
         return place.number + 1 >= message.reaches
 
     def vouched(self, age, stamp, since=0):
@@ -83,9 +83,9 @@
         Follow of that stamp had come, so not before that.
         """
         now = self.timers.now
-        if 0 < stamp and 0 <= now - stamp - since < STAMP_KEPT:
+        if 0 < stamp and 0 <= now - stamp - since < MAX_STAMP_AGE_US:
             return stamp + since - age
-        return now - age - IN_FLIGHT
+        return now - age - ASSUMED_DELAY_US
 
     def behind_for(self, theirs):
         """How long we have lacked what another has."""
@@ -99,7 +99,7 @@
         """
         source = self.upstream.sources.get(token)
         if source:
-            source.bad_until = self.timers.now + BAD
+            source.bad_until = self.timers.now + BAD_PEER_US
             source.behind = None
         self.counts["contradictions"] += 1
         self.timers.emit(LogEvent("list-contradiction", {"peer": f"{token:016x}", "why": why}))
@@ -111,7 +111,7 @@
 
     def nonsense(self, token, why):
         if token in self.upstream.sources:
-            self.upstream.sources[token].bad_until = self.timers.now + BAD
+            self.upstream.sources[token].bad_until = self.timers.now + BAD_PEER_US
         self.counts["nonsense"] += 1
         self.timers.emit(LogEvent("list-nonsense", {"peer": f"{token:016x}", "why": str(why)[:120]}))
 
@@ -124,17 +124,17 @@
             return
         for at, text in enumerate(message.texts, message.first):
             try:
-                told = parsed(text)
+                told = parse_event(text)
                 if told["seq"] != at:
-                    raise BadList(f"event {told['seq']} told as {at}")
-            except BadList as flaw:
+                    raise InvalidEventError(f"event {told['seq']} told as {at}")
+            except InvalidEventError as flaw:
                 return self.nonsense(token, flaw)
             if at == self.held.list.place.number + 1:
                 self.held.advance(told, text)
             elif self.held.contradicts(told):
                 return self.contradicted(token, f"another event {at}")
         if message.first + len(message.texts) - 1 == self.held.list.place.number and message.age >= 0:
-            self.held.confirm(self.timers.now - message.age - IN_FLIGHT)
+            self.held.confirm(self.timers.now - message.age - ASSUMED_DELAY_US)
 
     def batch(self, token, message):
         """Events from the parent, or from the backup that was asked for them."""
@@ -146,7 +146,7 @@
         ):
             return
         try:
-            events = events_of(message.data)
+            events = decode_batch(message.data)
         except CodingError as error:
             return self.nonsense(token, error)
         first, last = events[0].told["seq"], events[-1].told["seq"]
@@ -168,11 +168,11 @@
 
     def came_early(self, token, message):
         """Keep a batch that another has overtaken, for a while; or that one was lost."""
-        if len(self.early) < EARLY:
+        if len(self.early) < MAX_EARLY_BATCHES:
             self.early[message.first] = token, message
         if not self.waits:
             self.waits = True
-            self.timers.schedule(self.timers.now + REORDERED, self.ask_again, token)
+            self.timers.schedule(self.timers.now + REORDERING_TIMEOUT_US, self.ask_again, token)
 
     def ask_again(self, token):
         """Unless what was overtaken has come, it was lost: ask for it."""
--- a/limepath/discovery/window.py
+++ b/limepath/discovery/event_window.py
@@ -9,16 +9,23 @@
 from collections.abc import Iterator
 from typing import NamedTuple
 
-from limepath.discovery.coding import decode, encode
-from limepath.discovery.integers import CodingError, Damaged, Reader, integer, unzigzag, zigzag
-from limepath.discovery.purge_fields import object_value
-
-
-class NotHeld(Exception):
+from limepath.discovery.event_coding import decode_event, encode_event
+from limepath.discovery.purge_fields import parse_object_name
+from limepath.discovery.varint import (
+    ByteReader,
+    CodingError,
+    DamagedError,
+    encode_varint,
+    zigzag_decode,
+    zigzag_encode,
+)
+
+
+class CompactedError(Exception):
     """Events that are not in the window any more, or not yet."""
 
 
-class HeldEvent(NamedTuple):
+class WindowEvent(NamedTuple):
     """`accepted` is when this front accepted it, `digest` its `state.summary`."""
 
     accepted: int
@@ -26,17 +33,17 @@
     digest: int
 
 
-class Window:
+class EventWindow:
     """The events that were accepted within the last `span`, at most `most_bytes` of them together."""
 
     def __init__(self, span: int, most_bytes: int):
         self.span = span
         self.most_bytes = most_bytes
-        self.events: dict[int, HeldEvent] = {}  # by number, which follow each other
+        self.events: dict[int, WindowEvent] = {}  # by number, which follow each other
         self.oldest = None
         self.newest = None  # the newest number stays known when its event is not held
         self.bytes = 0
-        self.cut = Cut(span)
+        self.cut = EarlyEviction(span)
 
     @property
     def reaches(self) -> int | None:
@@ -64,7 +71,7 @@
         """Take the next event in. ValueError where its number does not follow."""
         if self.newest is not None and number != self.newest + 1:
             raise ValueError(f"event {number} after {self.newest}")
-        self.events[number] = HeldEvent(now, encoded, digest)
+        self.events[number] = WindowEvent(now, encoded, digest)
         self.newest = number
         self.oldest = number if self.oldest is None else self.oldest
         self.bytes += len(encoded)
@@ -77,7 +84,7 @@
         while self.events and now - self.events[self.oldest].accepted > self.span:
             self.drop()
 
-    def drop(self) -> HeldEvent:
+    def drop(self) -> WindowEvent:
         held = self.events.pop(self.oldest)
         self.bytes -= len(held.encoded)
         self.oldest = self.oldest + 1 if self.events else None
@@ -91,10 +98,10 @@
 
     def since(self, number: int, most_bytes: int | None = None) -> tuple[bytes, ...]:
         """The events after this number in order, as many as have `most_bytes` together, but one at the
-        least; raise NotHeld where not all of them are held.
+        least; raise CompactedError where not all of them are held.
         """
         if not self.covers(number):
-            raise NotHeld(f"events after {number}: held from {self.oldest} to {self.newest}")
+            raise CompactedError(f"events after {number}: held from {self.oldest} to {self.newest}")
         found, size = [], 0
         for following in range(number + 1, self.newest + 1):
             encoded = self.events[following].encoded
@@ -109,7 +116,7 @@
         return self.cut.lasts(now)
 
 
-class Cut:
+class EarlyEviction:
     """That a bound in bytes made something be forgotten before its time, which is `span` after `accepted`."""
 
     def __init__(self, span: int):
@@ -125,7 +132,7 @@
         return self.accepted is not None and now - self.accepted <= self.span
 
 
-class KeptPurge(NamedTuple):
+class AgedPurge(NamedTuple):
     """`number` is its event's, `age` how long ago the first front that is known to have accepted it did."""
 
     number: int
@@ -133,7 +140,7 @@
     encoded: bytes
 
 
-class HeldPurge(NamedTuple):
+class RetainedPurge(NamedTuple):
     """`record` is the purge as it is saved: the time when it was accepted, the length of what was encoded,
     and that. It is made once, for there are thousands in a list that is saved every second.
     """
@@ -155,38 +162,38 @@
     def __init__(self, gone_everywhere: int, span: int, most_bytes: int):
         self.kept_for = gone_everywhere + span
         self.most_bytes = most_bytes
-        self.purges: OrderedDict[tuple[str, int], HeldPurge] = OrderedDict()
+        self.purges: OrderedDict[tuple[str, int], RetainedPurge] = OrderedDict()
         self.bytes = 0
-        self.cut = Cut(self.kept_for)
+        self.cut = EarlyEviction(self.kept_for)
 
     def __len__(self) -> int:
         return len(self.purges)
 
     def __contains__(self, told: dict) -> bool:
         """Whether this purge or a later one of the same is kept."""
-        held = self.purges.get(target_of(told))
+        held = self.purges.get(purge_target(told))
         return held is not None and held.number >= told["seq"]
 
     def add(self, now: int, told: dict, text: str, age: int = 0) -> None:
         """Take in a purge whose form was checked, accepted `age` ago by the first that is known; raise
         Oversized.
         """
-        self.hold(now, now - age, told, encode(told, text))
+        self.hold(now, now - age, told, encode_event(told, text))
 
-    def add_kept(self, now: int, kept: KeptPurge) -> None:
+    def add_kept(self, now: int, kept: AgedPurge) -> None:
         """Take in a purge as another front keeps it; raise CodingError."""
-        told = decode(kept.encoded).told
+        told = decode_event(kept.encoded).told
         if "invalidate" not in told or told["seq"] != kept.number:
             raise CodingError(f"event {told['seq']} is not purge {kept.number}")
         self.hold(now, now - kept.age, told, kept.encoded)
 
     def hold(self, now: int, accepted: int, told: dict, encoded: bytes) -> None:
         if self.matters(now, accepted) and told not in self:
-            target = target_of(told)
+            target = purge_target(told)
             if target in self.purges:
                 self.drop(target)
-            record = integer(zigzag(accepted)) + integer(len(encoded)) + encoded
-            self.purges[target] = HeldPurge(accepted, told["seq"], encoded, record)
+            record = encode_varint(zigzag_encode(accepted)) + encode_varint(len(encoded)) + encoded
+            self.purges[target] = RetainedPurge(accepted, told["seq"], encoded, record)
             self.bytes += len(encoded)
         self.expire(now)
 
@@ -212,47 +219,47 @@
         self.purges.clear()
         self.bytes = 0
 
-    def kept(self, now: int) -> tuple[KeptPurge, ...]:
+    def kept(self, now: int) -> tuple[AgedPurge, ...]:
         """All purges that matter with their ages, in the order in which they came."""
         self.expire(now)
         those = [held for held in self.purges.values() if self.matters(now, held.accepted)]
-        return tuple(KeptPurge(held.number, now - held.accepted, held.encoded) for held in those)
+        return tuple(AgedPurge(held.number, now - held.accepted, held.encoded) for held in those)
 
     def image(self, now: int) -> bytes:
         """All purges to be saved: the time now, and a record of each."""
         self.expire(now)
-        return integer(zigzag(now)) + b"".join(held.record for held in self.purges.values())
+        return encode_varint(zigzag_encode(now)) + b"".join(held.record for held in self.purges.values())
 
     def load(self, now: int, image: bytes) -> None:
         """Take in what another life of this front saved; raise CodingError, and then nothing of it. The time
         between the lives counts for nothing, so that they are kept for longer than they have to be.
         """
-        reader, found = Reader(image), []
-        saved = unzigzag(reader.integer())
+        reader, found = ByteReader(image), []
+        saved = zigzag_decode(reader.integer())
         while reader.left():
-            accepted = unzigzag(reader.integer())
+            accepted = zigzag_decode(reader.integer())
             encoded = reader.take(reader.integer())
-            told = decode(encoded).told
+            told = decode_event(encoded).told
             if accepted > saved or "invalidate" not in told:
-                raise Damaged(f"event {told['seq']} among the saved purges")
+                raise DamagedError(f"event {told['seq']} among the saved purges")
             found.append((saved - accepted, told, encoded))
         for age, told, encoded in found:
             self.hold(now, now - age, told, encoded)
 
     def values(self) -> Iterator[dict]:
         """The events' JSON objects, in the order in which they came."""
-        return (decode(held.encoded).told for held in self.purges.values())
+        return (decode_event(held.encoded).told for held in self.purges.values())
 
     def cut_short(self, now: int) -> bool:
         """Whether the bound in bytes made it forget a purge of which copies may be left."""
         return self.cut.lasts(now)
 
 
-def target_of(told: dict) -> tuple[str, int]:
+def purge_target(told: dict) -> tuple[str, int]:
     """What an event purges: one object however its number was written, or a bucket."""
     purge = told["invalidate"]
     if "object" in purge:
-        return "object", object_value(purge["object"])
+        return "object", parse_object_name(purge["object"])
     return "bucket", purge["bucket"]
 
 
--- a/limepath/discovery/held.py
+++ b/limepath/discovery/held_list.py
@@ -4,10 +4,12 @@
 """
 
 from limepath.discovery import bounds
-from limepath.discovery.bounds import BATCH
-from limepath.discovery.coding import BATCH_LIMIT, CodingError, encode
+from limepath.discovery.bounds import BATCH_DELAY_US
 from limepath.discovery.component import Component
-from limepath.discovery.events import BadList, summary
+from limepath.discovery.endpoint_list import EndpointList, unpack_list
+from limepath.discovery.event_checks import InvalidEventError, json_digest
+from limepath.discovery.event_coding import MAX_BATCH_BYTES, CodingError, encode_event
+from limepath.discovery.event_window import EventWindow
 from limepath.discovery.interface import (
     ApplyEvent,
     FrontReady,
@@ -16,14 +18,12 @@
     LogEvent,
     SaveSnapshot,
 )
-from limepath.discovery.state import List, unpacked
-from limepath.discovery.window import Window
 
-SAVES_IN_WINDOW = 10  # of a list that changes all the time
-BATCH_HEAD = 32  # bytes of a batch beside its events, at the most
+SAVES_PER_WINDOW = 10  # of a list that changes all the time
+BATCH_HEAD_BYTES = 32  # bytes of a batch beside its events, at the most
 
 
-class Held(Component):
+class HeldList(Component):
     """`window` keeps the last events for those behind; `given`: the front has the list; `stale`: it was told
     that the list is late.
     """
@@ -31,14 +31,14 @@
     def __init__(self, listing):
         super().__init__(listing)
         self.list = self.empty()
-        self.window = Window(self.terms.window, self.terms.window_bytes)
+        self.window = EventWindow(self.terms.window, self.terms.window_bytes)
         self.given = False
         self.confirmed_at = None
         self.saving = False
         self.stale = False
 
     def empty(self):
-        return List(self.terms.gone + self.terms.window)
+        return EndpointList(self.terms.gone + self.terms.window)
 
     def read(self, saved):
         """Take a saved list up: where it stands is told to relays, so that they tell what is new; it goes
@@ -47,19 +47,19 @@
         try:
             self.list = self.unpacked(saved)
             self.window.restart(self.list.place.number)
-        except BadList as flaw:
+        except InvalidEventError as flaw:
             self.timers.emit(LogEvent("saved-list", {"flaw": f"{flaw}; begins without"}))
 
     def unpacked(self, data):
-        """The list of packed bytes; raise BadList."""
-        return unpacked(data, self.terms.longest, self.timers.now, self.terms.gone + self.terms.window)
+        """The list of packed bytes; raise InvalidEventError."""
+        return unpack_list(data, self.terms.longest, self.timers.now, self.terms.gone + self.terms.window)
 
     def save_soon(self):
         if not self.saving:
             self.saving = True
             wait = self.terms.save
             if self.tree.on:  # events never cease; a restarted front is told those since by the window
-                wait = max(wait, self.terms.window // SAVES_IN_WINDOW)
+                wait = max(wait, self.terms.window // SAVES_PER_WINDOW)
             self.timers.schedule(self.timers.now + wait, self.save)
 
     def save(self):
@@ -75,7 +75,7 @@
 
     def fresh(self):
         """How old the last confirmation may be."""
-        return bounds.fresh(self.terms, self.tree.hops)
+        return bounds.freshness_limit(self.terms, self.tree.hops)
 
     def watch(self):
         """Tell the front when its list becomes late."""
@@ -112,7 +112,7 @@
         if self.given:
             self.timers.emit(ApplyEvent(told, oldest))
         if not self.followers.to_push:
-            self.timers.schedule(self.timers.now + BATCH, self.followers.push)
+            self.timers.schedule(self.timers.now + BATCH_DELAY_US, self.followers.push)
         self.followers.to_push.append(told["seq"])
         self.children.tick_soon()
         self.save_soon()
@@ -120,13 +120,13 @@
     def keep(self, told, text):
         """Put an event into the window; one that fits no datagram is had with the whole list only."""
         try:
-            coded = encode(told, text)
+            coded = encode_event(told, text)
         except CodingError:
             coded = None
-        if coded is None or len(coded) > BATCH_LIMIT - BATCH_HEAD:
+        if coded is None or len(coded) > MAX_BATCH_BYTES - BATCH_HEAD_BYTES:
             self.window.restart(told["seq"])
         else:
-            self.window.add(self.timers.now, told["seq"], coded, summary(told))
+            self.window.add(self.timers.now, told["seq"], coded, json_digest(told))
 
     def reaches(self):
         """The oldest event that can be sent to others."""
@@ -136,7 +136,7 @@
     def contradicts(self, told):
         """Whether we hold another event of that number."""
         digest = self.window.digest(told["seq"])
-        return digest is not None and digest != summary(told)
+        return digest is not None and digest != json_digest(told)
 
     def confirm(self, at):
         """The service stood where our list stands at that time."""
--- a/limepath/discovery/host.py
+++ b/limepath/discovery/host.py
@@ -6,6 +6,7 @@
 from twisted.internet.error import ConnectingCancelledError
 from twisted.internet.protocol import Factory
 
+from limepath.discovery.engine import DiscoveryEngine
 from limepath.discovery.interface import (
     MESSAGES,
     ApplyEvent,
@@ -24,17 +25,16 @@
     StreamEventReceived,
     StreamOpened,
 )
-from limepath.discovery.relay import Listing
 from limepath.duties.host import clock
 from limepath.frequency_exchange.host import Tallies
 from limepath.front.changelog import BadEvent, ChangeLog, Stream
 from limepath.interface.events import EndpointListFreshnessChanged, PurgeAnnounced
 from limepath.logic_host import LogicHost
 
-ROW = "list"  # of the store
+SAVED_LIST_ROW = "list"  # of the store
 
 
-class GuidedStream(Stream):
+class WatchStream(Stream):
     """A stream that tells when the service has accepted the call, and each time it says that it is alive."""
 
     def dataReceived(self, data):
@@ -46,7 +46,7 @@
             self.feed.gather(StreamActive())
 
 
-class GuidedChangeLog(ChangeLog):
+class DiscoveryChangeLog(ChangeLog):
     """The list of a front that shares. `cooperation` carries messages to other instances and keeps the
     store.
     """
@@ -55,8 +55,8 @@
         super().__init__(reactor, turn, caches, limits, log, settings, seed)
         self.cooperation = cooperation
         members = cooperation.instance.members
-        self.logic = Listing(
-            members.me.token, terms, seed, lambda: members.ring, cooperation.store.all().get(ROW)
+        self.logic = DiscoveryEngine(
+            members.me.token, terms, seed, lambda: members.ring, cooperation.store.all().get(SAVED_LIST_ROW)
         )
         self.logic_host = LogicHost(reactor, clock, self.logic, self.execute, self.failed)
         self.serial = 0
@@ -101,7 +101,7 @@
             self.hang_up()
         elif isinstance(order, SaveSnapshot):
             if not self.cooperation.over:
-                self.cooperation.writes.put({ROW: order.data})
+                self.cooperation.writes.put({SAVED_LIST_ROW: order.data})
         elif isinstance(order, ListConfirmed):
             self.log.say(
                 "list-confirmed",
@@ -138,7 +138,7 @@
         if self.oldest < 0:
             return super().invalidated(told)
         plain = self.turn
-        self.turn = _Capped(self.turn, self.oldest)
+        self.turn = _PurgeAgeLimit(self.turn, self.oldest)
         try:
             super().invalidated(told)
         finally:
@@ -150,8 +150,8 @@
         self.serial += 1
         serial = self.serial
         endpoint = TCP4ClientEndpoint(self.reactor, self.host, self.port, timeout=self.limits.connect / 1e6)
-        feed = _Called(self, serial, after)
-        self.coming = endpoint.connect(Factory.forProtocol(lambda: GuidedStream(feed)))
+        feed = _StreamFeed(self, serial, after)
+        self.coming = endpoint.connect(Factory.forProtocol(lambda: WatchStream(feed)))
         self.coming.addCallbacks(self.came_up, lambda failure: self.did_not_come(failure, serial))
 
     def did_not_come(self, failure, serial):
@@ -176,14 +176,14 @@
         return self.logic.shown()
 
 
-def guided(reactor, turn, caches, limits, log, front, cooperation, terms):
+def create_change_log(reactor, turn, caches, limits, log, front, cooperation, terms):
     """The GuidedChangeLog of a front, whose Opening is `front`; it hears what instances tell each other of
     the list.
     """
     zone = front.settings["areas"][front.settings["az"]]
     gone = int(front.settings.get("family-info", {}).get("gone-everywhere", 0)) // 1000  # told in nanoseconds
     terms = terms._replace(zone=zone, gone=gone or terms.gone)
-    changes = GuidedChangeLog(
+    changes = DiscoveryChangeLog(
         reactor, turn, caches, limits, log, front.settings, front.seed, cooperation, terms
     )
     cooperation.guests.append(changes)
@@ -205,7 +205,7 @@
     return changes
 
 
-class _Called:
+class _StreamFeed:
     """What one stream knows of its change log: so that a former call's bytes reach nobody."""
 
     def __init__(self, changes, serial, last):
@@ -244,7 +244,7 @@
         self.gather(StreamClosed("the stream ended"))
 
 
-class _Capped:
+class _PurgeAgeLimit:
     """A turn to which no purge is older than so many microseconds."""
 
     def __init__(self, turn, oldest):
--- /dev/null
+++ b/limepath/discovery/page_coding.py
@@ -0,0 +1,129 @@
+"""The bytes of a list's pages and of its index, and back, checked before anything of them is taken.
+
+Both come from another front: members and purges are checked like those of the list service, and a page has to
+be the one that the index told. Free of I/O.
+"""
+
+import json
+import zlib
+
+from limepath.discovery.event_checks import InvalidEventError, check_member
+from limepath.discovery.event_coding import (
+    OversizedError,
+    decode_batch,
+    decompress,
+    encode_batches,
+    encode_event,
+)
+from limepath.discovery.event_window import AgedPurge
+from limepath.discovery.interface import Revision
+from limepath.discovery.pages import (
+    DIGEST_BYTES,
+    MIN_PAGE_WIDTH,
+    ListDigests,
+    PageContents,
+    PageLayout,
+    member_id,
+    page_digest,
+)
+from limepath.discovery.purge_fields import is_uint63
+from limepath.discovery.varint import ByteReader, DamagedError, encode_varint, zigzag_decode, zigzag_encode
+
+MAX_PAGE_BYTES = 262_144  # bytes, unpacked
+
+
+def encode_page(page: PageContents) -> bytes:
+    """The bytes of a page: zlib of the members' JSON behind its length, the count of purges, the differences
+    of their ages in milliseconds, and the purges in batches, each behind its length. Raise OversizedError.
+    """
+    members = json.dumps(page.members, separators=(",", ":")).encode()
+    ages = [kept.age // 1000 for kept in page.purges]
+    former = [0, *ages][: len(ages)]
+    parts = [encode_varint(zigzag_encode(age - before)) for age, before in zip(ages, former, strict=True)]
+    for batch in encode_batches((kept.encoded for kept in page.purges), MAX_PAGE_BYTES):
+        parts += encode_varint(len(batch)), batch
+    plain = encode_varint(len(members)) + members + encode_varint(len(ages)) + b"".join(parts)
+    if len(plain) > MAX_PAGE_BYTES:
+        raise OversizedError(f"a page of {len(plain)} bytes, {MAX_PAGE_BYTES} at the most")
+    return zlib.compress(plain, 9)
+
+
+def decode_page(data: bytes, at: int, theirs: ListDigests) -> PageContents:
+    """The contents of page `at`; raise CodingError where they are not those that `theirs` tells."""
+    reader = ByteReader(decompress(data, MAX_PAGE_BYTES))
+    members = decode_members(reader.take(reader.integer()))
+    purges = decode_purges(reader)
+    page = PageContents(members, purges)
+    if any(theirs.layout.page_of_member(member["id"]) != at for member in members):
+        raise DamagedError(f"a member that is not of page {at}")
+    if any(theirs.layout.page_of_purge(kept.number) != at for kept in purges):
+        raise DamagedError(f"a purge that is not of page {at}")
+    if page_digest(page) != theirs.pages[at]:
+        raise DamagedError(f"page {at} does not fit its digest")
+    return page
+
+
+def decode_members(data: bytes) -> tuple[dict, ...]:
+    try:
+        members = json.loads(data)
+        if not isinstance(members, list):
+            raise DamagedError("no members")
+        for member in members:
+            check_member(member)
+            if member["phase"] == "terminated":
+                raise DamagedError(f"member {member['id']!r} is not in the list any more")
+    except (ValueError, RecursionError):
+        raise DamagedError("members that are no JSON") from None
+    except InvalidEventError as error:
+        raise DamagedError(str(error)) from None
+    if len({member_id(member) for member in members}) < len(members):
+        raise DamagedError("a member that stands twice")
+    return tuple(members)
+
+
+def decode_purges(reader: ByteReader) -> tuple[AgedPurge, ...]:
+    """The purges that are left to be read."""
+    count, age, ages = reader.integer(), 0, []
+    if count > reader.left():
+        raise DamagedError(f"{count} purges in {reader.left()} bytes")
+    for _ in range(count):
+        age += zigzag_decode(reader.integer())
+        ages.append(age)
+    events = []
+    while reader.left():
+        events += decode_batch(reader.take(reader.integer()), MAX_PAGE_BYTES)
+    if len(events) != count or min(ages, default=0) < 0:
+        raise DamagedError("ages that are not those of the purges")
+    if any("invalidate" not in event.told for event in events):
+        raise DamagedError("an event that is no purge")
+    numbers = [event.told["seq"] for event in events]
+    if any(following <= number for number, following in zip(numbers, numbers[1:], strict=False)):
+        raise DamagedError("purges out of order")
+    return tuple(
+        AgedPurge(event.told["seq"], age * 1000, encode_event(event.told, event.text))
+        for age, event in zip(ages, events, strict=True)
+    )
+
+
+def encode_index(told: ListDigests) -> bytes:
+    """The bytes of the index; raise OversizedError where a number has over 63 bits."""
+    if not (is_uint63(abs(told.revision)) and is_uint63(told.place.number)):
+        raise OversizedError(f"revision {told.revision} at {told.place.number}")
+    head = (*told.place, zigzag_encode(told.revision), *told.layout)
+    return b"".join(map(encode_varint, head)) + b"".join(
+        digest.to_bytes(DIGEST_BYTES) for digest in told.pages
+    )
+
+
+def decode_index(data: bytes) -> ListDigests:
+    """What the index tells; raise CodingError."""
+    reader = ByteReader(data)
+    place = Revision(reader.integer(), reader.integer())
+    revision = zigzag_decode(reader.integer())
+    layout = PageLayout(*(reader.integer() for _ in PageLayout._fields))
+    if not layout.member_pages or layout.width < MIN_PAGE_WIDTH:
+        raise DamagedError(f"a layout that can't be: {layout}")
+    if layout.pages * DIGEST_BYTES != reader.left():
+        raise DamagedError(f"{layout.pages} pages, {reader.left()} bytes of digests")
+    found = tuple(int.from_bytes(reader.take(DIGEST_BYTES)) for _ in range(layout.pages))
+    return ListDigests(place, revision, layout, found)
--- a/limepath/discovery/page_transfer.py
+++ b/limepath/discovery/page_transfer.py
@@ -5,30 +5,41 @@
 Free of I/O.
 """
 
-from limepath.discovery.catch_up import CatchUp, Chunk, ChunkName, DamagedPage, NoSuchChunk, OtherSnapshot
-from limepath.discovery.catch_up import Snapshot as Standing
 from limepath.discovery.component import Component
-from limepath.discovery.integers import CodingError
 from limepath.discovery.interface import PageChunk, PageChunkRequest, Revision, SendToMember
-from limepath.discovery.pages import Contents
-
-AT_ONCE, RETRY, STALLS = 4, 250_000, 16  # chunks asked for at once; until asked again; and until given up
-SNAPSHOT_KEPT = 5_000_000  # for which a snapshot is told to those that begin, with the events since
-UNASKED = 10_000_000  # after which one that nobody asks for is dropped
-SNAPSHOTS = 4  # kept at the most, for those that have begun with them
-
-
-class Transfer:
+from limepath.discovery.paged_snapshot import (
+    ChunkId,
+    ChunkNotFoundError,
+    DamagedPageError,
+    PagedDownload,
+    SnapshotChangedError,
+    SnapshotPageChunk,
+)
+from limepath.discovery.paged_snapshot import PagedSnapshot as Standing
+from limepath.discovery.pages import ListContents
+from limepath.discovery.varint import CodingError
+
+MAX_OUTSTANDING_CHUNKS, RETRY_INTERVAL_US, MAX_STALLS = (
+    4,
+    250_000,
+    16,
+)  # chunks asked for at once; until asked again; and until given up
+SNAPSHOT_REUSE_US = 5_000_000  # for which a snapshot is told to those that begin, with the events since
+SNAPSHOT_IDLE_US = 10_000_000  # after which one that nobody asks for is dropped
+MAX_SNAPSHOTS = 4  # kept at the most, for those that have begun with them
+
+
+class PageDownload:
     """A list on its way here from one front."""
 
     def __init__(self, token, mine):
         self.token = token
-        self.catch_up = CatchUp(mine)
+        self.catch_up = PagedDownload(mine)
         self.asked = set()
         self.stalls = 0
 
 
-class Pages(Component):
+class PageTransfer(Component):
     """`snapshots` are those told to others by place and mark, `transfer` what this front asks for."""
 
     def __init__(self, listing):
@@ -42,7 +53,7 @@
         """The list as it stands."""
         held = self.held.list
         purges = held.purges.kept(self.timers.now)
-        return Contents(held.place, held.revision, dict(held.members), purges)
+        return ListContents(held.place, held.revision, dict(held.members), purges)
 
     # At the one that has it
 
@@ -52,7 +63,7 @@
         if held.confirmed_at is None or not held.list.place.number:
             return None
         last = next(reversed(self.snapshots.values()), None)
-        young = self.timers.now - self.made_at <= SNAPSHOT_KEPT
+        young = self.timers.now - self.made_at <= SNAPSHOT_REUSE_US
         if last and young and last.place.generation == held.list.place.generation:
             if held.window.covers(last.place.number):
                 return last
@@ -65,9 +76,9 @@
     def drop(self):
         """Forget snapshots that nobody asks for any more, and more of them to have room for another."""
         now = self.timers.now
-        unasked = [key for key in self.snapshots if now - self.asked_at.get(key, 0) > UNASKED]
+        unasked = [key for key in self.snapshots if now - self.asked_at.get(key, 0) > SNAPSHOT_IDLE_US]
         longest = sorted(set(self.snapshots) - set(unasked), key=lambda key: self.asked_at.get(key, 0))
-        for key in unasked + longest[: max(0, len(longest) - SNAPSHOTS + 1)]:
+        for key in unasked + longest[: max(0, len(longest) - MAX_SNAPSHOTS + 1)]:
             del self.snapshots[key]
             self.asked_at.pop(key, None)
 
@@ -79,11 +90,11 @@
         snapshot = self.newest() if place.number < 0 else self.snapshots.get((place, message.mark))
         try:
             if snapshot is None:
-                raise NoSuchChunk("not held any more")
-            chunk = snapshot.chunk(ChunkName(message.page, message.chunk))
+                raise ChunkNotFoundError("not held any more")
+            chunk = snapshot.chunk(ChunkId(message.page, message.chunk))
             self.asked_at[snapshot.place, snapshot.mark] = self.timers.now
             answer = PageChunk(*chunk.place, *chunk[1:])
-        except NoSuchChunk:
+        except ChunkNotFoundError:
             answer = PageChunk(*place, message.mark, message.page, message.chunk, 0)
         self.timers.emit(SendToMember(token, answer))
 
@@ -91,7 +102,7 @@
 
     def begin(self, token):
         """Ask one that is followed for what differs of its list."""
-        self.transfer = Transfer(token, self.contents())
+        self.transfer = PageDownload(token, self.contents())
         self.proceed(self.transfer)
 
     def proceed(self, transfer):
@@ -99,17 +110,17 @@
         if transfer is not self.transfer:
             return
         transfer.stalls += 1
-        if transfer.stalls > STALLS:
+        if transfer.stalls > MAX_STALLS:
             self.transfer = None
             return  # it serves others; the next heartbeat leads to another try
         transfer.asked = set()
         self.ask(transfer)
-        self.timers.schedule(self.timers.now + RETRY, self.proceed, transfer)
+        self.timers.schedule(self.timers.now + RETRY_INTERVAL_US, self.proceed, transfer)
 
     def ask(self, transfer):
         place, mark = transfer.catch_up.place or Revision(0, -1), transfer.catch_up.mark or 0
         for name in transfer.catch_up.wanted():
-            if len(transfer.asked) >= AT_ONCE:
+            if len(transfer.asked) >= MAX_OUTSTANDING_CHUNKS:
                 return
             if name not in transfer.asked:
                 transfer.asked.add(name)
@@ -123,16 +134,18 @@
             self.transfer = None
             return
         place = Revision(message.generation, message.number)
-        chunk = Chunk(place, message.mark, message.page, message.chunk, message.count, message.data)
+        chunk = SnapshotPageChunk(
+            place, message.mark, message.page, message.chunk, message.count, message.data
+        )
         try:
             transfer.catch_up.take(chunk)
-        except OtherSnapshot:
+        except SnapshotChangedError:
             return
-        except DamagedPage as error:
+        except DamagedPageError as error:
             self.transfer = None
             return self.heard.nonsense(token, error)
         transfer.stalls = 0
-        transfer.asked.discard(ChunkName(message.page, message.chunk))
+        transfer.asked.discard(ChunkId(message.page, message.chunk))
         if transfer.catch_up.complete:
             self.transfer = None
             return self.take(token, transfer.catch_up)
--- a/limepath/discovery/catch_up.py
+++ b/limepath/discovery/paged_snapshot.py
@@ -11,50 +11,58 @@
 from hashlib import blake2b
 from typing import NamedTuple
 
-from limepath.discovery.integers import CodingError
 from limepath.discovery.interface import Revision
-from limepath.discovery.page_bytes import (
-    LONGEST_PAGE,
-    packed_index,
-    packed_page,
-    unpacked_index,
-    unpacked_page,
+from limepath.discovery.page_coding import (
+    MAX_PAGE_BYTES,
+    decode_index,
+    decode_page,
+    encode_index,
+    encode_page,
 )
-from limepath.discovery.pages import Contents, Digests, PageContents, apply, differing, digests, spread
+from limepath.discovery.pages import (
+    ListContents,
+    ListDigests,
+    PageContents,
+    apply_pages,
+    differing_pages,
+    list_digests,
+    spread_over_pages,
+)
+from limepath.discovery.varint import CodingError
 
-INDEX = -1  # the page that holds the digests
+INDEX_PAGE = -1  # the page that holds the digests
 CHUNK_BYTES = 1000  # of a page in one datagram
-MOST_CHUNKS = 512  # of one page
+MAX_CHUNKS = 512  # of one page
 
 
-class PageError(Exception):
+class PageTransferError(Exception):
     """What can't be taken or told; the text says why. Nothing of it was taken."""
 
 
-class NoSuchChunk(PageError):
+class ChunkNotFoundError(PageTransferError):
     """It was asked for what this snapshot has not."""
 
 
-class OtherSnapshot(PageError):
+class SnapshotChangedError(PageTransferError):
     """A chunk of another generation, number or snapshot than the first one that came."""
 
 
-class DamagedPage(PageError):
+class DamagedPageError(PageTransferError):
     """A page or an index that is not what it was told to be; it is to be asked for again."""
 
 
-class Incomplete(PageError):
+class IncompleteDownloadError(PageTransferError):
     """Pages are missing yet."""
 
 
-class ChunkName(NamedTuple):
+class ChunkId(NamedTuple):
     """Chunk number `chunk` of a page, which is INDEX or counts from 0."""
 
     page: int
     chunk: int
 
 
-class Chunk(NamedTuple):
+class SnapshotPageChunk(NamedTuple):
     """`count` is how many chunks the page has, `mark` tells the snapshot from others at the same place."""
 
     place: Revision
@@ -65,22 +73,22 @@
     data: bytes
 
 
-def chunk_count(data: bytes, limit: int) -> int:
+def count_chunks(data: bytes, limit: int) -> int:
     return max(1, -(-len(data) // limit))
 
 
-class Snapshot:
-    """A list that stands still, to be told to others in chunks of at most `limit` bytes; raise Oversized
+class PagedSnapshot:
+    """A list that stands still, to be told to others in chunks of at most `limit` bytes; raise OversizedError
     where it can't be told.
     """
 
-    def __init__(self, contents: Contents, limit: int = CHUNK_BYTES):
+    def __init__(self, contents: ListContents, limit: int = CHUNK_BYTES):
         self.contents = contents
         self.limit = limit
-        self.digests = digests(contents)
-        self.pages = spread(contents, self.digests.layout)
-        self.packed = {INDEX: packed_index(self.digests)}
-        self.mark = mark_of(self.packed[INDEX])
+        self.digests = list_digests(contents)
+        self.pages = spread_over_pages(contents, self.digests.layout)
+        self.packed = {INDEX_PAGE: encode_index(self.digests)}
+        self.mark = index_digest(self.packed[INDEX_PAGE])
 
     @property
     def place(self) -> Revision:
@@ -89,26 +97,26 @@
     def bytes_of(self, page: int) -> bytes:
         if page not in self.packed:
             if not 0 <= page < len(self.pages):
-                raise NoSuchChunk(f"page {page} of {len(self.pages)}")
-            self.packed[page] = packed_page(self.pages[page])
+                raise ChunkNotFoundError(f"page {page} of {len(self.pages)}")
+            self.packed[page] = encode_page(self.pages[page])
         return self.packed[page]
 
-    def chunk(self, name: ChunkName) -> Chunk:
-        """The chunk of that name; raise NoSuchChunk."""
+    def chunk(self, name: ChunkId) -> SnapshotPageChunk:
+        """The chunk of that name; raise ChunkNotFoundError."""
         data = self.bytes_of(name.page)
-        count = chunk_count(data, self.limit)
+        count = count_chunks(data, self.limit)
         if not 0 <= name.chunk < count:
-            raise NoSuchChunk(f"chunk {name.chunk} of {count}")
+            raise ChunkNotFoundError(f"chunk {name.chunk} of {count}")
         at = name.chunk * self.limit
-        return Chunk(self.place, self.mark, *name, count, data[at : at + self.limit])
+        return SnapshotPageChunk(self.place, self.mark, *name, count, data[at : at + self.limit])
 
-    def chunks(self, page: int) -> tuple[Chunk, ...]:
-        """All chunks of a page; raise NoSuchChunk."""
-        count = chunk_count(self.bytes_of(page), self.limit)
-        return tuple(self.chunk(ChunkName(page, chunk)) for chunk in range(count))
+    def chunks(self, page: int) -> tuple[SnapshotPageChunk, ...]:
+        """All chunks of a page; raise ChunkNotFoundError."""
+        count = count_chunks(self.bytes_of(page), self.limit)
+        return tuple(self.chunk(ChunkId(page, chunk)) for chunk in range(count))
 
 
-class PageParts:
+class ReceivedChunks:
     """The chunks of one page that have come."""
 
     def __init__(self):
@@ -124,33 +132,33 @@
         return b"".join(self.data[chunk] for chunk in range(self.count))
 
 
-class CatchUp:
+class PagedDownload:
     """The list of another front on its way here; `mine` is the list that this front has, as it stood."""
 
-    def __init__(self, mine: Contents):
+    def __init__(self, mine: ListContents):
         self.mine = mine
         self.place: Revision | None = (
             None  # where the other's snapshot stands, and its mark, once they are known
         )
         self.mark: int | None = None
-        self.theirs: Digests | None = None
-        self.parts = {INDEX: PageParts()}  # of the pages that are missing
+        self.theirs: ListDigests | None = None
+        self.parts = {INDEX_PAGE: ReceivedChunks()}  # of the pages that are missing
         self.pages: dict[int, PageContents] = {}
 
-    def wanted(self) -> Iterator[ChunkName]:
+    def wanted(self) -> Iterator[ChunkId]:
         """What is missing, the index first; of a page whose size is not known its first chunk."""
         for page, parts in self.parts.items():
             for chunk in parts.missing():
-                yield ChunkName(page, chunk)
+                yield ChunkId(page, chunk)
 
     @property
     def complete(self) -> bool:
         return self.theirs is not None and not self.parts
 
-    def take(self, chunk: Chunk) -> bool:
-        """Take a chunk in and tell whether it was missing; raise OtherSnapshot or DamagedPage."""
+    def take(self, chunk: SnapshotPageChunk) -> bool:
+        """Take a chunk in and tell whether it was missing; raise SnapshotChangedError or DamagedPageError."""
         if self.place is not None and (chunk.place, chunk.mark) != (self.place, self.mark):
-            raise OtherSnapshot(f"one at {tuple(chunk.place)}, not that at {tuple(self.place)}")
+            raise SnapshotChangedError(f"one at {tuple(chunk.place)}, not that at {tuple(self.place)}")
         parts = self.parts.get(chunk.page)
         if parts is None or chunk.chunk in parts.data:
             return False
@@ -163,39 +171,39 @@
             self.finish(chunk.page, parts)
         return True
 
-    def check(self, chunk: Chunk, parts: PageParts) -> None:
+    def check(self, chunk: SnapshotPageChunk, parts: ReceivedChunks) -> None:
         """Raise DamagedPage where a chunk can't be."""
-        if not 0 <= chunk.chunk < chunk.count <= MOST_CHUNKS or parts.count not in (None, chunk.count):
-            raise DamagedPage(f"chunk {chunk.chunk} of {chunk.count} of page {chunk.page}")
-        if sum(map(len, parts.data.values())) + len(chunk.data) > LONGEST_PAGE:
-            raise DamagedPage(f"page {chunk.page} over {LONGEST_PAGE} bytes")
+        if not 0 <= chunk.chunk < chunk.count <= MAX_CHUNKS or parts.count not in (None, chunk.count):
+            raise DamagedPageError(f"chunk {chunk.chunk} of {chunk.count} of page {chunk.page}")
+        if sum(map(len, parts.data.values())) + len(chunk.data) > MAX_PAGE_BYTES:
+            raise DamagedPageError(f"page {chunk.page} over {MAX_PAGE_BYTES} bytes")
 
-    def finish(self, page: int, parts: PageParts) -> None:
+    def finish(self, page: int, parts: ReceivedChunks) -> None:
         """Open a page that is there whole."""
-        self.parts[page] = PageParts()
+        self.parts[page] = ReceivedChunks()
         try:
-            if page == INDEX:
+            if page == INDEX_PAGE:
                 self.open_index(parts.whole())
             else:
-                self.pages[page] = unpacked_page(parts.whole(), page, self.theirs)
+                self.pages[page] = decode_page(parts.whole(), page, self.theirs)
         except CodingError as error:
-            raise DamagedPage(f"page {page}: {error}") from None
+            raise DamagedPageError(f"page {page}: {error}") from None
         del self.parts[page]
 
     def open_index(self, data: bytes) -> None:
-        theirs = unpacked_index(data)
-        if theirs.place != self.place or mark_of(data) != self.mark:
+        theirs = decode_index(data)
+        if theirs.place != self.place or index_digest(data) != self.mark:
             raise CodingError("an index of another snapshot")
         self.theirs = theirs
-        self.parts |= {at: PageParts() for at in differing(self.mine, theirs)}
+        self.parts |= {at: ReceivedChunks() for at in differing_pages(self.mine, theirs)}
 
-    def contents(self) -> Contents:
-        """The other's list; raise Incomplete until all of it is there."""
+    def contents(self) -> ListContents:
+        """The other's list; raise IncompleteDownloadError until all of it is there."""
         if not self.complete:
-            raise Incomplete(f"{len(self.parts)} pages are missing")
-        return apply(self.mine, self.theirs, self.pages)
+            raise IncompleteDownloadErrorDownloadError(f"{len(self.parts)} pages are missing")
+        return apply_pages(self.mine, self.theirs, self.pages)
 
 
-def mark_of(index: bytes) -> int:
+def index_digest(index: bytes) -> int:
     """64 bits that tell a snapshot, of the bytes of its index."""
     return int.from_bytes(blake2b(index, digest_size=8).digest())
--- a/limepath/discovery/pages.py
+++ b/limepath/discovery/pages.py
@@ -18,28 +18,28 @@
 from operator import xor
 from typing import NamedTuple
 
-from limepath.discovery.coding import TEXT_KINDS, decode
-from limepath.discovery.events import summary
-from limepath.discovery.integers import Damaged
+from limepath.discovery.event_checks import json_digest
+from limepath.discovery.event_coding import TEXT_KINDS, decode_event
+from limepath.discovery.event_window import AgedPurge
 from limepath.discovery.interface import Revision
-from limepath.discovery.window import KeptPurge
+from limepath.discovery.varint import DamagedError
 
-MEMBERS_A_PAGE = 32  # in the mean
-PURGE_NUMBERS = 128  # numbers of events that share a page of purges, at the least
-PURGE_PAGES = 128  # at the most; numbers that reach further share pages of twice as many, and so on
+MEMBERS_PER_PAGE = 32  # in the mean
+MIN_PAGE_WIDTH = 128  # numbers of events that share a page of purges, at the least
+MAX_PURGE_PAGES = 128  # at the most; numbers that reach further share pages of twice as many, and so on
 DIGEST_BYTES = 8
 
 
-class Contents(NamedTuple):
+class ListContents(NamedTuple):
     """A list as it stood, `members` by id. Nobody changes one: the members are a copy of the list's."""
 
     place: Revision
     revision: int
     members: Mapping[str, dict]
-    purges: tuple[KeptPurge, ...]
+    purges: tuple[AgedPurge, ...]
 
 
-class Layout(NamedTuple):
+class PageLayout(NamedTuple):
     """How a list is spread over pages: those of members first, then those of purges. A page of purges has
     `width` numbers, the first of them the numbers from `first * width` on.
     """
@@ -63,12 +63,12 @@
         return self.member_pages + at if 0 <= at < self.purge_pages else None
 
 
-class Digests(NamedTuple):
+class ListDigests(NamedTuple):
     """The digests of all pages of a list that stands at `place`."""
 
     place: Revision
     revision: int
-    layout: Layout
+    layout: PageLayout
     pages: tuple[int, ...]
 
 
@@ -76,81 +76,86 @@
     """What is on one page, both in order."""
 
     members: tuple[dict, ...]
-    purges: tuple[KeptPurge, ...]
+    purges: tuple[AgedPurge, ...]
 
 
-def layout_of(contents: Contents) -> Layout:
+def choose_layout(contents: ListContents) -> PageLayout:
     """How to spread this list."""
-    member_pages = max(1, -(-len(contents.members) // MEMBERS_A_PAGE))
-    numbers = [number_of(kept) for kept in contents.purges]
+    member_pages = max(1, -(-len(contents.members) // MEMBERS_PER_PAGE))
+    numbers = [purge_number(kept) for kept in contents.purges]
     if not numbers:
-        return Layout(member_pages, PURGE_NUMBERS, 0, 0)
-    least, most, width = min(numbers), max(numbers), PURGE_NUMBERS
-    while most // width - least // width >= PURGE_PAGES:
+        return PageLayout(member_pages, MIN_PAGE_WIDTH, 0, 0)
+    least, most, width = min(numbers), max(numbers), MIN_PAGE_WIDTH
+    while most // width - least // width >= MAX_PURGE_PAGES:
         width *= 2
-    return Layout(member_pages, width, least // width, most // width - least // width + 1)
+    return PageLayout(member_pages, width, least // width, most // width - least // width + 1)
 
 
-def spread(contents: Contents, layout: Layout) -> list[PageContents]:
+def spread_over_pages(contents: ListContents, layout: PageLayout) -> list[PageContents]:
     """What of a list is on each page of a layout; purges that have no page there are left out."""
     members = [[] for _ in range(layout.pages)]
     purges = [[] for _ in range(layout.pages)]
     for name, member in contents.members.items():
         members[layout.page_of_member(name)].append(member)
     for kept in contents.purges:
-        page = layout.page_of_purge(number_of(kept))
+        page = layout.page_of_purge(purge_number(kept))
         if page is not None:
             purges[page].append(kept)
     return [
-        PageContents(tuple(sorted(some, key=name_of)), tuple(sorted(others, key=number_of)))
+        PageContents(tuple(sorted(some, key=member_id)), tuple(sorted(others, key=purge_number)))
         for some, others in zip(members, purges, strict=True)
     ]
 
 
-def digest_of(page: PageContents) -> int:
+def page_digest(page: PageContents) -> int:
     """64 bits of a page; ages do not count, for each front has its own."""
-    parts = [summary(member) for member in page.members] + [purge_digest(kept) for kept in page.purges]
+    parts = [json_digest(member) for member in page.members] + [purge_digest(kept) for kept in page.purges]
     return reduce(xor, parts, 0)
 
 
-def digests(contents: Contents) -> Digests:
+def list_digests(contents: ListContents) -> ListDigests:
     """The digests of all pages, in a layout for this list."""
-    layout = layout_of(contents)
-    return Digests(contents.place, contents.revision, layout, tuple(map(digest_of, spread(contents, layout))))
+    layout = choose_layout(contents)
+    return ListDigests(
+        contents.place,
+        contents.revision,
+        layout,
+        tuple(map(page_digest, spread_over_pages(contents, layout))),
+    )
 
 
-def differing(mine: Contents, theirs: Digests) -> tuple[int, ...]:
+def differing_pages(mine: ListContents, theirs: ListDigests) -> tuple[int, ...]:
     """The pages that are to be asked for, so that `mine` becomes the list that `theirs` tells."""
-    here = spread(mine, theirs.layout)
-    return tuple(at for at, page in enumerate(here) if digest_of(page) != theirs.pages[at])
+    here = spread_over_pages(mine, theirs.layout)
+    return tuple(at for at, page in enumerate(here) if page_digest(page) != theirs.pages[at])
 
 
-def apply(mine: Contents, theirs: Digests, pages: Mapping[int, PageContents]) -> Contents:
-    """The list that `theirs` tells: its pages where they are given, all others from `mine`. Raise Damaged
+def apply_pages(mine: ListContents, theirs: ListDigests, pages: Mapping[int, PageContents]) -> ListContents:
+    """The list that `theirs` tells: its pages where they are given, all others from `mine`. Raise DamagedError
     where the outcome is not that list.
     """
-    whole = [pages.get(at, page) for at, page in enumerate(spread(mine, theirs.layout))]
+    whole = [pages.get(at, page) for at, page in enumerate(spread_over_pages(mine, theirs.layout))]
     for at, page in enumerate(whole):
-        if digest_of(page) != theirs.pages[at]:
-            raise Damaged(f"page {at} is not the one that was told")
+        if page_digest(page) != theirs.pages[at]:
+            raise DamagedError(f"page {at} is not the one that was told")
     members = {member["id"]: member for page in whole for member in page.members}
     purges = tuple(kept for page in whole for kept in page.purges)
-    return Contents(theirs.place, theirs.revision, members, purges)
+    return ListContents(theirs.place, theirs.revision, members, purges)
 
 
 # Parts
 
 
-def name_of(member: dict) -> str:
+def member_id(member: dict) -> str:
     return member["id"]
 
 
-def number_of(kept: KeptPurge) -> int:
+def purge_number(kept: AgedPurge) -> int:
     return kept.number
 
 
-def purge_digest(kept: KeptPurge) -> int:
+def purge_digest(kept: AgedPurge) -> int:
     """64 bits of a purge; of one that went as text those of its event, since zlib's bytes may differ."""
     if kept.encoded[0] in TEXT_KINDS:
-        return summary(decode(kept.encoded).told)
+        return json_digest(decode_event(kept.encoded).told)
     return int.from_bytes(blake2b(kept.encoded, digest_size=DIGEST_BYTES).digest())
--- a/limepath/discovery/purge_fields.py
+++ b/limepath/discovery/purge_fields.py
@@ -23,16 +23,16 @@
 
     def valid(self) -> bool:
         """Whether it is one that `purge_of` gives."""
-        return fits(self.seq) and fits(self.time) and (self.is_object or fits(self.target))
+        return is_uint63(self.seq) and is_uint63(self.time) and (self.is_object or is_uint63(self.target))
 
 
-def purge_of(told: dict) -> PurgeFields | None:
+def purge_fields_of(told: dict) -> PurgeFields | None:
     """The fields of an event, None where they would not tell all of it."""
     purge = told.get("invalidate")
     if told.keys() != {"seq", "invalidate"} or not isinstance(purge, dict):
         return None
     if purge.keys() == {"object", "time"}:
-        target, is_object = object_number(purge["object"]), True
+        target, is_object = canonical_object_number(purge["object"]), True
     elif purge.keys() == {"bucket", "time"}:
         target, is_object = purge["bucket"], False
     else:
@@ -41,7 +41,7 @@
     return fields if target is not None and fields.valid() else None
 
 
-def fits(value: object) -> bool:
+def is_uint63(value: object) -> bool:
     """Whether this is a whole number of 63 bits; True and 1.0 are other JSON than 1."""
     return type(value) is int and 0 <= value < 1 << 63
 
@@ -50,15 +50,15 @@
     return f"{number:016x}"
 
 
-def object_value(name: str) -> int:
+def parse_object_name(name: str) -> int:
     """The number of an object, however it is written; ValueError or TypeError where it is none."""
     return int(name, 16)
 
 
-def object_number(name: object) -> int | None:
+def canonical_object_number(name: object) -> int | None:
     """The number of an object that is named by its 16 digits, else None."""
     try:
-        number = object_value(name)
+        number = parse_object_name(name)
     except (ValueError, TypeError):
         return None
     return number if 0 <= number < 1 << 64 and object_name(number) == name else None
--- a/limepath/discovery/replay.py
+++ b/limepath/discovery/replay_detection.py
@@ -6,9 +6,9 @@
 
 from collections import deque
 
-LEAST_EVENTS = 8  # with a time, to judge by
-LEAST_RATE, MOST_RATE = 0.7, 1.3  # of the service's time to ours
-KEPT = 10_000_000
+MIN_EVENTS = 8  # with a time, to judge by
+MIN_RATE, MAX_RATE = 0.7, 1.3  # of the service's time to ours
+EVENT_TIME_RETENTION_US = 10_000_000
 
 
 class EventTimes:
@@ -25,14 +25,14 @@
         if "invalidate" not in told:
             return
         self.pairs.append((now, told["invalidate"]["time"] * 1000))
-        while self.pairs[0][0] < now - KEPT:
+        while self.pairs[0][0] < now - EVENT_TIME_RETENTION_US:
             self.pairs.popleft()
 
     def live(self, now, span):
         """Whether events were told as they happened for the last `span`."""
         recent = [pair for pair in self.pairs if pair[0] >= now - span]
-        if len(recent) < LEAST_EVENTS or self.pairs[0][0] > now - span * LEAST_RATE:
+        if len(recent) < MIN_EVENTS or self.pairs[0][0] > now - span * MIN_RATE:
             return False
         (first, first_time), (last, last_time) = recent[0], recent[-1]
         elapsed = last - first
-        return elapsed >= span / 2 and LEAST_RATE <= (last_time - first_time) / elapsed <= MOST_RATE
+        return elapsed >= span / 2 and MIN_RATE <= (last_time - first_time) / elapsed <= MAX_RATE
--- a/limepath/discovery/roles.py
+++ b/limepath/discovery/roles.py
@@ -3,22 +3,22 @@
 Free of I/O.
 """
 
-from limepath.discovery.bounds import TURN
-from limepath.discovery.calls import Budget
+from limepath.discovery.bounds import RELAY_RETRY_SPAN_US
+from limepath.discovery.call_budget import CallBudget
 from limepath.discovery.component import Component
 from limepath.discovery.interface import LogEvent, Role, SendToMember, Subscribe
-from limepath.discovery.scopes import ASKED
+from limepath.discovery.scopes import QUERIES_PER_HEARTBEAT
 from limepath.discovery.upstream import Source
 
-HOLD = 2  # patiences for which a relay that is none any more keeps its stream
+STREAM_HOLD_TIMEOUTS = 2  # patiences for which a relay that is none any more keeps its stream
 
 
-class Roles(Component):
+class RoleSelection(Component):
     """`suspicious`: another told a list that contradicts ours, so the service is asked."""
 
     def __init__(self, listing):
         super().__init__(listing)
-        self.budget = Budget(self.terms, self.timers.random_fraction)
+        self.budget = CallBudget(self.terms, self.timers.random_fraction)
         self.role = Role.FOLLOWS
         self.unneeded = None
         self.unheard = None
@@ -41,7 +41,7 @@
         if self.tree.on:
             self.scopes.ask(live)
         else:
-            self.scopes.ask_in_turn(self.upstream.ranked(4 * ASKED))
+            self.scopes.ask_in_turn(self.upstream.ranked(4 * QUERIES_PER_HEARTBEAT))
         self.subscribe(wanted)
         self.looking = now + terms.beat
         self.decide()
@@ -74,7 +74,9 @@
             and (self.upstream.helps or unheard or self.upstream.first_gone())
         )
         self.unheard = (self.unheard or now) if unheard else None
-        needy = self.suspicious or unheard and now - self.unheard >= TURN  # the next by hash are to act first
+        needy = (
+            self.suspicious or unheard and now - self.unheard >= RELAY_RETRY_SPAN_US
+        )  # the next by hash are to act first
         role = Role.RELAYS if relay else Role.ALONE if needy else Role.FOLLOWS
         if role != self.role:
             self.timers.emit(LogEvent("list-role", {"role": role.name.lower(), "live": len(self.live()) + 1}))
@@ -84,7 +86,7 @@
             self.budget.unwanted()
             if (
                 self.stream.state
-                and now - self.unneeded > HOLD * self.terms.patience
+                and now - self.unneeded > STREAM_HOLD_TIMEOUTS * self.terms.patience
                 and self.upstream.told_by_others()
             ):
                 self.stream.hang_up("relays tell")
--- a/limepath/discovery/scopes.py
+++ b/limepath/discovery/scopes.py
@@ -8,20 +8,20 @@
 
 from limepath.discovery.component import Component
 from limepath.discovery.interface import ScopeAnnouncement, ScopeQuery, ScopeReport, SendToMember
-from limepath.discovery.topology import Scope, salt
+from limepath.discovery.topology import Scope, name_salt
 from limepath.hashing import mix64
 
-ASKED = 8  # of unknown scope, in one beat; with a site, of the whole fleet at one newcomer
-PAGE_BYTES = 1000  # of entries in one datagram
+QUERIES_PER_HEARTBEAT = 8  # of unknown scope, in one beat; with a site, of the whole fleet at one newcomer
+MAX_REPORT_BYTES = 1000  # of entries in one datagram
 ENTRY_BYTES = 11  # a token and an index, coded, at the most
 SITE_BYTES = 3  # beside a site's name
-SERVED = 8  # pages sent in one beat
-COMPARED = 4  # beats between two comparisons, once digests were the same
-SETTLED = 2_000_000  # for which no front of the zone must have been learnt or lost
-SAMPLES = 5  # fronts heard of for each zone, until all zones count as known
+REPORTS_PER_HEARTBEAT = 8  # pages sent in one beat
+COMPARISON_INTERVAL = 4  # beats between two comparisons, once digests were the same
+SCOPES_SETTLED_US = 2_000_000  # for which no front of the zone must have been learnt or lost
+SAMPLES_PER_ZONE = 5  # fronts heard of for each zone, until all zones count as known
 
 
-class KnownScopes(Component):
+class ScopeDirectory(Component):
     """`version` grows with each change in the own zone; `changed_at` is when that was."""
 
     def __init__(self, listing):
@@ -30,7 +30,7 @@
         self.known = {}
         self.shared = {}  # by token; one Scope for all fronts of a site
         self.mates = {self.me: self.mine}
-        self.digest = digest_of(self.me, self.mine)
+        self.digest = scope_digest(self.me, self.mine)
         self.version = 0
         self.changed_at = 0
         self.after = -1
@@ -59,7 +59,7 @@
     def change(self, token, scope):
         self.version += 1
         self.changed_at = self.timers.now
-        self.digest ^= digest_of(token, scope)
+        self.digest ^= scope_digest(token, scope)
 
     def keep(self, live):
         """Forget all that do not live."""
@@ -71,9 +71,11 @@
         know how many zones there are, and another of the zone knows the same, or there is no other.
         """
         known, zones, live = len(self.known), self.zones(), len(self.live())
-        if self.timers.now - self.changed_at < SETTLED or known < min(live, SAMPLES * zones):
+        if self.timers.now - self.changed_at < SCOPES_SETTLED_US or known < min(
+            live, SAMPLES_PER_ZONE * zones
+        ):
             return False
-        alone = len(self.mates) == 1 and known >= 2 * SAMPLES * zones
+        alone = len(self.mates) == 1 and known >= 2 * SAMPLES_PER_ZONE * zones
         return self.same or alone or known >= live
 
     def zones(self):
@@ -85,7 +87,7 @@
     def ask_in_turn(self, ranked):
         """The star: ask the first few of those `ranked` whose zone is not known."""
         unknown = [token for token in ranked if token != self.me and token not in self.known]
-        for token in unknown[:ASKED]:
+        for token in unknown[:QUERIES_PER_HEARTBEAT]:
             self.timers.emit(SendToMember(token, ScopeAnnouncement(self.terms.zone, True)))
 
     def ask(self, live):
@@ -95,7 +97,7 @@
         unknown = [token for token in live if token not in self.known]
         for token in self.timers.sample(unknown, self.how_many(len(unknown), len(live))):
             self.timers.emit(SendToMember(token, ScopeAnnouncement(self.terms.zone, True, self.terms.site)))
-        if self.same and self.beats % COMPARED:
+        if self.same and self.beats % COMPARISON_INTERVAL:
             return
         mates = [token for token, scope in self.mates.items() if scope.site and token != self.me]
         for token in self.timers.sample(mates, 1):
@@ -103,9 +105,11 @@
 
     def how_many(self, unknown, live):
         """As many fronts ask one newcomer in a beat as one front asks newcomers at a cold start."""
-        wanted = unknown * ASKED / live if live else 0.0
+        wanted = unknown * QUERIES_PER_HEARTBEAT / live if live else 0.0
         if self.settled() and unknown < live:
-            wanted /= ASKED  # the zone is known; the others are of use to the budget of calls only
+            wanted /= (
+                QUERIES_PER_HEARTBEAT  # the zone is known; the others are of use to the budget of calls only
+            )
         return min(unknown, int(wanted + self.timers.random_fraction()))
 
     def ask_page(self, token):
@@ -113,7 +117,7 @@
 
     def asked_page(self, token, message):
         self.learn(token, message.zone, message.site)
-        if message.zone != self.terms.zone or not self.terms.site or self.served >= SERVED:
+        if message.zone != self.terms.zone or not self.terms.site or self.served >= REPORTS_PER_HEARTBEAT:
             return
         self.served += 1
         if message.digest == self.digest:
@@ -126,7 +130,7 @@
         for token in sorted(token for token in self.mates if token > after):
             site = self.mates[token].site
             size += ENTRY_BYTES + (0 if site in sites else SITE_BYTES + len(site.encode()))
-            if size > PAGE_BYTES:
+            if size > MAX_REPORT_BYTES:
                 return ScopeReport(self.terms.zone, tuple(sites), tuple(fronts), False)
             fronts.append((token, sites.setdefault(site, len(sites))))
         return ScopeReport(self.terms.zone, tuple(sites), tuple(fronts), True)
@@ -145,5 +149,5 @@
             self.ask_page(token)
 
 
-def digest_of(token, scope):
-    return mix64(token ^ salt(f"{scope.zone}\n{scope.site}"))
+def scope_digest(token, scope):
+    return mix64(token ^ name_salt(f"{scope.zone}\n{scope.site}"))
--- a/limepath/discovery/stream.py
+++ b/limepath/discovery/service_stream.py
@@ -5,17 +5,17 @@
 
 from zlib import crc32
 
-from limepath.discovery.bounds import QUIET
+from limepath.discovery.bounds import QUIET_SPAN_US
 from limepath.discovery.component import Component
-from limepath.discovery.events import BadList, parsed, summary
+from limepath.discovery.event_checks import InvalidEventError, json_digest, parse_event
 from limepath.discovery.interface import CloseStream, LogEvent, OpenStream, Revision, Role
-from limepath.discovery.replay import EventTimes
+from limepath.discovery.replay_detection import EventTimes
 
 CALLING, UP = "calling", "up"
-LIVE = 1_000_000  # for which events come as they happen, until a stream has told all that it had
+LIVE_SPAN_US = 1_000_000  # for which events come as they happen, until a stream has told all that it had
 
 
-class Stream(Component):
+class ServiceStream(Component):
     """`state` is None, CALLING or UP; `whole`: the next call asks for all, gathered in `incoming`."""
 
     def __init__(self, listing):
@@ -84,7 +84,7 @@
     def up(self, note):
         self.state = UP
         self.heard_at = self.timers.now
-        self.timers.schedule(self.timers.now + QUIET, self.told_all, self.serial)
+        self.timers.schedule(self.timers.now + QUIET_SPAN_US, self.told_all, self.serial)
 
     def says(self, note):
         self.heard_at = self.timers.now
@@ -105,14 +105,14 @@
         if not self.state:
             return
         try:
-            told = parsed(note.text)
+            told = parse_event(note.text)
             self.times.add(now, told)
             if self.incoming is not None:
                 self.replayed(told, note.text)
             else:
                 self.continued(told, note.text)
             self.doubted = None
-        except BadList as flaw:
+        except InvalidEventError as flaw:
             mark = crc32(note.text.encode())
             if self.doubted != mark:  # it may have been damaged on the way: once more from the start
                 self.doubted = mark
@@ -123,7 +123,7 @@
         if self.caught_up:
             self.held.confirm(now)
         else:
-            self.timers.schedule(now + QUIET, self.told_all, self.serial)
+            self.timers.schedule(now + QUIET_SPAN_US, self.told_all, self.serial)
 
     def replayed(self, told, text):
         """Of a stream that tells all from the start: the first event holds the whole list, no number is left
@@ -132,11 +132,11 @@
         incoming, number = self.incoming, told["seq"]
         if not incoming.place.number and not incoming.members:
             if not told.get("fleet", {}).get("complete"):
-                raise BadList("the first event holds no whole list")
+                raise InvalidEventError("the first event holds no whole list")
         elif number <= incoming.place.number:
             return
         elif number != incoming.place.number + 1 and self.doubted is None:
-            raise BadList(f"{number} comes after {incoming.place.number}")
+            raise InvalidEventError(f"{number} comes after {incoming.place.number}")
         incoming.take(told, self.timers.now)
         held = self.held.list
         self.differs |= self.held.contradicts(told)
@@ -147,15 +147,15 @@
 
     def continued(self, told, text):
         number, known, window = told["seq"], self.held.list.place.number, self.held.window
-        if number == known and window.digest(number) == summary(told):
+        if number == known and window.digest(number) == json_digest(told):
             self.overlapped = True
         elif number == known + 1:
             self.overlapped = True
             self.held.advance(told, text)
         elif number > known:
             self.whole = True
-            raise BadList(f"{number} comes after {known}")
-        elif window.digest(number) != summary(told):
+            raise InvalidEventError(f"{number} comes after {known}")
+        elif window.digest(number) != json_digest(told):
             self.whole = True  # told before, but not so: the service's numbers ran backwards
             self.counts["contradictions"] += 1
             self.hang_up(f"event {number} is told anew, and otherwise")
@@ -170,8 +170,8 @@
             return
         if not self.caught_up:
             behind = incoming is not None and incoming.place.number < self.held.list.place.number
-            due = self.event_at + (self.terms.silence if behind else QUIET)
-            if now < due and not self.times.live(now, self.terms.silence if behind else LIVE):
+            due = self.event_at + (self.terms.silence if behind else QUIET_SPAN_US)
+            if now < due and not self.times.live(now, self.terms.silence if behind else LIVE_SPAN_US):
                 return self.timers.schedule(due, self.told_all, serial)
         if self.incoming is not None:
             incoming = self.incoming
--- a/limepath/discovery/simulate.py
+++ b/limepath/discovery/simulate.py
@@ -13,6 +13,7 @@
 
 from limepath.configuration.sharing_settings import DiscoverySettings, MembershipTimeouts
 from limepath.discovery.bounds import bounds
+from limepath.discovery.engine import DiscoveryEngine
 from limepath.discovery.interface import (
     MESSAGES,
     ApplyEvent,
@@ -28,7 +29,6 @@
     StreamEventReceived,
     StreamOpened,
 )
-from limepath.discovery.relay import Listing
 from limepath.duties.world import Network
 from limepath.membership.interface import (
     REFUTATION_BITS,
@@ -160,7 +160,7 @@
         self.front = 0
         self.born = world.now
         terms = world.terms._replace(zone=self.zone)
-        kind = Lone if world.alone else Listing
+        kind = Lone if world.alone else DiscoveryEngine
         self.logic = kind(
             self.token, terms, world.chance.getrandbits(32), lambda: self.members.ring, self.saved
         )
@@ -420,16 +420,16 @@
 
 def _save_lists(world, share):
     """Some fronts hold lists of another day, at different numbers."""
-    from limepath.discovery.events import parsed
-    from limepath.discovery.state import List
+    from limepath.discovery.endpoint_list import EndpointList
+    from limepath.discovery.event_checks import parse_event
 
     for _ in range(8):
         world.service.add({"fleet": {"revision": 2, "members": [member(f"s-{world.chance.randrange(40)}")]}})
     for node in world.nodes:
         if world.chance.random() < share:
-            held = List()
+            held = EndpointList()
             for text in world.service.events[: world.chance.randrange(1, 9)]:
-                held.take(parsed(text))
+                held.take(parse_event(text))
             node.saved = held.packed()
 
 
--- a/limepath/discovery/simulate_tree.py
+++ b/limepath/discovery/simulate_tree.py
@@ -15,7 +15,8 @@
 import msgspec
 
 from limepath.configuration.sharing_settings import DiscoverySettings
-from limepath.discovery.bounds import HELPERS, tree_bounds
+from limepath.discovery.bounds import HELPERS_PER_RELAY, tree_bounds
+from limepath.discovery.engine import DiscoveryEngine
 from limepath.discovery.interface import (
     ApplyEvent,
     CloseStream,
@@ -36,7 +37,6 @@
     StreamOpened,
     Subscribe,
 )
-from limepath.discovery.relay import Listing
 from limepath.discovery.simulate import member, most_in
 from limepath.duties.world import Network
 from limepath.membership.guard import HEAD, SEAL
@@ -123,7 +123,9 @@
         world = self.world
         site = "" if self.older else self.site
         terms = world.terms._replace(zone=self.zone, site=site, region=f"r{self.region}")
-        self.logic = Listing(self.token, terms, world.chance.getrandbits(32), lambda: world.seen_by(self))
+        self.logic = DiscoveryEngine(
+            self.token, terms, world.chance.getrandbits(32), lambda: world.seen_by(self)
+        )
         self.carry(self.logic.start(world.now))
 
     def kill(self):
@@ -419,7 +421,7 @@
         at_most("most calls at the list service in a second", most_in(service.calls, SECOND),
                 int(world.terms.rate)),
         at_most("most streams of one zone", max(service.most_streams.values()),
-                world.terms.relays * (2 + HELPERS)),
+                world.terms.relays * (2 + HELPERS_PER_RELAY)),
     ]  # fmt: skip
     return Measured(rows, said, world)
 
--- a/limepath/discovery/snapshot.py
+++ b/limepath/discovery/snapshot_transfer.py
@@ -6,17 +6,21 @@
 from collections import OrderedDict
 
 from limepath.discovery.component import Component
-from limepath.discovery.events import BadList
-from limepath.discovery.heard import IN_FLIGHT
+from limepath.discovery.endpoint_list import CHUNK_BYTES, count_chunks, snapshot_digest
+from limepath.discovery.event_checks import InvalidEventError
+from limepath.discovery.event_intake import ASSUMED_DELAY_US
 from limepath.discovery.interface import Revision, SendToMember, SnapshotChunk, SnapshotChunkRequest
-from limepath.discovery.state import DATA, mark_of, packed_size
 
-WINDOW, RETRY, STALLS = 4, 250_000, 8  # pieces asked for at once; until asked for again; and until given up
-PACK_KEPT = 5_000_000  # for which a packed list is told, with the events since
-SPREAD = 2_000  # microseconds of a follower's turn to ask for the whole list, times the followers
+MAX_OUTSTANDING_CHUNKS, RETRY_INTERVAL_US, MAX_STALLS = (
+    4,
+    250_000,
+    8,
+)  # pieces asked for at once; until asked for again; and until given up
+PACK_REUSE_US = 5_000_000  # for which a packed list is told, with the events since
+START_SPREAD_US = 2_000  # microseconds of a follower's turn to ask for the whole list, times the followers
 
 
-class Fetch:
+class SnapshotDownload:
     """A whole list on its way here, in pieces."""
 
     def __init__(self, token):
@@ -29,7 +33,7 @@
         self.stalls = 0
 
 
-class Snapshot(Component):
+class SnapshotTransfer(Component):
     """`packs` holds the last packed lists by place, `fetch` the one that is asked for."""
 
     def __init__(self, listing):
@@ -56,7 +60,7 @@
         if not self.tree.on or not self.packs:
             return None
         place = next(reversed(self.packs))
-        young = self.timers.now - self.packed_at <= PACK_KEPT
+        young = self.timers.now - self.packed_at <= PACK_REUSE_US
         same = place.generation == self.held.list.place.generation
         return place if young and same and self.held.window.covers(place.number) else None
 
@@ -64,18 +68,20 @@
         if self.tree.on and not self.children.may_serve_piece(token):
             return  # asked again later
         place, data = self.pack(Revision(message.generation, message.number))
-        of = packed_size(data) if data else 0
+        of = count_chunks(data) if data else 0
         if 0 <= message.piece < of:
-            at = message.piece * DATA
-            answer = SnapshotChunk(*place, message.piece, of, mark_of(data), data[at : at + DATA])
+            at = message.piece * CHUNK_BYTES
+            answer = SnapshotChunk(
+                *place, message.piece, of, snapshot_digest(data), data[at : at + CHUNK_BYTES]
+            )
         else:
             answer = SnapshotChunk(*place, message.piece, 0)
         self.timers.emit(SendToMember(token, answer))
 
     def begin(self, token, followers):
         """Each in its turn, since all that follow one lack the same."""
-        self.fetch = Fetch(token)
-        wait = int(self.timers.random_fraction() * followers * SPREAD)
+        self.fetch = SnapshotDownload(token)
+        wait = int(self.timers.random_fraction() * followers * START_SPREAD_US)
         self.timers.schedule(self.timers.now + wait, self.proceed, self.fetch)
 
     def proceed(self, fetch):
@@ -83,19 +89,19 @@
         if fetch is not self.fetch:
             return
         fetch.stalls += 1
-        if fetch.stalls > STALLS:
+        if fetch.stalls > MAX_STALLS:
             self.fetch = None
             if self.tree.on:
                 return  # it serves others; the next heartbeat leads to another try
             return self.heard.nonsense(fetch.token, "the whole list never came")
         fetch.asked = set()
         self.ask(fetch)
-        self.timers.schedule(self.timers.now + RETRY, self.proceed, fetch)
+        self.timers.schedule(self.timers.now + RETRY_INTERVAL_US, self.proceed, fetch)
 
     def ask(self, fetch):
         place = fetch.place or Revision(0, -1)
         for piece in range(fetch.of):
-            if len(fetch.asked) >= WINDOW:
+            if len(fetch.asked) >= MAX_OUTSTANDING_CHUNKS:
                 return
             if piece not in fetch.pieces and piece not in fetch.asked:
                 fetch.asked.add(piece)
@@ -108,7 +114,7 @@
         if not message.of:  # it has a newer one by now, or none: the next beat tells
             self.fetch = None
             return
-        if message.of * DATA > self.terms.longest + DATA or not 0 <= message.piece < message.of:
+        if message.of * CHUNK_BYTES > self.terms.longest + CHUNK_BYTES or not 0 <= message.piece < message.of:
             self.fetch = None
             return self.heard.nonsense(token, f"a list of {message.of} pieces")
         if fetch.place is None:
@@ -125,12 +131,12 @@
         self.fetch = None
         data = b"".join(fetch.pieces[at] for at in range(fetch.of))
         try:
-            if mark_of(data) != fetch.mark:
-                raise BadList("does not fit its digest")
+            if snapshot_digest(data) != fetch.mark:
+                raise InvalidEventError("does not fit its digest")
             new = self.held.unpacked(data)
             if new.place != fetch.place:
-                raise BadList("another place than told")
-        except BadList as flaw:
+                raise InvalidEventError("another place than told")
+        except InvalidEventError as flaw:
             return self.heard.nonsense(token, flaw)
         self.counts["fetched"] += 1
         if new.place > self.held.list.place:
@@ -143,4 +149,4 @@
         if not source or not source.beat or source.beat.age < 0:
             return
         if (source.beat.generation, source.beat.number) <= place:
-            self.held.confirm(source.at - source.beat.age - IN_FLIGHT)
+            self.held.confirm(source.at - source.beat.age - ASSUMED_DELAY_US)
--- a/limepath/discovery/followers.py
+++ b/limepath/discovery/star_subscribers.py
@@ -3,17 +3,17 @@
 Free of I/O.
 """
 
-from limepath.discovery.coding import decode
 from limepath.discovery.component import Component
+from limepath.discovery.event_coding import decode_event
+from limepath.discovery.event_window import CompactedError
 from limepath.discovery.interface import Events, Heartbeat, SendToMember, SubscriptionMode
-from limepath.discovery.window import NotHeld
 
-CARRIED = 1000  # bytes of events in one datagram
-WINDOW = 4  # datagrams of events in answer to one Follow
-LEASE = 4  # beats for which a follower counts as one
+MAX_EVENT_BYTES = 1000  # bytes of events in one datagram
+MAX_EVENT_DATAGRAMS = 4  # datagrams of events in answer to one Follow
+LEASE_HEARTBEATS = 4  # beats for which a follower counts as one
 
 
-class Followers(Component):
+class StarSubscribers(Component):
     """`known` maps a follower's token to when it ceases to count as one."""
 
     def __init__(self, listing):
@@ -63,19 +63,19 @@
         """
         out, texts, size, at = [], [], 0, first
         try:
-            coded = self.held.window.since(first - 1, WINDOW * CARRIED)
-        except NotHeld:
+            coded = self.held.window.since(first - 1, MAX_EVENT_DATAGRAMS * MAX_EVENT_BYTES)
+        except CompactedError:
             return []
-        for number, text in enumerate((decode(data).text for data in coded), first):
-            if len(text) > CARRIED:
+        for number, text in enumerate((decode_event(data).text for data in coded), first):
+            if len(text) > MAX_EVENT_BYTES:
                 return []
-            if texts and size + len(text) > CARRIED:
+            if texts and size + len(text) > MAX_EVENT_BYTES:
                 out.append((at, tuple(texts)))
                 texts, size, at = [], 0, number
             texts.append(text)
             size += len(text)
         out.append((at, tuple(texts)))
-        return [self.events(at, texts) for at, texts in out[:WINDOW] if texts]
+        return [self.events(at, texts) for at, texts in out[:MAX_EVENT_DATAGRAMS] if texts]
 
     def events(self, first, texts):
         held = self.held
@@ -87,7 +87,7 @@
         self.scopes.learn(token, message.zone, message.site)
         if self.tree.on and message.reads != SubscriptionMode.TEXTS:
             return self.children.subscribed(token, message)
-        self.known[token] = self.timers.now + LEASE * self.terms.beat
+        self.known[token] = self.timers.now + LEASE_HEARTBEATS * self.terms.beat
         self.timers.emit(SendToMember(token, self.my_beat()))
         if message.generation == place.generation and message.number < place.number:
             for one in self.events_from(message.number + 1):
--- a/limepath/discovery/topology.py
+++ b/limepath/discovery/topology.py
@@ -18,7 +18,7 @@
 
 from limepath.hashing import mix64
 
-LEAST_FAN_OUT = 2  # a chain has no bounded depth
+MIN_FAN_OUT = 2  # a chain has no bounded depth
 
 
 class Scope(NamedTuple):
@@ -46,14 +46,14 @@
     rank: int
 
 
-def salt(text: str) -> int:
+def name_salt(text: str) -> int:
     """64 bits to hash tokens with, told by a name."""
     return mix64(crc32(text.encode()))
 
 
-def by_hash(tokens, text: str) -> list[int]:
+def order_by_hash(tokens, text: str) -> list[int]:
     """The tokens in the order of their hash, salted by a text."""
-    salted = salt(text)
+    salted = name_salt(text)
     return sorted(tokens, key=lambda token: mix64(token ^ salted))
 
 
@@ -70,18 +70,18 @@
     """
 
     def __init__(self, zone: str, scopes: Mapping[int, Scope], relays: int, fan_out: int):
-        check_sizes(relays, fan_out)
+        check_tree_settings(relays, fan_out)
         self.fan_out = fan_out
         members = [token for token, scope in scopes.items() if scope.zone == zone]
-        self.roots = by_hash(members, zone)[:relays]  # the hash of `Listing.ranked`
+        self.roots = order_by_hash(members, zone)[:relays]  # the hash of `Listing.ranked`
         roots = set(self.roots)
         by_site = {}
         for token in members:
             if token not in roots and scopes[token].site:
                 by_site.setdefault(scopes[token].site, []).append(token)
         # By the sites' hash and not by their heads': another head leaves a site where it is.
-        self.sites = sorted(by_site, key=lambda site: (salt(f"{zone}\n{site}"), site))
-        self.members = {site: by_hash(by_site[site], f"{zone}\n{site}") for site in self.sites}
+        self.sites = sorted(by_site, key=lambda site: (name_salt(f"{zone}\n{site}"), site))
+        self.members = {site: order_by_hash(by_site[site], f"{zone}\n{site}") for site in self.sites}
 
     @cached_property
     def places(self) -> dict[int, SiteRank]:
@@ -159,12 +159,12 @@
         return rank if first_tree else count - 1 - rank
 
 
-def check_sizes(relays: int, fan_out: int) -> None:
+def check_tree_settings(relays: int, fan_out: int) -> None:
     """Raise ValueError for a number of relays or a fan-out that makes no tree."""
     if relays < 1:
         raise ValueError(f"{relays} relays: a zone needs one")
-    if fan_out < LEAST_FAN_OUT:
-        raise ValueError(f"fan-out {fan_out}: {LEAST_FAN_OUT} at the least")
+    if fan_out < MIN_FAN_OUT:
+        raise ValueError(f"fan-out {fan_out}: {MIN_FAN_OUT} at the least")
 
 
 def position(me: int, scopes: Mapping[int, Scope], relays: int, fan_out: int) -> Position:
@@ -172,7 +172,7 @@
     return Zone(scopes[me].zone, scopes, relays, fan_out).position(me)
 
 
-def levels(count: int, top: int, fan_out: int) -> int:
+def count_levels(count: int, top: int, fan_out: int) -> int:
     """How many levels hold so many nodes, where the first has `top` and each further `fan_out` times more."""
     deep = 0
     while count > 0:
@@ -186,13 +186,13 @@
     """The most hops from a root to a front, in a zone of so many live fronts at so many sites, however the
     fronts are spread over the sites.
     """
-    check_sizes(relays, fan_out)
+    check_tree_settings(relays, fan_out)
     below = members - min(relays, members)
     if not below:
         return 0
     deepest = 1  # those without a site
     for used in range(1, min(sites, below) + 1):
         largest = below - (used - 1)  # a site, where each other has one front
-        in_site = levels(largest - 1, fan_out, fan_out)
-        deepest = max(deepest, levels(used, relays * fan_out, fan_out) + in_site)
+        in_site = count_levels(largest - 1, fan_out, fan_out)
+        deepest = max(deepest, count_levels(used, relays * fan_out, fan_out) + in_site)
     return deepest
--- a/limepath/discovery/tree.py
+++ b/limepath/discovery/tree.py
@@ -8,13 +8,13 @@
 from limepath.discovery import bounds
 from limepath.discovery.component import Component
 from limepath.discovery.interface import SubscriptionMode
-from limepath.discovery.topology import Zone, by_hash, longest_path
+from limepath.discovery.topology import Zone, longest_path, order_by_hash
 
-REFUSED = 10_000_000  # until one that refused is asked again
-STANDBYS = 1 + bounds.HELPERS  # times the relays: those next by hash that watch the roots
+REFUSAL_US = 10_000_000  # until one that refused is asked again
+STANDBYS = 1 + bounds.HELPERS_PER_RELAY  # times the relays: those next by hash that watch the roots
 
 
-class Tree(Component):
+class TreeSubscriptions(Component):
     """`hops` is the most from a root to any front; 0 without a site."""
 
     def __init__(self, listing):
@@ -41,7 +41,7 @@
         self.version = scopes.version
         zone = Zone(terms.zone, scopes.mates, terms.relays, terms.fan_out)
         self.position = zone.position(self.me)
-        ranked = by_hash(scopes.mates, terms.zone)
+        ranked = order_by_hash(scopes.mates, terms.zone)
         self.first = ranked[: terms.relays]
         self.next = ranked[terms.relays : terms.relays * (1 + STANDBYS)]
         self.hops = longest_path(len(scopes.mates), len(zone.sites), terms.relays, terms.fan_out)
@@ -97,7 +97,7 @@
         return self.upstream.flaw_of(self.upstream.sources.get(token))
 
     def turned_away(self, token):
-        self.refused[token] = self.timers.now + REFUSED
+        self.refused[token] = self.timers.now + REFUSAL_US
         self.counts["refused"] += 1
 
     # Behind
@@ -111,7 +111,7 @@
         """Whether an event that another has is late here: the parent did not bring it."""
         if self.wanted is None or self.held.list.place.number >= self.wanted[0]:
             return False
-        late = self.timers.now - self.wanted[1] - bounds.brought(self.terms, self.hops)
+        late = self.timers.now - self.wanted[1] - bounds.delivery_time(self.terms, self.hops)
         source = self.upstream.sources.get(self.parent)
         if late <= 0 or source and source.beat and source.beat.number >= self.wanted[0]:
             return False  # the parent has it, and sends as fast as its pace allows
@@ -122,10 +122,10 @@
     def slow(self, token):
         """Pass a parent over that answers and does not bring what another has."""
         if source := self.upstream.sources.get(token):
-            source.bad_until = self.timers.now + bounds.SLOW
+            source.bad_until = self.timers.now + bounds.SLOW_PARENT_US
         self.counts["slow"] += 1
         self.wanted = None
 
     def patience(self):
         """What is added to spans in which an event must have come; 0 in the star."""
-        return bounds.brought(self.terms, self.hops) if self.on else 0
+        return bounds.delivery_time(self.terms, self.hops) if self.on else 0
--- a/limepath/discovery/children.py
+++ b/limepath/discovery/tree_subscribers.py
@@ -7,17 +7,23 @@
 
 import msgspec
 
-from limepath.discovery.bounds import FURTHER, PIECES, WAY, children_at_most, watchers_at_most
-from limepath.discovery.coding import BATCH_LIMIT, batches
+from limepath.discovery.bounds import (
+    EXTRA_BATCHES_PER_TICK,
+    ONE_WAY_DELAY_US,
+    SNAPSHOT_CHUNKS_PER_TICK,
+    max_children,
+    max_watchers,
+)
 from limepath.discovery.component import Component
-from limepath.discovery.integers import Reader
+from limepath.discovery.event_coding import MAX_BATCH_BYTES, encode_batches
+from limepath.discovery.event_window import CompactedError
 from limepath.discovery.interface import EventBatch, SendToMember, SubscriptionMode
-from limepath.discovery.window import NotHeld
+from limepath.discovery.varint import ByteReader
 
-LEASE = 4  # beats for which a subscriber counts as one
+LEASE_HEARTBEATS = 4  # beats for which a subscriber counts as one
 
 
-class Child:
+class TreeSubscriber:
     """`sent` is the last event sent, None where the next that it needs is not kept; `unanswered` are (time,
     number) of what was sent lately.
     """
@@ -34,17 +40,17 @@
 
     def overdue(self, now):
         """The last event that must have been acknowledged by now, or None."""
-        past = [number for at, number in self.unanswered if at <= now - 2 * WAY]
-        self.unanswered = [(at, number) for at, number in self.unanswered if at > now - 2 * WAY]
+        past = [number for at, number in self.unanswered if at <= now - 2 * ONE_WAY_DELAY_US]
+        self.unanswered = [(at, number) for at, number in self.unanswered if at > now - 2 * ONE_WAY_DELAY_US]
         return past[-1] if past else None
 
 
-class Children(Component):
+class TreeSubscribers(Component):
     def __init__(self, listing):
         super().__init__(listing)
         self.known = {}
         self.ticking = False
-        self.further = FURTHER
+        self.further = EXTRA_BATCHES_PER_TICK
         self.refilled = 0
         self.pieces = {}
         self.askers = 0  # of lists sent in this tick, by token; who asked for any in the last
@@ -64,8 +70,8 @@
             return True
         readers = len(self.readers())
         if reads == SubscriptionMode.BATCHES:
-            return readers < children_at_most(self.terms)
-        return len(self.known) - readers < watchers_at_most(self.terms)
+            return readers < max_children(self.terms)
+        return len(self.known) - readers < max_watchers(self.terms)
 
     def subscribed(self, token, message):
         """Answer with where the list stands; note what the child has."""
@@ -74,13 +80,13 @@
             self.counts["turned away"] += 1
             self.known.pop(token, None)
             beat = self.followers.my_beat()
-            return self.timers.emit(SendToMember(token, answering(beat, message.stamp, refused=True)))
-        child = self.known.setdefault(token, Child())
-        child.until = now + LEASE * self.terms.beat
+            return self.timers.emit(SendToMember(token, reply_heartbeat(beat, message.stamp, refused=True)))
+        child = self.known.setdefault(token, TreeSubscriber())
+        child.until = now + LEASE_HEARTBEATS * self.terms.beat
         child.reads = message.reads
         child.stamp = message.stamp
         child.stamp_at = now
-        self.timers.emit(SendToMember(token, answering(self.followers.my_beat(), message.stamp)))
+        self.timers.emit(SendToMember(token, reply_heartbeat(self.followers.my_beat(), message.stamp)))
         if message.reads != SubscriptionMode.BATCHES:
             child.sent = None
         elif message.generation != place.generation or not self.held.window.covers(message.number):
@@ -149,11 +155,11 @@
     def next_batch(self, sent):
         """Events after `sent` in one datagram: (bytes, the last number); no bytes if one is not held."""
         try:
-            coded = self.held.window.since(sent, 2 * BATCH_LIMIT)
-        except NotHeld:
+            coded = self.held.window.since(sent, 2 * MAX_BATCH_BYTES)
+        except CompactedError:
             return b"", sent
-        data = batches(coded)[0]
-        return data, sent + events_in(data)
+        data = encode_batches(coded)[0]
+        return data, sent + batch_size(data)
 
     def tell(self):
         for token in self.known:
@@ -165,7 +171,9 @@
         """
         self.refill()
         sent = self.pieces.setdefault(token, 0)
-        if sum(self.pieces.values()) >= PIECES or sent >= max(1, PIECES // max(1, self.askers)):
+        if sum(self.pieces.values()) >= SNAPSHOT_CHUNKS_PER_TICK or sent >= max(
+            1, SNAPSHOT_CHUNKS_PER_TICK // max(1, self.askers)
+        ):
             return False
         self.pieces[token] = sent + 1
         return True
@@ -173,18 +181,18 @@
     def refill(self):
         """So many further datagrams of events and so many of lists in each span of a tick."""
         if self.timers.now - self.refilled >= self.terms.gather:
-            self.further = FURTHER
+            self.further = EXTRA_BATCHES_PER_TICK
             self.refilled = self.timers.now
             self.pieces, self.askers = {}, len(self.pieces)
 
 
-def events_in(batch):
+def batch_size(batch):
     """How many events a batch holds, by its head."""
-    reader = Reader(batch)
+    reader = ByteReader(batch)
     reader.take(1)
     reader.integer(), reader.integer()
     return reader.integer()
 
 
-def answering(beat, stamp, refused=False):
+def reply_heartbeat(beat, stamp, refused=False):
     return msgspec.structs.replace(beat, stamp=stamp, refused=refused)
--- a/limepath/discovery/upstream.py
+++ b/limepath/discovery/upstream.py
@@ -7,13 +7,13 @@
 from zlib import crc32
 
 from limepath.discovery import bounds
-from limepath.discovery.bounds import TURN
+from limepath.discovery.bounds import RELAY_RETRY_SPAN_US
 from limepath.discovery.component import Component
 from limepath.discovery.interface import SubscriptionMode
 from limepath.hashing import mix64
 
-BAD = 30_000_000  # for which one that told nonsense is passed over
-UNASKED = 10_000_000  # for which one that is not asked any more counts as silent still
+BAD_PEER_US = 30_000_000  # for which one that told nonsense is passed over
+SOURCE_RETENTION_US = 10_000_000  # for which one that is not asked any more counts as silent still
 
 
 class Source:
@@ -82,7 +82,7 @@
                 continue
             self.chosen.append(token)
             if flaw == "in vain" or token == self.me and self.in_vain():
-                helpers = min(bounds.HELPERS * wanted, helpers + 1)
+                helpers = min(bounds.HELPERS_PER_RELAY * wanted, helpers + 1)
         self.helps = helpers and self.me in rank[: wanted + helpers]
         if not self.chosen:
             self.chosen = [self.me]
@@ -92,18 +92,21 @@
         now = self.timers.now
         for token, source in list(self.sources.items()):
             asked = source.owes or source.at or 0
-            if token not in wanted and source.bad_until <= now and now - asked > UNASKED:
+            if token not in wanted and source.bad_until <= now and now - asked > SOURCE_RETENTION_US:
                 del self.sources[token]
 
     def in_vain(self):
-        return self.roles.tries_since is not None and self.timers.now - self.roles.tries_since > TURN
+        return (
+            self.roles.tries_since is not None
+            and self.timers.now - self.roles.tries_since > RELAY_RETRY_SPAN_US
+        )
 
     def first_gone(self):
         """Whether one of the first by hash has been silent for so long that it is not a few lost
         datagrams.
         """
         silent = [self.sources[token].owes for token in self.first if token in self.sources]
-        return any(since and self.timers.now - since > TURN for since in silent)
+        return any(since and self.timers.now - since > RELAY_RETRY_SPAN_US for since in silent)
 
     def flaw_of(self, source):
         """Why one is not to be relied on, or None."""
@@ -116,7 +119,11 @@
             return "silent"
         if source.beat:
             age = now - source.at + source.beat.age
-            if source.beat.tries > TURN or source.beat.age >= 0 and age > self.held.fresh() + TURN:
+            if (
+                source.beat.tries > RELAY_RETRY_SPAN_US
+                or source.beat.age >= 0
+                and age > self.held.fresh() + RELAY_RETRY_SPAN_US
+            ):
                 return "in vain"
         return None
 
--- a/limepath/discovery/integers.py
+++ b/limepath/discovery/varint.py
@@ -4,18 +4,18 @@
 be. `CodingError` is what all compact forms of the list raise. Free of I/O.
 """
 
-INTEGER_BYTES = 10  # of the longest: 64 bits
+MAX_VARINT_BYTES = 10  # of the longest: 64 bits
 
 
 class CodingError(Exception):
     """Bytes that are not taken, or what has no bytes; the text says why."""
 
 
-class Damaged(CodingError):
+class DamagedError(CodingError):
     """Cut, or not what its kind says."""
 
 
-def integer(value: int) -> bytes:
+def encode_varint(value: int) -> bytes:
     """The bytes of a number of at most 64 bits that is not negative."""
     out = bytearray()
     while value > 0x7F:
@@ -25,17 +25,17 @@
     return bytes(out)
 
 
-def zigzag(value: int) -> int:
+def zigzag_encode(value: int) -> int:
     """A signed number as an unsigned one, small for those near 0 on either side."""
     return value << 1 if value >= 0 else (-value << 1) - 1
 
 
-def unzigzag(value: int) -> int:
+def zigzag_decode(value: int) -> int:
     return -(value + 1 >> 1) if value & 1 else value >> 1
 
 
-class Reader:
-    """Reads bytes from a place on; raises Damaged where they end too early."""
+class ByteReader:
+    """Reads bytes from a place on; raises DamagedError where they end too early."""
 
     def __init__(self, data: bytes, at: int = 0):
         self.data = data
@@ -46,13 +46,13 @@
 
     def take(self, count: int) -> bytes:
         if count > self.left():
-            raise Damaged("cut")
+            raise DamagedError("cut")
         self.at += count
         return self.data[self.at - count : self.at]
 
     def integer(self) -> int:
         value = 0
-        for place in range(INTEGER_BYTES):
+        for place in range(MAX_VARINT_BYTES):
             byte = self.take(1)[0]
             value |= (byte & 0x7F) << 7 * place
             if byte & 0x80:
@@ -60,9 +60,9 @@
             if place and not byte or value >> 64:
                 break
             return value
-        raise Damaged("no integer of 64 bits in its shortest form")
+        raise DamagedError("no integer of 64 bits in its shortest form")
 
     def end(self) -> None:
-        """Raise Damaged where something is left."""
+        """Raise DamagedError where something is left."""
         if self.left():
-            raise Damaged(f"{self.left()} bytes too many")
+            raise DamagedError(f"{self.left()} bytes too many")
--- a/limepath/front/start.py
+++ b/limepath/front/start.py
@@ -78,10 +78,10 @@
             raise SettingError(f"{shared.file}: {flaw}") from None
     if cooperation and shared.listing:
         from limepath.discovery.host import (
-            guided,  # nothing of it is loaded where each front follows the log by itself
+            create_change_log,  # nothing of it is loaded where each front follows the log by itself
         )
 
-        changes = guided(reactor, turn, caches, limits, log, told, cooperation, shared.listing)
+        changes = create_change_log(reactor, turn, caches, limits, log, told, cooperation, shared.listing)
         changes.confirmed = lambda: confirmed()
         clients.unready = True
     else:
--- a/limepath/scale/capacity_front.py
+++ b/limepath/scale/capacity_front.py
@@ -136,7 +136,7 @@
             "membership/, duties/, discovery/, frequency_exchange/, connection_pacing/",
         ),
         (f"a view of {SIZE.fronts:,}", view, SWIM),
-        ("the list kept for sharing", shared, "discovery/state.py"),
+        ("the list kept for sharing", shared, "discovery/endpoint_list.py"),
         ("these together", total([resident, sharing, view, shared], "MB"), ""),
     ]
     for what, figure, mechanism in added:
--- a/limepath/scale/capacity_roles.py
+++ b/limepath/scale/capacity_roles.py
@@ -41,7 +41,7 @@
     if settling.value is not None:
         add(Kind.STATE, "the same, told just after all started", settling, PUSHES, SIZE.everywhere)
     add(Kind.STATE, "span of the events kept for those behind", window(figures), "discovery/")
-    add(Kind.STATE, "span of the purges kept in a list", purge_span(figures), "discovery/state.py")
+    add(Kind.STATE, "span of the purges kept in a list", purge_span(figures), "discovery/endpoint_list.py")
     return lines.lines
 
 
@@ -72,7 +72,7 @@
     lines.add(Kind.STATE, "streams held", streams, "discovery/")
     lines.add(Kind.MESSAGES, "purges told, text alone", event, "the service is not ours")
     calls = assumed(promised.calls, "a second", BY_CODE)
-    lines.add(Kind.MESSAGES, "calls of the whole fleet, at most", calls, "discovery/calls.py")
+    lines.add(Kind.MESSAGES, "calls of the whole fleet, at most", calls, "discovery/call_budget.py")
     for kind in (Kind.PROCESSOR, Kind.MEMORY):
         lines.add(kind, "of the service itself", missing("not ours, a stand-in in our runs"), "not ours")
     return lines.lines
--- a/limepath/scale/hollow.py
+++ b/limepath/scale/hollow.py
@@ -11,7 +11,7 @@
 
 from limepath.configuration import peers_file, platform
 from limepath.configuration.ini import SettingError
-from limepath.discovery.host import guided
+from limepath.discovery.host import create_change_log
 from limepath.discovery.interface import Events
 from limepath.duties.host import Cooperation, clock
 from limepath.interface.commands import ReportRequestCounts
@@ -50,7 +50,7 @@
             self.cooperation = Cooperation(self.reactor, self.turn, self.caches, log, shared, opening)
         except (SettingError, platform.ConfigurationError, StartError) as flaw:
             raise NotDone(f"{config.name}: {flaw}") from None
-        self.changes = guided(
+        self.changes = create_change_log(
             self.reactor,
             self.turn,
             self.caches,
--- a/limepath/scale/hollow_process.py
+++ b/limepath/scale/hollow_process.py
@@ -20,7 +20,7 @@
 from limepath.configuration.addresses import address_of
 from limepath.configuration.ini import SettingError
 from limepath.configuration.platform import ConfigurationError
-from limepath.discovery.state import List
+from limepath.discovery.endpoint_list import EndpointList
 from limepath.scale import control
 from limepath.scale.accounting import Meter
 from limepath.scale.hollow import HollowFront, NotDone, settings_of
@@ -76,7 +76,7 @@
     Members are never changed once they are in a list, so that only memory is saved: each front still reads,
     checks and digests every member itself.
     """
-    known, put = {}, List.put
+    known, put = {}, EndpointList.put
 
     def put_shared(self, member):
         same = known.get(member["id"])
@@ -86,7 +86,7 @@
             known[member["id"]] = member
         put(self, member)
 
-    List.put = put_shared
+    EndpointList.put = put_shared
 
 
 class Fleet:
--- a/limepath/scale/roles_listing.py
+++ b/limepath/scale/roles_listing.py
@@ -10,8 +10,9 @@
 
 from limepath.choice import Front
 from limepath.configuration.decision_settings import start_of
-from limepath.discovery import state
-from limepath.discovery.state import List, parsed, unpacked
+from limepath.discovery import endpoint_list
+from limepath.discovery.endpoint_list import EndpointList, unpack_list
+from limepath.discovery.event_checks import parse_event
 from limepath.front.changelog import Entry
 from limepath.front.reference_clock import ReferenceClock
 from limepath.interface.events import EndpointListUpdated, UpdateKind
@@ -55,8 +56,8 @@
 
 def checked(text):
     """What the sharing of the list holds of it."""
-    held = List()
-    held.take(parsed(text))
+    held = EndpointList()
+    held.take(parse_event(text))
     return held
 
 
@@ -68,9 +69,9 @@
 
 def purges_kept():
     """How many purges a list holds at PURGES a second: a number, or those of a span."""
-    if most := getattr(state, "KEPT_PURGES", None):
+    if most := getattr(endpoint_list, "KEPT_PURGES", None):
         return most
-    return int(state.PURGES_KEPT / 1e6 * PURGES)
+    return int(endpoint_list.PURGE_RETENTION_US / 1e6 * PURGES)
 
 
 def with_purges():
@@ -102,7 +103,7 @@
         "parse": [partial(taken_in, text) for text in texts],
         "check": [partial(checked, text) for text in texts],
         "pack": [held.packed for held in lists],
-        "unpack": [partial(unpacked, pack, LONGEST) for pack in packs],
+        "unpack": [partial(unpack_list, pack, LONGEST) for pack in packs],
     }
     values = {name: [spent / 1000 for spent in least_cpu(work)] for name, work in works.items()}
     values |= {
--- a/limepath/scale/roles_relay.py
+++ b/limepath/scale/roles_relay.py
@@ -154,15 +154,15 @@
 
 def window():
     """Events that a front keeps for those behind, and how: a count, or a span in seconds."""
-    from limepath.discovery import relay, state
+    from limepath.discovery import endpoint_list, engine
 
     if span := getattr(DiscoverySettings(), "window", None):
         yield Fact("window", "span of events kept for those behind", "s", span / 1e6)
-    elif kept := getattr(relay, "KEPT", None):
+    elif kept := getattr(engine, "KEPT", None):
         yield Fact("events kept", "events kept for those behind", "events", kept)
-    if kept := getattr(state, "KEPT_PURGES", None):
+    if kept := getattr(endpoint_list, "KEPT_PURGES", None):
         yield Fact("purges kept", "purges kept in the list", "purges", kept)
-    elif span := getattr(state, "PURGES_KEPT", None):
+    elif span := getattr(endpoint_list, "PURGE_RETENTION_US", None):
         yield Fact("purge span", "span of purges kept in the list", "s", span / 1e6)
 
 
--- a/limepath/testbed/coldstart.py
+++ b/limepath/testbed/coldstart.py
@@ -24,8 +24,8 @@
 from limepath.configuration.sharing_settings import DiscoverySettings
 from limepath.connection_pacing.connections import rush
 from limepath.discovery.bounds import bounds, tree_bounds
+from limepath.discovery.endpoint_list import EndpointList
 from limepath.discovery.simulate import most_in
-from limepath.discovery.state import List
 from limepath.membership.control import NoAnswerError, ask
 from limepath.report_table import Row, at_most, seconds
 from limepath.testbed.duties import SETTINGS
@@ -343,7 +343,7 @@
 
     def all_know(self):
         """Whether every living front holds the service's list, and knows it."""
-        held = List()
+        held = EndpointList()
         for text in self.service.events:
             held.take(json.loads(text))
         for node in self.nodes:
--- a/tests/byte_records.py
+++ b/tests/byte_records.py
@@ -14,13 +14,13 @@
 
 import msgspec
 
-from limepath.discovery import coding, page_bytes, pages, scopes, state
+from limepath.discovery import endpoint_list, event_coding, page_coding, pages, scopes
 from limepath.discovery import interface as endpoints
-from limepath.discovery.catch_up import Snapshot
-from limepath.discovery.events import summary
-from limepath.discovery.host import ROW
-from limepath.discovery.topology import Scope, by_hash
-from limepath.discovery.window import KeptPurge
+from limepath.discovery.event_checks import json_digest
+from limepath.discovery.event_window import AgedPurge
+from limepath.discovery.host import SAVED_LIST_ROW
+from limepath.discovery.paged_snapshot import PagedSnapshot
+from limepath.discovery.topology import Scope, order_by_hash
 from limepath.duties import interface as leases
 from limepath.duties.ring import Ring, key_of
 from limepath.frequency_exchange import interface as request_counts
@@ -162,9 +162,9 @@
     return told | {"phase": "in_service", "up_since_ms": up_since_ms}
 
 
-def event(**told: Any) -> coding.Event:
+def event(**told: Any) -> event_coding.ServiceEvent:
     """An event whose text is the plain JSON of its object."""
-    return coding.Event(told, json.dumps(told))
+    return event_coding.ServiceEvent(told, json.dumps(told))
 
 
 OBJECT_PURGE = event(seq=1001, invalidate={"object": "00000000deadbeef", "time": 1_796_000_000_123})
@@ -173,19 +173,19 @@
 LONG_EVENT = event(seq=1004, fleet={"revision": 9, "members": [endpoint(1), endpoint(2)]})
 LATE_PURGE = event(seq=1200, invalidate={"bucket": 18, "time": 1_796_000_000_200})
 EVENTS = (OBJECT_PURGE, BUCKET_PURGE, TEXT_EVENT, LONG_EVENT)
-ENCODED_EVENTS = [coding.encode(*one) for one in EVENTS]
+ENCODED_EVENTS = [event_coding.encode_event(*one) for one in EVENTS]
 PURGES = ((OBJECT_PURGE, 8_000_000), (BUCKET_PURGE, 9_000_000), (LATE_PURGE, 2_000_000))
-CONTENTS = pages.Contents(
+CONTENTS = pages.ListContents(
     place=endpoints.Revision(generation=3, number=1201),
     revision=-7,
     members={f"cache-{number}": endpoint(number) for number in range(1, 41)},
-    purges=tuple(KeptPurge(one.told["seq"], age, coding.encode(*one)) for one, age in PURGES),
+    purges=tuple(AgedPurge(one.told["seq"], age, event_coding.encode_event(*one)) for one, age in PURGES),
 )
 
 
-def full_list() -> state.List:
+def full_list() -> endpoint_list.EndpointList:
     """A list with members and with purges of different ages."""
-    held, members = state.List(), [endpoint(number) for number in (1, 2, 3)]
+    held, members = endpoint_list.EndpointList(), [endpoint(number) for number in (1, 2, 3)]
     held.take({"seq": 1000, "fleet": {"revision": 8, "complete": True, "members": members}})
     held.take(OBJECT_PURGE.told, now=2_000_000, age=1_000_000)
     held.take(BUCKET_PURGE.told, now=4_000_000, age=0)
@@ -193,41 +193,41 @@
     return held
 
 
-def list_state(held: state.List) -> tuple[Any, ...]:
+def list_state(held: endpoint_list.EndpointList) -> tuple[Any, ...]:
     """All that makes up a list at `NOW`, to be compared."""
     return held.place, held.revision, held.members, held.digest, held.purges.kept(NOW)
 
 
-def event_record(one: coding.Event, packed_from: int | None = None) -> CodedRecord:
+def event_record(one: event_coding.ServiceEvent, packed_from: int | None = None) -> CodedRecord:
     """One event's bytes."""
-    return CodedRecord(one, lambda: coding.encode(*one), coding.decode, packed_from)
+    return CodedRecord(one, lambda: event_coding.encode_event(*one), event_coding.decode_event, packed_from)
 
 
-def list_record(held: state.List) -> CodedRecord:
+def list_record(held: endpoint_list.EndpointList) -> CodedRecord:
     """A whole list, as it is saved and as it is sent in parts."""
     return CodedRecord(
         list_state(held),
         lambda: held.packed(NOW),
-        lambda data: list_state(state.unpacked(data, LONGEST_LIST, NOW)),
-        packed_from=len(state.FORM),
+        lambda data: list_state(endpoint_list.unpack_list(data, LONGEST_LIST, NOW)),
+        packed_from=len(endpoint_list.FORMAT_TAG),
     )
 
 
-def index_record(contents: pages.Contents) -> CodedRecord:
+def index_record(contents: pages.ListContents) -> CodedRecord:
     """The index of a list's pages."""
-    told = pages.digests(contents)
-    return CodedRecord(told, lambda: page_bytes.packed_index(told), page_bytes.unpacked_index)
+    told = pages.list_digests(contents)
+    return CodedRecord(told, lambda: page_coding.encode_index(told), page_coding.decode_index)
 
 
 def page_record(number: int) -> CodedRecord:
     """One page of `CONTENTS`."""
-    told = pages.digests(CONTENTS)
-    page = pages.spread(CONTENTS, told.layout)[number]
+    told = pages.list_digests(CONTENTS)
+    page = pages.spread_over_pages(CONTENTS, told.layout)[number]
 
     def decode(data: bytes) -> pages.PageContents:
-        return page_bytes.unpacked_page(data, number, told)
+        return page_coding.decode_page(data, number, told)
 
-    return CodedRecord(page, lambda: page_bytes.packed_page(page), decode, packed_from=0)
+    return CodedRecord(page, lambda: page_coding.encode_page(page), decode, packed_from=0)
 
 
 SAVED_LIST = "saved-list/full"
@@ -236,11 +236,13 @@
     "event/purge-bucket": event_record(BUCKET_PURGE),
     "event/text": event_record(TEXT_EVENT),
     "event/compressed-text": event_record(LONG_EVENT, packed_from=1),
-    "event-batch": CodedRecord(EVENTS, lambda: coding.batches(ENCODED_EVENTS)[0], coding.events_of),
+    "event-batch": CodedRecord(
+        EVENTS, lambda: event_coding.encode_batches(ENCODED_EVENTS)[0], event_coding.decode_batch
+    ),
     SAVED_LIST: list_record(full_list()),
-    "saved-list/empty": list_record(state.List()),
+    "saved-list/empty": list_record(endpoint_list.EndpointList()),
     "page-index/full": index_record(CONTENTS),
-    "page-index/empty": index_record(pages.Contents(endpoints.Revision(), 0, {}, ())),
+    "page-index/empty": index_record(pages.ListContents(endpoints.Revision(), 0, {}, ())),
     "page/members-1": page_record(0),
     "page/members-2": page_record(1),
     "page/purges-1": page_record(2),
@@ -257,7 +259,7 @@
     rows = {}
     for _ in range(LIFE):
         _, rows = identity_of(rows, lambda: TOKENS[3])
-    return rows | kept_ceiling(CEILING) | {ROW: saved_list}
+    return rows | kept_ceiling(CEILING) | {SAVED_LIST_ROW: saved_list}
 
 
 def written_store(path: Path, rows: dict[str, bytes]) -> dict[str, Any]:
@@ -288,12 +290,12 @@
         "membership/view-buckets": view.buckets,
         "membership/receiver": MEMBER.door,
         "membership/states": [states.ALIVE, states.SUSPECT, states.DEAD, states.LEFT],
-        "endpoint-list/event": summary(OBJECT_PURGE.told),
+        "endpoint-list/event": json_digest(OBJECT_PURGE.told),
         "endpoint-list/members": full_list().digest,
-        "endpoint-list/snapshot": state.mark_of(b"snapshot").hex(),
-        "endpoint-list/page-index": Snapshot(CONTENTS).mark,
-        "endpoint-list/scope": scopes.digest_of(TOKENS[0], Scope("zone-1", "site-1")),
-        "endpoint-list/relay-order": by_hash(TOKENS, "zone-1"),
+        "endpoint-list/snapshot": endpoint_list.snapshot_digest(b"snapshot").hex(),
+        "endpoint-list/page-index": PagedSnapshot(CONTENTS).mark,
+        "endpoint-list/scope": scopes.scope_digest(TOKENS[0], Scope("zone-1", "site-1")),
+        "endpoint-list/relay-order": order_by_hash(TOKENS, "zone-1"),
         "endpoint-list/subscriptions": [reads.TEXTS, reads.BATCHES, reads.HEARTBEATS],
         "probe/outcomes": [
             AttemptOutcome.SUCCEEDED,
--- a/tests/test_event_coding.py
+++ b/tests/test_event_coding.py
@@ -1,4 +1,4 @@
-"""Tests of limepath/discovery/coding.py: list events as compact bytes, several in a datagram."""
+"""Tests of limepath/discovery/event_coding.py: list events as compact bytes, several in a datagram."""
 
 import json
 import tracemalloc
@@ -9,21 +9,28 @@
 from hypothesis import example, given, settings
 from hypothesis import strategies as st
 
-from limepath.discovery import coding
-from limepath.discovery.coding import (
-    BATCH_LIMIT,
-    LONGEST_TEXT,
+from limepath.discovery import event_coding
+from limepath.discovery.event_checks import json_digest, parse_event
+from limepath.discovery.event_coding import (
+    MAX_BATCH_BYTES,
+    MAX_TEXT_BYTES,
     RESERVED_KINDS,
-    Kind,
-    Oversized,
-    UnknownKind,
-    batches,
-    decode,
-    encode,
-    events_of,
+    EventKind,
+    OversizedError,
+    UnknownKindError,
+    decode_batch,
+    decode_event,
+    encode_batches,
+    encode_event,
+)
+from limepath.discovery.varint import (
+    ByteReader,
+    CodingError,
+    DamagedError,
+    encode_varint,
+    zigzag_decode,
+    zigzag_encode,
 )
-from limepath.discovery.events import parsed, summary
-from limepath.discovery.integers import CodingError, Damaged, Reader, integer, unzigzag, zigzag
 from limepath.membership.guard import HEAD, LARGEST, SEAL
 from limepath.membership.interface import MemberRecord
 
@@ -55,7 +62,7 @@
 
 
 def encoded(told):
-    return encode(told, json.dumps(told))
+    return encode_event(told, json.dumps(told))
 
 
 numbers = st.integers(0, 1 << 70)
@@ -112,16 +119,16 @@
 @example({"seq": 1, "invalidate": {"bucket": -1, "time": 5}})
 @example({"seq": 1, "invalidate": {"bucket": 1, "time": 1 << 63}})
 def test_an_event_comes_back_as_it_was(told):
-    event = decode(encoded(told))
-    assert event.told == told and summary(event.told) == summary(told)
-    assert summary(json.loads(event.text)) == summary(told)
+    event = decode_event(encoded(told))
+    assert event.told == told and json_digest(event.told) == json_digest(told)
+    assert json_digest(json.loads(event.text)) == json_digest(told)
 
 
 @repeatable
 @given(events, st.sampled_from([None, 1, (",", ":")]))
 def test_an_event_comes_back_however_its_text_was_spaced(told, way):
     text = json.dumps(told, separators=way) if isinstance(way, tuple) else json.dumps(told, indent=way)
-    assert summary(decode(encode(told, text)).told) == summary(told)
+    assert json_digest(decode_event(encode_event(told, text)).told) == json_digest(told)
 
 
 @repeatable
@@ -137,21 +144,21 @@
 
 def test_a_datagram_carries_over_ninety_purges_of_objects():
     second = [encoded(purge(seq, NOW_MS + seq * 28)) for seq in range(1000, 1200)]
-    packed = batches(second)
-    assert all(len(batch) <= BATCH_LIMIT for batch in packed) and len(packed) == 3
-    assert len(events_of(packed[0])) > 90
+    packed = encode_batches(second)
+    assert all(len(batch) <= MAX_BATCH_BYTES for batch in packed) and len(packed) == 3
+    assert len(decode_batch(packed[0])) > 90
     assert sum(map(len, packed)) / len(second) < 11.5 < len(second[0])
-    gathered = batches(second[:9])  # 36 a second, gathered for 250 ms
+    gathered = encode_batches(second[:9])  # 36 a second, gathered for 250 ms
     assert len(gathered) == 1 and len(gathered[0]) < 9 * 13
 
 
 def test_a_member_goes_as_text_and_deflated_where_that_is_shorter():
     alone, several = encoded(fleet(7)), encoded(fleet(7, *(member(f"s-{n}") for n in range(5))))
-    assert several[0] == Kind.DEFLATED and len(several) < 200
-    assert alone[0] in (Kind.TEXT, Kind.DEFLATED) and len(alone) <= len(json.dumps(fleet(7))) + 1
+    assert several[0] == EventKind.DEFLATED and len(several) < 200
+    assert alone[0] in (EventKind.TEXT, EventKind.DEFLATED) and len(alone) <= len(json.dumps(fleet(7))) + 1
     short = '{"seq": 7}'
-    assert encode({"seq": 7}, short) == bytes((Kind.TEXT,)) + short.encode()
-    assert decode(encode({"seq": 7}, short)).text == short
+    assert encode_event({"seq": 7}, short) == bytes((EventKind.TEXT,)) + short.encode()
+    assert decode_event(encode_event({"seq": 7}, short)).text == short
 
 
 @pytest.mark.parametrize(
@@ -159,91 +166,91 @@
     [{"object": "00000000000000ff", "time": True}, {"bucket": True, "time": 5}, {"bucket": 1.0, "time": 5}],
 )
 def test_a_purge_that_the_service_could_not_have_told_is_not_turned_into_one_that_it_could(told):
-    with pytest.raises(Damaged):
-        decode(encoded({"seq": 1, "invalidate": told}))
+    with pytest.raises(DamagedError):
+        decode_event(encoded({"seq": 1, "invalidate": told}))
 
 
 def test_half_a_surrogate_pair_comes_back():
     told = fleet(7, member("\ud800"))
-    assert decode(encode(told, json.dumps(told, ensure_ascii=False))).told == told
+    assert decode_event(encode_event(told, json.dumps(told, ensure_ascii=False))).told == told
 
 
 def test_what_is_too_long_for_an_event_is_refused_both_ways():
     long = fleet(7, *(member(f"s-{number}") for number in range(1400)))
-    with pytest.raises(Oversized):
+    with pytest.raises(OversizedError):
         encoded(long)
     for spoilt in (
-        bytes((Kind.TEXT,)) + json.dumps(long).encode(),
-        bytes((Kind.DEFLATED,)) + zlib.compress(json.dumps(long).encode()),
-        bytes((Kind.DEFLATED,)) + zlib.compress(b" " * 50_000_000),
+        bytes((EventKind.TEXT,)) + json.dumps(long).encode(),
+        bytes((EventKind.DEFLATED,)) + zlib.compress(json.dumps(long).encode()),
+        bytes((EventKind.DEFLATED,)) + zlib.compress(b" " * 50_000_000),
     ):
-        with pytest.raises(Oversized):
-            decode(spoilt)
+        with pytest.raises(OversizedError):
+            decode_event(spoilt)
 
 
 def test_no_more_is_unpacked_than_an_event_may_have():
-    bomb = bytes((Kind.DEFLATED,)) + zlib.compress(b" " * 50_000_000)
+    bomb = bytes((EventKind.DEFLATED,)) + zlib.compress(b" " * 50_000_000)
     tracemalloc.start()
-    with pytest.raises(Oversized):
-        decode(bomb)
+    with pytest.raises(OversizedError):
+        decode_event(bomb)
     _, most = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    assert most < 16 * LONGEST_TEXT
+    assert most < 16 * MAX_TEXT_BYTES
 
 
 @repeatable
 @given(sequences, st.integers(400, 1000))
 def test_batches_give_all_events_back_in_order_and_each_fits_its_datagram(those, limit):
-    packed = batches(map(encoded, those), limit)
+    packed = encode_batches(map(encoded, those), limit)
     assert all(len(batch) <= limit for batch in packed)
-    assert [event.told for batch in packed for event in events_of(batch, limit)] == those
+    assert [event.told for batch in packed for event in decode_batch(batch, limit)] == those
 
 
 @repeatable
 @given(sequences, st.integers(0, 5))
 def test_a_batch_ends_where_numbers_do_not_follow(those, gap):
     later = [told | {"seq": told["seq"] + len(those) + gap} for told in those]
-    packed = batches(map(encoded, those + later))
-    assert [event.told for batch in packed for event in events_of(batch)] == those + later
+    packed = encode_batches(map(encoded, those + later))
+    assert [event.told for batch in packed for event in decode_batch(batch)] == those + later
     for batch in packed:
-        numbers = [event.told["seq"] for event in events_of(batch)]
+        numbers = [event.told["seq"] for event in decode_batch(batch)]
         assert numbers == list(range(numbers[0], numbers[0] + len(numbers)))
 
 
 def test_nothing_makes_no_batch_and_what_does_not_fit_one_is_refused():
-    assert batches([]) == []
+    assert encode_batches([]) == []
     long = encoded(
         fleet(7, *(member(f"{n * n * 7919:x}", host_port=f"10.{n % 250}.7.9:{n + 999}") for n in range(150)))
     )
-    assert len(long) > BATCH_LIMIT
-    with pytest.raises(Oversized):
-        batches([encoded(purge(6)), long])
-    with pytest.raises(Oversized):
-        batches([encoded({"seq": 1 << 63})])
+    assert len(long) > MAX_BATCH_BYTES
+    with pytest.raises(OversizedError):
+        encode_batches([encoded(purge(6)), long])
+    with pytest.raises(OversizedError):
+        encode_batches([encoded({"seq": 1 << 63})])
 
 
 def test_a_batch_leaves_room_for_envelope_and_seal():
     sender = MemberRecord(HUGE, "n" * 32, "255.255.255.255", 65_535, HUGE, HUGE, 3, HUGE)
     around = msgspec.msgpack.encode((sender, HUGE, HUGE, ["le", HUGE, HUGE, b"", HUGE, HUGE]))
-    assert len(around) + BATCH_LIMIT + HEAD + SEAL < LARGEST
+    assert len(around) + MAX_BATCH_BYTES + HEAD + SEAL < LARGEST
 
 
 @pytest.mark.parametrize("kind", [5, 15, *RESERVED_KINDS, 200, 255])
 def test_an_unknown_kind_is_told_and_nothing_is_taken(kind):
-    batch = batches([encoded(purge(6)), encoded(purge(7))])[0]
-    at = batch.index(bytes((Kind.PURGE_OBJECT,)), 13)
+    batch = encode_batches([encoded(purge(6)), encoded(purge(7))])[0]
+    at = batch.index(bytes((EventKind.PURGE_OBJECT,)), 13)
     for read, data in (
-        (decode, bytes((kind,)) + encoded(purge(6))[1:]),
-        (events_of, batch[:at] + bytes((kind,)) + batch[at + 1 :]),
-        (events_of, bytes((kind,)) + batch[1:]),
+        (decode_event, bytes((kind,)) + encoded(purge(6))[1:]),
+        (decode_batch, batch[:at] + bytes((kind,)) + batch[at + 1 :]),
+        (decode_batch, bytes((kind,)) + batch[1:]),
     ):
-        with pytest.raises(UnknownKind) as error:
+        with pytest.raises(UnknownKindError) as error:
             read(data)
         assert error.value.kind == kind and ("reserved" in str(error.value)) == (kind in RESERVED_KINDS)
 
 
 def test_no_kind_is_among_those_reserved():
-    assert not set(Kind) & set(RESERVED_KINDS)
+    assert not set(EventKind) & set(RESERVED_KINDS)
 
 
 GOOD = [purge(6), purge(7, bucket=17), fleet(8), fleet(9, *(member(f"s-{n}") for n in range(5))), purge(10)]
@@ -253,34 +260,34 @@
 def test_an_event_cut_anywhere_or_with_more_behind_it_is_damaged(told):
     data = encoded(told)
     for end in range(len(data)):
-        with pytest.raises(Damaged):
-            decode(data[:end])
-    with pytest.raises(Damaged):
-        decode(data + b"\0")
-    with pytest.raises(Damaged):
-        events_of(data)
+        with pytest.raises(DamagedError):
+            decode_event(data[:end])
+    with pytest.raises(DamagedError):
+        decode_event(data + b"\0")
+    with pytest.raises(DamagedError):
+        decode_batch(data)
 
 
 def test_a_batch_cut_anywhere_or_with_more_behind_it_is_damaged():
-    (batch,) = batches(map(encoded, GOOD))
-    assert [event.told for event in events_of(batch)] == GOOD
+    (batch,) = encode_batches(map(encoded, GOOD))
+    assert [event.told for event in decode_batch(batch)] == GOOD
     for end in range(len(batch)):
-        with pytest.raises(Damaged):
-            events_of(batch[:end])
-    with pytest.raises(Damaged):
-        events_of(batch + b"\0")
-    with pytest.raises(Damaged):
-        decode(batch)
-    with pytest.raises(Oversized):
-        events_of(batch + bytes(BATCH_LIMIT))
+        with pytest.raises(DamagedError):
+            decode_batch(batch[:end])
+    with pytest.raises(DamagedError):
+        decode_batch(batch + b"\0")
+    with pytest.raises(DamagedError):
+        decode_event(batch)
+    with pytest.raises(OversizedError):
+        decode_batch(batch + bytes(MAX_BATCH_BYTES))
 
 
 def head(first, base, count):
-    return bytes((Kind.BATCH,)) + integer(first) + integer(base) + integer(count)
+    return bytes((EventKind.BATCH,)) + encode_varint(first) + encode_varint(base) + encode_varint(count)
 
 
 def entry(kind, time, target):
-    return bytes((kind,)) + integer(zigzag(time)) + target
+    return bytes((kind,)) + encode_varint(zigzag_encode(time)) + target
 
 
 TEXT = b'{"seq": 9}'
@@ -290,22 +297,25 @@
     "batch",
     [
         head(7, 5, 0),
-        head(7, 5, 3) + entry(Kind.PURGE_BUCKET, 0, b"\1"),
-        head(7, 5, 1 << 60) + entry(Kind.PURGE_BUCKET, 0, b"\1"),
-        head(7, 5, 1) + entry(Kind.PURGE_BUCKET, -6, b"\1"),  # a time before 1970
-        head(7, (1 << 63) - 1, 1) + entry(Kind.PURGE_BUCKET, 1, b"\1"),
-        head((1 << 63) - 1, 5, 2) + 2 * entry(Kind.PURGE_BUCKET, 1, b"\1"),
-        head(7, 5, 1) + entry(Kind.PURGE_BUCKET, 0, integer(1 << 63)),
-        head(7, 5, 1) + entry(Kind.BATCH, 0, bytes(8)),
-        head(7, 5, 1) + bytes((Kind.TEXT,)) + integer(len(TEXT)) + TEXT,  # number 9 told as 7
-        head(9, 5, 1) + bytes((Kind.TEXT,)) + integer(len(TEXT) + 1) + TEXT,
-        head(9, 5, 1) + bytes((Kind.TEXT,)) + b"\x8a\0" + TEXT,  # a length that is longer than it has to be
-        head(9, 5, 1) + bytes((Kind.DEFLATED,)) + integer(len(TEXT)) + TEXT,
+        head(7, 5, 3) + entry(EventKind.PURGE_BUCKET, 0, b"\1"),
+        head(7, 5, 1 << 60) + entry(EventKind.PURGE_BUCKET, 0, b"\1"),
+        head(7, 5, 1) + entry(EventKind.PURGE_BUCKET, -6, b"\1"),  # a time before 1970
+        head(7, (1 << 63) - 1, 1) + entry(EventKind.PURGE_BUCKET, 1, b"\1"),
+        head((1 << 63) - 1, 5, 2) + 2 * entry(EventKind.PURGE_BUCKET, 1, b"\1"),
+        head(7, 5, 1) + entry(EventKind.PURGE_BUCKET, 0, encode_varint(1 << 63)),
+        head(7, 5, 1) + entry(EventKind.BATCH, 0, bytes(8)),
+        head(7, 5, 1) + bytes((EventKind.TEXT,)) + encode_varint(len(TEXT)) + TEXT,  # number 9 told as 7
+        head(9, 5, 1) + bytes((EventKind.TEXT,)) + encode_varint(len(TEXT) + 1) + TEXT,
+        head(9, 5, 1)
+        + bytes((EventKind.TEXT,))
+        + b"\x8a\0"
+        + TEXT,  # a length that is longer than it has to be
+        head(9, 5, 1) + bytes((EventKind.DEFLATED,)) + encode_varint(len(TEXT)) + TEXT,
     ],
 )
 def test_a_batch_that_contradicts_itself_is_damaged(batch):
-    with pytest.raises(Damaged):
-        events_of(batch)
+    with pytest.raises(DamagedError):
+        decode_batch(batch)
 
 
 @pytest.mark.parametrize(
@@ -321,9 +331,9 @@
     ],
 )
 def test_a_text_that_the_service_could_not_have_told_is_damaged(plain):
-    for data in (bytes((Kind.TEXT,)) + plain, bytes((Kind.DEFLATED,)) + zlib.compress(plain)):
-        with pytest.raises(Damaged):
-            decode(data)
+    for data in (bytes((EventKind.TEXT,)) + plain, bytes((EventKind.DEFLATED,)) + zlib.compress(plain)):
+        with pytest.raises(DamagedError):
+            decode_event(data)
 
 
 def check_fuzzed(read, data):
@@ -332,8 +342,8 @@
         found = read(data)
     except CodingError:
         return
-    for event in [found] if isinstance(found, coding.Event) else found:
-        assert parsed(event.text) == event.told
+    for event in [found] if isinstance(found, event_coding.ServiceEvent) else found:
+        assert parse_event(event.text) == event.told
 
 
 @settings(repeatable, max_examples=500)
@@ -344,16 +354,16 @@
     )
 )
 def test_any_bytes_are_events_or_a_typed_error(data):
-    check_fuzzed(decode, data)
-    check_fuzzed(events_of, data)
+    check_fuzzed(decode_event, data)
+    check_fuzzed(decode_batch, data)
 
 
 @settings(repeatable, max_examples=500)
 @given(sequences, st.data())
 def test_spoilt_bytes_are_events_or_a_typed_error(those, data):
-    batch = bytearray(batches(map(encoded, those))[0])
+    batch = bytearray(encode_batches(map(encoded, those))[0])
     single = bytearray(encoded(those[0]))
-    for spoilt, read in ((batch, events_of), (single, decode)):
+    for spoilt, read in ((batch, decode_batch), (single, decode_event)):
         for _ in range(data.draw(st.integers(1, 3))):
             spoilt[data.draw(st.integers(0, len(spoilt) - 1))] = data.draw(st.integers(0, 255))
         check_fuzzed(read, bytes(spoilt))
@@ -362,15 +372,15 @@
 @repeatable
 @given(st.integers(0, HUGE), st.integers(-(1 << 63), (1 << 63) - 1))
 def test_integers_come_back(number, signed):
-    assert Reader(integer(number)).integer() == number
-    assert unzigzag(zigzag(signed)) == signed and 0 <= zigzag(signed) <= HUGE
+    assert ByteReader(encode_varint(number)).integer() == number
+    assert zigzag_decode(zigzag_encode(signed)) == signed and 0 <= zigzag_encode(signed) <= HUGE
 
 
 @pytest.mark.parametrize("data", [b"", b"\x80", b"\x80\0", b"\xff" * 9 + b"\x02", b"\xff" * 11])
 def test_an_integer_that_is_cut_too_long_or_too_large_is_damaged(data):
-    with pytest.raises(Damaged):
-        Reader(data).integer()
+    with pytest.raises(DamagedError):
+        ByteReader(data).integer()
 
 
 def test_the_longest_event_text_is_bounded_below_the_list():
-    assert BATCH_LIMIT < LONGEST_TEXT < 4_000_000
+    assert MAX_BATCH_BYTES < MAX_TEXT_BYTES < 4_000_000
--- a/tests/test_event_tree.py
+++ b/tests/test_event_tree.py
@@ -8,9 +8,10 @@
 from limepath.configuration import peers_file
 from limepath.configuration.ini import SettingError
 from limepath.configuration.sharing_settings import DiscoverySettings
-from limepath.discovery.bounds import children_at_most, fresh, tree_bounds
-from limepath.discovery.calls import Budget
-from limepath.discovery.coding import batches, encode
+from limepath.discovery.bounds import freshness_limit, max_children, tree_bounds
+from limepath.discovery.call_budget import CallBudget
+from limepath.discovery.endpoint_list import EndpointList
+from limepath.discovery.event_coding import encode_batches, encode_event
 from limepath.discovery.interface import (
     ApplyEvent,
     EventBatch,
@@ -29,10 +30,9 @@
     Subscribe,
     SubscriptionMode,
 )
-from limepath.discovery.replay import EventTimes
+from limepath.discovery.replay_detection import EventTimes
 from limepath.discovery.simulate import member
 from limepath.discovery.simulate_tree import Plan, run_tree
-from limepath.discovery.state import List
 from limepath.discovery.topology import Scope, Zone
 from limepath.interface.commands import ForwardRequest
 from limepath.interface.events import AttemptOutcome, EndpointListFreshnessChanged
@@ -55,7 +55,7 @@
 
 def batch(first, last, age=0, generation=0, stamp=0):
     texts = [event(number) for number in range(first, last + 1)]
-    data = batches([encode(json.loads(text), text) for text in texts])
+    data = encode_batches([encode_event(json.loads(text), text) for text in texts])
     assert len(data) == 1
     return EventBatch(generation, first, data[0], age, stamp)
 
@@ -135,15 +135,15 @@
         if isinstance(order.message, Heartbeat)
     }
     refused = [token for token, beat in beats.items() if beat.refused]
-    assert len(beats) - len(refused) == children_at_most(TERMS) == len(front.logic.children.readers())
+    assert len(beats) - len(refused) == max_children(TERMS) == len(front.logic.children.readers())
     front.out.clear()
     front.told(front.parent, batch(4, 5))
     front.run(TERMS.gather)
     sent = {order.token for order in front.said(SendToMember) if isinstance(order.message, EventBatch)}
-    assert len(sent) == children_at_most(TERMS) and not sent & set(refused)
+    assert len(sent) == max_children(TERMS) and not sent & set(refused)
     front.told(refused[0], Subscribe("sur", 0, 3, SubscriptionMode.HEARTBEATS, "a", False, 5))
     shown = front.logic.shown()  # who is sent heartbeats only is a follower, and no cost of events
-    assert shown["sends_events_to"] == children_at_most(TERMS) == shown["followers"] - 1
+    assert shown["sends_events_to"] == max_children(TERMS) == shown["followers"] - 1
 
 
 @pytest.mark.parametrize(
@@ -173,7 +173,7 @@
     front = Member(held(3).packed())
     front.told(front.parent, batch(4, 5))
     other = json.dumps({"seq": 5, "invalidate": {"bucket": 77, "time": 5}})
-    front.told(front.parent, EventBatch(0, 5, batches([encode(json.loads(other), other)])[0], 0))
+    front.told(front.parent, EventBatch(0, 5, encode_batches([encode_event(json.loads(other), other)])[0], 0))
     assert front.logic.upstream.flaw_of(front.logic.upstream.sources[front.parent]) == "bad"
     assert front.logic.held.list.place.number == 5
 
@@ -250,7 +250,7 @@
 
 def large(count, purged):
     """A packed list of so many members and purges."""
-    one = List()
+    one = EndpointList()
     one.take(json.loads(whole(1, count)))
     for number in range(2, purged + 2):
         one.take(json.loads(event(number)))
@@ -319,7 +319,7 @@
 
 def test_fronts_that_learn_at_once_that_they_are_few_do_not_call_at_once():
     terms = DiscoverySettings(fronts=1000, site="a")
-    budgets = [Budget(terms, lambda share=share: share / 40) for share in range(40)]
+    budgets = [CallBudget(terms, lambda share=share: share / 40) for share in range(40)]
     called, times = [], []
     for now in range(0, 12 * SECOND, 100 * MS):
         for budget in budgets:
@@ -353,7 +353,7 @@
 def test_a_front_is_told_when_its_list_is_late_and_when_it_is_not_any_more():
     front = Member(held(3).packed())
     front.told(front.parent, Heartbeat("sur", 0, 3, held(3).digest, 0, site="a", stamp=front.now))
-    bound = fresh(TERMS, front.logic.tree.hops)
+    bound = freshness_limit(TERMS, front.logic.tree.hops)
     front.run(bound)
     assert not front.said(ListFreshnessChanged)
     front.run(1)
--- a/tests/test_event_window.py
+++ b/tests/test_event_window.py
@@ -1,4 +1,4 @@
-"""Tests of limepath/discovery/window.py: what is kept of the events for fronts that are behind."""
+"""Tests of limepath/discovery/event_window.py: what is kept of the events for fronts that are behind."""
 
 import json
 from collections import OrderedDict
@@ -8,17 +8,17 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from limepath.discovery.coding import decode, encode
-from limepath.discovery.events import summary
-from limepath.discovery.integers import CodingError, integer, zigzag
-from limepath.discovery.window import (
-    KeptPurge,
-    NotHeld,
+from limepath.discovery.event_checks import json_digest
+from limepath.discovery.event_coding import decode_event, encode_event
+from limepath.discovery.event_window import (
+    AgedPurge,
+    CompactedError,
+    EventWindow,
     RecentPurges,
-    Window,
     bytes_needed,
-    target_of,
+    purge_target,
 )
+from limepath.discovery.varint import CodingError, encode_varint, zigzag_encode
 
 SECOND = 1_000_000
 RATE = 36  # purges a second at the coming size
@@ -42,22 +42,22 @@
 
 
 def encoded(told):
-    return encode(told, json.dumps(told))
+    return encode_event(told, json.dumps(told))
 
 
 def add(window, now, number):
-    window.add(now, number, encoded(purge(number)), summary(purge(number)))
+    window.add(now, number, encoded(purge(number)), json_digest(purge(number)))
 
 
 def filled(count, most_bytes=MOST_BYTES, first=1, span=SPAN):
-    window = Window(span, most_bytes)
+    window = EventWindow(span, most_bytes)
     for number in range(first, first + count):
         add(window, at_rate(number), number)
     return window
 
 
 def told_by(window, number):
-    return [decode(data).told["seq"] for data in window.since(number)]
+    return [decode_event(data).told["seq"] for data in window.since(number)]
 
 
 # The window
@@ -81,7 +81,7 @@
 
 
 def test_an_event_is_kept_for_the_span_and_no_longer():
-    window = Window(SPAN, MOST_BYTES)
+    window = EventWindow(SPAN, MOST_BYTES)
     add(window, 0, 1)
     add(window, SPAN, 2)
     assert told_by(window, 0) == [1, 2]
@@ -90,7 +90,7 @@
     window.expire(3 * SPAN)
     assert window.reaches is None and window.newest == 3 and window.bytes == 0
     assert window.since(3) == ()
-    with pytest.raises(NotHeld):
+    with pytest.raises(CompactedError):
         window.since(2)
 
 
@@ -113,20 +113,20 @@
 
 
 def test_an_empty_window_covers_nothing():
-    window = Window(SPAN, MOST_BYTES)
+    window = EventWindow(SPAN, MOST_BYTES)
     assert window.reaches is None and not window.covers(0)
-    with pytest.raises(NotHeld):
+    with pytest.raises(CompactedError):
         window.since(0)
 
 
 def test_one_that_is_ahead_is_told_nothing():
-    with pytest.raises(NotHeld):
+    with pytest.raises(CompactedError):
         filled(3).since(4)
 
 
 def test_a_digest_is_told_as_long_as_its_event_is_held():
     window = filled(3)
-    assert window.digest(2) == summary(purge(2)) and window.digest(4) is None
+    assert window.digest(2) == json_digest(purge(2)) and window.digest(4) is None
     window.restart(3)
     assert window.digest(2) is None
 
@@ -141,7 +141,7 @@
 
 def test_the_bound_in_bytes_is_told_when_it_cuts_the_span_short():
     size = len(encoded(purge(1)))
-    window = Window(SPAN, 10 * size)
+    window = EventWindow(SPAN, 10 * size)
     for number in range(1, 11):
         add(window, at_rate(number), number)
     assert not window.cut_short(at_rate(10))
@@ -153,14 +153,14 @@
 
 def test_an_event_that_has_to_go_for_its_age_does_not_count_as_cut():
     size = len(encoded(purge(1)))
-    window = Window(SPAN, size)
+    window = EventWindow(SPAN, size)
     add(window, 0, 1)
     add(window, SPAN + 1, 2)
     assert told_by(window, 1) == [2] and not window.cut_short(SPAN + 1)
 
 
 def test_an_event_over_the_bound_leaves_an_empty_window_that_says_so():
-    window = Window(SPAN, 10)
+    window = EventWindow(SPAN, 10)
     add(window, 0, 1)
     assert window.reaches is None and window.bytes == 0 and window.cut_short(0)
     assert window.since(1) == () and not window.covers(0)
@@ -172,7 +172,7 @@
     def __init__(self):
         super().__init__()
         self.now, self.number, self.most = 0, 0, 300
-        self.window, self.all = Window(50, self.most), []
+        self.window, self.all = EventWindow(50, self.most), []
 
     @rule(later=st.integers(0, 20), length=st.integers(1, 120))
     def add(self, later, length):
@@ -258,7 +258,7 @@
 def test_a_purge_is_kept_to_the_microsecond():
     purges = RecentPurges(GONE_EVERYWHERE, SPAN, MOST_BYTES)
     add_purge(purges, 0, purge(1))
-    assert purges.kept(GONE_EVERYWHERE + SPAN) == (KeptPurge(1, GONE_EVERYWHERE + SPAN, encoded(purge(1))),)
+    assert purges.kept(GONE_EVERYWHERE + SPAN) == (AgedPurge(1, GONE_EVERYWHERE + SPAN, encoded(purge(1))),)
     assert purges.kept(GONE_EVERYWHERE + SPAN + 1) == () and purges.bytes == 0
 
 
@@ -292,9 +292,9 @@
 
 def test_a_purge_that_comes_too_old_is_not_taken_in():
     purges = RecentPurges(10, 100, MOST_BYTES)
-    purges.add_kept(0, KeptPurge(1, 111, encoded(purge(1))))
+    purges.add_kept(0, AgedPurge(1, 111, encoded(purge(1))))
     assert not purges and purges.bytes == 0
-    purges.add_kept(0, KeptPurge(1, 110, encoded(purge(1))))
+    purges.add_kept(0, AgedPurge(1, 110, encoded(purge(1))))
     assert numbers_of(purges) == [1]
 
 
@@ -339,7 +339,7 @@
     other = encoded(purge(2))
     for data in (b"", b"\xff", encoded({"seq": 1, "fleet": {"members": []}}), encoded({"seq": 1}), other):
         with pytest.raises(CodingError):
-            purges.add_kept(0, KeptPurge(1, 0, data))
+            purges.add_kept(0, AgedPurge(1, 0, data))
     assert not purges
 
 
@@ -378,13 +378,13 @@
     whole = RecentPurges(GONE_EVERYWHERE, SPAN, MOST_BYTES)
     whole.load(0, image)
     assert numbers_of(whole) == [1, 2, 3, 4]
-    record = purges.purges[target_of(purge(4))].record
+    record = purges.purges[purge_target(purge(4))].record
     for spoilt in (
         b"",
         image[:-1],
         image + b"\0",
-        image + integer(0) + integer(len(fleet)) + fleet,
-        integer(zigzag(at_rate(4) - 1)) + record,  # accepted after it was saved
+        image + encode_varint(0) + encode_varint(len(fleet)) + fleet,
+        encode_varint(zigzag_encode(at_rate(4) - 1)) + record,  # accepted after it was saved
     ):
         other = RecentPurges(GONE_EVERYWHERE, SPAN, MOST_BYTES)
         with pytest.raises(CodingError):
@@ -404,5 +404,5 @@
 
 def test_an_object_is_the_same_however_its_number_is_written():
     names = ("ff", "FF", "0x00ff", "00000000000000ff")
-    assert len({target_of(purge(1, object=name)) for name in names}) == 1
-    assert target_of(purge(1, object="11")) != target_of(purge(1, bucket=17))
+    assert len({purge_target(purge(1, object=name)) for name in names}) == 1
+    assert purge_target(purge(1, object="11")) != purge_target(purge(1, bucket=17))
--- a/tests/test_hollow_fronts.py
+++ b/tests/test_hollow_fronts.py
@@ -8,9 +8,9 @@
 from twisted.internet.task import Clock
 
 from limepath.configuration.process_limits import planned
+from limepath.discovery.endpoint_list import EndpointList
 from limepath.discovery.interface import Subscribe
 from limepath.discovery.simulate import member
-from limepath.discovery.state import List
 from limepath.duties.host import clock
 from limepath.membership.control import ask
 from limepath.membership.interface import Hello
@@ -229,13 +229,13 @@
 
 def test_shared_members_change_nothing_but_memory(monkeypatch):
     def filled():
-        one = List()
+        one = EndpointList()
         for told in ([member("s-1"), member("s-2")], [member("s-1") | {"size": 9}]):
             one.take(json.loads(json.dumps({"seq": 1, "fleet": {"members": told}})))
         return one
 
     plain = filled()
-    monkeypatch.setattr(List, "put", List.put)  # put back after this test
+    monkeypatch.setattr(EndpointList, "put", EndpointList.put)  # put back after this test
     hollow_process.share_members()
     one, two = filled(), filled()
     assert one.members == two.members == plain.members and one.digest == two.digest == plain.digest
--- a/tests/test_list_pages.py
+++ b/tests/test_list_pages.py
@@ -12,44 +12,44 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from limepath.discovery.catch_up import (
-    CHUNK_BYTES,
-    INDEX,
-    MOST_CHUNKS,
-    CatchUp,
-    Chunk,
-    ChunkName,
-    DamagedPage,
-    Incomplete,
-    NoSuchChunk,
-    OtherSnapshot,
-    Snapshot,
-)
-from limepath.discovery.coding import Oversized, encode
-from limepath.discovery.integers import CodingError, Damaged, integer
+from limepath.discovery.endpoint_list import EndpointList
+from limepath.discovery.event_coding import OversizedError, encode_event
+from limepath.discovery.event_window import AgedPurge
 from limepath.discovery.interface import Revision
-from limepath.discovery.page_bytes import (
-    LONGEST_PAGE,
-    packed_index,
-    packed_page,
-    unpacked_index,
-    unpacked_page,
+from limepath.discovery.page_coding import (
+    MAX_PAGE_BYTES,
+    decode_index,
+    decode_page,
+    encode_index,
+    encode_page,
+)
+from limepath.discovery.paged_snapshot import (
+    CHUNK_BYTES,
+    INDEX_PAGE,
+    MAX_CHUNKS,
+    ChunkId,
+    ChunkNotFoundError,
+    DamagedPageError,
+    IncompleteDownloadError,
+    PagedDownload,
+    PagedSnapshot,
+    SnapshotChangedError,
+    SnapshotPageChunk,
 )
 from limepath.discovery.pages import (
-    MEMBERS_A_PAGE,
-    PURGE_NUMBERS,
-    PURGE_PAGES,
-    Contents,
+    MAX_PURGE_PAGES,
+    MEMBERS_PER_PAGE,
+    MIN_PAGE_WIDTH,
+    ListContents,
     PageContents,
-    apply,
-    differing,
-    digest_of,
-    digests,
-    layout_of,
-    spread,
+    apply_pages,
+    choose_layout,
+    differing_pages,
+    list_digests,
+    page_digest,
+    spread_over_pages,
 )
-from limepath.discovery.state import List
-from limepath.discovery.window import KeptPurge
+from limepath.discovery.varint import CodingError, DamagedError, encode_varint
 from limepath.membership.guard import HEAD, LARGEST, SEAL
 from limepath.membership.interface import MemberRecord
 
@@ -76,13 +76,13 @@
 def purge(number, age=0, **told):
     target = told or {"object": f"{number * 0x9E3779B97F4A7C15 % 2**64:016x}"}
     event = {"seq": number, "invalidate": target | {"time": NOW_MS + number * 1000 // RATE}}
-    return KeptPurge(number, age, encode(event, json.dumps(event)))
+    return AgedPurge(number, age, encode_event(event, json.dumps(event)))
 
 
 def contents(sizes=(), purges=(), number=7, generation=0, revision=3):
     """A list of members with these sizes by name, and of these purges."""
     members = {name: member(name, size) for name, size in dict(sizes).items()}
-    return Contents(Revision(generation, number), revision, members, tuple(purges))
+    return ListContents(Revision(generation, number), revision, members, tuple(purges))
 
 
 def large(seed=1, number=30_020_000, purges=0, generation=0):
@@ -101,7 +101,7 @@
         purge(number - back, back * 1_000_000 // RATE + chance.randrange(5000))
         for back in range(purges - 1, -1, -1)
     )
-    return Contents(Revision(generation, number), 5, members, kept)
+    return ListContents(Revision(generation, number), 5, members, kept)
 
 
 def same(one, other):
@@ -115,7 +115,7 @@
 
 def caught_up(mine, snapshot):
     """A CatchUp that was given all that it asked for, and how many chunks these were."""
-    catch_up, chunks = CatchUp(mine), 0
+    catch_up, chunks = PagedDownload(mine), 0
     while not catch_up.complete:
         name = next(catch_up.wanted())
         assert catch_up.take(snapshot.chunk(name))
@@ -158,33 +158,33 @@
 @given(st.one_of(related(), st.tuples(lists, lists)))
 def test_all_pages_that_differ_give_exactly_the_list_of_the_other(pair):
     mine, theirs = pair
-    told = digests(theirs)
-    pages = spread(theirs, told.layout)
-    outcome = apply(mine, told, {at: pages[at] for at in differing(mine, told)})
+    told = list_digests(theirs)
+    pages = spread_over_pages(theirs, told.layout)
+    outcome = apply_pages(mine, told, {at: pages[at] for at in differing_pages(mine, told)})
     assert same(outcome, theirs)
-    assert differing(outcome, told) == ()
+    assert differing_pages(outcome, told) == ()
 
 
 @repeatable
 @given(related(), st.data())
 def test_with_a_page_that_differs_left_out_there_is_no_outcome(pair, data):
     mine, theirs = pair
-    told = digests(theirs)
-    wanted = differing(mine, told)
+    told = list_digests(theirs)
+    wanted = differing_pages(mine, told)
     if wanted:
         left_out = data.draw(st.sampled_from(wanted))
-        pages = spread(theirs, told.layout)
-        with pytest.raises(Damaged):
-            apply(mine, told, {at: pages[at] for at in wanted if at != left_out})
+        pages = spread_over_pages(theirs, told.layout)
+        with pytest.raises(DamagedError):
+            apply_pages(mine, told, {at: pages[at] for at in wanted if at != left_out})
 
 
 @repeatable
 @given(lists)
 def test_the_digests_of_the_members_pages_are_together_that_of_the_list(one):
-    whole = List()
+    whole = EndpointList()
     event = {"seq": 1, "fleet": {"complete": True, "members": list(one.members.values())}}
     whole.take(event)
-    told = digests(one)
+    told = list_digests(one)
     assert reduce(xor, told.pages[: told.layout.member_pages], 0) == whole.digest
 
 
@@ -195,56 +195,56 @@
         members=dict(reversed(one.members.items())),
         purges=tuple(kept._replace(age=kept.age + 7) for kept in reversed(one.purges)),
     )
-    assert digests(turned) == digests(one) and differing(turned, digests(one)) == ()
+    assert list_digests(turned) == list_digests(one) and differing_pages(turned, list_digests(one)) == ()
 
 
 def test_one_member_that_changed_is_one_page():
     theirs = large()
     mine = theirs._replace(members=theirs.members | {"cache-0700": member("cache-0700", 9)})
-    assert len(differing(mine, digests(theirs))) == 1
+    assert len(differing_pages(mine, list_digests(theirs))) == 1
     gone = {name: one for name, one in theirs.members.items() if name != "cache-0700"}
-    assert len(differing(theirs._replace(members=gone), digests(theirs))) == 1
+    assert len(differing_pages(theirs._replace(members=gone), list_digests(theirs))) == 1
 
 
 def test_the_latest_purges_are_the_last_pages():
     theirs = large(purges=RATE * 300)
     mine = theirs._replace(purges=theirs.purges[:-RATE])  # a second behind
-    wanted = differing(mine, digests(theirs))
-    assert 1 <= len(wanted) <= 2 and wanted[-1] == digests(theirs).layout.pages - 1
+    wanted = differing_pages(mine, list_digests(theirs))
+    assert 1 <= len(wanted) <= 2 and wanted[-1] == list_digests(theirs).layout.pages - 1
 
 
 def test_pages_of_purges_stay_few_however_far_their_numbers_reach():
     for most in (1, 10**4, 10**6, 1 << 62):
-        layout = layout_of(contents(purges=[purge(1), purge(most + 1)]))
-        assert layout.purge_pages <= PURGE_PAGES and layout.width >= PURGE_NUMBERS
+        layout = choose_layout(contents(purges=[purge(1), purge(most + 1)]))
+        assert layout.purge_pages <= MAX_PURGE_PAGES and layout.width >= MIN_PAGE_WIDTH
         assert layout.page_of_purge(1) == 1 and layout.page_of_purge(most + 1) == layout.pages - 1
         assert layout.page_of_purge(0) in (1, None)
-    assert layout_of(contents(purges=[purge(PURGE_NUMBERS)])).page_of_purge(0) is None
+    assert choose_layout(contents(purges=[purge(MIN_PAGE_WIDTH)])).page_of_purge(0) is None
 
 
 # In datagrams
 
 
 def test_at_the_coming_size_a_page_has_three_chunks_at_the_most_and_the_index_too():
-    snapshot = Snapshot(large(purges=int(RATE * KEPT_SECONDS)))
+    snapshot = PagedSnapshot(large(purges=int(RATE * KEPT_SECONDS)))
     counts = [len(snapshot.chunks(page)) for page in range(snapshot.digests.layout.pages)]
-    assert max(counts) <= 3 and len(snapshot.chunks(INDEX)) <= 3
-    assert snapshot.digests.layout.member_pages == -(-CACHES // MEMBERS_A_PAGE)
+    assert max(counts) <= 3 and len(snapshot.chunks(INDEX_PAGE)) <= 3
+    assert snapshot.digests.layout.member_pages == -(-CACHES // MEMBERS_PER_PAGE)
 
 
 def test_ten_changed_members_take_a_tenth_of_the_whole_list():
     theirs = large()
     changed = {f"cache-{at:04d}": member(f"cache-{at:04d}", 9) for at in range(0, CACHES, 140)}
-    _, few = caught_up(theirs._replace(members=theirs.members | changed), Snapshot(theirs))
-    _, all_of_them = caught_up(contents(), Snapshot(theirs))
+    _, few = caught_up(theirs._replace(members=theirs.members | changed), PagedSnapshot(theirs))
+    _, all_of_them = caught_up(contents(), PagedSnapshot(theirs))
     assert few <= 12 < all_of_them / 3
-    _, none = caught_up(theirs, Snapshot(theirs))
-    assert none == len(Snapshot(theirs).chunks(INDEX))
+    _, none = caught_up(theirs, PagedSnapshot(theirs))
+    assert none == len(PagedSnapshot(theirs).chunks(INDEX_PAGE))
 
 
 def test_a_chunk_leaves_room_for_envelope_and_seal():
     sender = MemberRecord(HUGE, "n" * 32, "255.255.255.255", 65_535, HUGE, HUGE, 3, HUGE)
-    message = ["lx", HUGE, HUGE, HUGE, INDEX, MOST_CHUNKS, MOST_CHUNKS, bytes(CHUNK_BYTES)]
+    message = ["lx", HUGE, HUGE, HUGE, INDEX_PAGE, MAX_CHUNKS, MAX_CHUNKS, bytes(CHUNK_BYTES)]
     assert len(msgspec.msgpack.encode((sender, HUGE, HUGE, message))) + HEAD + SEAL < LARGEST
 
 
@@ -253,9 +253,9 @@
 def test_chunks_in_any_order_some_lost_some_doubled_give_exactly_the_list_of_the_other(pair, limit, chance):
     mine, theirs = pair
     before = deepcopy(mine)
-    snapshot, catch_up = Snapshot(theirs, limit), CatchUp(mine)
+    snapshot, catch_up = PagedSnapshot(theirs, limit), PagedDownload(mine)
     while not catch_up.complete:
-        with pytest.raises(Incomplete):
+        with pytest.raises(IncompleteDownloadError):
             catch_up.contents()
         asked = list(catch_up.wanted())
         chance.shuffle(asked)
@@ -268,7 +268,7 @@
 
 def test_ages_come_along_to_the_millisecond():
     theirs = contents(purges=[purge(5, 200_000_900), purge(6, 1_000), purge(300, 0)])
-    catch_up, _ = caught_up(contents(), Snapshot(theirs))
+    catch_up, _ = caught_up(contents(), PagedSnapshot(theirs))
     assert [(kept.number, kept.age) for kept in catch_up.contents().purges] == [
         (5, 200_000_000),
         (6, 1_000),
@@ -278,10 +278,10 @@
 
 def test_nothing_is_seen_of_a_list_of_which_a_page_is_missing():
     mine, theirs = contents({"a": 1, "b": 2}), large()
-    before, snapshot, catch_up = deepcopy(mine), Snapshot(theirs), CatchUp(mine)
+    before, snapshot, catch_up = deepcopy(mine), PagedSnapshot(theirs), PagedDownload(mine)
     seen = 0
     while not catch_up.complete:
-        with pytest.raises(Incomplete):
+        with pytest.raises(IncompleteDownloadError):
             catch_up.contents()
         assert mine == before
         catch_up.take(snapshot.chunk(next(catch_up.wanted())))
@@ -300,13 +300,13 @@
 )
 def test_a_page_of_another_number_generation_or_snapshot_is_refused(change):
     theirs = large()
-    snapshot, catch_up = Snapshot(theirs), CatchUp(contents())
-    catch_up.take(snapshot.chunk(ChunkName(INDEX, 0)))
-    for page in (INDEX, 0):
-        while page != INDEX and catch_up.theirs is None:
+    snapshot, catch_up = PagedSnapshot(theirs), PagedDownload(contents())
+    catch_up.take(snapshot.chunk(ChunkId(INDEX_PAGE, 0)))
+    for page in (INDEX_PAGE, 0):
+        while page != INDEX_PAGE and catch_up.theirs is None:
             catch_up.take(snapshot.chunk(next(catch_up.wanted())))
         asked = list(catch_up.wanted())
-        with pytest.raises(OtherSnapshot):
+        with pytest.raises(SnapshotChangedError):
             catch_up.take(change(snapshot.chunk(asked[0])))
         assert list(catch_up.wanted()) == asked
     while not catch_up.complete:
@@ -316,32 +316,32 @@
 
 def test_two_lists_at_one_place_are_two_snapshots():
     one, other = contents({"a": 1}), contents({"a": 2})
-    assert Snapshot(one).mark != Snapshot(other).mark
-    assert Snapshot(one).mark == Snapshot(deepcopy(one)).mark
+    assert PagedSnapshot(one).mark != PagedSnapshot(other).mark
+    assert PagedSnapshot(one).mark == PagedSnapshot(deepcopy(one)).mark
 
 
 def test_an_index_that_is_another_than_its_mark_tells_is_damaged():
-    snapshot = Snapshot(contents({"a": 1}))
+    snapshot = PagedSnapshot(contents({"a": 1}))
     for change in ({"mark": 5}, {"place": Revision(0, 8)}):
-        catch_up = CatchUp(contents())
-        with pytest.raises(DamagedPage):
-            catch_up.take(snapshot.chunk(ChunkName(INDEX, 0))._replace(**change))
+        catch_up = PagedDownload(contents())
+        with pytest.raises(DamagedPageError):
+            catch_up.take(snapshot.chunk(ChunkId(INDEX_PAGE, 0))._replace(**change))
         assert not catch_up.complete and catch_up.theirs is None
 
 
 def test_a_damaged_page_is_asked_for_again():
     theirs = contents({f"s-{at}": at for at in range(40)}, [purge(5), purge(6)])
-    snapshot = Snapshot(theirs, 100)
+    snapshot = PagedSnapshot(theirs, 100)
     for page in range(snapshot.digests.layout.pages):
         for chunk in range(len(snapshot.chunks(page))):
-            catch_up = CatchUp(contents())
-            with pytest.raises(DamagedPage):
+            catch_up = PagedDownload(contents())
+            with pytest.raises(DamagedPageError):
                 while not catch_up.complete:
                     name = next(catch_up.wanted())
                     good = snapshot.chunk(name)
                     spoilt = good._replace(data=bytes((good.data[0] ^ 255,)) + good.data[1:])
                     catch_up.take(spoilt if name == (page, chunk) else good)
-            assert not catch_up.complete and ChunkName(page, 0) in catch_up.wanted()
+            assert not catch_up.complete and ChunkId(page, 0) in catch_up.wanted()
             while not catch_up.complete:
                 catch_up.take(snapshot.chunk(next(catch_up.wanted())))
             assert same(catch_up.contents(), theirs)
@@ -349,43 +349,43 @@
 
 @pytest.mark.parametrize(
     ("chunk", "count", "size"),
-    [(3, 3, 9), (-1, 3, 9), (0, 0, 9), (0, MOST_CHUNKS + 1, 9), (0, 1, LONGEST_PAGE + 1)],
+    [(3, 3, 9), (-1, 3, 9), (0, 0, 9), (0, MAX_CHUNKS + 1, 9), (0, 1, MAX_PAGE_BYTES + 1)],
 )
 def test_a_chunk_that_cannot_be_is_damaged_and_changes_nothing(chunk, count, size):
-    catch_up = CatchUp(contents())
-    with pytest.raises(DamagedPage):
-        catch_up.take(Chunk(Revision(0, 7), 5, INDEX, chunk, count, bytes(size)))
-    assert list(catch_up.wanted()) == [(INDEX, 0)] and catch_up.place is None
+    catch_up = PagedDownload(contents())
+    with pytest.raises(DamagedPageError):
+        catch_up.take(SnapshotPageChunk(Revision(0, 7), 5, INDEX_PAGE, chunk, count, bytes(size)))
+    assert list(catch_up.wanted()) == [(INDEX_PAGE, 0)] and catch_up.place is None
 
 
 def test_a_page_does_not_change_its_size():
-    snapshot, catch_up = Snapshot(large(), 100), CatchUp(contents())
-    catch_up.take(snapshot.chunk(ChunkName(INDEX, 0)))
-    other = snapshot.chunk(ChunkName(INDEX, 1))
-    with pytest.raises(DamagedPage):
+    snapshot, catch_up = PagedSnapshot(large(), 100), PagedDownload(contents())
+    catch_up.take(snapshot.chunk(ChunkId(INDEX_PAGE, 0)))
+    other = snapshot.chunk(ChunkId(INDEX_PAGE, 1))
+    with pytest.raises(DamagedPageError):
         catch_up.take(other._replace(count=other.count + 1))
     assert catch_up.take(other)
 
 
 def test_what_was_not_asked_for_is_left():
     one = contents({"a": 1})
-    catch_up, _ = caught_up(one, Snapshot(one))
-    assert not catch_up.take(Snapshot(one).chunk(ChunkName(0, 0)))
+    catch_up, _ = caught_up(one, PagedSnapshot(one))
+    assert not catch_up.take(PagedSnapshot(one).chunk(ChunkId(0, 0)))
 
 
 @pytest.mark.parametrize(
-    "name", [ChunkName(1, 0), ChunkName(-2, 0), ChunkName(0, 1), ChunkName(0, -1), ChunkName(INDEX, 1)]
+    "name", [ChunkId(1, 0), ChunkId(-2, 0), ChunkId(0, 1), ChunkId(0, -1), ChunkId(INDEX_PAGE, 1)]
 )
 def test_a_snapshot_has_no_other_chunks_than_its_own(name):
-    with pytest.raises(NoSuchChunk):
-        Snapshot(contents({"a": 1})).chunk(name)
+    with pytest.raises(ChunkNotFoundError):
+        PagedSnapshot(contents({"a": 1})).chunk(name)
 
 
 def test_a_snapshot_stands_still_while_the_list_goes_on():
-    one = List()
+    one = EndpointList()
     for seq, name in enumerate(("a", "b"), 1):
         one.take({"seq": seq, "fleet": {"members": [member(name)]}})
-    snapshot = Snapshot(Contents(one.place, one.revision, dict(one.members), ()))
+    snapshot = PagedSnapshot(ListContents(one.place, one.revision, dict(one.members), ()))
     one.take({"seq": 3, "fleet": {"members": [member("c"), member("a", phase="terminated")]}})
     catch_up, _ = caught_up(contents(), snapshot)
     assert catch_up.contents().place == Revision(0, 2) and set(catch_up.contents().members) == {"a", "b"}
@@ -395,17 +395,17 @@
 
 
 def test_what_cannot_be_told_is_refused():
-    with pytest.raises(Oversized):
-        packed_page(PageContents((member("a") | {"locality": "x" * LONGEST_PAGE},), ()))
+    with pytest.raises(OversizedError):
+        encode_page(PageContents((member("a") | {"locality": "x" * MAX_PAGE_BYTES},), ()))
     for odd in (contents(revision=1 << 63), contents(revision=-(1 << 63)), contents(number=1 << 63)):
-        with pytest.raises(Oversized):
-            Snapshot(odd)
+        with pytest.raises(OversizedError):
+            PagedSnapshot(odd)
 
 
 def page_bytes(members, ages=b"\0", batches=b""):
     """A page of these bytes."""
     told = members if isinstance(members, bytes) else json.dumps(members).encode()
-    return zlib.compress(integer(len(told)) + told + ages + batches)
+    return zlib.compress(encode_varint(len(told)) + told + ages + batches)
 
 
 @pytest.mark.parametrize(
@@ -414,7 +414,7 @@
         b"",
         b"x",
         zlib.compress(b""),
-        zlib.compress(b"[]" * LONGEST_PAGE),
+        zlib.compress(b"[]" * MAX_PAGE_BYTES),
         page_bytes(b"{}"),
         page_bytes(b"{"),
         page_bytes(b"\xff"),
@@ -429,90 +429,90 @@
         page_bytes([member("a")], b"\1"),
         page_bytes([member("a")], b"\1\0"),
         page_bytes([member("a")], b"\0\0"),
-        page_bytes([member("a")], integer(1 << 40)),
+        page_bytes([member("a")], encode_varint(1 << 40)),
     ],
 )
 def test_a_page_that_is_not_the_one_that_was_told_is_a_typed_error(data):
-    told = digests(contents({"a": 1}))
-    good = packed_page(spread(contents({"a": 1}), told.layout)[0])
-    assert unpacked_page(good, 0, told).members == (member("a", 1),)
+    told = list_digests(contents({"a": 1}))
+    good = encode_page(spread_over_pages(contents({"a": 1}), told.layout)[0])
+    assert decode_page(good, 0, told).members == (member("a", 1),)
     with pytest.raises(CodingError):
-        unpacked_page(data, 0, told)
+        decode_page(data, 0, told)
 
 
 def test_a_page_in_the_place_of_another_is_damaged():
     theirs = contents({f"s-{at}": at for at in range(80)}, [purge(5), purge(130)])
-    told = digests(theirs)
-    pages = [packed_page(page) for page in spread(theirs, told.layout)]
+    told = list_digests(theirs)
+    pages = [encode_page(page) for page in spread_over_pages(theirs, told.layout)]
     for at in range(len(pages)):
         for other in range(len(pages)):
             if other != at:
-                with pytest.raises(Damaged):
-                    unpacked_page(pages[other], at, told)
+                with pytest.raises(DamagedError):
+                    decode_page(pages[other], at, told)
 
 
 def test_a_member_or_purge_is_damaged_on_another_page_than_its_own_even_if_the_index_tells_it():
     theirs = contents({f"s-{at}": at for at in range(80)}, [purge(5), purge(130)])
-    told = digests(theirs)
+    told = list_digests(theirs)
     for one, other in ((0, 1), (told.layout.pages - 2, told.layout.pages - 1)):
-        pages = list(spread(theirs, told.layout))
+        pages = list(spread_over_pages(theirs, told.layout))
         pages[one], pages[other] = pages[other], pages[one]
-        lying = told._replace(pages=tuple(map(digest_of, pages)))
+        lying = told._replace(pages=tuple(map(page_digest, pages)))
         for at in (one, other):
-            with pytest.raises(Damaged):
-                unpacked_page(packed_page(pages[at]), at, lying)
+            with pytest.raises(DamagedError):
+                decode_page(encode_page(pages[at]), at, lying)
 
 
 def test_purges_out_of_order_or_other_events_among_them_are_damaged():
     one, two = purge(5), purge(6)
     fleet = {"seq": 6, "fleet": {"members": []}}
-    told = digests(contents(purges=[one, two]))
+    told = list_digests(contents(purges=[one, two]))
     for odd in (
         (two, one),
         (one, one),
-        (one, KeptPurge(6, 0, encode(fleet, json.dumps(fleet)))),
+        (one, AgedPurge(6, 0, encode_event(fleet, json.dumps(fleet)))),
         (one, two._replace(age=-1000)),
         (one, purge(6, bucket=7)),
         (one,),
     ):
         with pytest.raises(CodingError):
-            unpacked_page(packed_page(PageContents((), odd)), 1, told)
+            decode_page(encode_page(PageContents((), odd)), 1, told)
 
 
 @pytest.mark.parametrize(
     "data",
     [
         b"",
-        packed_index(digests(contents()))[:-1],
-        packed_index(digests(contents())) + b"\0",
+        encode_index(list_digests(contents()))[:-1],
+        encode_index(list_digests(contents())) + b"\0",
         bytes((0, 7, 6, 0, 128, 1, 0, 0)),  # no page of members
         bytes((0, 7, 6, 1, 5, 0, 0)) + bytes(8),  # a width of 5
-        bytes((0, 7, 6)) + integer(HUGE) + bytes((128, 1, 0, 0)) + bytes(8),
+        bytes((0, 7, 6)) + encode_varint(HUGE) + bytes((128, 1, 0, 0)) + bytes(8),
     ],
 )
 def test_an_index_that_cannot_be_is_damaged(data):
-    with pytest.raises(Damaged):
-        unpacked_index(data)
+    with pytest.raises(DamagedError):
+        decode_index(data)
 
 
 @repeatable
 @given(lists)
 def test_an_index_comes_back(one):
-    told = digests(one)
-    assert unpacked_index(packed_index(told)) == told
+    told = list_digests(one)
+    assert decode_index(encode_index(told)) == told
 
 
 @settings(repeatable, max_examples=300)
 @given(lists, st.data())
 def test_spoilt_pages_are_a_typed_error_or_what_was_told(theirs, data):
-    told = digests(theirs)
+    told = list_digests(theirs)
     at = data.draw(st.integers(0, told.layout.pages - 1))
-    page = spread(theirs, told.layout)[at]
-    plain = bytearray(zlib.decompress(packed_page(page)))
+    page = spread_over_pages(theirs, told.layout)[at]
+    plain = bytearray(zlib.decompress(encode_page(page)))
     for _ in range(data.draw(st.integers(1, 3))):
         plain[data.draw(st.integers(0, len(plain) - 1))] = data.draw(st.integers(0, 255))
     try:
-        found = unpacked_page(zlib.compress(bytes(plain)), at, told)
+        found = decode_page(zlib.compress(bytes(plain)), at, told)
     except CodingError:
         return
     assert found.members == page.members
@@ -522,8 +522,8 @@
 @settings(repeatable, max_examples=300)
 @given(st.one_of(st.binary(max_size=200), st.binary(max_size=200).map(zlib.compress)))
 def test_any_bytes_are_a_typed_error_or_a_page(data):
-    told = digests(contents({"a": 1}, [purge(5)]))
-    for read in (lambda: unpacked_index(data), lambda: unpacked_page(data, 0, told)):
+    told = list_digests(contents({"a": 1}, [purge(5)]))
+    for read in (lambda: decode_index(data), lambda: decode_page(data, 0, told)):
         try:
             read()
         except CodingError:
--- a/tests/test_listing.py
+++ b/tests/test_listing.py
@@ -17,8 +17,10 @@
     LeaseSettings,
     MembershipTimeouts,
 )
-from limepath.discovery.bounds import QUIET, bounds, fresh
-from limepath.discovery.calls import Budget
+from limepath.discovery.bounds import QUIET_SPAN_US, bounds, freshness_limit
+from limepath.discovery.call_budget import CallBudget
+from limepath.discovery.endpoint_list import CHUNK_BYTES, EndpointList, snapshot_digest
+from limepath.discovery.engine import DiscoveryEngine
 from limepath.discovery.interface import (
     ApplyEvent,
     CloseStream,
@@ -40,10 +42,8 @@
     StreamOpened,
     Subscribe,
 )
-from limepath.discovery.relay import Listing
 from limepath.discovery.simulate import KINDS, member, simulated
-from limepath.discovery.state import DATA, List, mark_of
-from limepath.discovery.upstream import BAD
+from limepath.discovery.upstream import BAD_PEER_US
 from limepath.duties.world import World
 from limepath.membership.members import spread
 from limepath.report_table import hold
@@ -64,7 +64,7 @@
 
 def held(numbers=1, generation=0):
     """A list after so many events."""
-    one = List()
+    one = EndpointList()
     for text in [whole(), *map(event, range(2, numbers + 1))]:
         one.take(json.loads(text))
     one.place = Revision(generation, numbers)
@@ -76,7 +76,7 @@
 
     def __init__(self, others=(), saved=None, terms=TERMS, me=1):
         self.others, self.now, self.out = list(others), 0, []
-        self.logic = Listing(me, terms, 7, lambda: self.others, saved)
+        self.logic = DiscoveryEngine(me, terms, 7, lambda: self.others, saved)
         self.take(self.logic.start(0))
 
     def take(self, orders):
@@ -103,7 +103,7 @@
         while not self.said(OpenStream):
             self.run(100 * MS)
         self.hear(StreamOpened(), *(StreamEventReceived(text) for text in texts))
-        self.run(QUIET)
+        self.run(QUIET_SPAN_US)
         return self.hear(StreamActive())
 
 
@@ -166,16 +166,16 @@
         front.run(100 * MS)
     assert front.said(OpenStream)[-1] == OpenStream(3)  # one before the last that it holds
     front.hear(StreamOpened())
-    front.run(QUIET)  # it is at 2 now, and tells nothing above 3
+    front.run(QUIET_SPAN_US)  # it is at 2 now, and tells nothing above 3
     front.hear(StreamActive())
     assert "not told again" in front.said(CloseStream)[-1].why
     while len(front.said(OpenStream)) < 3:
         front.run(100 * MS)
     assert front.said(OpenStream)[-1] == OpenStream(0)
     front.hear(StreamOpened(), StreamEventReceived(whole(1)), StreamEventReceived(event(2)))
-    front.run(QUIET)
+    front.run(QUIET_SPAN_US)
     assert front.logic.held.list.place == (0, 4)  # it may be telling all slowly
-    front.run(TERMS.silence - QUIET - 1)
+    front.run(TERMS.silence - QUIET_SPAN_US - 1)
     front.hear(StreamActive())
     front.run(10)
     assert front.logic.held.list.place == (1, 2) and any(
@@ -243,7 +243,7 @@
     assert front.logic.upstream.flaw_of(
         front.logic.upstream.sources[3]
     ) == "bad" and not front.logic.upstream.flaw_of(front.logic.upstream.sources[2])
-    front.run(BAD)
+    front.run(BAD_PEER_US)
     assert front.logic.upstream.flaw_of(front.logic.upstream.sources[3]) != "bad"
 
 
@@ -304,7 +304,7 @@
     served = full(10_000)
     newcomer = fetched(served)
     assert (
-        len(served.held.list.packed()) > 25 * DATA
+        len(served.held.list.packed()) > 25 * CHUNK_BYTES
         and newcomer.logic.held.list.digest == served.held.list.digest
     )
     assert len(newcomer.said(ApplyEvent)[0].told["fleet"]["members"]) == 10_000 and newcomer.said(
@@ -321,7 +321,7 @@
             piece._replace(data=b"x" * len(piece.data))
             if hasattr(piece, "_replace")
             else SnapshotChunk(
-                piece.generation, piece.number, piece.piece, piece.of, mark_of(b""), piece.data
+                piece.generation, piece.number, piece.piece, piece.of, snapshot_digest(b""), piece.data
             )
         ),
     )
@@ -331,7 +331,7 @@
 
 
 def test_a_small_view_does_not_make_a_front_think_that_it_is_nearly_alone():
-    budget = Budget(DiscoverySettings(fronts=200), lambda: 0.0)
+    budget = CallBudget(DiscoverySettings(fronts=200), lambda: 0.0)
     budget.view(0, 3)
     assert (
         budget.sharing(0, 2) == 200
@@ -371,7 +371,7 @@
     one = bounds(DiscoverySettings(fronts=10), 10)
     assert bounds(
         DiscoverySettings(fronts=10, silence=5 * SECOND), 10
-    ).relays_gone > one.relays_gone and one.known_late == fresh(DiscoverySettings())
+    ).relays_gone > one.relays_gone and one.known_late == freshness_limit(DiscoverySettings())
     assert (
         bounds(DiscoverySettings(fronts=300), 300).alone > one.alone and one.calls <= DiscoverySettings().rate
     )
--- a/tests/test_terms_folder.py
+++ b/tests/test_terms_folder.py
@@ -10,7 +10,7 @@
 from collections import Counter
 from types import SimpleNamespace
 
-from limepath.discovery.host import GuidedChangeLog
+from limepath.discovery.host import DiscoveryChangeLog
 from limepath.discovery.interface import SaveSnapshot
 from limepath.duties.host import Cooperation
 from limepath.duties.interface import LeaseGrant, PersistEpochCeiling
@@ -99,7 +99,7 @@
 def test_a_list_that_cannot_be_saved_is_followed_all_the_same():
     """What comes behind it in the same pass, a drain for one, is carried out; it is saved once it can be."""
     store = FailingStore()
-    changes = GuidedChangeLog.__new__(GuidedChangeLog)
+    changes = DiscoveryChangeLog.__new__(DiscoveryChangeLog)
     changes.cooperation, sent = cooperation_on(store, Log("n1", 0, 10**6))
     changes.execute(SaveSnapshot(b"first"))
     changes.execute(SaveSnapshot(b"second"))
--- a/tests/test_topology.py
+++ b/tests/test_topology.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 
 from limepath.configuration.sharing_settings import DiscoverySettings
-from limepath.discovery.relay import Listing
+from limepath.discovery.engine import DiscoveryEngine
 from limepath.discovery.topology import Scope, Zone, longest_path, position
 
 FRONTS, SITES = 260, 12  # of a zone: 5,200 fronts at 240 sites in 20 zones
@@ -157,7 +157,7 @@
 def test_roots_are_those_that_older_programs_follow(scopes, relays):
     all_positions = positions(scopes, relays)
     me = next(iter(scopes))
-    older = Listing(
+    older = DiscoveryEngine(
         me, DiscoverySettings(zone="sur", relays=relays), 1, lambda: [one for one in scopes if one != me]
     )
     assert {token for token, at in all_positions.items() if at.is_root} == set(older.upstream.ranked(relays))
