--- a/limepath/cli/listing.py
+++ b/limepath/cli/listing.py
@@ -74,7 +74,7 @@
         Row(
             "an event at every front, a front with children gone in that moment, s", seconds(told.inner_gone)
         ),
-        Row("bytes a second sent by any front, whatever others lack", told.most_bytes),
+        Row("bytes a second sent by any front, whatever others lack", told.max_bytes),
     ]
 
 
--- a/limepath/discovery/component.py
+++ b/limepath/discovery/component.py
@@ -1,57 +1,90 @@
-"""A part of a front's listing logic: what all parts share."""
+"""What all parts of a front's discovery logic share."""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Iterable
+from typing import TYPE_CHECKING
+
+from limepath.configuration.sharing_settings import DiscoverySettings
+from limepath.timer_queue import TimerQueue
+
+if TYPE_CHECKING:
+    from limepath.discovery.engine import DiscoveryEngine
+    from limepath.discovery.event_intake import EventIntake
+    from limepath.discovery.list_replica import ListReplica
+    from limepath.discovery.page_transfer import PageTransfer
+    from limepath.discovery.roles import RoleSelection
+    from limepath.discovery.scopes import ScopeDirectory
+    from limepath.discovery.service_stream import ServiceStream
+    from limepath.discovery.snapshot_transfer import SnapshotTransfer
+    from limepath.discovery.star_subscribers import StarSubscribers
+    from limepath.discovery.tree import TreeSubscriptions
+    from limepath.discovery.tree_subscribers import TreeSubscribers
+    from limepath.discovery.upstream import Upstream
 
 
 class Component:
-    """One job of the Listing that it belongs to, and through which it reaches the others."""
+    """One job of the engine that it belongs to, and through which it reaches the others."""
 
-    def __init__(self, listing):
-        self.listing = listing
-        self.me = listing.me
-        self.terms = listing.terms
-        self.live = listing.live
-        self.timers = listing.timers
-        self.counts = listing.counts
+    def __init__(self, engine: DiscoveryEngine):
+        self.engine = engine
+        self.me: int = engine.me  # this front's token
+        self.settings: DiscoverySettings = engine.settings
+        self.live: Callable[[], Iterable[int]] = engine.live  # tokens of the other live fronts
+        self.timers: TimerQueue = engine.timers
+        self.counts: dict[str, int] = engine.counts
 
     @property
-    def held(self):
-        return self.listing.held
+    def replica(self) -> ListReplica:
+        """The endpoint list as this front has it."""
+        return self.engine.replica
 
     @property
-    def upstream(self):
-        return self.listing.upstream
+    def upstream(self) -> Upstream:
+        """The fronts that this one subscribes to."""
+        return self.engine.upstream
 
     @property
-    def roles(self):
-        return self.listing.roles
+    def roles(self) -> RoleSelection:
+        """Whether this front relays, follows or calls for itself."""
+        return self.engine.roles
 
     @property
-    def stream(self):
-        return self.listing.stream
+    def stream(self) -> ServiceStream:
+        """The stream of the list service."""
+        return self.engine.stream
 
     @property
-    def heard(self):
-        return self.listing.heard
+    def intake(self) -> EventIntake:
+        """Heartbeats and events of other fronts."""
+        return self.engine.intake
 
     @property
-    def followers(self):
-        return self.listing.followers
+    def star_subscribers(self) -> StarSubscribers:
+        """Subscribers that stand in no tree."""
+        return self.engine.star_subscribers
 
     @property
-    def snapshot(self):
-        return self.listing.snapshot
+    def tree_subscribers(self) -> TreeSubscribers:
+        """Subscribers of this front's place in the trees."""
+        return self.engine.tree_subscribers
 
     @property
-    def pages(self):
-        return self.listing.pages
+    def snapshot_transfer(self) -> SnapshotTransfer:
+        """Packed lists to and from other fronts."""
+        return self.engine.snapshot_transfer
 
     @property
-    def scopes(self):
-        return self.listing.scopes
+    def page_transfer(self) -> PageTransfer:
+        """Pages that differ, to and from other fronts."""
+        return self.engine.page_transfer
 
     @property
-    def tree(self):
-        return self.listing.tree
+    def scopes(self) -> ScopeDirectory:
+        """Zones and sites of the live fronts."""
+        return self.engine.scopes
 
     @property
-    def children(self):
-        return self.listing.children
+    def tree(self) -> TreeSubscriptions:
+        """This front's place in its zone's trees."""
+        return self.engine.tree
--- a/limepath/discovery/engine.py
+++ b/limepath/discovery/engine.py
@@ -1,20 +1,22 @@
-"""The listing logic of one front: whom it hears the list from, when it calls the service itself, what it
-passes on.
-
-The first `relays` of a zone, by hash over the live view, hold a stream of the service; all others send each
-of them a Follow every beat, which is answered by a Beat (where its list stands, when the service last
-confirmed that) and by what is missing; news is also pushed at once. Ages add up on the way, so it does not
-matter who tells: a list is as old as the service's last word behind it. Whoever is silent, whose stream
-stands still, or who contradicts is passed over, and the next by hash acts in its stead. Free of I/O.
-
-One part a job: `held` the list, `upstream` whom to follow, `roles` whether to relay, `stream` the service's
-stream, `heard` what others tell, `followers` those who follow, `snapshot` the whole list in pieces. With a
-site, `tree` tells whom to follow in the stead of the star, `children` serves those below, `scopes` knows the
-zone.
+"""The discovery logic of one front: where it gets the list, when it calls the service itself, what it relays.
+
+The first `relays` fronts of a zone, by hash over the live view, hold a stream of the service. All others send
+each of them a Subscribe every heartbeat interval, which is answered by a Heartbeat (the relay's revision and
+when the service last confirmed it) and by the events that are missing; new events are also pushed at once.
+Ages add up on the way, so it does not matter who answers: a list is as old as the service's last confirmation
+behind it. A relay that is silent, whose stream stands still, or which contradicts others is passed over, and
+the next by hash acts in its stead. With a site in the settings, trees take the place of this star.
+
+One component a job; see the package's docstring. Free of I/O.
 """
 
+from collections.abc import Callable, Iterable
+from typing import Any
+
+import msgspec
+
+from limepath.configuration.sharing_settings import DiscoverySettings
 from limepath.discovery.event_intake import EventIntake
-from limepath.discovery.held_list import HeldList
 from limepath.discovery.interface import (
     EventBatch,
     Events,
@@ -25,7 +27,6 @@
     ScopeAnnouncement,
     ScopeQuery,
     ScopeReport,
-    SendToMember,
     ServiceMoved,
     SnapshotChunk,
     SnapshotChunkRequest,
@@ -35,6 +36,7 @@
     StreamOpened,
     Subscribe,
 )
+from limepath.discovery.list_replica import ListReplica
 from limepath.discovery.page_transfer import PageTransfer
 from limepath.discovery.roles import RoleSelection
 from limepath.discovery.scopes import ScopeDirectory
@@ -43,9 +45,10 @@
 from limepath.discovery.star_subscribers import StarSubscribers
 from limepath.discovery.tree import TreeSubscriptions
 from limepath.discovery.tree_subscribers import TreeSubscribers
-from limepath.discovery.upstream import Upstream
+from limepath.discovery.upstream import Upstream, UpstreamSource
 from limepath.timer_queue import TimerQueue
 
+MAX_START_DELAY_US = 100_000  # of the first round, drawn so that fronts that start together spread
 COUNTERS = (
     "calls",
     "pushed",
@@ -64,102 +67,115 @@
 
 
 class DiscoveryEngine:
-    """`me` is this instance's token, `live()` the others that live; `saved` what the store held, or None."""
+    """Events in, commands out; times are microseconds of one monotonic clock.
+
+    `me` is this front's token, `live()` gives those of the other live fronts, `saved` is the packed list that
+    the store held, or None.
+    """
 
-    def __init__(self, me, terms, seed, live, saved=None):
+    def __init__(
+        self,
+        me: int,
+        settings: DiscoverySettings,
+        seed: int,
+        live: Callable[[], Iterable[int]],
+        saved: bytes | None = None,
+    ):
         self.me = me
-        self.terms = terms
+        self.settings = settings
         self.live = live
         self.timers = TimerQueue(seed)
-        self.counts = dict.fromkeys(COUNTERS, 0)
+        self.counts: dict[str, int] = dict.fromkeys(COUNTERS, 0)
         self.scopes = ScopeDirectory(self)
         self.tree = TreeSubscriptions(self)
-        self.held = HeldList(self)
+        self.replica = ListReplica(self)
         self.upstream = Upstream(self)
         self.roles = RoleSelection(self)
         self.stream = ServiceStream(self)
-        self.heard = EventIntake(self)
-        self.pages = PageTransfer(self)
-        self.followers = StarSubscribers(self)
-        self.children = TreeSubscribers(self)
-        self.snapshot = SnapshotTransfer(self)
-        self.desks = {
-            StreamOpened: self.stream.up,
-            StreamActive: self.stream.says,
-            StreamEventReceived: self.stream.event,
-            StreamClosed: self.stream.lost,
-            ServiceMoved: self.stream.moved,
+        self.intake = EventIntake(self)
+        self.page_transfer = PageTransfer(self)
+        self.star_subscribers = StarSubscribers(self)
+        self.tree_subscribers = TreeSubscribers(self)
+        self.snapshot_transfer = SnapshotTransfer(self)
+        self.stream_handlers: dict[type, Callable[[Any], None]] = {
+            StreamOpened: self.stream.on_opened,
+            StreamActive: self.stream.on_active,
+            StreamEventReceived: self.stream.on_event,
+            StreamClosed: self.stream.on_closed,
+            ServiceMoved: self.stream.on_service_moved,
         }
-        self.from_peers = {
-            ScopeAnnouncement: self.where,
-            Subscribe: self.followers.subscribed,
-            Heartbeat: self.heard.beat,
-            Events: self.heard.events,
-            EventBatch: self.heard.batch,
-            ScopeQuery: self.scopes.asked_page,
-            ScopeReport: self.scopes.told_page,
-            SnapshotChunkRequest: self.snapshot.asked,
-            SnapshotChunk: self.snapshot.arrived,
-            PageChunkRequest: self.pages.asked,
-            PageChunk: self.pages.arrived,
+        self.message_handlers: dict[type, Callable[[int, Any], None]] = {
+            ScopeAnnouncement: self.scopes.on_announcement,
+            Subscribe: self.star_subscribers.on_subscribe,
+            Heartbeat: self.intake.on_heartbeat,
+            Events: self.intake.on_events,
+            EventBatch: self.intake.on_event_batch,
+            ScopeQuery: self.scopes.on_query,
+            ScopeReport: self.scopes.on_report,
+            SnapshotChunkRequest: self.snapshot_transfer.on_request,
+            SnapshotChunk: self.snapshot_transfer.on_chunk,
+            PageChunkRequest: self.page_transfer.on_request,
+            PageChunk: self.page_transfer.on_chunk,
         }
         if saved is not None:
-            self.held.read(saved)
+            self.replica.load(saved)
 
-    def start(self, now):
+    def start(self, now: int) -> list[Any]:
+        """Schedule the first round; give the commands."""
         self.timers.now = now
-        self.timers.schedule(
-            now + int(self.timers.random_fraction() * min(self.terms.beat, 100_000)), self.roles.look
-        )
+        delay = int(self.timers.random_fraction() * min(self.settings.beat, MAX_START_DELAY_US))
+        self.timers.schedule(now + delay, self.roles.run_round)
         return self.timers.take_commands()
 
-    def handle(self, now, notes=()):
-        """Take notes in at `now`, do what is due, give the orders."""
+    def handle(self, now: int, events: Iterable[Any] = ()) -> list[Any]:
+        """Do what is due at `now`, handle the events, give the commands."""
         self.timers.run_due(now)
-        for note in notes:
-            if isinstance(note, PeerMessage):
-                if desk := self.from_peers.get(type(note.message)):
-                    desk(note.token, note.message)
+        for event in events:
+            if isinstance(event, PeerMessage):
+                self._handle_message(event.token, event.message)
             else:
-                self.desks[type(note)](note)
+                self.stream_handlers[type(event)](event)
         return self.timers.take_commands()
 
-    def next(self):
-        return self.timers.next_due()
+    def _handle_message(self, token: int, message: msgspec.Struct) -> None:
+        if handler := self.message_handlers.get(type(message)):
+            handler(token, message)
 
-    def where(self, token, message):
-        self.scopes.learn(token, message.zone, message.site)
-        if message.asks:
-            self.timers.emit(SendToMember(token, ScopeAnnouncement(self.terms.zone, site=self.terms.site)))
+    def next(self) -> int | None:
+        """When something is due next, or None."""
+        return self.timers.next_due()
 
-    def shown(self):
-        """What `limepath listing show` prints, as plain values."""
-        now, held = self.timers.now, self.held
+    def describe(self) -> dict[str, Any]:
+        """What `limepath discovery show` prints, as plain values."""
+        replica = self.replica
+        event_subscribers = len(self.tree_subscribers.event_subscribers())
+        star_subscribers = len(self.star_subscribers.subscribers)
         return {
-            "generation": held.list.place.generation,
-            "number": held.list.place.number,
-            "members": len(held.list.members),
-            "digest": f"{held.list.digest:016x}",
-            "confirmed_us_ago": held.age(),
-            "late": held.late(),
+            "generation": replica.list.revision.generation,
+            "number": replica.list.revision.number,
+            "members": len(replica.list.members),
+            "digest": f"{replica.list.digest:016x}",
+            "confirmed_us_ago": replica.age(),
+            "late": replica.is_stale(),
             "role": self.roles.role.name.lower(),
-            "stream": self.stream.state or "none",
-            "zone": self.terms.zone,
-            "site": self.terms.site,
-            "followers": len(self.followers.known) + len(self.children.known),
-            "children": len(self.children.readers()),
-            "sends_events_to": len(self.followers.known) + len(self.children.readers()),
+            "stream": str(self.stream.state),
+            "zone": self.settings.zone,
+            "site": self.settings.site,
+            "followers": star_subscribers + len(self.tree_subscribers.subscribers),
+            "children": event_subscribers,
+            "sends_events_to": star_subscribers + event_subscribers,
             "hops": self.tree.hops,
-            "reaches": held.reaches(),
-            "window_cut_short": held.window.cut_short(now),
-            "follows": [
-                {
-                    "token": f"{token:016x}",
-                    "number": source.beat.number if source.beat else None,
-                    "heard_us_ago": now - source.at if source.beat else None,
-                    "flaw": self.upstream.flaw_of(source),
-                }
-                for token, source in self.upstream.sources.items()
-            ],
+            "reaches": replica.oldest_available(),
+            "window_cut_short": replica.window.is_cut_short(self.timers.now),
+            "follows": [self._describe_source(*entry) for entry in self.upstream.sources.items()],
             "counts": dict(self.counts),
         }
+
+    def _describe_source(self, token: int, source: UpstreamSource) -> dict[str, Any]:
+        fault = self.upstream.fault_of(source)
+        return {
+            "token": f"{token:016x}",
+            "number": source.heartbeat.number if source.heartbeat else None,
+            "heard_us_ago": self.timers.now - source.heartbeat_at if source.heartbeat else None,
+            "flaw": str(fault) if fault else None,
+        }
--- a/limepath/discovery/event_coding.py
+++ b/limepath/discovery/event_coding.py
@@ -1,7 +1,7 @@
 """Events of the list service to compact bytes and back, and several of them packed for one datagram.
 
 An event is the service's JSON object with its number `seq`. Its bytes are a kind and what the kind holds; an
-integer is unsigned LEB128 (`integers`):
+integer is unsigned LEB128 (`varint`):
 
     TEXT            the JSON text in UTF-8
     DEFLATED        the same by zlib (RFC 1950), taken where it is smaller
@@ -25,7 +25,7 @@
 import zlib
 from collections.abc import Iterable
 from enum import IntEnum
-from typing import NamedTuple
+from typing import Any, NamedTuple
 
 from limepath.discovery.event_checks import InvalidEventError, parse_event
 from limepath.discovery.purge_fields import PurgeFields, is_uint63, purge_fields_of
@@ -39,7 +39,7 @@
 )
 
 MAX_TEXT_BYTES = 65_536  # bytes of one event's JSON text; what is longer comes by pages of the list
-MAX_BATCH_BYTES = 1000  # bytes of a batch: with envelope and seal it stays under `peers.guard.LARGEST`
+MAX_BATCH_BYTES = 1000  # bytes of a batch: with envelope and seal it stays under `membership.guard.LARGEST`
 RESERVED_KINDS = range(16, 32)  # for changes of configuration
 OBJECT_BYTES = 8
 
@@ -71,21 +71,24 @@
 
 
 class ServiceEvent(NamedTuple):
-    """`told` is the parsed JSON object of `text`."""
+    """`body` is the parsed JSON object of `text`."""
 
-    told: dict
+    body: dict[str, Any]
     text: str
 
 
-def encode_event(told: dict, text: str) -> bytes:
-    """The bytes of an event whose JSON text was parsed to `told`; raise OversizedError where it is too long."""
-    if purge := purge_fields_of(told):
+def encode_event(body: dict[str, Any], text: str) -> bytes:
+    """The bytes of an event whose JSON text was parsed to `body`.
+
+    Raise OversizedError where it is too long.
+    """
+    if purge := purge_fields_of(body):
         kind = EventKind.PURGE_OBJECT if purge.is_object else EventKind.PURGE_BUCKET
         return bytes((kind,)) + encode_varint(purge.seq) + encode_varint(purge.time) + encode_target(purge)
     try:
         plain = text.encode()
     except UnicodeEncodeError:  # half a surrogate pair, which JSON can name and UTF-8 can't
-        plain = json.dumps(told).encode()
+        plain = json.dumps(body).encode()
     if len(plain) > MAX_TEXT_BYTES:
         raise OversizedError(f"an event of {len(plain)} bytes, {MAX_TEXT_BYTES} at the most")
     deflated = zlib.compress(plain, 9)
@@ -95,15 +98,16 @@
 
 
 def decode_event(data: bytes) -> ServiceEvent:
-    """The event of bytes made by `encode`; raise a CodingError."""
+    """The event of bytes made by `encode_event`; raise a CodingError."""
     entry = parse_entry(data)
     return event_of_purge(entry.purge) if entry.purge else event_of_text(entry.kind, entry.text)
 
 
 def encode_batches(encoded: Iterable[bytes], limit: int = MAX_BATCH_BYTES) -> list[bytes]:
-    """Events as `encode` made them, packed in their order into as few byte strings of at most `limit` bytes
-    as go in that order. A batch ends before a number that does not follow. Raise OversizedError where one event
-    alone does not fit.
+    """Coded events in as few batches of at most `limit` bytes as their order allows.
+
+    A batch ends before a number that does not follow. Raise OversizedError where one event alone does not
+    fit.
     """
     packed, writer = [], None
     for data in encoded:
@@ -128,7 +132,9 @@
     reader = ByteReader(batch)
     if read_kind(reader) != EventKind.BATCH:
         raise DamagedError("an event in the place of a batch")
-    first, time, count = reader.integer(), reader.integer(), reader.integer()
+    first = reader.integer()
+    time = reader.integer()
+    count = reader.integer()
     if not 0 < count <= reader.left():
         raise DamagedError(f"{count} events in {reader.left()} bytes")
     events = []
@@ -139,12 +145,21 @@
         else:
             time += zigzag_decode(reader.integer())
             events.append(event_of_purge(read_purge(reader, kind, seq, time)))
-        if events[-1].told["seq"] != seq:
-            raise DamagedError(f"event {events[-1].told['seq']} told as {seq}")
+        if events[-1].body["seq"] != seq:
+            raise DamagedError(f"event {events[-1].body['seq']} told as {seq}")
     reader.end()
     return tuple(events)
 
 
+def count_events(batch: bytes) -> int:
+    """How many events a batch holds, by its head."""
+    reader = ByteReader(batch)
+    read_kind(reader)
+    reader.integer()  # the first number
+    reader.integer()  # the base time
+    return reader.integer()
+
+
 # Within a batch
 
 
@@ -168,8 +183,8 @@
 
 
 def entry_number(entry: Entry) -> int:
-    """The event's number, which is in its text where it is no purge; raise a CodingError."""
-    return entry.purge.seq if entry.purge else event_of_text(entry.kind, entry.text).told["seq"]
+    """The event's number, which a purge has apart from a text; raise a CodingError."""
+    return entry.purge.seq if entry.purge else event_of_text(entry.kind, entry.text).body["seq"]
 
 
 class BatchWriter:
@@ -183,7 +198,7 @@
         self.time = None  # of the first purge here and of the last
 
     def add(self, seq: int, entry: Entry, limit: int) -> bool:
-        """Take one more event in, or give False where it does not follow or the batch would pass `limit`."""
+        """Add one more event, or return False where it does not follow or the batch would pass `limit`."""
         if seq != self.first + len(self.parts) or not is_uint63(seq):
             return False
         base, time = self.base, self.time
@@ -208,14 +223,13 @@
         return kind + encode_varint(zigzag_encode(since)) + encode_target(entry.purge)
 
     def head(self, base: int | None, count: int) -> bytes:
-        return (
-            bytes((EventKind.BATCH,))
-            + encode_varint(self.first)
-            + encode_varint(base or 0)
-            + encode_varint(count)
-        )
+        """The bytes before the events."""
+        coded_first = encode_varint(self.first)
+        coded_base = encode_varint(base or 0)
+        return bytes((EventKind.BATCH,)) + coded_first + coded_base + encode_varint(count)
 
     def packed(self) -> bytes:
+        """The bytes of the batch."""
         return self.head(self.base, len(self.parts)) + b"".join(self.parts)
 
 
@@ -223,10 +237,11 @@
 
 
 def event_of_purge(purge: PurgeFields) -> ServiceEvent:
-    if not purge.valid():
+    """The event of a purge\'s fields; raise DamagedError for fields that can\'t be."""
+    if not purge.is_valid():
         raise DamagedError(f"a purge that cannot be: {purge.seq} at {purge.time}")
-    told = purge.told()
-    return ServiceEvent(told, json.dumps(told))
+    body = purge.event()
+    return ServiceEvent(body, json.dumps(body))
 
 
 def event_of_text(kind: EventKind, data: bytes) -> ServiceEvent:
@@ -246,19 +261,20 @@
 
 def decompress(data: bytes, longest: int) -> bytes:
     """The bytes that zlib made `data` of, at most `longest`; no more is unpacked. Raise CodingError."""
-    opening = zlib.decompressobj()
+    decompressor = zlib.decompressobj()
     try:
-        plain = opening.decompress(data, longest + 1)
+        plain = decompressor.decompress(data, longest + 1)
     except zlib.error:
         raise DamagedError("no zlib data") from None
     if len(plain) > longest:
         raise OversizedError(f"over {longest} bytes")
-    if not opening.eof or opening.unused_data:
+    if not decompressor.eof or decompressor.unused_data:
         raise DamagedError("cut, or more than one text")
     return plain
 
 
 def read_kind(reader: ByteReader) -> EventKind:
+    """The kind that follows; raise UnknownKindError."""
     kind = reader.take(1)[0]
     try:
         return EventKind(kind)
@@ -276,6 +292,7 @@
 
 
 def encode_target(purge: PurgeFields) -> bytes:
+    """The bytes of a purge\'s object or bucket."""
     if purge.is_object:
         return purge.target.to_bytes(OBJECT_BYTES, "big")
     return encode_varint(purge.target)
--- a/limepath/discovery/host.py
+++ b/limepath/discovery/host.py
@@ -1,11 +1,23 @@
-"""Beside a front that shares: the list comes by `relay`'s word, from the service's stream or from other
-fronts; carried out here.
+"""The discovery logic on a real front: sockets, store and timers; nothing is decided here.
+
+`DiscoveryChangeLog` takes the place of the plain change log of a front that shares. The list comes from the
+service's stream or from other fronts, and `engine` decides from whom.
 """
 
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import TYPE_CHECKING, Any
+
+import msgspec
+from twisted.internet.defer import Deferred
 from twisted.internet.endpoints import TCP4ClientEndpoint
 from twisted.internet.error import ConnectingCancelledError
+from twisted.internet.interfaces import IReactorTime
 from twisted.internet.protocol import Factory
+from twisted.python.failure import Failure
 
+from limepath.configuration.sharing_settings import DiscoverySettings
 from limepath.discovery.engine import DiscoveryEngine
 from limepath.discovery.interface import (
     MESSAGES,
@@ -31,114 +43,147 @@
 from limepath.interface.events import EndpointListFreshnessChanged, PurgeAnnounced
 from limepath.logic_host import LogicHost
 
+if TYPE_CHECKING:
+    from limepath.configuration.platform import FrontSettings
+    from limepath.duties.host import Cooperation
+    from limepath.membership.interface import MemberRecord
+
 SAVED_LIST_ROW = "list"  # of the store
+NS_PER_US = 1000
+US_PER_MS = 1000
+US_PER_SECOND = 1e6
+MAX_REASON_LENGTH = 120  # characters of an error in a log line
+REQUEST_COUNTS_SEED = 0x7A11  # keeps the draws of the request counts apart from those of the front
 
 
 class WatchStream(Stream):
-    """A stream that tells when the service has accepted the call, and each time it says that it is alive."""
+    """A stream that reports when the service has accepted the call, and each sign of life after that."""
 
-    def dataReceived(self, data):
-        before, events = self.body, self.feed.events_heard
+    def dataReceived(self, data: bytes) -> None:
+        """Hand the bytes to the parser, then report what they were."""
+        had_body = self.body
+        events = self.feed.event_count
         super().dataReceived(data)
-        if self.body and not before:
-            self.feed.gather(StreamOpened())
-        elif self.body and self.feed.events_heard == events and not (self.reader.rest or self.reader.data):
-            self.feed.gather(StreamActive())
+        if self.body and not had_body:
+            self.feed.submit(StreamOpened())
+        elif self.body and self.feed.event_count == events and not (self.reader.rest or self.reader.data):
+            self.feed.submit(StreamActive())
 
 
 class DiscoveryChangeLog(ChangeLog):
-    """The list of a front that shares. `cooperation` carries messages to other instances and keeps the
-    store.
-    """
-
-    def __init__(self, reactor, turn, caches, limits, log, settings, seed, cooperation, terms):
+    """The list of a front that shares; `cooperation` carries messages to others and keeps the store."""
+
+    def __init__(
+        self,
+        reactor: IReactorTime,
+        turn: Any,
+        caches: Any,
+        limits: Any,
+        log: Any,
+        settings: dict[str, Any],
+        seed: int,
+        cooperation: Cooperation,
+        discovery: DiscoverySettings,
+    ):
         super().__init__(reactor, turn, caches, limits, log, settings, seed)
         self.cooperation = cooperation
         members = cooperation.instance.members
-        self.logic = DiscoveryEngine(
-            members.me.token, terms, seed, lambda: members.ring, cooperation.store.all().get(SAVED_LIST_ROW)
-        )
+        saved = cooperation.store.all().get(SAVED_LIST_ROW)
+        self.logic = DiscoveryEngine(members.me.token, discovery, seed, lambda: members.ring, saved)
         self.logic_host = LogicHost(reactor, clock, self.logic, self.execute, self.failed)
-        self.serial = 0
-        self.oldest = -1
-        self.confirmed = None  # called once the front's list is the service's and its turn has come
-        self.paced = None
-
-    def known(self, known):
-        """What the configuration holds is as old as its file; the service or a relay tells."""
-
-    def follow(self, host, port):
-        """The address of the service; the logic says when to call."""
-        moved = hasattr(self, "host")
+        self.serial: int = 0  # of the current call
+        self.max_purge_age: int = -1  # of the event that is being applied, in microseconds; -1: not known
+        self.confirmed: Callable[[], None] | None = None  # called once the front may be ready
+        self.paced: Any = None  # the fleet-wide pace of connections, where it is set
+        self.tallies: Tallies | None = None  # the exchange of request counts
+
+    def known(self, known: dict[str, Any]) -> None:
+        """What the configuration holds is as old as its file; the service or a relay sends what counts."""
+
+    def follow(self, host: str, port: int) -> None:
+        """The address of the service; the logic decides when to call."""
+        has_moved = hasattr(self, "host")
         self.host = host
         self.port = port
-        if moved:
-            self.gather(ServiceMoved())
+        if has_moved:
+            self.submit(ServiceMoved())
         else:
             self.logic_host.carry_out(self.logic.start(clock()))
             self.tallies.start()
 
-    def gather(self, *notes):
-        self.logic_host.submit(*notes)
+    def submit(self, *events: Any) -> None:
+        """Hand events to the logic."""
+        self.logic_host.submit(*events)
 
-    def failed(self, error):
-        """GETs go on with the list as it is; the next beat tries again."""
+    def failed(self, error: Exception) -> None:
+        """Requests go on with the list as it is; the next round tries again."""
         self.log.fault("listing", error)
 
-    def heard(self, sender, message):
+    def heard(self, sender: MemberRecord, message: msgspec.Struct) -> None:
         """A message of another instance that is not of the duties."""
         if isinstance(message, MESSAGES):
-            self.gather(PeerMessage(sender.token, message))
-
-    def execute(self, order):
-        if isinstance(order, SendToMember):
-            self.cooperation.reach(order.token, order.message)
-        elif isinstance(order, ApplyEvent):
-            self.give(order)
-        elif isinstance(order, OpenStream):
-            self.call_after(order.after)
-        elif isinstance(order, CloseStream):
-            self.hang_up()
-        elif isinstance(order, SaveSnapshot):
-            if not self.cooperation.over:
-                self.cooperation.writes.put({SAVED_LIST_ROW: order.data})
-        elif isinstance(order, ListConfirmed):
-            self.log.say(
-                "list-confirmed",
-                number=order.place.number,
-                generation=order.place.generation,
-                age_ms=order.age // 1000,
-            )
-        elif isinstance(order, FrontReady):
-            if self.confirmed:
-                self.confirmed()
-        elif isinstance(order, ListFreshnessChanged):
-            self.turn.gather(EndpointListFreshnessChanged(order.late))
-            self.log.say("list-late" if order.late else "list-in-time")
-        elif isinstance(order, LogEvent):
-            self.log.say(order.event, **order.fields)
-
-    def give(self, order):
-        self.oldest = order.oldest
+            self.submit(PeerMessage(sender.token, message))
+
+    def execute(self, command: Any) -> None:
+        """Carry out one command of the logic."""
+        match command:
+            case SendToMember():
+                self.cooperation.reach(command.token, command.message)
+            case ApplyEvent():
+                self.apply_event(command)
+            case OpenStream():
+                self._open_stream(command.after)
+            case CloseStream():
+                self._close_stream()
+            case SaveSnapshot():
+                if not self.cooperation.over:
+                    self.cooperation.writes.put({SAVED_LIST_ROW: command.data})
+            case ListConfirmed():
+                self._log_confirmed(command)
+            case FrontReady():
+                if self.confirmed:
+                    self.confirmed()
+            case ListFreshnessChanged():
+                self.turn.gather(EndpointListFreshnessChanged(command.stale))
+                self.log.say("list-late" if command.stale else "list-in-time")
+            case LogEvent():
+                self.log.say(command.event, **command.fields)
+
+    def _log_confirmed(self, command: ListConfirmed) -> None:
+        self.log.say(
+            "list-confirmed",
+            number=command.revision.number,
+            generation=command.revision.generation,
+            age_ms=command.age // US_PER_MS,
+        )
+
+    # The front's list
+
+    def apply_event(self, command: ApplyEvent) -> None:
+        """Apply an event to the front's list."""
+        self.max_purge_age = command.max_purge_age
+        number = command.event["seq"]
         try:
-            self.take(order.told)
-        except BadEvent as flaw:  # its form was checked; what it names this front does not know
-            self.log.say("changelog", f"{flaw}; skipped", number=order.told["seq"])
-        self.last = order.told["seq"]
+            self.take(command.event)
+        except BadEvent as error:  # its form was checked; what it names this front does not know
+            self.log.say("changelog", f"{error}; skipped", number=number)
+        self.last = number
 
-    def fleet(self, told):
+    def fleet(self, told: dict[str, Any]) -> None:
+        """Apply members, and look again at the pace of connections."""
         try:
             super().fleet(told)
         finally:  # some of it may have been unreadable
             if self.paced:
                 self.paced.look()
 
-    def invalidated(self, told):
-        """A purge is no older than this front's list was up to date, whatever the clocks say."""
-        if self.oldest < 0:
-            return super().invalidated(told)
+    def invalidated(self, told: dict[str, Any]) -> None:
+        """Apply a purge, which is no older than this front's list was up to date, whatever the clocks say."""
+        if self.max_purge_age < 0:
+            super().invalidated(told)
+            return
         plain = self.turn
-        self.turn = _PurgeAgeLimit(self.turn, self.oldest)
+        self.turn = _PurgeAgeLimit(plain, self.max_purge_age)
         try:
             super().invalidated(told)
         finally:
@@ -146,21 +191,22 @@
 
     # The stream
 
-    def call_after(self, after):
+    def _open_stream(self, after: int) -> None:
         self.serial += 1
         serial = self.serial
-        endpoint = TCP4ClientEndpoint(self.reactor, self.host, self.port, timeout=self.limits.connect / 1e6)
+        timeout = self.limits.connect / US_PER_SECOND
+        endpoint = TCP4ClientEndpoint(self.reactor, self.host, self.port, timeout=timeout)
         feed = _StreamFeed(self, serial, after)
-        self.coming = endpoint.connect(Factory.forProtocol(lambda: WatchStream(feed)))
-        self.coming.addCallbacks(self.came_up, lambda failure: self.did_not_come(failure, serial))
+        self.coming: Deferred | None = endpoint.connect(Factory.forProtocol(lambda: WatchStream(feed)))
+        self.coming.addCallbacks(self.came_up, lambda failure: self._connection_failed(failure, serial))
 
-    def did_not_come(self, failure, serial):
+    def _connection_failed(self, failure: Failure, serial: int) -> None:
         self.coming = None
         if not failure.check(ConnectingCancelledError) and serial == self.serial:
-            self.gather(StreamClosed(failure.getErrorMessage()[:120]))
+            self.submit(StreamClosed(failure.getErrorMessage()[:MAX_REASON_LENGTH]))
 
-    def hang_up(self):
-        self.serial += 1  # what still comes of the former call is nobody's
+    def _close_stream(self) -> None:
+        self.serial += 1  # what still comes of the former call is ignored
         if self.coming:
             self.coming.cancel()
         if self.stream:
@@ -168,29 +214,37 @@
         self.stream = None
         self.coming = None
 
-    def sweep(self):
-        """Silence is the logic's to judge."""
+    def sweep(self) -> None:
+        """The logic itself detects silence."""
 
-    def shown(self):
+    def describe(self) -> dict[str, Any]:
+        """What `limepath discovery show` prints."""
         self.logic.timers.now = clock()
-        return self.logic.shown()
-
-
-def create_change_log(reactor, turn, caches, limits, log, front, cooperation, terms):
-    """The GuidedChangeLog of a front, whose Opening is `front`; it hears what instances tell each other of
-    the list.
-    """
+        return self.logic.describe()
+
+
+def create_change_log(
+    reactor: IReactorTime,
+    turn: Any,
+    caches: Any,
+    limits: Any,
+    log: Any,
+    front: FrontSettings,
+    cooperation: Cooperation,
+    discovery: DiscoverySettings,
+) -> DiscoveryChangeLog:
+    """The change log of a front that shares, which receives the messages of other instances."""
     zone = front.settings["areas"][front.settings["az"]]
-    gone = int(front.settings.get("family-info", {}).get("gone-everywhere", 0)) // 1000  # told in nanoseconds
-    terms = terms._replace(zone=zone, gone=gone or terms.gone)
+    gone_ns = int(front.settings.get("family-info", {}).get("gone-everywhere", 0))
+    discovery = discovery._replace(zone=zone, gone=gone_ns // NS_PER_US or discovery.gone)
     changes = DiscoveryChangeLog(
-        reactor, turn, caches, limits, log, front.settings, front.seed, cooperation, terms
+        reactor, turn, caches, limits, log, front.settings, front.seed, cooperation, discovery
     )
     cooperation.guests.append(changes)
-    changes.tallies = Tallies(reactor, turn, cooperation, front.seed ^ 0x7A11)
+    changes.tallies = Tallies(reactor, turn, cooperation, front.seed ^ REQUEST_COUNTS_SEED)
     cooperation.hearers.append(changes.tallies)
     if cooperation.told.connections:
-        from limepath.connection_pacing.host import Paced
+        from limepath.connection_pacing.host import Paced  # nothing of it is loaded where no pace is set
 
         members = cooperation.instance.members
         changes.paced = Paced(
@@ -198,63 +252,67 @@
             turn,
             caches,
             float(cooperation.told.connections),
-            lambda: max(terms.fronts, len(members.ring) + 1),
+            lambda: max(discovery.fronts, len(members.ring) + 1),
             changes.logic.timers.random_fraction,
         )
-    cooperation.views["listing"] = changes.shown
+    cooperation.views["listing"] = changes.describe
     return changes
 
 
 class _StreamFeed:
-    """What one stream knows of its change log: so that a former call's bytes reach nobody."""
+    """What one stream knows of its change log, so that a former call's bytes reach nobody.
 
-    def __init__(self, changes, serial, last):
+    `last`, `pauses`, `host`, `limits`, `log`, `stream`, `answered`, `event` and `lost` are what a `Stream` of
+    the front uses.
+    """
+
+    def __init__(self, changes: DiscoveryChangeLog, serial: int, last: int):
         self.changes = changes
         self.serial = serial
         self.last = last
         self.pauses = 0
-        self.events_heard = 0
+        self.event_count: int = 0
         self.host = changes.host
         self.limits = changes.limits
         self.log = changes.log
 
     @property
-    def stream(self):
+    def stream(self) -> Stream | None:
         return self.changes.stream
 
     @stream.setter
-    def stream(self, stream):
+    def stream(self, stream: Stream | None) -> None:
         if self.serial == self.changes.serial:
             self.changes.stream = stream
 
-    def answered(self, stream):
+    def answered(self, stream: Stream) -> None:
         """Nothing to let go of: there is one call at a time."""
 
-    def event(self, number, text):
-        self.events_heard += 1
-        self.gather(StreamEventReceived(text, number))
+    def event(self, number: str, text: str) -> None:
+        self.event_count += 1
+        self.submit(StreamEventReceived(text, number))
 
-    def gather(self, *notes):
+    def submit(self, *events: Any) -> None:
         if self.serial == self.changes.serial:
-            self.changes.gather(*notes)
+            self.changes.submit(*events)
 
-    def lost(self, stream):
+    def lost(self, stream: Stream) -> None:
         if self.changes.stream is stream:
             self.changes.stream = None
-        self.gather(StreamClosed("the stream ended"))
+        self.submit(StreamClosed("the stream ended"))
 
 
 class _PurgeAgeLimit:
-    """A turn to which no purge is older than so many microseconds."""
+    """Passes events on to an event loop; no purge in them is older than so many microseconds."""
 
-    def __init__(self, turn, oldest):
+    def __init__(self, turn: Any, max_age: int):
         self.turn = turn
-        self.oldest = oldest
-
-    def gather(self, *notes):
-        self.turn.gather(
-            *(
-                note._replace(age=min(note.age, self.oldest)) if isinstance(note, PurgeAnnounced) else note
-                for note in notes
-            )
-        )
+        self.max_age = max_age
+
+    def gather(self, *events: Any) -> None:
+        self.turn.gather(*map(self._limit, events))
+
+    def _limit(self, event: Any) -> Any:
+        if isinstance(event, PurgeAnnounced):
+            return event._replace(age=min(event.age, self.max_age))
+        return event
--- a/limepath/discovery/interface.py
+++ b/limepath/discovery/interface.py
@@ -1,12 +1,13 @@
-"""The interface of the listing logic: what it is told at start, notes in, orders out, and messages between
-fronts.
+"""The interface of the discovery logic: messages between fronts, events in and commands out.
 
 Times are whole microseconds of the instance's own monotonic clock, ages included; a purge's `time` is the
 service's Unix clock in milliseconds and is believed only as far as it fits what this front has seen itself.
+
+The tag of a message and the order of its fields are the wire format; class and field names are not.
 """
 
 from enum import IntEnum
-from typing import NamedTuple
+from typing import Any, NamedTuple
 
 import msgspec
 
@@ -14,16 +15,21 @@
 
 
 class Revision(NamedTuple):
-    """Where a list stands: a later generation follows when the service's own numbers ran backwards."""
+    """A version of the endpoint list: the number of its last event, and the generation of those numbers.
+
+    A later generation follows when the service's own numbers ran backwards.
+    """
 
     generation: int = 0
     number: int = 0
 
 
 class Role(IntEnum):
+    """How a front gets the list; the lower-case names stand in logs and reports."""
+
     FOLLOWS = 0
     RELAYS = 1  # one of its zone's first by hash: holds a stream, or tries to
-    ALONE = 2  # hears of no relay that is up to date: calls for itself
+    ALONE = 2  # no relay that it knows is up to date: calls the service for itself
 
 
 class SubscriptionMode(IntEnum):
@@ -34,35 +40,39 @@
     HEARTBEATS = 2  # nothing
 
 
-# Messages
+# Messages between fronts
 
 
 class ScopeAnnouncement(Message, tag="lw"):
-    """In which zone and site I am; `asks` for the same."""
+    """The zone and site of the sender; `wants_reply` asks for the receiver's."""
 
     zone: str
-    asks: bool = False
+    wants_reply: bool = False
     site: str = ""
 
 
 class Subscribe(Message, tag="lf"):
-    """Go on telling me, from where I am, which acknowledges all up to there. `lacks`: what came next was
-    lost, so send it at once. `stamp` is the sender's clock; answers echo it, and so bound their own age.
+    """Renews a subscription from the sender's revision on, and acknowledges all events up to it.
+
+    `resend`: what followed was lost and is to be sent at once. `stamp` is the sender's clock; answers echo
+    it, and so bound their own age.
     """
 
     zone: str
     generation: int
     number: int
-    reads: int = SubscriptionMode.TEXTS
+    mode: int = SubscriptionMode.TEXTS
     site: str = ""
-    lacks: bool = False
+    resend: bool = False
     stamp: int = 0
 
 
 class Heartbeat(Message, tag="lb"):
-    """Where my list stands, and how long ago the service itself last confirmed that (-1: never). `tries`: how
-    long I have been calling in vain. `followers` share me. `refused`: I have as many children as I take, ask
-    another. `reaches` is the oldest event that I can still send, -1 where that is not told.
+    """The sender's revision, and how long ago the service itself last confirmed it.
+
+    `age` is -1 where the service never did, `failing_for` how long calls to it have failed. `refused`: the
+    sender has as many subscribers as it takes. `oldest_available` is the oldest event that it can still
+    send, -1 where an older program does not say. `stamp` is of the Subscribe that this answers, else 0.
     """
 
     zone: str
@@ -70,12 +80,12 @@
     number: int
     digest: int
     age: int
-    tries: int = 0
-    followers: int = 0
+    failing_for: int = 0
+    subscribers: int = 0
     refused: bool = False
     site: str = ""
-    reaches: int = -1
-    stamp: int = 0  # of the Follow that this answers, 0 for none
+    oldest_available: int = -1
+    stamp: int = 0
 
 
 class Events(Message, tag="le"):
@@ -88,8 +98,9 @@
 
 
 class EventBatch(Message, tag="lt"):
-    """Events coded by `coding.batches`; up to date as of `age` ago if it is the last. `stamp` is of the
-    receiver's last Follow, which had come `since` ago when this was sent.
+    """Events coded by `event_coding.encode_batches`; up to date as of `age` ago if it is the last.
+
+    `stamp` is of the receiver's last Subscribe, which had arrived `since_subscribe` before this was sent.
     """
 
     generation: int
@@ -97,11 +108,14 @@
     data: bytes
     age: int
     stamp: int = 0
-    since: int = 0
+    since_subscribe: int = 0
 
 
 class ScopeQuery(Message, tag="ls"):
-    """Whom do you know in this zone, with a token above `after`? Nothing, if your digest is the same."""
+    """Asks which fronts of a zone the receiver knows, with a token above `after`.
+
+    The answer is empty where the receiver's digest of the zone is the same.
+    """
 
     zone: str
     site: str
@@ -119,21 +133,21 @@
 
 
 class PageChunkRequest(Message, tag="lc"):
-    """A chunk of a page of the snapshot at that place with that mark; with number -1, of the newest."""
+    """Asks for a chunk of a page of one snapshot, or, with number -1, of the newest."""
 
     generation: int
     number: int
-    mark: int
+    snapshot_id: int
     page: int
     chunk: int
 
 
 class PageChunk(Message, tag="ld"):
-    """`count` is how many chunks the page has, 0 where that snapshot is not held any more."""
+    """One chunk of a page; `count` is how many the page has, 0 where that snapshot was dropped."""
 
     generation: int
     number: int
-    mark: int
+    snapshot_id: int
     page: int
     chunk: int
     count: int
@@ -141,23 +155,21 @@
 
 
 class SnapshotChunkRequest(Message, tag="lq"):
-    """A piece of the whole list; from the one at that place, or, with number -1, from the newest."""
+    """Asks for a chunk of a packed list, or, with number -1, of the newest."""
 
     generation: int
     number: int
-    piece: int
+    chunk: int
 
 
 class SnapshotChunk(Message, tag="lp"):
-    """`of` is how many there are, 0 where that list is not held any more; `mark` is the digest of all
-    together.
-    """
+    """One chunk of a packed list; `count` is 0 where that list was dropped, `digest` that of all chunks."""
 
     generation: int
     number: int
-    piece: int
-    of: int
-    mark: bytes = b""
+    chunk: int
+    count: int
+    digest: bytes = b""
     data: bytes = b""
 
 
@@ -176,10 +188,12 @@
 )
 
 
-# Notes in
+# Events in
 
 
 class PeerMessage(NamedTuple):
+    """A message of another front, named by its token, has arrived."""
+
     token: int
     message: msgspec.Struct
 
@@ -189,59 +203,68 @@
 
 
 class StreamActive(NamedTuple):
-    """It is alive: a comment, or a part of an event."""
+    """The stream is alive: a comment, or a part of an event."""
 
 
 class StreamEventReceived(NamedTuple):
-    """`number` is the stream's own word for it, told in the log only."""
+    """A watch event of the service; `number` is the stream's own id of it, used in logs only."""
 
     text: str
     number: str = ""
 
 
 class StreamClosed(NamedTuple):
-    why: str
+    """The stream ended, or the call failed."""
+
+    reason: str
 
 
 class ServiceMoved(NamedTuple):
     """The service has another address now."""
 
 
-# Orders out
+# Commands out
 
 
 class OpenStream(NamedTuple):
-    """Open a stream; `after` is the last event known, 0 to be told all."""
+    """Open a stream; `after` is the last event known, 0 to be sent all."""
 
     after: int
 
 
 class CloseStream(NamedTuple):
-    why: str
+    """Close the stream, whatever it still brings."""
+
+    reason: str
 
 
 class SendToMember(NamedTuple):
+    """Send a message to the front of that token."""
+
     token: int
     message: msgspec.Struct
 
 
 class ApplyEvent(NamedTuple):
-    """Give this event to the front. A purge in it is at most `oldest` old, whatever the clocks say; -1: not
-    known.
+    """Apply this event to the front.
+
+    A purge in it is at most `max_purge_age` old, whatever the clocks say; -1: not known.
     """
 
-    told: dict
-    oldest: int = -1
+    event: dict[str, Any]
+    max_purge_age: int = -1
 
 
 class SaveSnapshot(NamedTuple):
+    """Store the packed list."""
+
     data: bytes
 
 
 class ListConfirmed(NamedTuple):
-    """From now on the front may be ready: its list is the service's, `age` microseconds ago."""
+    """From now on the front may be ready: its list is the service's, as of `age` ago."""
 
-    place: Revision
+    revision: Revision
     age: int
 
 
@@ -250,11 +273,13 @@
 
 
 class ListFreshnessChanged(NamedTuple):
-    """Whether the list is late: its last confirmation is older than the bound."""
+    """Whether the list is stale: its last confirmation is older than the bound."""
 
-    late: bool
+    stale: bool
 
 
 class LogEvent(NamedTuple):
+    """Write a line to the log."""
+
     event: str
-    fields: dict
+    fields: dict[str, Any]
--- a/limepath/discovery/purge_fields.py
+++ b/limepath/discovery/purge_fields.py
@@ -1,10 +1,10 @@
-"""The fields of a purge that compact bytes tell wholly, and the JSON object that they stand for.
+"""The fields of a purge that the compact form holds completely, and the JSON object that they stand for.
 
 An object's name in a purge is a hexadecimal number. Only 16 digits in lower case come back as they were, so
 another name, a negative or a huge number, or a field that is not known here has no fields: it goes as text.
 """
 
-from typing import NamedTuple
+from typing import Any, NamedTuple
 
 
 class PurgeFields(NamedTuple):
@@ -15,21 +15,21 @@
     target: int
     is_object: bool
 
-    def told(self) -> dict:
+    def event(self) -> dict[str, Any]:
         """The event's JSON object."""
         if self.is_object:
             return {"seq": self.seq, "invalidate": {"object": object_name(self.target), "time": self.time}}
         return {"seq": self.seq, "invalidate": {"bucket": self.target, "time": self.time}}
 
-    def valid(self) -> bool:
+    def is_valid(self) -> bool:
         """Whether it is one that `purge_of` gives."""
         return is_uint63(self.seq) and is_uint63(self.time) and (self.is_object or is_uint63(self.target))
 
 
-def purge_fields_of(told: dict) -> PurgeFields | None:
+def purge_fields_of(event: dict[str, Any]) -> PurgeFields | None:
     """The fields of an event, None where they would not tell all of it."""
-    purge = told.get("invalidate")
-    if told.keys() != {"seq", "invalidate"} or not isinstance(purge, dict):
+    purge = event.get("invalidate")
+    if event.keys() != {"seq", "invalidate"} or not isinstance(purge, dict):
         return None
     if purge.keys() == {"object", "time"}:
         target, is_object = canonical_object_number(purge["object"]), True
@@ -37,8 +37,8 @@
         target, is_object = purge["bucket"], False
     else:
         return None
-    fields = PurgeFields(told["seq"], purge["time"], target, is_object)
-    return fields if target is not None and fields.valid() else None
+    fields = PurgeFields(event["seq"], purge["time"], target, is_object)
+    return fields if target is not None and fields.is_valid() else None
 
 
 def is_uint63(value: object) -> bool:
@@ -47,6 +47,7 @@
 
 
 def object_name(number: int) -> str:
+    """The 16 digits of an object\'s number."""
     return f"{number:016x}"
 
 
--- a/limepath/discovery/roles.py
+++ b/limepath/discovery/roles.py
@@ -1,106 +1,139 @@
-"""Whether a front relays, follows or calls the service for itself; looked at every beat.
+"""Whether a front relays, follows or calls the service for itself; decided every heartbeat interval.
 
 Free of I/O.
 """
 
+from __future__ import annotations
+
+from collections.abc import Mapping
+from typing import TYPE_CHECKING
+
 from limepath.discovery.bounds import RELAY_RETRY_SPAN_US
 from limepath.discovery.call_budget import CallBudget
 from limepath.discovery.component import Component
-from limepath.discovery.interface import LogEvent, Role, SendToMember, Subscribe
+from limepath.discovery.interface import LogEvent, Role, SendToMember, Subscribe, SubscriptionMode
 from limepath.discovery.scopes import QUERIES_PER_HEARTBEAT
-from limepath.discovery.upstream import Source
+from limepath.discovery.upstream import UpstreamSource
+
+if TYPE_CHECKING:
+    from limepath.discovery.engine import DiscoveryEngine
 
-STREAM_HOLD_TIMEOUTS = 2  # patiences for which a relay that is none any more keeps its stream
+STREAM_HOLD_TIMEOUTS = 2  # heartbeat timeouts for which a relay that is none any more keeps its stream
+RANKED_PER_QUERY = 4  # times the queries of a round: how far down the hash order scopes are asked for
 
 
 class RoleSelection(Component):
-    """`suspicious`: another told a list that contradicts ours, so the service is asked."""
-
-    def __init__(self, listing):
-        super().__init__(listing)
-        self.budget = CallBudget(self.terms, self.timers.random_fraction)
-        self.role = Role.FOLLOWS
-        self.unneeded = None
-        self.unheard = None
-        self.looking = 0
-        self.tries_since = None
-        self.suspicious = False
-
-    def look(self):
-        """Every beat: who is to be followed, who is passed over, whether to call."""
-        now, terms = self.timers.now, self.terms
+    """The role of this front and the rounds in which it is decided."""
+
+    def __init__(self, engine: DiscoveryEngine):
+        super().__init__(engine)
+        self.budget = CallBudget(self.settings, self.timers.random_fraction)
+        self.role: Role = Role.FOLLOWS
+        self.stream_unneeded_since: int | None = None
+        self.unsupplied_since: int | None = None  # since when the list is stale and no source is at work
+        self.next_round_at: int = 0
+        self.failing_since: int | None = None  # since when this front has been calling in vain
+        self.contradiction_seen: bool = False  # another's list contradicts ours, so the service is asked
+
+    def run_round(self) -> None:
+        """Every heartbeat interval: whom to subscribe to, who is passed over, whether to call."""
+        now = self.timers.now
         live = set(self.live())
-        self.scopes.keep(live)
-        for known in (self.upstream.sources, self.followers.known):
-            for token in [token for token in known if token not in live]:
-                del known[token]
-        self.followers.known = {token: until for token, until in self.followers.known.items() if until > now}
-        self.children.keep(live, now)
-        self.budget.view(now, len(live) + 1)
+        self._retain_live(live, now)
+        self.budget.update_view(now, len(live) + 1)
         wanted = self.upstream.subscriptions()
-        if self.tree.on:
-            self.scopes.ask(live)
+        if self.tree.enabled:
+            self.scopes.query_unknown(live)
         else:
-            self.scopes.ask_in_turn(self.upstream.ranked(4 * QUERIES_PER_HEARTBEAT))
-        self.subscribe(wanted)
-        self.looking = now + terms.beat
-        self.decide()
-        self.timers.schedule(self.looking, self.look)
-
-    def subscribe(self, wanted):
-        """Tell each that is followed where our list stands."""
-        now, sources = self.timers.now, self.upstream.sources
-        for token, reads in wanted.items():
+            self.scopes.query_first_unknown(self.upstream.rank(RANKED_PER_QUERY * QUERIES_PER_HEARTBEAT))
+        self._renew_subscriptions(wanted)
+        self.next_round_at = now + self.settings.beat
+        self.decide_role()
+        self.timers.schedule(self.next_round_at, self.run_round)
+
+    def _retain_live(self, live: set[int], now: int) -> None:
+        """Forget fronts that are not live any more, and subscribers whose lease has expired."""
+        self.scopes.retain(live)
+        for token in [token for token in self.upstream.sources if token not in live]:
+            del self.upstream.sources[token]
+        self.star_subscribers.retain(live, now)
+        self.tree_subscribers.retain(live, now)
+
+    def _renew_subscriptions(self, wanted: Mapping[int, SubscriptionMode]) -> None:
+        """Send each that is subscribed to our revision."""
+        for token, mode in wanted.items():
             if token != self.me:
-                source = sources.setdefault(token, Source())
-                source.owes = source.owes or now
-                self.timers.emit(SendToMember(token, self.subscription(reads)))
-        if self.tree.on:
-            self.upstream.forget_but(wanted)
-
-    def subscription(self, reads, lacks=False):
-        terms, place = self.terms, self.held.list.place
-        if not self.tree.on:
-            return Subscribe(terms.zone, *place)
-        return Subscribe(terms.zone, *place, reads, terms.site, lacks, max(1, self.timers.now))
-
-    def decide(self):
-        """Whether to hold a stream; all calls go out here."""
+                source = self.upstream.sources.setdefault(token, UpstreamSource())
+                source.awaiting_since = source.awaiting_since or self.timers.now
+                self.timers.emit(SendToMember(token, self.new_subscription(mode)))
+        if self.tree.enabled:
+            self.upstream.forget_others(wanted)
+
+    def new_subscription(self, mode: SubscriptionMode, resend: bool = False) -> Subscribe:
+        """The message that renews a subscription from our revision on."""
+        zone, revision = self.settings.zone, self.replica.list.revision
+        if not self.tree.enabled:
+            return Subscribe(zone, *revision)
+        stamp = max(1, self.timers.now)
+        return Subscribe(zone, *revision, mode, self.settings.site, resend, stamp)
+
+    # The role
+
+    def decide_role(self) -> None:
+        """Decide whether to hold a stream; all calls to the service go out here."""
+        is_unsupplied = self.replica.is_stale() and not self.upstream.is_supplied()
+        is_relay = self._is_relay(is_unsupplied)
+        self._set_role(is_relay, is_unsupplied)
+        if self.role == Role.FOLLOWS:
+            self._release_stream()
+            return
+        self.stream_unneeded_since = None
+        if self.stream.is_open:
+            return
+        now = self.timers.now
+        self.failing_since = self.failing_since or now
+        if self.budget.may_call(now, self._relays_sharing_budget(is_relay)):
+            self.stream.open()
+        elif self.budget.due < self.next_round_at:
+            self.timers.schedule(self.budget.due, self.decide_role)
+
+    def _is_relay(self, is_unsupplied: bool) -> bool:
+        if self.me in self.upstream.preferred:
+            return True
+        if self.me not in self.upstream.selected:
+            return False
+        return self.upstream.is_helper or is_unsupplied or self.upstream.is_preferred_silent()
+
+    def _set_role(self, is_relay: bool, is_unsupplied: bool) -> None:
         now = self.timers.now
-        unheard = self.held.late() and not self.upstream.told_by_others()
-        relay = (
-            self.me in self.upstream.first
-            or self.me in self.upstream.chosen
-            and (self.upstream.helps or unheard or self.upstream.first_gone())
+        self.unsupplied_since = (self.unsupplied_since or now) if is_unsupplied else None
+        # The next by hash are to act first.
+        calls_for_itself = self.contradiction_seen or (
+            is_unsupplied and now - self.unsupplied_since >= RELAY_RETRY_SPAN_US
         )
-        self.unheard = (self.unheard or now) if unheard else None
-        needy = (
-            self.suspicious or unheard and now - self.unheard >= RELAY_RETRY_SPAN_US
-        )  # the next by hash are to act first
-        role = Role.RELAYS if relay else Role.ALONE if needy else Role.FOLLOWS
+        role = Role.RELAYS if is_relay else Role.ALONE if calls_for_itself else Role.FOLLOWS
         if role != self.role:
             self.timers.emit(LogEvent("list-role", {"role": role.name.lower(), "live": len(self.live()) + 1}))
             self.role = role
-        if role == Role.FOLLOWS:
-            self.unneeded = self.unneeded or now
-            self.budget.unwanted()
-            if (
-                self.stream.state
-                and now - self.unneeded > STREAM_HOLD_TIMEOUTS * self.terms.patience
-                and self.upstream.told_by_others()
-            ):
-                self.stream.hang_up("relays tell")
-            elif not self.stream.state:
-                self.tries_since = None
-            return
-        self.unneeded = None
-        if self.stream.state:
+
+    def _release_stream(self) -> None:
+        """Close the stream of a front that follows, once others have supplied it for a while."""
+        now = self.timers.now
+        self.stream_unneeded_since = self.stream_unneeded_since or now
+        self.budget.cancel()
+        if not self.stream.is_open:
+            self.failing_since = None
             return
-        self.tries_since = self.tries_since or now
-        plausible = 2 * (len(self.live()) + 1) >= self.terms.fronts  # in a view that small, all may think so
-        plausible &= not self.tree.on or self.scopes.settled()
-        zones = self.scopes.zones()
-        if self.budget.may_call(now, len(self.upstream.chosen) * zones if relay and plausible else 0):
-            self.stream.call()
-        elif self.budget.due < self.looking:
-            self.timers.schedule(self.budget.due, self.decide)
+        unneeded_for = now - self.stream_unneeded_since
+        if unneeded_for > STREAM_HOLD_TIMEOUTS * self.settings.patience and self.upstream.is_supplied():
+            self.stream.close("relays tell")
+
+    def _relays_sharing_budget(self, is_relay: bool) -> int:
+        """How many relays of all zones share the budget; 0 where this front counts as none of them."""
+        # In a view so small all may take themselves for relays.
+        is_plausible = 2 * (len(self.live()) + 1) >= self.settings.fronts
+        if self.tree.enabled:
+            is_plausible = is_plausible and self.scopes.is_settled()
+        if not (is_relay and is_plausible):
+            return 0
+        return len(self.upstream.selected) * self.scopes.count_zones()
--- a/limepath/discovery/simulate.py
+++ b/limepath/discovery/simulate.py
@@ -209,8 +209,8 @@
                 self.serial += 1
                 world.service.streams.pop(self, None)
             elif isinstance(order, ApplyEvent):
-                self.front = order.told["seq"]
-                world.took(self, order.told)
+                self.front = order.event["seq"]
+                world.took(self, order.event)
             elif isinstance(order, ListConfirmed):
                 self.ready_at = world.now
             elif isinstance(order, SaveSnapshot):
@@ -429,8 +429,8 @@
         if world.chance.random() < share:
             held = EndpointList()
             for text in world.service.events[: world.chance.randrange(1, 9)]:
-                held.take(parse_event(text))
-            node.saved = held.packed()
+                held.apply(parse_event(text))
+            node.saved = held.pack()
 
 
 def tell(world, count):
--- a/limepath/discovery/simulate_tree.py
+++ b/limepath/discovery/simulate_tree.py
@@ -165,15 +165,19 @@
                 self.serial += 1
                 world.service.streams.pop(self, None)
             elif isinstance(order, ApplyEvent):
-                self.took(order.told)
+                self.took(order.event)
             elif isinstance(order, ListFreshnessChanged):
-                self.stale.append((world.now, order.late))
-        self.readers_seen = max(self.readers_seen, len(self.logic.children.readers()))
+                self.stale.append((world.now, order.stale))
+        self.readers_seen = max(self.readers_seen, self.count_children())
         due = self.logic.next()
         if due is not None and (self.wake_at is None or due < self.wake_at or self.wake_at <= world.now):
             self.wake_at = max(world.now + 1, due)
             world.at(self.wake_at, self.wake, self.wake_at)
 
+    def count_children(self):
+        """How many subscribers it sends events to."""
+        return len(self.logic.tree_subscribers.event_subscribers())
+
     def wake(self, due):
         if self.wake_at == due and self.logic and not self.paused:
             self.wake_at = None
@@ -320,7 +324,9 @@
     def busiest(self, wanted=lambda front: True):
         """The front with the most children, among those wanted."""
         those = [front for front in self.running() if wanted(front)]
-        return max(those, key=lambda front: (len(front.logic.children.readers()), -front.index))
+        return max(
+            those, key=lambda front: (len(front.logic.tree_subscribers.event_subscribers()), -front.index)
+        )
 
 
 class Measured(NamedTuple):
@@ -451,7 +457,7 @@
         Row("bytes a second sent by a front, median", round(sent[len(sent) // 2])),
         at_most("the same, the busiest", round(sent[-1]), bound.calm_bytes(plan.rate)),
         Row("datagrams a second sent by the busiest", round(datagrams, 1)),
-        at_most("bytes sent by any front in one second", peak, bound.most_bytes),
+        at_most("bytes sent by any front in one second", peak, bound.max_bytes),
         Row("events that came twice, of all", doubled(world)),
     ]
 
@@ -493,7 +499,7 @@
             )
         )
     peak = max(front.most_bytes for front in world.fronts)
-    rows.append(at_most(f"{kind}: bytes sent by any front in one second", peak, bound.most_bytes))
+    rows.append(at_most(f"{kind}: bytes sent by any front in one second", peak, bound.max_bytes))
     world.run(world.now + 15 * SECOND)
 
 
@@ -506,7 +512,7 @@
         at_most(f"{kind}: until the last front there knows that it is late, s", seconds(max(knew)),
                 seconds(bound.known_late)),
         at_most(f"{kind}: until all there are whole again, s", seconds(world.now - whole),
-                seconds(bound.whole_again(world.plan.rate, world.plan.cut))),
+                seconds(bound.recovery_time(world.plan.rate, world.plan.cut))),
         at_most(f"{kind}: whole lists fetched there", fetched, 0),
         Row(f"{kind}: fronts there", len(those)),
     ]  # fmt: skip
--- a/limepath/discovery/star_subscribers.py
+++ b/limepath/discovery/star_subscribers.py
@@ -1,94 +1,121 @@
-"""Those that follow this front as in the star: where its list stands and the events that each lacks.
+"""Subscribers of the star: our heartbeats to them, and the texts of the events that each lacks.
 
-Free of I/O.
+They are fronts without a site and fronts of older programs. Free of I/O.
 """
 
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
 from limepath.discovery.component import Component
 from limepath.discovery.event_coding import decode_event
 from limepath.discovery.event_window import CompactedError
-from limepath.discovery.interface import Events, Heartbeat, SendToMember, SubscriptionMode
+from limepath.discovery.interface import Events, Heartbeat, SendToMember, Subscribe, SubscriptionMode
 
-MAX_EVENT_BYTES = 1000  # bytes of events in one datagram
-MAX_EVENT_DATAGRAMS = 4  # datagrams of events in answer to one Follow
-LEASE_HEARTBEATS = 4  # beats for which a follower counts as one
+if TYPE_CHECKING:
+    from limepath.discovery.engine import DiscoveryEngine
+
+MAX_EVENT_BYTES = 1000  # of events in one datagram
+MAX_EVENT_DATAGRAMS = 4  # in answer to one Subscribe
+LEASE_HEARTBEATS = 4  # heartbeat intervals for which a subscription lasts
 
 
 class StarSubscribers(Component):
-    """`known` maps a follower's token to when it ceases to count as one."""
+    """Who subscribes to this front as in the star, and what is still to be pushed to them."""
+
+    def __init__(self, engine: DiscoveryEngine):
+        super().__init__(engine)
+        self.subscribers: dict[int, int] = {}  # when the subscription expires, by token
+        self.unsent: list[int] = []  # numbers of events that are to be pushed
 
-    def __init__(self, listing):
-        super().__init__(listing)
-        self.known = {}
-        self.to_push = []
+    def retain(self, live: set[int], now: int) -> None:
+        """Forget subscribers that are not live, or whose subscription has expired."""
+        self.subscribers = {
+            token: expires_at
+            for token, expires_at in self.subscribers.items()
+            if token in live and expires_at > now
+        }
 
-    def my_beat(self):
-        now, place, held = self.timers.now, self.held.list.place, self.held
-        age = -1 if held.confirmed_at is None else now - held.confirmed_at
+    def heartbeat(self) -> Heartbeat:
+        """Our revision, and when the service last confirmed it."""
+        current = self.replica.list
         return Heartbeat(
-            self.terms.zone,
-            *place,
-            held.list.digest,
-            age,
-            self.tries(),
-            len(self.known) + len(self.children.known),
-            site=self.terms.site,
-            reaches=held.reaches(),
+            self.settings.zone,
+            *current.revision,
+            current.digest,
+            self.replica.wire_age(),
+            self._failing_for(),
+            len(self.subscribers) + len(self.tree_subscribers.subscribers),
+            site=self.settings.site,
+            oldest_available=self.replica.oldest_available(),
         )
 
-    def tries(self):
-        """How long this front, or the one that it hears the list from, has been calling in vain."""
-        roles, stream = self.roles, self.stream
-        if roles.tries_since is not None and not (stream.caught_up and stream.state):
-            return max(1, self.timers.now - roles.tries_since)
+    def _failing_for(self) -> int:
+        """How long this front, or the one that it has the list from, has been calling in vain."""
+        since = self.roles.failing_since
+        if since is not None and not (self.stream.caught_up and self.stream.is_open):
+            return max(1, self.timers.now - since)
         source = self.upstream.sources.get(self.tree.parent)
-        return source.beat.tries if source and source.beat and self.held.late() else 0
-
-    def tell(self):
-        for token in self.known:
-            self.timers.emit(SendToMember(token, self.my_beat()))
-
-    def push(self):
-        numbers = self.to_push
-        self.to_push = []
-        if numbers and self.known:
-            messages = self.events_from(numbers[0])
-            for token in self.known:
-                for message in messages or (self.my_beat(),):
-                    self.counts["pushed"] += 1
-                    self.timers.emit(SendToMember(token, message))
-
-    def events_from(self, first):
-        """The first WINDOW messages of the events from this number on; none where one is not kept or does not
-        fit.
+        if source and source.heartbeat and self.replica.is_stale():
+            return source.heartbeat.failing_for
+        return 0
+
+    def send_heartbeats(self) -> None:
+        """Send a heartbeat to each subscriber."""
+        for token in self.subscribers:
+            self.timers.emit(SendToMember(token, self.heartbeat()))
+
+    def push(self) -> None:
+        """Send the events that are new to each subscriber."""
+        numbers = self.unsent
+        self.unsent = []
+        if not numbers or not self.subscribers:
+            return
+        messages = self._events_from(numbers[0])
+        for token in self.subscribers:
+            for message in messages or (self.heartbeat(),):
+                self.counts["pushed"] += 1
+                self.timers.emit(SendToMember(token, message))
+
+    def _events_from(self, first: int) -> list[Events]:
+        """The first messages with the events from this number on.
+
+        None where an event was compacted away or does not fit a datagram.
         """
-        out, texts, size, at = [], [], 0, first
         try:
-            coded = self.held.window.since(first - 1, MAX_EVENT_DATAGRAMS * MAX_EVENT_BYTES)
+            coded = self.replica.window.events_after(first - 1, MAX_EVENT_DATAGRAMS * MAX_EVENT_BYTES)
         except CompactedError:
             return []
-        for number, text in enumerate((decode_event(data).text for data in coded), first):
+        messages: list[Events] = []
+        texts: list[str] = []
+        size = 0
+        for text in (decode_event(data).text for data in coded):
             if len(text) > MAX_EVENT_BYTES:
                 return []
             if texts and size + len(text) > MAX_EVENT_BYTES:
-                out.append((at, tuple(texts)))
-                texts, size, at = [], 0, number
+                messages.append(self._events_message(first, texts))
+                first += len(texts)
+                texts = []
+                size = 0
             texts.append(text)
             size += len(text)
-        out.append((at, tuple(texts)))
-        return [self.events(at, texts) for at, texts in out[:MAX_EVENT_DATAGRAMS] if texts]
+        if texts:
+            messages.append(self._events_message(first, texts))
+        return messages[:MAX_EVENT_DATAGRAMS]
 
-    def events(self, first, texts):
-        held = self.held
-        age = -1 if held.confirmed_at is None else self.timers.now - held.confirmed_at
-        return Events(held.list.place.generation, first, texts, age)
+    def _events_message(self, first: int, texts: list[str]) -> Events:
+        generation = self.replica.list.revision.generation
+        return Events(generation, first, tuple(texts), self.replica.wire_age())
 
-    def subscribed(self, token, message):
-        place = self.held.list.place
+    def on_subscribe(self, token: int, message: Subscribe) -> None:
+        """Renew a subscription; answer with a heartbeat and the events that are missing."""
         self.scopes.learn(token, message.zone, message.site)
-        if self.tree.on and message.reads != SubscriptionMode.TEXTS:
-            return self.children.subscribed(token, message)
-        self.known[token] = self.timers.now + LEASE_HEARTBEATS * self.terms.beat
-        self.timers.emit(SendToMember(token, self.my_beat()))
-        if message.generation == place.generation and message.number < place.number:
-            for one in self.events_from(message.number + 1):
-                self.timers.emit(SendToMember(token, one))
+        if self.tree.enabled and message.mode != SubscriptionMode.TEXTS:
+            self.tree_subscribers.on_subscribe(token, message)
+            return
+        self.subscribers[token] = self.timers.now + LEASE_HEARTBEATS * self.settings.beat
+        self.timers.emit(SendToMember(token, self.heartbeat()))
+        revision = self.replica.list.revision
+        if message.generation == revision.generation and message.number < revision.number:
+            for events in self._events_from(message.number + 1):
+                self.timers.emit(SendToMember(token, events))
--- a/limepath/discovery/topology.py
+++ b/limepath/discovery/topology.py
@@ -1,4 +1,4 @@
-"""Whom a front hears the list from: two trees over the live fronts of its zone, computed without an election.
+"""Which front subscribes to which: two trees over the live fronts of its zone, computed without an election.
 
 The first `relays` fronts of a zone by hash are the roots; they hold a stream of the list service. The fronts
 of a site form a tree below one of them, the site's head; the heads form a forest below the roots. Every front
@@ -11,7 +11,7 @@
 Free of I/O. Work is O(n log n) in the fronts of the zone; the caller keeps a position until its view changes.
 """
 
-from collections.abc import Mapping
+from collections.abc import Iterable, Mapping
 from functools import cached_property
 from typing import NamedTuple
 from zlib import crc32
@@ -22,16 +22,17 @@
 
 
 class Scope(NamedTuple):
-    """Where a front stands. `site` is empty for a front that tells none, such as one of an older program."""
+    """Where a front stands; `site` is empty for one that announces none, as older programs do."""
 
     zone: str
     site: str
 
 
 class Position(NamedTuple):
-    """A front's place. `candidates` are the fronts to subscribe to: its parent first, then the parent's
-    ancestors, then the other roots; `backups` the same of the second tree, without that parent. Both are
-    empty at a root that has no other root beside it; a root's are the other roots.
+    """A front's position in its zone's trees.
+
+    `candidates` are the fronts to subscribe to: its parent first, then the parent's ancestors, then the other
+    roots; `backups` the same of the second tree, without that parent. A root's are the other roots, if any.
     """
 
     is_root: bool
@@ -40,18 +41,18 @@
 
 
 class SiteRank(NamedTuple):
-    """A front's place within its site: how many of the site's fronts come before it, in the first tree."""
+    """A front's position within its site: how many of the site's fronts come before it, in the first tree."""
 
     site: str
     rank: int
 
 
 def name_salt(text: str) -> int:
-    """64 bits to hash tokens with, told by a name."""
+    """64 bits to hash tokens with, derived from a name."""
     return mix64(crc32(text.encode()))
 
 
-def order_by_hash(tokens, text: str) -> list[int]:
+def order_by_hash(tokens: Iterable[int], text: str) -> list[int]:
     """The tokens in the order of their hash, salted by a text."""
     salted = name_salt(text)
     return sorted(tokens, key=lambda token: mix64(token ^ salted))
@@ -73,18 +74,18 @@
         check_tree_settings(relays, fan_out)
         self.fan_out = fan_out
         members = [token for token, scope in scopes.items() if scope.zone == zone]
-        self.roots = order_by_hash(members, zone)[:relays]  # the hash of `Listing.ranked`
+        self.roots = order_by_hash(members, zone)[:relays]  # the hash of `Upstream.rank`
         roots = set(self.roots)
         by_site = {}
         for token in members:
             if token not in roots and scopes[token].site:
                 by_site.setdefault(scopes[token].site, []).append(token)
         # By the sites' hash and not by their heads': another head leaves a site where it is.
-        self.sites = sorted(by_site, key=lambda site: (name_salt(f"{zone}\n{site}"), site))
+        self.sites: list[str] = sorted(by_site, key=lambda site: (name_salt(f"{zone}\n{site}"), site))
         self.members = {site: order_by_hash(by_site[site], f"{zone}\n{site}") for site in self.sites}
 
     @cached_property
-    def places(self) -> dict[int, SiteRank]:
+    def site_positions(self) -> dict[int, SiteRank]:
         """Where each front below the roots stands, those without a site left out."""
         return {
             token: SiteRank(site, rank)
@@ -94,6 +95,7 @@
 
     @cached_property
     def site_ranks(self) -> dict[str, int]:
+        """Where each site stands in the order of the sites."""
         return {site: rank for rank, site in enumerate(self.sites)}
 
     def position(self, me: int) -> Position:
@@ -101,7 +103,7 @@
         if me in self.roots:
             others = tuple(token for token in self.roots if token != me)
             return Position(True, others, others)
-        if me not in self.places:
+        if me not in self.site_positions:
             roots = self.roots_from(mix64(me))
             return Position(False, roots, roots[1:])
         candidates = self.path(me, first_tree=True)
@@ -112,19 +114,19 @@
 
     def path(self, me: int, first_tree: bool) -> tuple[int, ...]:
         """The ancestors of a front below the roots in one tree, its parent first, then the other roots."""
-        place = self.places[me]
-        tokens = self.ordered(self.members[place.site], first_tree)
-        rank = self.turned(place.rank, len(tokens), first_tree)
+        site_position = self.site_positions[me]
+        tokens = self.ordered(self.members[site_position.site], first_tree)
+        rank = self.tree_rank(site_position.rank, len(tokens), first_tree)
         ancestors = []
         while rank:
             rank = parent_rank(rank, self.fan_out)
             ancestors.append(tokens[rank])
-        return *ancestors, *self.path_of_site(place.site, first_tree)
+        return *ancestors, *self.path_of_site(site_position.site, first_tree)
 
     def path_of_site(self, site: str, first_tree: bool) -> tuple[int, ...]:
         """The ancestors of a site's head: heads of other sites, then the roots."""
         sites = self.ordered(self.sites, first_tree)
-        rank = self.turned(self.site_ranks[site], len(sites), first_tree)
+        rank = self.tree_rank(self.site_ranks[site], len(sites), first_tree)
         top = len(self.roots) * self.fan_out  # sites whose heads are children of roots
         heads = []
         while rank >= top:
@@ -147,15 +149,17 @@
         """The head of the next site, which has few children or none in the second tree; nobody if there is
         one site only.
         """
-        site = self.sites[(self.site_ranks[self.places[me].site] + 1) % len(self.sites)]
+        site = self.sites[(self.site_ranks[self.site_positions[me].site] + 1) % len(self.sites)]
         return [token for token in self.members[site][:1] if token != me]
 
     @staticmethod
-    def ordered(those: list, first_tree: bool) -> list:
-        return those if first_tree else those[::-1]
+    def ordered(items: list, first_tree: bool) -> list:
+        """The first tree\'s order, or the second\'s, which is its reverse."""
+        return items if first_tree else items[::-1]
 
     @staticmethod
-    def turned(rank: int, count: int, first_tree: bool) -> int:
+    def tree_rank(rank: int, count: int, first_tree: bool) -> int:
+        """The rank of what stands at `rank` in the first tree."""
         return rank if first_tree else count - 1 - rank
 
 
--- a/limepath/discovery/tree.py
+++ b/limepath/discovery/tree.py
@@ -1,131 +1,148 @@
-"""Where a front stands in its zone's trees, and which fronts it subscribes to there.
+"""Which fronts this one subscribes to in its zone's trees.
 
 The parent is asked for events, the backup for heartbeats. One that is silent, bad, slow, calls in vain or has
-as many children as it takes is passed over, and its own parent asked in its stead. The roots and those that
-would be next watch each other as in the star. Free of I/O.
+as many subscribers as it takes is passed over, and its own parent asked in its stead. The roots and those
+that would be next watch each other as in the star. `topology` computes the trees. Free of I/O.
 """
 
+from __future__ import annotations
+
+from collections.abc import Iterable
+from typing import TYPE_CHECKING, NamedTuple
+
 from limepath.discovery import bounds
 from limepath.discovery.component import Component
 from limepath.discovery.interface import SubscriptionMode
-from limepath.discovery.topology import Zone, longest_path, order_by_hash
+from limepath.discovery.topology import Position, Zone, longest_path, order_by_hash
+from limepath.discovery.upstream import SourceFault
+
+if TYPE_CHECKING:
+    from limepath.discovery.engine import DiscoveryEngine
 
 REFUSAL_US = 10_000_000  # until one that refused is asked again
 STANDBYS = 1 + bounds.HELPERS_PER_RELAY  # times the relays: those next by hash that watch the roots
 
 
+class MissingEvent(NamedTuple):
+    """An event that another front was first heard to have at `since`, while this front lacks it."""
+
+    number: int
+    since: int
+
+
 class TreeSubscriptions(Component):
-    """`hops` is the most from a root to any front; 0 without a site."""
-
-    def __init__(self, listing):
-        super().__init__(listing)
-        self.position = None
-        self.version = None
-        self.hops = 0
-        self.first = []
-        self.next = []  # the roots, and the fronts next by hash
-        self.parent = None
-        self.backup = None
-        self.refused = {}  # until when, by token
-        self.wanted = None  # (number, when another was first heard to have it), while this front lacks it
+    """This front's position, its parent and its backup; not enabled without a site in the settings."""
+
+    def __init__(self, engine: DiscoveryEngine):
+        super().__init__(engine)
+        self.position: Position | None = None
+        self.scopes_version: int | None = None  # the version of the zone's view that `position` is of
+        self.hops: int = 0  # the most from a root to any front
+        self.roots: list[int] = []
+        self.standbys: list[int] = []  # the fronts next by hash
+        self.parent: int | None = None
+        self.backup: int | None = None
+        self.refused_until: dict[int, int] = {}  # by token
+        self.missing: MissingEvent | None = None
 
     @property
-    def on(self):
-        return bool(self.terms.site)
+    def enabled(self) -> bool:
+        """Whether this front has a site and so stands in trees."""
+        return bool(self.settings.site)
 
-    def place(self):
-        """Work the position out again, if the view of the zone has changed."""
-        scopes, terms = self.scopes, self.terms
-        if self.version == scopes.version:
+    def update_position(self) -> None:
+        """Compute the position again if the view of the zone has changed."""
+        if self.scopes_version == self.scopes.version:
             return
-        self.version = scopes.version
-        zone = Zone(terms.zone, scopes.mates, terms.relays, terms.fan_out)
+        self.scopes_version = self.scopes.version
+        members = self.scopes.zone_members
+        relays, fan_out = self.settings.relays, self.settings.fan_out
+        zone = Zone(self.settings.zone, members, relays, fan_out)
         self.position = zone.position(self.me)
-        ranked = order_by_hash(scopes.mates, terms.zone)
-        self.first = ranked[: terms.relays]
-        self.next = ranked[terms.relays : terms.relays * (1 + STANDBYS)]
-        self.hops = longest_path(len(scopes.mates), len(zone.sites), terms.relays, terms.fan_out)
+        ranked = order_by_hash(members, self.settings.zone)
+        self.roots = ranked[:relays]
+        self.standbys = ranked[relays : relays * (1 + STANDBYS)]
+        self.hops = longest_path(len(members), len(zone.sites), relays, fan_out)
 
-    def watches(self):
+    def watches_roots(self) -> bool:
         """Whether this front is a root, or would be one of the next."""
-        return self.me in self.first or self.me in self.next
+        return self.me in self.roots or self.me in self.standbys
 
-    def subscriptions(self):
-        """Whom to follow this beat, and what for: {token: Reads}."""
-        self.choose_parent()
+    def subscriptions(self) -> dict[int, SubscriptionMode]:
+        """Whom to subscribe to in this round, by token, and what for."""
+        self._choose_parent()
         wanted = {}
-        if self.watches():
-            wanted = dict.fromkeys([*self.upstream.chosen, *self.first], SubscriptionMode.HEARTBEATS)
-        lacks = self.lacks() and self.backup is not None
+        if self.watches_roots():
+            watched = [*self.upstream.selected, *self.roots]
+            wanted = dict.fromkeys(watched, SubscriptionMode.HEARTBEATS)
+        use_backup = self._is_event_late() and self.backup is not None
         if self.backup is not None:
-            wanted[self.backup] = SubscriptionMode.BATCHES if lacks else SubscriptionMode.HEARTBEATS
+            wanted[self.backup] = SubscriptionMode.BATCHES if use_backup else SubscriptionMode.HEARTBEATS
         if not self.position.is_root:
-            first = self.position.candidates[:1]
-            wanted |= {
-                token: wanted.get(token, SubscriptionMode.HEARTBEATS) for token in first
-            }  # until it answers again
+            for token in self.position.candidates[:1]:  # until it answers again
+                wanted.setdefault(token, SubscriptionMode.HEARTBEATS)
             if self.parent is not None:
-                wanted[self.parent] = SubscriptionMode.HEARTBEATS if lacks else SubscriptionMode.BATCHES
+                wanted[self.parent] = SubscriptionMode.HEARTBEATS if use_backup else SubscriptionMode.BATCHES
         wanted.pop(self.me, None)
         return wanted
 
-    def choose_parent(self):
-        """The first candidate without a flaw; else the first that is at work, though in vain."""
+    def _choose_parent(self) -> None:
+        """Take the first candidate without a fault; else the first that is at work, though in vain."""
         candidates = self.position.candidates
         if self.position.is_root:
             self.parent = None
-            self.backup = next((token for token in candidates if not self.flaw_of(token)), None)
+            self.backup = next((token for token in candidates if not self._fault_of(token)), None)
             return
-        spares = [token for token in self.next if token != self.me and token not in candidates]
-        self.parent = self.best((*candidates, *spares))
+        spares = [token for token in self.standbys if token != self.me and token not in candidates]
+        self.parent = self._pick((*candidates, *spares))
         if candidates and self.parent != candidates[0]:
             self.counts["passed over"] += 1
-        backups = [token for token in self.position.backups if token != self.parent]
-        self.backup = self.best(backups)
-
-    def best(self, tokens):
-        flaws = {token: self.flaw_of(token) for token in tokens}
-        for accepted in (None, "in vain"):
-            for token, flaw in flaws.items():
-                if flaw == accepted:
+        self.backup = self._pick([token for token in self.position.backups if token != self.parent])
+
+    def _pick(self, tokens: Iterable[int]) -> int | None:
+        faults = {token: self._fault_of(token) for token in tokens}
+        for accepted in (None, SourceFault.FAILING):
+            for token, fault in faults.items():
+                if fault == accepted:
                     return token
-        return next(iter(tokens), None)
+        return next(iter(faults), None)
 
-    def flaw_of(self, token):
-        if self.refused.get(token, 0) > self.timers.now:
-            return "refused"
-        return self.upstream.flaw_of(self.upstream.sources.get(token))
+    def _fault_of(self, token: int) -> SourceFault | None:
+        if self.refused_until.get(token, 0) > self.timers.now:
+            return SourceFault.REFUSED
+        return self.upstream.fault_of(self.upstream.sources.get(token))
 
-    def turned_away(self, token):
-        self.refused[token] = self.timers.now + REFUSAL_US
+    def record_refusal(self, token: int) -> None:
+        """A front has as many subscribers as it takes."""
+        self.refused_until[token] = self.timers.now + REFUSAL_US
         self.counts["refused"] += 1
 
-    # Behind
+    # Events that are late
 
-    def heard_of(self, number):
-        """Another has this event; this front is to have it within the bound."""
-        if self.wanted is None or self.held.list.place.number >= self.wanted[0]:
-            self.wanted = number, self.timers.now
+    def record_available(self, number: int) -> None:
+        """Another front has this event; this front is to have it within the bound."""
+        if self.missing is None or self.replica.list.revision.number >= self.missing.number:
+            self.missing = MissingEvent(number, self.timers.now)
 
-    def lacks(self):
-        """Whether an event that another has is late here: the parent did not bring it."""
-        if self.wanted is None or self.held.list.place.number >= self.wanted[0]:
+    def _is_event_late(self) -> bool:
+        """Whether the parent did not bring in time an event that another has."""
+        if self.missing is None or self.replica.list.revision.number >= self.missing.number:
             return False
-        late = self.timers.now - self.wanted[1] - bounds.delivery_time(self.terms, self.hops)
+        late = self.timers.now - self.missing.since - bounds.delivery_time(self.settings, self.hops)
         source = self.upstream.sources.get(self.parent)
-        if late <= 0 or source and source.beat and source.beat.number >= self.wanted[0]:
+        if late <= 0 or source and source.heartbeat and source.heartbeat.number >= self.missing.number:
             return False  # the parent has it, and sends as fast as its pace allows
-        if late > self.terms.patience and self.parent is not None:
-            self.slow(self.parent)
+        if late > self.settings.patience and self.parent is not None:
+            self._reject_slow_parent()
         return True
 
-    def slow(self, token):
+    def _reject_slow_parent(self) -> None:
         """Pass a parent over that answers and does not bring what another has."""
-        if source := self.upstream.sources.get(token):
-            source.bad_until = self.timers.now + bounds.SLOW_PARENT_US
+        if source := self.upstream.sources.get(self.parent):
+            source.rejected_until = self.timers.now + bounds.SLOW_PARENT_US
         self.counts["slow"] += 1
-        self.wanted = None
+        self.missing = None
 
-    def patience(self):
-        """What is added to spans in which an event must have come; 0 in the star."""
-        return bounds.delivery_time(self.terms, self.hops) if self.on else 0
+    def delivery_time(self) -> int:
+        """The time in which an event comes down the trees, in microseconds; 0 in the star."""
+        return bounds.delivery_time(self.settings, self.hops) if self.enabled else 0
--- a/limepath/discovery/upstream.py
+++ b/limepath/discovery/upstream.py
@@ -1,145 +1,164 @@
-"""Those that a front follows: what each told last, why one is not to be relied on, which are chosen.
+"""The fronts that this one subscribes to: their last heartbeats, their faults, which are selected.
 
 Free of I/O.
 """
 
+from __future__ import annotations
+
+from collections.abc import Collection
+from enum import StrEnum
 from heapq import nsmallest
+from typing import TYPE_CHECKING
 from zlib import crc32
 
 from limepath.discovery import bounds
 from limepath.discovery.bounds import RELAY_RETRY_SPAN_US
 from limepath.discovery.component import Component
-from limepath.discovery.interface import SubscriptionMode
+from limepath.discovery.interface import Heartbeat, SubscriptionMode
 from limepath.hashing import mix64
 
-BAD_PEER_US = 30_000_000  # for which one that told nonsense is passed over
+if TYPE_CHECKING:
+    from limepath.discovery.engine import DiscoveryEngine
+
+BAD_PEER_US = 30_000_000  # for which one that sent invalid data or contradicted others is passed over
 SOURCE_RETENTION_US = 10_000_000  # for which one that is not asked any more counts as silent still
+RANKED_PER_RELAY = 8  # times the relays: how far down the hash order a relay is looked for
+
+
+class SourceFault(StrEnum):
+    """Why a source is not relied on; the values stand in reports."""
 
+    BAD = "bad"  # sent invalid data, or contradicted others
+    SILENT = "silent"
+    FAILING = "in vain"  # answers, but calls the service in vain
+    REFUSED = "refused"  # has as many subscribers as it takes
 
-class Source:
-    """One that this front follows: its last Beat, when it came, and since when it owes one."""
 
-    __slots__ = ("beat", "at", "owes", "bad_until", "behind")
+class UpstreamSource:
+    """One front that this one subscribes to."""
 
-    def __init__(self):
-        self.beat = None
-        self.at = None
-        self.owes = None
-        self.behind = None
-        self.bad_until = 0
+    __slots__ = ("heartbeat", "heartbeat_at", "awaiting_since", "behind_since", "rejected_until")
+
+    def __init__(self) -> None:
+        self.heartbeat: Heartbeat | None = None  # its last one
+        self.heartbeat_at: int | None = None
+        self.awaiting_since: int | None = None  # since when a heartbeat is due from it
+        self.behind_since: int | None = None  # since when it calls itself up to date and is behind us
+        self.rejected_until: int = 0  # until when it is passed over
 
 
 class Upstream(Component):
-    """`first` are the first of the zone by hash, `chosen` those of them, or in their stead, relied on."""
+    """Selects the relays of the zone by hash, and others in the stead of faulty ones."""
 
-    def __init__(self, listing):
-        super().__init__(listing)
-        self.salt = mix64(crc32(self.terms.zone.encode()))
-        self.sources = {}
-        self.first = []
-        self.chosen = []
-        self.helps = 0
+    def __init__(self, engine: DiscoveryEngine):
+        super().__init__(engine)
+        self.salt: int = mix64(crc32(self.settings.zone.encode()))
+        self.sources: dict[int, UpstreamSource] = {}  # by token
+        self.preferred: list[int] = []  # the first of the zone by hash
+        self.selected: list[int] = []  # those of them, or in their stead, that are relied on
+        self.is_helper: bool = False  # this front is to call beside relays that call in vain
 
-    def ranked(self, count):
+    def rank(self, count: int) -> list[int]:
         """The first of this zone by hash, as far as zones are known; this front among them."""
-        if self.tree.on:
-            those = self.scopes.mates
+        if self.tree.enabled:
+            candidates = list(self.scopes.zone_members)
         else:
-            known, mine = self.scopes.known, self.scopes.mine
-            those = [token for token in self.live() if known.get(token, mine).zone == mine.zone]
-            those.append(self.me)
-        return nsmallest(count, those, key=lambda token: mix64(token ^ self.salt))
-
-    def subscriptions(self):
-        """Whom to follow this beat, and what for: {token: Reads}."""
-        if not self.tree.on:
-            self.choose()
-            return dict.fromkeys([*self.chosen, *self.first], SubscriptionMode.TEXTS)
-        self.tree.place()
-        if self.tree.watches():
-            self.choose()
+            known = self.scopes.known
+            own = self.scopes.own
+            candidates = [token for token in self.live() if known.get(token, own).zone == own.zone]
+            candidates.append(self.me)
+        return nsmallest(count, candidates, key=lambda token: mix64(token ^ self.salt))
+
+    def subscriptions(self) -> dict[int, SubscriptionMode]:
+        """Whom to subscribe to in this round, by token, and what for."""
+        if not self.tree.enabled:
+            self._select()
+            return dict.fromkeys([*self.selected, *self.preferred], SubscriptionMode.TEXTS)
+        self.tree.update_position()
+        watches = self.tree.watches_roots()
+        if watches:
+            self._select()
         else:
-            self.first = self.tree.first
-            self.helps = 0
+            self.preferred = self.tree.roots
+            self.is_helper = False
         wanted = self.tree.subscriptions()
-        if not self.tree.watches():
-            self.chosen = [token for token in (self.tree.parent, self.tree.backup) if token is not None]
+        if not watches:
+            self.selected = [token for token in (self.tree.parent, self.tree.backup) if token is not None]
         return wanted
 
-    def choose(self):
-        """The first relays that are not passed over. Those that call in vain get helpers, as many at most."""
-        wanted, helpers = self.terms.relays, 0
-        self.first = None
-        self.chosen = []
-        rank = self.ranked(wanted * 8)
-        self.first = rank[:wanted]
-        for token in rank:
-            if len(self.chosen) >= wanted + helpers:
+    def _select(self) -> None:
+        """Select the first relays that are not passed over.
+
+        Relays that call in vain get helpers beside them, `HELPERS_PER_RELAY` times the relays at most.
+        """
+        relays = self.settings.relays
+        helpers = 0
+        ranked = self.rank(relays * RANKED_PER_RELAY)
+        self.preferred = ranked[:relays]
+        self.selected = []
+        for token in ranked:
+            if len(self.selected) >= relays + helpers:
                 break
-            flaw = token != self.me and self.flaw_of(self.sources.get(token))
-            if flaw in ("silent", "bad"):
-                self.counts["passed over"] += token in self.first
+            fault = None if token == self.me else self.fault_of(self.sources.get(token))
+            if fault in (SourceFault.SILENT, SourceFault.BAD):
+                self.counts["passed over"] += token in self.preferred
                 continue
-            self.chosen.append(token)
-            if flaw == "in vain" or token == self.me and self.in_vain():
-                helpers = min(bounds.HELPERS_PER_RELAY * wanted, helpers + 1)
-        self.helps = helpers and self.me in rank[: wanted + helpers]
-        if not self.chosen:
-            self.chosen = [self.me]
-
-    def forget_but(self, wanted):
-        """Drop those that are not followed any more, once their flaw is of no use."""
+            self.selected.append(token)
+            if fault == SourceFault.FAILING or token == self.me and self.is_failing():
+                helpers = min(bounds.HELPERS_PER_RELAY * relays, helpers + 1)
+        self.is_helper = bool(helpers) and self.me in ranked[: relays + helpers]
+        if not self.selected:
+            self.selected = [self.me]
+
+    def forget_others(self, wanted: Collection[int]) -> None:
+        """Drop those that are not subscribed to any more, once their faults are of no use."""
         now = self.timers.now
         for token, source in list(self.sources.items()):
-            asked = source.owes or source.at or 0
-            if token not in wanted and source.bad_until <= now and now - asked > SOURCE_RETENTION_US:
+            last_asked = source.awaiting_since or source.heartbeat_at or 0
+            is_old = source.rejected_until <= now and now - last_asked > SOURCE_RETENTION_US
+            if token not in wanted and is_old:
                 del self.sources[token]
 
-    def in_vain(self):
-        return (
-            self.roles.tries_since is not None
-            and self.timers.now - self.roles.tries_since > RELAY_RETRY_SPAN_US
-        )
+    def is_failing(self) -> bool:
+        """Whether this front itself has been calling the service in vain for long."""
+        since = self.roles.failing_since
+        return since is not None and self.timers.now - since > RELAY_RETRY_SPAN_US
 
-    def first_gone(self):
-        """Whether one of the first by hash has been silent for so long that it is not a few lost
-        datagrams.
-        """
-        silent = [self.sources[token].owes for token in self.first if token in self.sources]
+    def is_preferred_silent(self) -> bool:
+        """Whether a preferred relay has been silent for so long that it is not a few lost datagrams."""
+        silent = [self.sources[token].awaiting_since for token in self.preferred if token in self.sources]
         return any(since and self.timers.now - since > RELAY_RETRY_SPAN_US for since in silent)
 
-    def flaw_of(self, source):
-        """Why one is not to be relied on, or None."""
-        now, terms = self.timers.now, self.terms
+    def fault_of(self, source: UpstreamSource | None) -> SourceFault | None:
+        """Why a source is not to be relied on, or None."""
+        now = self.timers.now
         if source is None:
             return None
-        if source.bad_until > now:
-            return "bad"
-        if source.owes and now - source.owes > terms.patience:
-            return "silent"
-        if source.beat:
-            age = now - source.at + source.beat.age
-            if (
-                source.beat.tries > RELAY_RETRY_SPAN_US
-                or source.beat.age >= 0
-                and age > self.held.fresh() + RELAY_RETRY_SPAN_US
-            ):
-                return "in vain"
+        if source.rejected_until > now:
+            return SourceFault.BAD
+        if source.awaiting_since and now - source.awaiting_since > self.settings.patience:
+            return SourceFault.SILENT
+        if source.heartbeat:
+            sent_age = source.heartbeat.age
+            age = now - source.heartbeat_at + sent_age
+            limit = self.replica.freshness_limit() + RELAY_RETRY_SPAN_US
+            if source.heartbeat.failing_for > RELAY_RETRY_SPAN_US or sent_age >= 0 and age > limit:
+                return SourceFault.FAILING
         return None
 
-    def told_by_others(self):
-        """Whether one that is followed is at work: it is up to date, or calls for the whole zone."""
-        now, terms = self.timers.now, self.terms
-        for token in self.chosen:
-            source = self.sources.get(token)
-            if (
-                source
-                and source.beat
-                and now - source.at <= 2 * terms.patience + terms.beat
-                and source.bad_until <= now
-            ):
-                if source.beat.tries or 0 <= source.beat.age <= self.held.fresh():
-                    return True
-            elif source and not source.beat and source.owes and now - source.owes <= terms.patience:
-                return True  # it was asked just now
-        return False
+    def is_supplied(self) -> bool:
+        """Whether a selected source is at work: it is up to date, or calls for the whole zone."""
+        return any(self._is_at_work(self.sources.get(token)) for token in self.selected)
+
+    def _is_at_work(self, source: UpstreamSource | None) -> bool:
+        now = self.timers.now
+        if not source:
+            return False
+        if not source.heartbeat:  # it was asked just now
+            return bool(source.awaiting_since) and now - source.awaiting_since <= self.settings.patience
+        silence = now - source.heartbeat_at
+        if silence > 2 * self.settings.patience + self.settings.beat or source.rejected_until > now:
+            return False
+        return bool(source.heartbeat.failing_for) or (
+            0 <= source.heartbeat.age <= self.replica.freshness_limit()
+        )
--- a/limepath/discovery/varint.py
+++ b/limepath/discovery/varint.py
@@ -1,4 +1,4 @@
-"""Whole numbers as few bytes (unsigned LEB128), and a reader of bytes that never goes beyond their end.
+"""Whole numbers as variable-length bytes (unsigned LEB128), and a reader that never passes their end.
 
 Seven bits a byte, the lowest first, the eighth bit on all bytes but the last, and no longer than it has to
 be. `CodingError` is what all compact forms of the list raise. Free of I/O.
@@ -31,6 +31,7 @@
 
 
 def zigzag_decode(value: int) -> int:
+    """The signed number of one that `zigzag_encode` gave."""
     return -(value + 1 >> 1) if value & 1 else value >> 1
 
 
@@ -42,15 +43,18 @@
         self.at = at
 
     def left(self) -> int:
+        """How many bytes are left."""
         return len(self.data) - self.at
 
     def take(self, count: int) -> bytes:
+        """The next so many bytes."""
         if count > self.left():
             raise DamagedError("cut")
         self.at += count
         return self.data[self.at - count : self.at]
 
     def integer(self) -> int:
+        """The next number."""
         value = 0
         for place in range(MAX_VARINT_BYTES):
             byte = self.take(1)[0]
--- a/limepath/scale/bounds.py
+++ b/limepath/scale/bounds.py
@@ -111,7 +111,7 @@
     if tree is None:
         bound = told.ready
     elif fault.kind == Kind.CUT:
-        bound = tree.whole_again(shape.rate, fault.until - fault.at)
+        bound = tree.recovery_time(shape.rate, fault.until - fault.at)
     else:
-        bound = max(tree.rejoined, tree.whole_again(shape.rate, fault.until - fault.at))
+        bound = max(tree.rejoined, tree.recovery_time(shape.rate, fault.until - fault.at))
     return bound + SLACK + SAMPLE
--- a/limepath/scale/hollow.py
+++ b/limepath/scale/hollow.py
@@ -86,10 +86,10 @@
         """Count datagrams and events where they pass the front's socket and its list."""
         line, changes = self.cooperation.line, self.changes
         self.receive, self.open_datagram, self.seal = line.datagramReceived, line.guard.open, line.guard.seal
-        self.send_order, self.take_event, self.hear = line.send, changes.give, changes.heard
+        self.send_order, self.take_event, self.hear = line.send, changes.apply_event, changes.heard
         line.datagramReceived, line.guard.open = self.datagram_came, self.opened
         line.guard.seal, line.send = self.sealed, self.sent
-        changes.give, changes.heard = self.event_taken, self.heard
+        changes.apply_event, changes.heard = self.event_taken, self.heard
 
     # Datagrams
 
@@ -128,8 +128,8 @@
 
     def event_taken(self, order):
         logic = self.changes.logic
-        place = getattr(logic, "held", logic).list.place
-        self.arrivals.taken(place.generation, order.told["seq"], clock())
+        revision = logic.replica.list.revision
+        self.arrivals.taken(revision.generation, order.event["seq"], clock())
         self.take_event(order)
 
     def count_doubled(self):
@@ -173,7 +173,7 @@
 
     def describe(self, report):
         """Fill in how this front stands."""
-        members, told = self.cooperation.instance.members, self.changes.shown()
+        members, told = self.cooperation.instance.members, self.changes.describe()
         live = sorted([members.me.token, *members.ring])
         report.live, report.view = len(live), digest_of(live)
         report.late, report.age_us = told["late"], told["confirmed_us_ago"]
--- a/limepath/scale/roles_listing.py
+++ b/limepath/scale/roles_listing.py
@@ -57,7 +57,7 @@
 def checked(text):
     """What the sharing of the list holds of it."""
     held = EndpointList()
-    held.take(parse_event(text))
+    held.apply(parse_event(text))
     return held
 
 
@@ -78,8 +78,8 @@
     """Kilobytes of a packed list with all the purges that it keeps."""
     held = checked(event(PACKED_MEMBERS))
     for number in range(2, 2 + purges_kept()):
-        held.take({"seq": number} | purge(number))
-    return len(held.packed()) / 1000
+        held.apply({"seq": number} | purge(number))
+    return len(held.pack()) / 1000
 
 
 def held_bytes(make):
@@ -98,7 +98,7 @@
     """Give the Found of a list taken in."""
     texts = [event(size) for size in SIZES]
     lists = [checked(text) for text in texts]
-    packs = [held.packed() for held in lists]
+    packs = [held.pack() for held in lists]
     works = {
         "parse": [partial(taken_in, text) for text in texts],
         "check": [partial(checked, text) for text in texts],
--- a/limepath/testbed/coldstart.py
+++ b/limepath/testbed/coldstart.py
@@ -345,7 +345,7 @@
         """Whether every living front holds the service's list, and knows it."""
         held = EndpointList()
         for text in self.service.events:
-            held.take(json.loads(text))
+            held.apply(json.loads(text))
         for node in self.nodes:
             if not node.running() or node.stopped:
                 continue
--- a/tests/byte_records.py
+++ b/tests/byte_records.py
@@ -17,9 +17,9 @@
 from limepath.discovery import endpoint_list, event_coding, page_coding, pages, scopes
 from limepath.discovery import interface as endpoints
 from limepath.discovery.event_checks import json_digest
-from limepath.discovery.event_window import AgedPurge
 from limepath.discovery.host import SAVED_LIST_ROW
 from limepath.discovery.paged_snapshot import PagedSnapshot
+from limepath.discovery.recent_purges import AgedPurge
 from limepath.discovery.topology import Scope, order_by_hash
 from limepath.duties import interface as leases
 from limepath.duties.ring import Ring, key_of
@@ -65,9 +65,21 @@
     ),
     leases.ProbeResult(duty=83, target=84, prober=TOKENS[1], serial=85, age=86, verdict=87, took=88),
 )
-CONFIRMED = {"generation": 28, "number": 29, "digest": (1 << 64) - 1, "age": -1, "reaches": 33, "stamp": 34}
+CONFIRMED = {
+    "generation": 28,
+    "number": 29,
+    "digest": (1 << 64) - 1,
+    "age": -1,
+    "stamp": 34,
+}
 HEARTBEAT = endpoints.Heartbeat(
-    zone="zone-1", site="site-1", tries=31, followers=32, refused=True, **CONFIRMED
+    zone="zone-1",
+    site="site-1",
+    failing_for=31,
+    subscribers=32,
+    refused=True,
+    oldest_available=33,
+    **CONFIRMED,
 )
 FULL_MESSAGES = {
     "membership/hello": membership.Hello(),
@@ -77,28 +89,28 @@
     "membership/ping-request": membership.IndirectPing(seq=17, about=OTHER_MEMBER, news=(MEMBER,)),
     "membership/pull": membership.Pull(after=19, buckets=(20, 1 << 63)),
     "membership/page": membership.MemberPage(news=(OTHER_MEMBER, MEMBER), last=True),
-    "endpoint-list/scope": endpoints.ScopeAnnouncement(zone="zone-1", asks=True, site="site-1"),
+    "endpoint-list/scope": endpoints.ScopeAnnouncement(zone="zone-1", wants_reply=True, site="site-1"),
     "endpoint-list/subscribe": endpoints.Subscribe(
-        zone="zone-1", generation=21, number=22, reads=2, site="site-1", lacks=True, stamp=23
+        zone="zone-1", generation=21, number=22, mode=2, site="site-1", resend=True, stamp=23
     ),
     "endpoint-list/heartbeat": HEARTBEAT,
     "endpoint-list/event-texts": endpoints.Events(generation=38, first=39, texts=("one", "two"), age=41),
     "endpoint-list/events": endpoints.EventBatch(
-        generation=42, first=43, data=b"\xff", age=44, stamp=45, since=46
+        generation=42, first=43, data=b"\xff", age=44, stamp=45, since_subscribe=46
     ),
     "endpoint-list/scopes-request": endpoints.ScopeQuery(zone="zone-1", site="site-1", digest=50, after=51),
     "endpoint-list/scopes": endpoints.ScopeReport(
         zone="z", sites=("a", "b"), fronts=((1 << 62, 1), (9, 0)), last=False
     ),
     "endpoint-list/chunk-request": endpoints.PageChunkRequest(
-        generation=53, number=54, mark=55, page=-1, chunk=57
+        generation=53, number=54, snapshot_id=55, page=-1, chunk=57
     ),
     "endpoint-list/chunk": endpoints.PageChunk(
-        generation=58, number=59, mark=60, page=61, chunk=62, count=63, data=b"\x00chunk\xff"
+        generation=58, number=59, snapshot_id=60, page=61, chunk=62, count=63, data=b"\x00chunk\xff"
     ),
-    "endpoint-list/part-request": endpoints.SnapshotChunkRequest(generation=68, number=-1, piece=69),
+    "endpoint-list/part-request": endpoints.SnapshotChunkRequest(generation=68, number=-1, chunk=69),
     "endpoint-list/part": endpoints.SnapshotChunk(
-        generation=70, number=71, piece=72, of=73, mark=b"mark", data=b"p"
+        generation=70, number=71, chunk=72, count=73, digest=b"mark", data=b"p"
     ),
     "probe/results": leases.ProbeResults(results=PROBE_RESULTS),
     "lease/request": leases.LeaseRequest(duty=89, round=90, slots=((91, 92), (93, 94))),
@@ -176,26 +188,26 @@
 ENCODED_EVENTS = [event_coding.encode_event(*one) for one in EVENTS]
 PURGES = ((OBJECT_PURGE, 8_000_000), (BUCKET_PURGE, 9_000_000), (LATE_PURGE, 2_000_000))
 CONTENTS = pages.ListContents(
-    place=endpoints.Revision(generation=3, number=1201),
-    revision=-7,
+    revision=endpoints.Revision(generation=3, number=1201),
+    fleet_revision=-7,
     members={f"cache-{number}": endpoint(number) for number in range(1, 41)},
-    purges=tuple(AgedPurge(one.told["seq"], age, event_coding.encode_event(*one)) for one, age in PURGES),
+    purges=tuple(AgedPurge(one.body["seq"], age, event_coding.encode_event(*one)) for one, age in PURGES),
 )
 
 
 def full_list() -> endpoint_list.EndpointList:
     """A list with members and with purges of different ages."""
     held, members = endpoint_list.EndpointList(), [endpoint(number) for number in (1, 2, 3)]
-    held.take({"seq": 1000, "fleet": {"revision": 8, "complete": True, "members": members}})
-    held.take(OBJECT_PURGE.told, now=2_000_000, age=1_000_000)
-    held.take(BUCKET_PURGE.told, now=4_000_000, age=0)
-    held.place = endpoints.Revision(generation=2, number=1002)
+    held.apply({"seq": 1000, "fleet": {"revision": 8, "complete": True, "members": members}})
+    held.apply(OBJECT_PURGE.body, now=2_000_000, age=1_000_000)
+    held.apply(BUCKET_PURGE.body, now=4_000_000, age=0)
+    held.revision = endpoints.Revision(generation=2, number=1002)
     return held
 
 
 def list_state(held: endpoint_list.EndpointList) -> tuple[Any, ...]:
     """All that makes up a list at `NOW`, to be compared."""
-    return held.place, held.revision, held.members, held.digest, held.purges.kept(NOW)
+    return held.revision, held.fleet_revision, held.members, held.digest, held.purges.retained(NOW)
 
 
 def event_record(one: event_coding.ServiceEvent, packed_from: int | None = None) -> CodedRecord:
@@ -207,7 +219,7 @@
     """A whole list, as it is saved and as it is sent in parts."""
     return CodedRecord(
         list_state(held),
-        lambda: held.packed(NOW),
+        lambda: held.pack(NOW),
         lambda data: list_state(endpoint_list.unpack_list(data, LONGEST_LIST, NOW)),
         packed_from=len(endpoint_list.FORMAT_TAG),
     )
@@ -290,10 +302,10 @@
         "membership/view-buckets": view.buckets,
         "membership/receiver": MEMBER.door,
         "membership/states": [states.ALIVE, states.SUSPECT, states.DEAD, states.LEFT],
-        "endpoint-list/event": json_digest(OBJECT_PURGE.told),
+        "endpoint-list/event": json_digest(OBJECT_PURGE.body),
         "endpoint-list/members": full_list().digest,
         "endpoint-list/snapshot": endpoint_list.snapshot_digest(b"snapshot").hex(),
-        "endpoint-list/page-index": PagedSnapshot(CONTENTS).mark,
+        "endpoint-list/page-index": PagedSnapshot(CONTENTS).id,
         "endpoint-list/scope": scopes.scope_digest(TOKENS[0], Scope("zone-1", "site-1")),
         "endpoint-list/relay-order": order_by_hash(TOKENS, "zone-1"),
         "endpoint-list/subscriptions": [reads.TEXTS, reads.BATCHES, reads.HEARTBEATS],
--- /dev/null
+++ b/tests/test_event_checks.py
@@ -0,0 +1,26 @@
+"""Tests of limepath/discovery/event_checks.py: the form of the list service's events."""
+
+import pytest
+
+from limepath.discovery.event_checks import InvalidEventError, parse_event
+
+
+def test_a_purge_is_parsed_with_its_number():
+    assert parse_event('{"seq": 3, "invalidate": {"bucket": 17, "time": 5}}')["seq"] == 3
+
+
+@pytest.mark.parametrize(
+    "text, reason",
+    [
+        ("{", "no JSON"),
+        ("[]", "no numbered event"),
+        ('{"seq": "x"}', "no numbered event"),
+        ('{"seq": 2, "fleet": {"members": [{"id": ""}]}}', "member '': no id"),
+        ('{"seq": 2, "invalidate": {"time": 5}}', "purge without object and bucket"),
+        ('{"seq": 2, "invalidate": {"object": "xyz", "time": 5}}', "purge of 'xyz'"),
+    ],
+)
+def test_an_event_of_another_form_is_refused_with_its_reason(text, reason):
+    with pytest.raises(InvalidEventError) as error:
+        parse_event(text)
+    assert str(error.value) == reason
--- a/tests/test_event_coding.py
+++ b/tests/test_event_coding.py
@@ -120,7 +120,7 @@
 @example({"seq": 1, "invalidate": {"bucket": 1, "time": 1 << 63}})
 def test_an_event_comes_back_as_it_was(told):
     event = decode_event(encoded(told))
-    assert event.told == told and json_digest(event.told) == json_digest(told)
+    assert event.body == told and json_digest(event.body) == json_digest(told)
     assert json_digest(json.loads(event.text)) == json_digest(told)
 
 
@@ -128,7 +128,7 @@
 @given(events, st.sampled_from([None, 1, (",", ":")]))
 def test_an_event_comes_back_however_its_text_was_spaced(told, way):
     text = json.dumps(told, separators=way) if isinstance(way, tuple) else json.dumps(told, indent=way)
-    assert json_digest(decode_event(encode_event(told, text)).told) == json_digest(told)
+    assert json_digest(decode_event(encode_event(told, text)).body) == json_digest(told)
 
 
 @repeatable
@@ -172,7 +172,7 @@
 
 def test_half_a_surrogate_pair_comes_back():
     told = fleet(7, member("\ud800"))
-    assert decode_event(encode_event(told, json.dumps(told, ensure_ascii=False))).told == told
+    assert decode_event(encode_event(told, json.dumps(told, ensure_ascii=False))).body == told
 
 
 def test_what_is_too_long_for_an_event_is_refused_both_ways():
@@ -203,7 +203,7 @@
 def test_batches_give_all_events_back_in_order_and_each_fits_its_datagram(those, limit):
     packed = encode_batches(map(encoded, those), limit)
     assert all(len(batch) <= limit for batch in packed)
-    assert [event.told for batch in packed for event in decode_batch(batch, limit)] == those
+    assert [event.body for batch in packed for event in decode_batch(batch, limit)] == those
 
 
 @repeatable
@@ -211,9 +211,9 @@
 def test_a_batch_ends_where_numbers_do_not_follow(those, gap):
     later = [told | {"seq": told["seq"] + len(those) + gap} for told in those]
     packed = encode_batches(map(encoded, those + later))
-    assert [event.told for batch in packed for event in decode_batch(batch)] == those + later
+    assert [event.body for batch in packed for event in decode_batch(batch)] == those + later
     for batch in packed:
-        numbers = [event.told["seq"] for event in decode_batch(batch)]
+        numbers = [event.body["seq"] for event in decode_batch(batch)]
         assert numbers == list(range(numbers[0], numbers[0] + len(numbers)))
 
 
@@ -270,7 +270,7 @@
 
 def test_a_batch_cut_anywhere_or_with_more_behind_it_is_damaged():
     (batch,) = encode_batches(map(encoded, GOOD))
-    assert [event.told for event in decode_batch(batch)] == GOOD
+    assert [event.body for event in decode_batch(batch)] == GOOD
     for end in range(len(batch)):
         with pytest.raises(DamagedError):
             decode_batch(batch[:end])
@@ -343,7 +343,7 @@
     except CodingError:
         return
     for event in [found] if isinstance(found, event_coding.ServiceEvent) else found:
-        assert parse_event(event.text) == event.told
+        assert parse_event(event.text) == event.body
 
 
 @settings(repeatable, max_examples=500)
--- a/tests/test_event_tree.py
+++ b/tests/test_event_tree.py
@@ -31,6 +31,7 @@
     SubscriptionMode,
 )
 from limepath.discovery.replay_detection import EventTimes
+from limepath.discovery.service_stream import StreamState
 from limepath.discovery.simulate import member
 from limepath.discovery.simulate_tree import Plan, run_tree
 from limepath.discovery.topology import Scope, Zone
@@ -85,21 +86,21 @@
 
     def keep_alive(self, span, *tokens, number=None, age=0):
         """Let these tell where they stand every beat."""
-        for _ in range(span // self.logic.terms.beat):
+        for _ in range(span // self.logic.settings.beat):
             for token in tokens:
-                place, digest = self.logic.held.list.place, self.logic.held.list.digest
+                place, digest = self.logic.replica.list.revision, self.logic.replica.list.digest
                 at = place.number if number is None else number
-                self.told(token, Heartbeat("sur", 0, at, digest, age, site="a", reaches=2))
-            self.run(self.logic.terms.beat)
+                self.told(token, Heartbeat("sur", 0, at, digest, age, site="a", oldest_available=2))
+            self.run(self.logic.settings.beat)
 
 
 # Whom a front subscribes to
 
 
 def test_a_front_asks_its_parent_for_events_and_its_backup_for_heartbeats():
-    front = Member(held(3).packed())
-    assert front.asked(front.parent)[-1].reads == SubscriptionMode.BATCHES
-    assert front.asked(front.backup)[-1].reads == SubscriptionMode.HEARTBEATS
+    front = Member(held(3).pack())
+    assert front.asked(front.parent)[-1].mode == SubscriptionMode.BATCHES
+    assert front.asked(front.backup)[-1].mode == SubscriptionMode.HEARTBEATS
     others = set(front.others) - {front.parent, front.backup}
     front.out.clear()
     front.keep_alive(2 * SECOND, front.parent, front.backup)
@@ -107,26 +108,26 @@
 
 
 def test_a_silent_parent_is_passed_over_and_taken_again_once_it_answers():
-    front = Member(held(3).packed())
+    front = Member(held(3).pack())
     grandparent = front.position.candidates[1]
     front.keep_alive(3 * SECOND, front.backup, grandparent)
-    assert front.asked(grandparent)[-1].reads == SubscriptionMode.BATCHES
-    assert front.asked(front.parent)[-1].reads == SubscriptionMode.HEARTBEATS
+    assert front.asked(grandparent)[-1].mode == SubscriptionMode.BATCHES
+    assert front.asked(front.parent)[-1].mode == SubscriptionMode.HEARTBEATS
     front.keep_alive(SECOND, front.parent, front.backup, grandparent)
-    assert front.asked(front.parent)[-1].reads == SubscriptionMode.BATCHES
+    assert front.asked(front.parent)[-1].mode == SubscriptionMode.BATCHES
 
 
 def test_one_that_refuses_is_passed_over():
-    front = Member(held(3).packed())
+    front = Member(held(3).pack())
     front.told(front.parent, Heartbeat("sur", 0, 3, 0, 0, refused=True, site="a"))
-    front.run(front.logic.terms.beat)
-    assert front.asked(front.position.candidates[1])[-1].reads == SubscriptionMode.BATCHES
-    assert front.asked(front.parent)[-1].reads == SubscriptionMode.HEARTBEATS
+    front.run(front.logic.settings.beat)
+    assert front.asked(front.position.candidates[1])[-1].mode == SubscriptionMode.BATCHES
+    assert front.asked(front.parent)[-1].mode == SubscriptionMode.HEARTBEATS
 
 
 def test_no_more_children_are_taken_than_the_bound_whoever_asks():
-    front = Member(held(3).packed(), fronts=40)
-    front.told(front.parent, Heartbeat("sur", 0, 3, held(3).digest, 0, site="a", reaches=2))
+    front = Member(held(3).pack(), fronts=40)
+    front.told(front.parent, Heartbeat("sur", 0, 3, held(3).digest, 0, site="a", oldest_available=2))
     for token in front.others:
         front.told(token, Subscribe("sur", 0, 3, SubscriptionMode.BATCHES, "a", False, 5))
     beats = {
@@ -135,14 +136,18 @@
         if isinstance(order.message, Heartbeat)
     }
     refused = [token for token, beat in beats.items() if beat.refused]
-    assert len(beats) - len(refused) == max_children(TERMS) == len(front.logic.children.readers())
+    assert (
+        len(beats) - len(refused)
+        == max_children(TERMS)
+        == len(front.logic.tree_subscribers.event_subscribers())
+    )
     front.out.clear()
     front.told(front.parent, batch(4, 5))
     front.run(TERMS.gather)
     sent = {order.token for order in front.said(SendToMember) if isinstance(order.message, EventBatch)}
     assert len(sent) == max_children(TERMS) and not sent & set(refused)
     front.told(refused[0], Subscribe("sur", 0, 3, SubscriptionMode.HEARTBEATS, "a", False, 5))
-    shown = front.logic.shown()  # who is sent heartbeats only is a follower, and no cost of events
+    shown = front.logic.describe()  # who is sent heartbeats only is a follower, and no cost of events
     assert shown["sends_events_to"] == max_children(TERMS) == shown["followers"] - 1
 
 
@@ -156,35 +161,35 @@
     ],
 )
 def test_a_parents_nonsense_is_named_nothing_of_it_taken_and_the_parent_passed_over(nonsense):
-    front = Member(held(3).packed())
+    front = Member(held(3).pack())
     front.told(front.parent, nonsense)
-    front.run(front.logic.terms.beat)
-    assert front.logic.held.list.place.number == 3 and front.logic.counts["nonsense"] == 1
-    assert front.asked(front.position.candidates[1])[-1].reads == SubscriptionMode.BATCHES
+    front.run(front.logic.settings.beat)
+    assert front.logic.replica.list.revision.number == 3 and front.logic.counts["nonsense"] == 1
+    assert front.asked(front.position.candidates[1])[-1].mode == SubscriptionMode.BATCHES
 
 
 def test_an_older_generation_is_not_taken():
-    front = Member(held(3, generation=1).packed())
+    front = Member(held(3, generation=1).pack())
     front.told(front.parent, batch(4, 5, generation=0))
-    assert front.logic.held.list.place == (1, 3)
+    assert front.logic.replica.list.revision == (1, 3)
 
 
 def test_an_event_told_otherwise_than_it_is_held_has_its_teller_passed_over():
-    front = Member(held(3).packed())
+    front = Member(held(3).pack())
     front.told(front.parent, batch(4, 5))
     other = json.dumps({"seq": 5, "invalidate": {"bucket": 77, "time": 5}})
     front.told(front.parent, EventBatch(0, 5, encode_batches([encode_event(json.loads(other), other)])[0], 0))
-    assert front.logic.upstream.flaw_of(front.logic.upstream.sources[front.parent]) == "bad"
-    assert front.logic.held.list.place.number == 5
+    assert front.logic.upstream.fault_of(front.logic.upstream.sources[front.parent]) == "bad"
+    assert front.logic.replica.list.revision.number == 5
 
 
 # Events
 
 
 def test_events_go_to_a_child_in_one_datagram_a_tick_and_again_if_it_did_not_get_them():
-    front = Member(held(3).packed())
+    front = Member(held(3).pack())
     child = front.others[0]
-    front.told(front.parent, Heartbeat("sur", 0, 3, held(3).digest, 0, site="a", reaches=2))
+    front.told(front.parent, Heartbeat("sur", 0, 3, held(3).digest, 0, site="a", oldest_available=2))
     front.told(child, Subscribe("sur", 0, 3, SubscriptionMode.BATCHES, "a", False, 77))
     front.told(front.parent, batch(4, 6))
     front.told(front.parent, batch(7, 9))
@@ -202,20 +207,20 @@
 
 
 def test_a_gap_is_asked_for_at_once_but_not_where_one_batch_overtook_another():
-    front = Member(held(3).packed())
+    front = Member(held(3).pack())
     front.told(front.parent, batch(6, 7))
     front.told(front.parent, batch(4, 5))
-    assert front.logic.held.list.place.number == 7 and not front.logic.counts["gaps"]
+    assert front.logic.replica.list.revision.number == 7 and not front.logic.counts["gaps"]
     front.out.clear()
     front.told(front.parent, batch(9, 9))
     front.run(60 * MS)
     (ask,) = front.asked(front.parent)[-1:]
-    assert ask.lacks and ask.number == 7 and front.logic.counts["gaps"] == 1
+    assert ask.resend and ask.number == 7 and front.logic.counts["gaps"] == 1
 
 
 def test_one_behind_does_not_have_a_front_send_more_than_a_set_number_in_a_tick():
-    front = Member(held(3).packed(), terms=TERMS._replace(window_bytes=10**6))
-    front.told(front.parent, Heartbeat("sur", 0, 3, held(3).digest, 0, site="a", reaches=2))
+    front = Member(held(3).pack(), terms=TERMS._replace(window_bytes=10**6))
+    front.told(front.parent, Heartbeat("sur", 0, 3, held(3).digest, 0, site="a", oldest_available=2))
     for first in range(4, 4004, 50):
         front.told(front.parent, batch(first, first + 49))
     for token in front.others[:4]:
@@ -228,21 +233,23 @@
 
 
 def test_the_backup_is_asked_for_what_the_parent_does_not_bring():
-    front = Member(held(3).packed())
+    front = Member(held(3).pack())
     limit = (front.logic.tree.hops * (TERMS.gather + 100 * MS)) + 2 * TERMS.beat
     for _ in range(limit // TERMS.beat + 1):
-        front.told(front.parent, Heartbeat("sur", 0, 3, held(3).digest, 50 * MS, site="a", reaches=2))
-        front.told(front.backup, Heartbeat("sur", 0, 9, 1, 50 * MS, site="a", reaches=2))
+        front.told(
+            front.parent, Heartbeat("sur", 0, 3, held(3).digest, 50 * MS, site="a", oldest_available=2)
+        )
+        front.told(front.backup, Heartbeat("sur", 0, 9, 1, 50 * MS, site="a", oldest_available=2))
         front.run(TERMS.beat)
-    assert SubscriptionMode.BATCHES in [ask.reads for ask in front.asked(front.backup)]
+    assert SubscriptionMode.BATCHES in [ask.mode for ask in front.asked(front.backup)]
 
 
 def test_a_whole_list_is_asked_for_where_the_window_of_the_others_does_not_reach():
-    front = Member(held(3).packed())
-    front.told(front.parent, Heartbeat("sur", 0, 9000, 1, 50 * MS, site="a", reaches=4))
-    assert not front.logic.pages.transfer
-    front.told(front.parent, Heartbeat("sur", 0, 9000, 1, 50 * MS, site="a", reaches=5))
-    assert front.logic.pages.transfer
+    front = Member(held(3).pack())
+    front.told(front.parent, Heartbeat("sur", 0, 9000, 1, 50 * MS, site="a", oldest_available=4))
+    assert not front.logic.page_transfer.download
+    front.told(front.parent, Heartbeat("sur", 0, 9000, 1, 50 * MS, site="a", oldest_available=5))
+    assert front.logic.page_transfer.download
 
 
 # Beyond the window
@@ -251,19 +258,22 @@
 def large(count, purged):
     """A packed list of so many members and purges."""
     one = EndpointList()
-    one.take(json.loads(whole(1, count)))
+    one.apply(json.loads(whole(1, count)))
     for number in range(2, purged + 2):
-        one.take(json.loads(event(number)))
+        one.apply(json.loads(event(number)))
     return one
 
 
 def pages_brought(mine, theirs, spoil=lambda chunk: chunk):
     """A front with the list `mine` is told by its parent of `theirs`; give both and the chunks that came."""
-    front = Member(mine.packed())
-    serving = Fronting([front.logic.me], theirs.packed(), TERMS, front.parent)
-    serving.logic.held.confirm(0)
+    front = Member(mine.pack())
+    serving = Fronting([front.logic.me], theirs.pack(), TERMS, front.parent)
+    serving.logic.replica.confirm(0)
     front.told(
-        front.parent, Heartbeat("sur", *theirs.place, theirs.digest, 0, site="a", reaches=theirs.place.number)
+        front.parent,
+        Heartbeat(
+            "sur", *theirs.revision, theirs.digest, 0, site="a", oldest_available=theirs.revision.number
+        ),
     )
     brought, done = [], 0
     for _ in range(400):
@@ -280,7 +290,7 @@
             brought += [order.message for order in answers]
         for chunk in brought[len(brought) - len(asks) :] if asks else ():
             front.told(front.parent, spoil(chunk))
-        if not front.logic.pages.transfer:
+        if not front.logic.page_transfer.download:
             break
     return front, brought
 
@@ -288,11 +298,14 @@
 def test_beyond_the_window_only_the_pages_that_differ_are_told():
     mine, theirs = large(1400, 40), large(1400, 40)
     for number in range(42, 1042):
-        theirs.take(json.loads(event(number)))
-    theirs.take(json.loads(event(1042, fleet={"members": [member("s-7", "terminating")]})))
+        theirs.apply(json.loads(event(number)))
+    theirs.apply(json.loads(event(1042, fleet={"members": [member("s-7", "terminating")]})))
     front, brought = pages_brought(mine, theirs)
-    assert front.logic.held.list.place == theirs.place and front.logic.held.list.digest == theirs.digest
-    assert len(front.logic.held.list.purges) == len(theirs.purges)
+    assert (
+        front.logic.replica.list.revision == theirs.revision
+        and front.logic.replica.list.digest == theirs.digest
+    )
+    assert len(front.logic.replica.list.purges) == len(theirs.purges)
     told = {chunk.page for chunk in brought}
     assert len([page for page in told if 0 <= page < 44]) == 1  # of 44 pages of members
     assert sum(len(chunk.data) for chunk in brought) < 1000 * 20 + 20_000  # purges, and what is beside
@@ -303,17 +316,17 @@
         return chunk if chunk.page < 0 else msgspec.structs.replace(chunk, data=chunk.data[:-1] + b"x")
 
     front, _ = pages_brought(large(10, 5), large(90, 300), spoil)
-    assert front.logic.held.list.place.number == 6 and front.logic.counts["nonsense"] >= 1
-    assert front.logic.upstream.flaw_of(front.logic.upstream.sources[front.parent]) == "bad"
+    assert front.logic.replica.list.revision.number == 6 and front.logic.counts["nonsense"] >= 1
+    assert front.logic.upstream.fault_of(front.logic.upstream.sources[front.parent]) == "bad"
 
 
 def test_those_that_ask_for_a_list_are_served_alike_whoever_asks_first():
-    children = Member(held(3).packed()).logic.children
+    children = Member(held(3).pack()).logic.tree_subscribers
     served = dict.fromkeys(range(8), 0)
     for _ in range(10):
         children.timers.now += TERMS.gather
         for token in served:
-            served[token] += sum(children.may_serve_piece(token) for _ in range(4))
+            served[token] += sum(children.may_send_chunk(token) for _ in range(4))
     assert min(served.values()) >= 9 and sum(served.values()) <= 10 * 8
 
 
@@ -323,7 +336,7 @@
     called, times = [], []
     for now in range(0, 12 * SECOND, 100 * MS):
         for budget in budgets:
-            budget.view(now, 1000)
+            budget.update_view(now, 1000)
             few = 40 if now >= 5 * SECOND else 0
             if budget not in called and budget.may_call(now, few):
                 called.append(budget)
@@ -333,25 +346,25 @@
 
 
 def test_one_of_the_older_program_is_asked_for_pieces():
-    front = Member(held(3).packed())
+    front = Member(held(3).pack())
     front.told(front.parent, Heartbeat("sur", 0, 9000, 1, 50 * MS))
-    assert front.logic.snapshot.fetch and not front.logic.pages.transfer
+    assert front.logic.snapshot_transfer.download and not front.logic.page_transfer.download
 
 
 # Lateness
 
 
 def test_what_lay_in_the_network_does_not_make_a_list_younger():
-    front = Member(held(3).packed())
+    front = Member(held(3).pack())
     stamp = front.asked(front.parent)[-1].stamp
     asked_at = front.now
     front.run(3 * SECOND)
     front.told(front.parent, Heartbeat("sur", 0, 3, held(3).digest, 0, site="a", stamp=stamp))
-    assert front.logic.held.age() >= 3 * SECOND and stamp <= asked_at
+    assert front.logic.replica.age() >= 3 * SECOND and stamp <= asked_at
 
 
 def test_a_front_is_told_when_its_list_is_late_and_when_it_is_not_any_more():
-    front = Member(held(3).packed())
+    front = Member(held(3).pack())
     front.told(front.parent, Heartbeat("sur", 0, 3, held(3).digest, 0, site="a", stamp=front.now))
     bound = freshness_limit(TERMS, front.logic.tree.hops)
     front.run(bound)
@@ -399,10 +412,10 @@
 
 
 def test_a_service_that_went_back_and_told_other_purges_is_not_taken_for_one_that_went_on():
-    front = Member(held(3).packed())
+    front = Member(held(3).pack())
     front.told(front.parent, batch(4, 6))
-    front.logic.roles.suspicious = True
-    while front.logic.stream.state is None:
+    front.logic.roles.contradiction_seen = True
+    while front.logic.stream.state == StreamState.CLOSED:
         front.run(100 * MS)
     other = [
         json.dumps({"seq": number, "invalidate": {"bucket": 70 + number, "time": 5}}) for number in (5, 6, 7)
@@ -412,7 +425,7 @@
     front.run(500 * MS)
     front.hear(StreamActive())
     purged = [
-        order.told["invalidate"]["bucket"] for order in front.said(ApplyEvent) if "invalidate" in order.told
+        order.event["invalidate"]["bucket"] for order in front.said(ApplyEvent) if "invalidate" in order.event
     ]
     assert {75, 76, 77} <= set(purged)
 
@@ -424,27 +437,27 @@
             told = {"invalidate": {"time": int(step * 30 * rate)}}
             times.add(step * 30 * MS, told)
     now = 59 * 30 * MS
-    assert live.live(now, SECOND) and not fast.live(now, SECOND) and not slow.live(now, SECOND)
+    assert live.is_live(now, SECOND) and not fast.is_live(now, SECOND) and not slow.is_live(now, SECOND)
 
 
 def test_a_stream_opened_anew_that_leads_through_our_list_adds_its_last_events_only():
-    front = Member(held(3).packed())
-    front.logic.roles.suspicious = True
-    while front.logic.stream.state is None:
+    front = Member(held(3).pack())
+    front.logic.roles.contradiction_seen = True
+    while front.logic.stream.state == StreamState.CLOSED:
         front.run(100 * MS)
     front.hear(StreamOpened(), *(StreamEventReceived(text) for text in [whole(), *map(event, range(2, 7))]))
     front.run(500 * MS)
     front.hear(StreamActive())
-    assert front.logic.held.list.place == (0, 6) and front.logic.held.window.reaches == 4
-    assert [order.told["seq"] for order in front.said(ApplyEvent)][-3:] == [4, 5, 6]
+    assert front.logic.replica.list.revision == (0, 6) and front.logic.replica.window.oldest == 4
+    assert [order.event["seq"] for order in front.said(ApplyEvent)][-3:] == [4, 5, 6]
 
 
 def test_what_is_shown_tells_that_the_bound_in_bytes_cut_the_window_short():
-    front = Member(held(3).packed(), terms=TERMS._replace(window_bytes=200))
+    front = Member(held(3).pack(), terms=TERMS._replace(window_bytes=200))
     front.told(front.parent, batch(4, 20))
-    assert not front.logic.shown()["window_cut_short"] and front.logic.shown()["reaches"] == 4
+    assert not front.logic.describe()["window_cut_short"] and front.logic.describe()["reaches"] == 4
     front.told(front.parent, batch(21, 90))
-    shown = front.logic.shown()
+    shown = front.logic.describe()
     assert shown["window_cut_short"] and shown["reaches"] > 4 and shown["site"] == "a"
 
 
@@ -471,14 +484,14 @@
         *(PeerMessage(token, ScopeAnnouncement(f"z{token % 20}", False, "b")) for token in range(1000, 1040))
     )
     front.run(5 * SECOND)
-    assert front.logic.roles.role == Role.RELAYS and not front.logic.scopes.settled()
+    assert front.logic.roles.role == Role.RELAYS and not front.logic.scopes.is_settled()
     front.hear(PeerMessage(1299, ScopeAnnouncement("sur", False, "a")))
     front.hear(
         *(PeerMessage(token, ScopeAnnouncement(f"z{token % 20}", False, "b")) for token in range(1040, 1140))
     )
     front.hear(PeerMessage(1299, ScopeReport("sur")))  # it knows the same
     front.run(3 * SECOND)
-    assert front.logic.scopes.settled()
+    assert front.logic.scopes.is_settled()
 
 
 def test_the_fronts_of_a_zone_are_learnt_by_pages_from_one_that_knows_them():
@@ -487,7 +500,7 @@
     knowing.hear(*(PeerMessage(token, ScopeAnnouncement("sur", False, f"s{token % 5}")) for token in tokens))
     learning = Fronting([7, *tokens], terms=TERMS, me=8)
     learning.hear(PeerMessage(7, ScopeAnnouncement("sur", False, "a")))
-    learning.logic.scopes.ask_page(7)
+    learning.logic.scopes.send_query(7)
     asks = [order.message for order in learning.logic.timers.take_commands()]
     for _ in range(10):
         if not asks:
@@ -496,7 +509,7 @@
         assert isinstance(page, ScopeReport) and len(page.fronts) <= 100
         asks = [order.message for order in of(learning.hear(PeerMessage(7, page)), SendToMember)]
         asks = [message for message in asks if isinstance(message, ScopeQuery)]
-    assert set(tokens) <= set(learning.logic.scopes.mates)
+    assert set(tokens) <= set(learning.logic.scopes.zone_members)
 
 
 # In virtual time
@@ -588,7 +601,7 @@
     assert tree_bounds(DiscoverySettings(), 5200, 20, 240).event > one.event
     assert tree_bounds(DiscoverySettings(gather=SECOND), 100, 4, 16).event > one.event
     assert tree_bounds(DiscoverySettings(), 5200, 20, 240).children == one.children == 8
-    assert tree_bounds(DiscoverySettings(fan_out=8), 100, 4, 16).most_bytes > one.most_bytes
+    assert tree_bounds(DiscoverySettings(fan_out=8), 100, 4, 16).max_bytes > one.max_bytes
 
 
 # Settings
@@ -625,30 +638,30 @@
 
 def test_a_purge_is_kept_until_its_copies_are_gone_everywhere_at_a_front_that_was_behind_by_a_whole_window():
     terms = TERMS._replace(window=20 * SECOND, gone=7 * SECOND)
-    front = Member(held(3).packed(), terms=terms)
+    front = Member(held(3).pack(), terms=terms)
     count = 0
     for first in range(4, 5004, 50):  # more than any count that was kept before
         front.told(front.parent, batch(first, first + 49))
         front.run(10 * MS)
         count += 50
-    kept = front.logic.held.list.purges
+    kept = front.logic.replica.list.purges
     assert len(kept) == 5000 + 2
     front.run(terms.window + terms.gone - 3 * SECOND)
-    again = Member(front.logic.held.list.packed(front.now), terms=terms)
-    assert len(again.logic.held.list.purges) == 5002  # a front that reads the whole list now has them too
+    again = Member(front.logic.replica.list.pack(front.now), terms=terms)
+    assert len(again.logic.replica.list.purges) == 5002  # a front that reads the whole list now has them too
     again.told(again.parent, batch(5004, 5004))
     again.run(3 * SECOND)
     again.told(again.parent, batch(5005, 5005))
-    assert len(again.logic.held.list.purges) == 2  # their ages came along, and no copy is left
+    assert len(again.logic.replica.list.purges) == 2  # their ages came along, and no copy is left
 
 
 def test_a_list_saved_by_the_older_program_is_read():
     import zlib
 
-    told = json.loads(zlib.decompress(held(9).packed()[4:]))
+    told = json.loads(zlib.decompress(held(9).pack()[4:]))
     del told["ages"]
     older = b"LPL1" + zlib.compress(json.dumps(told).encode())
-    assert len(Fronting([2], older).logic.held.list.purges) == 8
+    assert len(Fronting([2], older).logic.replica.list.purges) == 8
 
 
 # Several real processes
--- a/tests/test_event_window.py
+++ b/tests/test_event_window.py
@@ -11,13 +11,11 @@
 from limepath.discovery.event_checks import json_digest
 from limepath.discovery.event_coding import decode_event, encode_event
 from limepath.discovery.event_window import (
-    AgedPurge,
     CompactedError,
     EventWindow,
-    RecentPurges,
     bytes_needed,
-    purge_target,
 )
+from limepath.discovery.recent_purges import AgedPurge, RecentPurges, purge_target
 from limepath.discovery.varint import CodingError, encode_varint, zigzag_encode
 
 SECOND = 1_000_000
@@ -49,15 +47,15 @@
     window.add(now, number, encoded(purge(number)), json_digest(purge(number)))
 
 
-def filled(count, most_bytes=MOST_BYTES, first=1, span=SPAN):
-    window = EventWindow(span, most_bytes)
+def filled(count, max_bytes=MOST_BYTES, first=1, span=SPAN):
+    window = EventWindow(span, max_bytes)
     for number in range(first, first + count):
         add(window, at_rate(number), number)
     return window
 
 
 def told_by(window, number):
-    return [decode_event(data).told["seq"] for data in window.since(number)]
+    return [decode_event(data).body["seq"] for data in window.events_after(number)]
 
 
 # The window
@@ -70,10 +68,10 @@
     last = first + RATE * 400 - 1
     assert RATE * 300 <= len(window.events) <= RATE * 300 + 1
     assert window.bytes <= bytes_needed(RATE, SPAN, 20) + 20
-    assert not window.cut_short(at_rate(last)) and window.cut.count == 0
+    assert not window.is_cut_short(at_rate(last)) and window.evictions.count == 0
     behind = last - RATE * 300
     assert len(told_by(window, behind)) == RATE * 300  # one that hears nothing for five minutes lacks these
-    assert window.reaches == behind or window.reaches == behind + 1
+    assert window.oldest == behind or window.oldest == behind + 1
 
 
 def test_a_count_of_512_would_reach_fourteen_seconds():
@@ -86,12 +84,12 @@
     add(window, SPAN, 2)
     assert told_by(window, 0) == [1, 2]
     add(window, SPAN + 1, 3)
-    assert window.reaches == 2 and 1 not in window and told_by(window, 1) == [2, 3]
+    assert window.oldest == 2 and 1 not in window and told_by(window, 1) == [2, 3]
     window.expire(3 * SPAN)
-    assert window.reaches is None and window.newest == 3 and window.bytes == 0
-    assert window.since(3) == ()
+    assert window.oldest is None and window.newest == 3 and window.bytes == 0
+    assert window.events_after(3) == ()
     with pytest.raises(CompactedError):
-        window.since(2)
+        window.events_after(2)
 
 
 def test_numbers_follow_each_other():
@@ -105,7 +103,7 @@
 def test_a_window_that_begins_anew_holds_nothing_from_before():
     window = filled(5)
     window.restart(9)
-    assert window.reaches is None and window.bytes == 0 and window.since(9) == ()
+    assert window.oldest is None and window.bytes == 0 and window.events_after(9) == ()
     for number in (4, 8, 10):
         assert not window.covers(number)
     add(window, SECOND, 10)
@@ -114,14 +112,14 @@
 
 def test_an_empty_window_covers_nothing():
     window = EventWindow(SPAN, MOST_BYTES)
-    assert window.reaches is None and not window.covers(0)
+    assert window.oldest is None and not window.covers(0)
     with pytest.raises(CompactedError):
-        window.since(0)
+        window.events_after(0)
 
 
 def test_one_that_is_ahead_is_told_nothing():
     with pytest.raises(CompactedError):
-        filled(3).since(4)
+        filled(3).events_after(4)
 
 
 def test_a_digest_is_told_as_long_as_its_event_is_held():
@@ -134,9 +132,9 @@
 def test_what_lacks_is_told_in_portions_of_one_event_at_the_least():
     window = filled(100)
     size = len(encoded(purge(1)))
-    assert len(window.since(0, 10 * size + 1)) == 10
-    assert len(window.since(0, 1)) == 1
-    assert window.since(0, 10**9) == window.since(0)
+    assert len(window.events_after(0, 10 * size + 1)) == 10
+    assert len(window.events_after(0, 1)) == 1
+    assert window.events_after(0, 10**9) == window.events_after(0)
 
 
 def test_the_bound_in_bytes_is_told_when_it_cuts_the_span_short():
@@ -144,11 +142,11 @@
     window = EventWindow(SPAN, 10 * size)
     for number in range(1, 11):
         add(window, at_rate(number), number)
-    assert not window.cut_short(at_rate(10))
+    assert not window.is_cut_short(at_rate(10))
     add(window, at_rate(11), 11)
-    assert window.cut_short(at_rate(11)) and window.reaches == 2 and window.cut.count == 1
-    assert window.cut_short(at_rate(1) + SPAN)  # so long number 1 should have been held
-    assert not window.cut_short(at_rate(1) + SPAN + 1)
+    assert window.is_cut_short(at_rate(11)) and window.oldest == 2 and window.evictions.count == 1
+    assert window.is_cut_short(at_rate(1) + SPAN)  # so long number 1 should have been held
+    assert not window.is_cut_short(at_rate(1) + SPAN + 1)
 
 
 def test_an_event_that_has_to_go_for_its_age_does_not_count_as_cut():
@@ -156,14 +154,14 @@
     window = EventWindow(SPAN, size)
     add(window, 0, 1)
     add(window, SPAN + 1, 2)
-    assert told_by(window, 1) == [2] and not window.cut_short(SPAN + 1)
+    assert told_by(window, 1) == [2] and not window.is_cut_short(SPAN + 1)
 
 
 def test_an_event_over_the_bound_leaves_an_empty_window_that_says_so():
     window = EventWindow(SPAN, 10)
     add(window, 0, 1)
-    assert window.reaches is None and window.bytes == 0 and window.cut_short(0)
-    assert window.since(1) == () and not window.covers(0)
+    assert window.oldest is None and window.bytes == 0 and window.is_cut_short(0)
+    assert window.events_after(1) == () and not window.covers(0)
 
 
 class WindowMachine(RuleBasedStateMachine):
@@ -199,16 +197,16 @@
         window = self.window
         held = list(window.events)
         assert held == list(range(self.number - len(held) + 1, self.number + 1))
-        assert window.reaches == (held[0] if held else None)
+        assert window.oldest == (held[0] if held else None)
         assert window.bytes == sum(len(one.encoded) for one in window.events.values()) <= self.most
         young = [number for at, number, data in self.all if self.now - at <= 50]
         missing = [number for number in young if number not in window]
-        assert not missing or window.cut_short(self.now)
+        assert not missing or window.is_cut_short(self.now)
         for number in range(max(0, self.number - 5), self.number):
             if window.covers(number):
-                assert len(window.since(number)) == self.number - number
+                assert len(window.events_after(number)) == self.number - number
         if self.number:
-            assert window.since(self.number) == ()
+            assert window.events_after(self.number) == ()
 
 
 TestWindowMachine = WindowMachine.TestCase
@@ -246,7 +244,7 @@
         forgotten_by_count += oldest not in former
         if number % 5000 == 0:
             assert set(matter) <= set(numbers_of(purges))
-    assert not purges.cut_short(at_rate(RATE * 700))
+    assert not purges.is_cut_short(at_rate(RATE * 700))
     assert forgotten_by_count > RATE * 500
     assert at_rate(FORMER_COUNT) < 114 * SECOND < SPAN + GONE_EVERYWHERE
 
@@ -258,8 +256,10 @@
 def test_a_purge_is_kept_to_the_microsecond():
     purges = RecentPurges(GONE_EVERYWHERE, SPAN, MOST_BYTES)
     add_purge(purges, 0, purge(1))
-    assert purges.kept(GONE_EVERYWHERE + SPAN) == (AgedPurge(1, GONE_EVERYWHERE + SPAN, encoded(purge(1))),)
-    assert purges.kept(GONE_EVERYWHERE + SPAN + 1) == () and purges.bytes == 0
+    assert purges.retained(GONE_EVERYWHERE + SPAN) == (
+        AgedPurge(1, GONE_EVERYWHERE + SPAN, encoded(purge(1))),
+    )
+    assert purges.retained(GONE_EVERYWHERE + SPAN + 1) == () and purges.bytes == 0
 
 
 def test_a_later_purge_of_the_same_takes_the_place_of_the_former():
@@ -271,7 +271,7 @@
     assert purges.bytes == sum(len(encoded(told)) for told in purges.values())
     add_purge(purges, 61, purge(1, object="00000000000000ff"))  # an older one comes late
     assert numbers_of(purges) == [2, 3]
-    assert [kept.age for kept in purges.kept(170)] == [110]
+    assert [kept.age for kept in purges.retained(170)] == [110]
 
 
 def test_ages_go_along_so_that_restarts_do_not_keep_a_purge_for_ever():
@@ -280,11 +280,11 @@
     kept_by = RecentPurges(GONE_EVERYWHERE, SPAN, MOST_BYTES)
     add_purge(kept_by, 0, purge(1))
     now, handed_on = 0, 0
-    while kept_by.kept(now + step) and handed_on < 20:
+    while kept_by.retained(now + step) and handed_on < 20:
         now += step
         following = RecentPurges(GONE_EVERYWHERE, SPAN, MOST_BYTES)
-        for kept in kept_by.kept(now):
-            following.add_kept(now, kept)
+        for kept in kept_by.retained(now):
+            following.add_aged(now, kept)
         kept_by = following
         handed_on += 1
     assert handed_on == 3 and now == SPAN
@@ -292,9 +292,9 @@
 
 def test_a_purge_that_comes_too_old_is_not_taken_in():
     purges = RecentPurges(10, 100, MOST_BYTES)
-    purges.add_kept(0, AgedPurge(1, 111, encoded(purge(1))))
+    purges.add_aged(0, AgedPurge(1, 111, encoded(purge(1))))
     assert not purges and purges.bytes == 0
-    purges.add_kept(0, AgedPurge(1, 110, encoded(purge(1))))
+    purges.add_aged(0, AgedPurge(1, 110, encoded(purge(1))))
     assert numbers_of(purges) == [1]
 
 
@@ -310,8 +310,8 @@
         if age <= 110:
             latest[bucket] = now - age, seq
     expected = sorted(seq for accepted, seq in latest.values() if now - accepted <= 110)
-    assert sorted(kept.number for kept in purges.kept(now)) == expected
-    assert all(kept.age <= 110 for kept in purges.kept(now))
+    assert sorted(kept.number for kept in purges.retained(now)) == expected
+    assert all(kept.age <= 110 for kept in purges.retained(now))
 
 
 def test_the_bound_in_bytes_is_told_when_it_makes_a_purge_be_forgotten():
@@ -319,19 +319,19 @@
     purges = RecentPurges(GONE_EVERYWHERE, SPAN, 10 * size)
     for number in range(1, 11):
         add_purge(purges, at_rate(number), purge(number))
-    assert not purges.cut_short(at_rate(10))
+    assert not purges.is_cut_short(at_rate(10))
     add_purge(purges, at_rate(11), purge(11))
-    assert purges.cut_short(at_rate(11)) and numbers_of(purges) == list(range(2, 12))
-    assert purges.bytes <= 10 * size and purges.cut.count == 1
+    assert purges.is_cut_short(at_rate(11)) and numbers_of(purges) == list(range(2, 12))
+    assert purges.bytes <= 10 * size and purges.evictions.count == 1
     end = at_rate(1) + GONE_EVERYWHERE + SPAN
-    assert purges.cut_short(end) and not purges.cut_short(end + 1)
+    assert purges.is_cut_short(end) and not purges.is_cut_short(end + 1)
 
 
 def test_what_is_forgotten_for_its_age_does_not_count_as_cut():
     purges = RecentPurges(GONE_EVERYWHERE, SPAN, MOST_BYTES)
     add_purge(purges, 0, purge(1))
     add_purge(purges, 2 * SPAN, purge(2))
-    assert numbers_of(purges) == [2] and purges.cut.count == 0
+    assert numbers_of(purges) == [2] and purges.evictions.count == 0
 
 
 def test_what_is_no_purge_or_no_event_is_refused():
@@ -339,7 +339,7 @@
     other = encoded(purge(2))
     for data in (b"", b"\xff", encoded({"seq": 1, "fleet": {"members": []}}), encoded({"seq": 1}), other):
         with pytest.raises(CodingError):
-            purges.add_kept(0, AgedPurge(1, 0, data))
+            purges.add_aged(0, AgedPurge(1, 0, data))
     assert not purges
 
 
@@ -366,7 +366,7 @@
     image = purges.image(now)
     again = RecentPurges(10, 100, MOST_BYTES)
     again.load(later, image)  # its clock begins anew
-    assert again.kept(later) == purges.kept(now)
+    assert again.retained(later) == purges.retained(now)
 
 
 def test_saved_purges_that_are_damaged_are_not_taken_in():
--- a/tests/test_hollow_fronts.py
+++ b/tests/test_hollow_fronts.py
@@ -231,7 +231,7 @@
     def filled():
         one = EndpointList()
         for told in ([member("s-1"), member("s-2")], [member("s-1") | {"size": 9}]):
-            one.take(json.loads(json.dumps({"seq": 1, "fleet": {"members": told}})))
+            one.apply(json.loads(json.dumps({"seq": 1, "fleet": {"members": told}})))
         return one
 
     plain = filled()
--- a/tests/test_list_pages.py
+++ b/tests/test_list_pages.py
@@ -1,4 +1,4 @@
-"""Tests of limepath/discovery/pages.py, page_bytes.py and catch_up.py: only pages that differ are sent."""
+"""Tests of limepath/discovery/pages.py, page_bytes.py and download.py: only pages that differ are sent."""
 
 import json
 import zlib
@@ -14,7 +14,6 @@
 
 from limepath.discovery.endpoint_list import EndpointList
 from limepath.discovery.event_coding import OversizedError, encode_event
-from limepath.discovery.event_window import AgedPurge
 from limepath.discovery.interface import Revision
 from limepath.discovery.page_coding import (
     MAX_PAGE_BYTES,
@@ -49,6 +48,7 @@
     page_digest,
     spread_over_pages,
 )
+from limepath.discovery.recent_purges import AgedPurge
 from limepath.discovery.varint import CodingError, DamagedError, encode_varint
 from limepath.membership.guard import HEAD, LARGEST, SEAL
 from limepath.membership.interface import MemberRecord
@@ -113,14 +113,14 @@
     )
 
 
-def caught_up(mine, snapshot):
+def caught_up(own, snapshot):
     """A CatchUp that was given all that it asked for, and how many chunks these were."""
-    catch_up, chunks = PagedDownload(mine), 0
-    while not catch_up.complete:
-        name = next(catch_up.wanted())
-        assert catch_up.take(snapshot.chunk(name))
+    download, chunks = PagedDownload(own), 0
+    while not download.is_complete:
+        name = next(download.missing())
+        assert download.add(snapshot.chunk(name))
         chunks += 1
-    return catch_up, chunks
+    return download, chunks
 
 
 names = st.text(min_size=1, max_size=4)
@@ -139,15 +139,15 @@
 @st.composite
 def related(draw):
     """Two lists of which the second came out of the first by some changes."""
-    mine = draw(lists)
-    changed = {name: one["size"] for name, one in mine.members.items()} | draw(sizes)
+    own = draw(lists)
+    changed = {name: one["size"] for name, one in own.members.items()} | draw(sizes)
     gone = draw(st.sets(st.sampled_from(sorted(changed)), max_size=9)) if changed else set()
-    kept = {one.number: one for one in (*mine.purges, *draw(purge_lists))}
+    kept = {one.number: one for one in (*own.purges, *draw(purge_lists))}
     forgotten = draw(st.sets(st.sampled_from(sorted(kept)), max_size=9)) if kept else set()
-    return mine, contents(
+    return own, contents(
         {name: size for name, size in changed.items() if name not in gone},
         [one for number, one in kept.items() if number not in forgotten],
-        mine.place.number + draw(st.integers(0, 99)),
+        own.revision.number + draw(st.integers(0, 99)),
     )
 
 
@@ -157,25 +157,25 @@
 @repeatable
 @given(st.one_of(related(), st.tuples(lists, lists)))
 def test_all_pages_that_differ_give_exactly_the_list_of_the_other(pair):
-    mine, theirs = pair
-    told = list_digests(theirs)
-    pages = spread_over_pages(theirs, told.layout)
-    outcome = apply_pages(mine, told, {at: pages[at] for at in differing_pages(mine, told)})
-    assert same(outcome, theirs)
+    own, other_list = pair
+    told = list_digests(other_list)
+    pages = spread_over_pages(other_list, told.layout)
+    outcome = apply_pages(own, told, {at: pages[at] for at in differing_pages(own, told)})
+    assert same(outcome, other_list)
     assert differing_pages(outcome, told) == ()
 
 
 @repeatable
 @given(related(), st.data())
 def test_with_a_page_that_differs_left_out_there_is_no_outcome(pair, data):
-    mine, theirs = pair
-    told = list_digests(theirs)
-    wanted = differing_pages(mine, told)
+    own, other_list = pair
+    told = list_digests(other_list)
+    wanted = differing_pages(own, told)
     if wanted:
         left_out = data.draw(st.sampled_from(wanted))
-        pages = spread_over_pages(theirs, told.layout)
+        pages = spread_over_pages(other_list, told.layout)
         with pytest.raises(DamagedError):
-            apply_pages(mine, told, {at: pages[at] for at in wanted if at != left_out})
+            apply_pages(own, told, {at: pages[at] for at in wanted if at != left_out})
 
 
 @repeatable
@@ -183,7 +183,7 @@
 def test_the_digests_of_the_members_pages_are_together_that_of_the_list(one):
     whole = EndpointList()
     event = {"seq": 1, "fleet": {"complete": True, "members": list(one.members.values())}}
-    whole.take(event)
+    whole.apply(event)
     told = list_digests(one)
     assert reduce(xor, told.pages[: told.layout.member_pages], 0) == whole.digest
 
@@ -199,18 +199,18 @@
 
 
 def test_one_member_that_changed_is_one_page():
-    theirs = large()
-    mine = theirs._replace(members=theirs.members | {"cache-0700": member("cache-0700", 9)})
-    assert len(differing_pages(mine, list_digests(theirs))) == 1
-    gone = {name: one for name, one in theirs.members.items() if name != "cache-0700"}
-    assert len(differing_pages(theirs._replace(members=gone), list_digests(theirs))) == 1
+    other_list = large()
+    own = other_list._replace(members=other_list.members | {"cache-0700": member("cache-0700", 9)})
+    assert len(differing_pages(own, list_digests(other_list))) == 1
+    gone = {name: one for name, one in other_list.members.items() if name != "cache-0700"}
+    assert len(differing_pages(other_list._replace(members=gone), list_digests(other_list))) == 1
 
 
 def test_the_latest_purges_are_the_last_pages():
-    theirs = large(purges=RATE * 300)
-    mine = theirs._replace(purges=theirs.purges[:-RATE])  # a second behind
-    wanted = differing_pages(mine, list_digests(theirs))
-    assert 1 <= len(wanted) <= 2 and wanted[-1] == list_digests(theirs).layout.pages - 1
+    other_list = large(purges=RATE * 300)
+    own = other_list._replace(purges=other_list.purges[:-RATE])  # a second behind
+    wanted = differing_pages(own, list_digests(other_list))
+    assert 1 <= len(wanted) <= 2 and wanted[-1] == list_digests(other_list).layout.pages - 1
 
 
 def test_pages_of_purges_stay_few_however_far_their_numbers_reach():
@@ -233,13 +233,13 @@
 
 
 def test_ten_changed_members_take_a_tenth_of_the_whole_list():
-    theirs = large()
+    other_list = large()
     changed = {f"cache-{at:04d}": member(f"cache-{at:04d}", 9) for at in range(0, CACHES, 140)}
-    _, few = caught_up(theirs._replace(members=theirs.members | changed), PagedSnapshot(theirs))
-    _, all_of_them = caught_up(contents(), PagedSnapshot(theirs))
+    _, few = caught_up(other_list._replace(members=other_list.members | changed), PagedSnapshot(other_list))
+    _, all_of_them = caught_up(contents(), PagedSnapshot(other_list))
     assert few <= 12 < all_of_them / 3
-    _, none = caught_up(theirs, PagedSnapshot(theirs))
-    assert none == len(PagedSnapshot(theirs).chunks(INDEX_PAGE))
+    _, none = caught_up(other_list, PagedSnapshot(other_list))
+    assert none == len(PagedSnapshot(other_list).chunks(INDEX_PAGE))
 
 
 def test_a_chunk_leaves_room_for_envelope_and_seal():
@@ -251,25 +251,25 @@
 @settings(repeatable, max_examples=60)
 @given(related(), st.integers(20, 300), st.randoms())
 def test_chunks_in_any_order_some_lost_some_doubled_give_exactly_the_list_of_the_other(pair, limit, chance):
-    mine, theirs = pair
-    before = deepcopy(mine)
-    snapshot, catch_up = PagedSnapshot(theirs, limit), PagedDownload(mine)
-    while not catch_up.complete:
+    own, other_list = pair
+    before = deepcopy(own)
+    snapshot, download = PagedSnapshot(other_list, limit), PagedDownload(own)
+    while not download.is_complete:
         with pytest.raises(IncompleteDownloadError):
-            catch_up.contents()
-        asked = list(catch_up.wanted())
+            download.contents()
+        asked = list(download.missing())
         chance.shuffle(asked)
         for name in asked[: chance.randrange(1, len(asked) + 1)]:
-            assert catch_up.take(snapshot.chunk(name))
-            assert not catch_up.take(snapshot.chunk(name))  # once more
-    assert same(catch_up.contents(), theirs)
-    assert mine == before
+            assert download.add(snapshot.chunk(name))
+            assert not download.add(snapshot.chunk(name))  # once more
+    assert same(download.contents(), other_list)
+    assert own == before
 
 
 def test_ages_come_along_to_the_millisecond():
-    theirs = contents(purges=[purge(5, 200_000_900), purge(6, 1_000), purge(300, 0)])
-    catch_up, _ = caught_up(contents(), PagedSnapshot(theirs))
-    assert [(kept.number, kept.age) for kept in catch_up.contents().purges] == [
+    other_list = contents(purges=[purge(5, 200_000_900), purge(6, 1_000), purge(300, 0)])
+    download, _ = caught_up(contents(), PagedSnapshot(other_list))
+    assert [(kept.number, kept.age) for kept in download.contents().purges] == [
         (5, 200_000_000),
         (6, 1_000),
         (300, 0),
@@ -277,74 +277,74 @@
 
 
 def test_nothing_is_seen_of_a_list_of_which_a_page_is_missing():
-    mine, theirs = contents({"a": 1, "b": 2}), large()
-    before, snapshot, catch_up = deepcopy(mine), PagedSnapshot(theirs), PagedDownload(mine)
+    own, other_list = contents({"a": 1, "b": 2}), large()
+    before, snapshot, download = deepcopy(own), PagedSnapshot(other_list), PagedDownload(own)
     seen = 0
-    while not catch_up.complete:
+    while not download.is_complete:
         with pytest.raises(IncompleteDownloadError):
-            catch_up.contents()
-        assert mine == before
-        catch_up.take(snapshot.chunk(next(catch_up.wanted())))
+            download.contents()
+        assert own == before
+        download.add(snapshot.chunk(next(download.missing())))
         seen += 1
-    assert seen > 40 and same(catch_up.contents(), theirs) and mine == before
+    assert seen > 40 and same(download.contents(), other_list) and own == before
 
 
 @pytest.mark.parametrize(
     "change",
     [
-        lambda chunk: chunk._replace(place=Revision(0, 30_020_001)),
-        lambda chunk: chunk._replace(place=Revision(0, 30_019_999)),
-        lambda chunk: chunk._replace(place=Revision(1, 30_020_000)),
-        lambda chunk: chunk._replace(mark=chunk.mark ^ 1),
+        lambda chunk: chunk._replace(revision=Revision(0, 30_020_001)),
+        lambda chunk: chunk._replace(revision=Revision(0, 30_019_999)),
+        lambda chunk: chunk._replace(revision=Revision(1, 30_020_000)),
+        lambda chunk: chunk._replace(snapshot_id=chunk.snapshot_id ^ 1),
     ],
 )
 def test_a_page_of_another_number_generation_or_snapshot_is_refused(change):
-    theirs = large()
-    snapshot, catch_up = PagedSnapshot(theirs), PagedDownload(contents())
-    catch_up.take(snapshot.chunk(ChunkId(INDEX_PAGE, 0)))
+    other_list = large()
+    snapshot, download = PagedSnapshot(other_list), PagedDownload(contents())
+    download.add(snapshot.chunk(ChunkId(INDEX_PAGE, 0)))
     for page in (INDEX_PAGE, 0):
-        while page != INDEX_PAGE and catch_up.theirs is None:
-            catch_up.take(snapshot.chunk(next(catch_up.wanted())))
-        asked = list(catch_up.wanted())
+        while page != INDEX_PAGE and download.index is None:
+            download.add(snapshot.chunk(next(download.missing())))
+        asked = list(download.missing())
         with pytest.raises(SnapshotChangedError):
-            catch_up.take(change(snapshot.chunk(asked[0])))
-        assert list(catch_up.wanted()) == asked
-    while not catch_up.complete:
-        catch_up.take(snapshot.chunk(next(catch_up.wanted())))
-    assert same(catch_up.contents(), theirs)
+            download.add(change(snapshot.chunk(asked[0])))
+        assert list(download.missing()) == asked
+    while not download.is_complete:
+        download.add(snapshot.chunk(next(download.missing())))
+    assert same(download.contents(), other_list)
 
 
 def test_two_lists_at_one_place_are_two_snapshots():
     one, other = contents({"a": 1}), contents({"a": 2})
-    assert PagedSnapshot(one).mark != PagedSnapshot(other).mark
-    assert PagedSnapshot(one).mark == PagedSnapshot(deepcopy(one)).mark
+    assert PagedSnapshot(one).id != PagedSnapshot(other).id
+    assert PagedSnapshot(one).id == PagedSnapshot(deepcopy(one)).id
 
 
 def test_an_index_that_is_another_than_its_mark_tells_is_damaged():
     snapshot = PagedSnapshot(contents({"a": 1}))
-    for change in ({"mark": 5}, {"place": Revision(0, 8)}):
-        catch_up = PagedDownload(contents())
+    for change in ({"snapshot_id": 5}, {"revision": Revision(0, 8)}):
+        download = PagedDownload(contents())
         with pytest.raises(DamagedPageError):
-            catch_up.take(snapshot.chunk(ChunkId(INDEX_PAGE, 0))._replace(**change))
-        assert not catch_up.complete and catch_up.theirs is None
+            download.add(snapshot.chunk(ChunkId(INDEX_PAGE, 0))._replace(**change))
+        assert not download.is_complete and download.index is None
 
 
 def test_a_damaged_page_is_asked_for_again():
-    theirs = contents({f"s-{at}": at for at in range(40)}, [purge(5), purge(6)])
-    snapshot = PagedSnapshot(theirs, 100)
+    other_list = contents({f"s-{at}": at for at in range(40)}, [purge(5), purge(6)])
+    snapshot = PagedSnapshot(other_list, 100)
     for page in range(snapshot.digests.layout.pages):
         for chunk in range(len(snapshot.chunks(page))):
-            catch_up = PagedDownload(contents())
+            download = PagedDownload(contents())
             with pytest.raises(DamagedPageError):
-                while not catch_up.complete:
-                    name = next(catch_up.wanted())
+                while not download.is_complete:
+                    name = next(download.missing())
                     good = snapshot.chunk(name)
                     spoilt = good._replace(data=bytes((good.data[0] ^ 255,)) + good.data[1:])
-                    catch_up.take(spoilt if name == (page, chunk) else good)
-            assert not catch_up.complete and ChunkId(page, 0) in catch_up.wanted()
-            while not catch_up.complete:
-                catch_up.take(snapshot.chunk(next(catch_up.wanted())))
-            assert same(catch_up.contents(), theirs)
+                    download.add(spoilt if name == (page, chunk) else good)
+            assert not download.is_complete and ChunkId(page, 0) in download.missing()
+            while not download.is_complete:
+                download.add(snapshot.chunk(next(download.missing())))
+            assert same(download.contents(), other_list)
 
 
 @pytest.mark.parametrize(
@@ -352,25 +352,25 @@
     [(3, 3, 9), (-1, 3, 9), (0, 0, 9), (0, MAX_CHUNKS + 1, 9), (0, 1, MAX_PAGE_BYTES + 1)],
 )
 def test_a_chunk_that_cannot_be_is_damaged_and_changes_nothing(chunk, count, size):
-    catch_up = PagedDownload(contents())
+    download = PagedDownload(contents())
     with pytest.raises(DamagedPageError):
-        catch_up.take(SnapshotPageChunk(Revision(0, 7), 5, INDEX_PAGE, chunk, count, bytes(size)))
-    assert list(catch_up.wanted()) == [(INDEX_PAGE, 0)] and catch_up.place is None
+        download.add(SnapshotPageChunk(Revision(0, 7), 5, INDEX_PAGE, chunk, count, bytes(size)))
+    assert list(download.missing()) == [(INDEX_PAGE, 0)] and download.revision is None
 
 
 def test_a_page_does_not_change_its_size():
-    snapshot, catch_up = PagedSnapshot(large(), 100), PagedDownload(contents())
-    catch_up.take(snapshot.chunk(ChunkId(INDEX_PAGE, 0)))
+    snapshot, download = PagedSnapshot(large(), 100), PagedDownload(contents())
+    download.add(snapshot.chunk(ChunkId(INDEX_PAGE, 0)))
     other = snapshot.chunk(ChunkId(INDEX_PAGE, 1))
     with pytest.raises(DamagedPageError):
-        catch_up.take(other._replace(count=other.count + 1))
-    assert catch_up.take(other)
+        download.add(other._replace(count=other.count + 1))
+    assert download.add(other)
 
 
 def test_what_was_not_asked_for_is_left():
     one = contents({"a": 1})
-    catch_up, _ = caught_up(one, PagedSnapshot(one))
-    assert not catch_up.take(PagedSnapshot(one).chunk(ChunkId(0, 0)))
+    download, _ = caught_up(one, PagedSnapshot(one))
+    assert not download.add(PagedSnapshot(one).chunk(ChunkId(0, 0)))
 
 
 @pytest.mark.parametrize(
@@ -384,11 +384,11 @@
 def test_a_snapshot_stands_still_while_the_list_goes_on():
     one = EndpointList()
     for seq, name in enumerate(("a", "b"), 1):
-        one.take({"seq": seq, "fleet": {"members": [member(name)]}})
-    snapshot = PagedSnapshot(ListContents(one.place, one.revision, dict(one.members), ()))
-    one.take({"seq": 3, "fleet": {"members": [member("c"), member("a", phase="terminated")]}})
-    catch_up, _ = caught_up(contents(), snapshot)
-    assert catch_up.contents().place == Revision(0, 2) and set(catch_up.contents().members) == {"a", "b"}
+        one.apply({"seq": seq, "fleet": {"members": [member(name)]}})
+    snapshot = PagedSnapshot(ListContents(one.revision, one.fleet_revision, dict(one.members), ()))
+    one.apply({"seq": 3, "fleet": {"members": [member("c"), member("a", phase="terminated")]}})
+    download, _ = caught_up(contents(), snapshot)
+    assert download.contents().revision == Revision(0, 2) and set(download.contents().members) == {"a", "b"}
 
 
 # Bytes from another front
@@ -441,9 +441,9 @@
 
 
 def test_a_page_in_the_place_of_another_is_damaged():
-    theirs = contents({f"s-{at}": at for at in range(80)}, [purge(5), purge(130)])
-    told = list_digests(theirs)
-    pages = [encode_page(page) for page in spread_over_pages(theirs, told.layout)]
+    other_list = contents({f"s-{at}": at for at in range(80)}, [purge(5), purge(130)])
+    told = list_digests(other_list)
+    pages = [encode_page(page) for page in spread_over_pages(other_list, told.layout)]
     for at in range(len(pages)):
         for other in range(len(pages)):
             if other != at:
@@ -452,10 +452,10 @@
 
 
 def test_a_member_or_purge_is_damaged_on_another_page_than_its_own_even_if_the_index_tells_it():
-    theirs = contents({f"s-{at}": at for at in range(80)}, [purge(5), purge(130)])
-    told = list_digests(theirs)
+    other_list = contents({f"s-{at}": at for at in range(80)}, [purge(5), purge(130)])
+    told = list_digests(other_list)
     for one, other in ((0, 1), (told.layout.pages - 2, told.layout.pages - 1)):
-        pages = list(spread_over_pages(theirs, told.layout))
+        pages = list(spread_over_pages(other_list, told.layout))
         pages[one], pages[other] = pages[other], pages[one]
         lying = told._replace(pages=tuple(map(page_digest, pages)))
         for at in (one, other):
@@ -504,10 +504,10 @@
 
 @settings(repeatable, max_examples=300)
 @given(lists, st.data())
-def test_spoilt_pages_are_a_typed_error_or_what_was_told(theirs, data):
-    told = list_digests(theirs)
+def test_spoilt_pages_are_a_typed_error_or_what_was_told(other_list, data):
+    told = list_digests(other_list)
     at = data.draw(st.integers(0, told.layout.pages - 1))
-    page = spread_over_pages(theirs, told.layout)[at]
+    page = spread_over_pages(other_list, told.layout)[at]
     plain = bytearray(zlib.decompress(encode_page(page)))
     for _ in range(data.draw(st.integers(1, 3))):
         plain[data.draw(st.integers(0, len(plain) - 1))] = data.draw(st.integers(0, 255))
--- a/tests/test_listing.py
+++ b/tests/test_listing.py
@@ -42,6 +42,7 @@
     StreamOpened,
     Subscribe,
 )
+from limepath.discovery.service_stream import StreamState
 from limepath.discovery.simulate import KINDS, member, simulated
 from limepath.discovery.upstream import BAD_PEER_US
 from limepath.duties.world import World
@@ -66,8 +67,8 @@
     """A list after so many events."""
     one = EndpointList()
     for text in [whole(), *map(event, range(2, numbers + 1))]:
-        one.take(json.loads(text))
-    one.place = Revision(generation, numbers)
+        one.apply(json.loads(text))
+    one.revision = Revision(generation, numbers)
     return one
 
 
@@ -112,48 +113,55 @@
 
 
 def test_a_saved_list_reaches_the_front_only_once_somebody_has_confirmed_it():
-    front = Fronting([2], held(5).packed()).run(SECOND)
-    assert not front.said(ApplyEvent) and front.logic.held.list.place.number == 5 and front.logic.held.late()
+    front = Fronting([2], held(5).pack()).run(SECOND)
+    assert (
+        not front.said(ApplyEvent)
+        and front.logic.replica.list.revision.number == 5
+        and front.logic.replica.is_stale()
+    )
     told = front.hear(
         PeerMessage(2, Heartbeat("sur", 0, 5, held(5).digest, -1))
     )  # one that knows no better itself
     assert not of(told, ApplyEvent)
     told = front.hear(PeerMessage(2, Heartbeat("sur", 0, 5, held(5).digest, 200 * MS)))
     assert (
-        of(told, ApplyEvent)[0].told["fleet"]["complete"]
+        of(told, ApplyEvent)[0].event["fleet"]["complete"]
         and len(of(told, ApplyEvent)) == 5
         and of(told, ListConfirmed)
     )
-    assert 200 * MS <= front.logic.held.age() < 300 * MS and not front.logic.held.late()
+    assert 200 * MS <= front.logic.replica.age() < 300 * MS and not front.logic.replica.is_stale()
 
 
 def test_a_saved_list_is_brought_up_to_date_by_the_events_that_it_lacks():
-    front = Fronting([2], held(3).packed()).run(SECOND)
+    front = Fronting([2], held(3).pack()).run(SECOND)
     asked = [order.message for order in front.said(SendToMember) if isinstance(order.message, Subscribe)]
     assert asked[0] == Subscribe("sur", 0, 3)
     told = front.hear(PeerMessage(2, Events(0, 4, (event(4), event(5)), 100 * MS)))
-    assert of(told, ListConfirmed)[0].place == (0, 5) and of(told, ApplyEvent)[0].told["seq"] == 5
+    assert of(told, ListConfirmed)[0].revision == (0, 5) and of(told, ApplyEvent)[0].event["seq"] == 5
 
 
-@pytest.mark.parametrize("spoilt", [b"", b"LPL1", held(3).packed()[:-4], b"LPL1" + held(3).packed()[9:]])
+@pytest.mark.parametrize("spoilt", [b"", b"LPL1", held(3).pack()[:-4], b"LPL1" + held(3).pack()[9:]])
 def test_a_damaged_saved_list_is_named_and_not_used(spoilt):
     front = Fronting([], spoilt).run(SECOND)
-    assert "begins without" in front.said(LogEvent)[0].fields["flaw"] and front.logic.held.list.place == (
+    assert "begins without" in front.said(LogEvent)[0].fields[
+        "flaw"
+    ] and front.logic.replica.list.revision == (
         0,
         0,
     )
     front.streams(whole())
-    assert front.said(ListConfirmed)[0].place == (0, 1)
+    assert front.said(ListConfirmed)[0].revision == (0, 1)
 
 
 def test_a_front_that_hears_of_nobody_takes_the_service_at_its_word_and_saves_it():
     front = Fronting()
     front.streams(whole(1), event(2))
-    assert front.said(OpenStream) == [OpenStream(0)] and front.said(ListConfirmed)[0].place == (0, 2)
+    assert front.said(OpenStream) == [OpenStream(0)] and front.said(ListConfirmed)[0].revision == (0, 2)
     front.run(2 * SECOND)
     again = Fronting(saved=front.said(SaveSnapshot)[-1].data)
     assert (
-        again.logic.held.list.place == (0, 2) and again.logic.held.list.digest == front.logic.held.list.digest
+        again.logic.replica.list.revision == (0, 2)
+        and again.logic.replica.list.digest == front.logic.replica.list.digest
     )
 
 
@@ -168,17 +176,17 @@
     front.hear(StreamOpened())
     front.run(QUIET_SPAN_US)  # it is at 2 now, and tells nothing above 3
     front.hear(StreamActive())
-    assert "not told again" in front.said(CloseStream)[-1].why
+    assert "not told again" in front.said(CloseStream)[-1].reason
     while len(front.said(OpenStream)) < 3:
         front.run(100 * MS)
     assert front.said(OpenStream)[-1] == OpenStream(0)
     front.hear(StreamOpened(), StreamEventReceived(whole(1)), StreamEventReceived(event(2)))
     front.run(QUIET_SPAN_US)
-    assert front.logic.held.list.place == (0, 4)  # it may be telling all slowly
+    assert front.logic.replica.list.revision == (0, 4)  # it may be telling all slowly
     front.run(TERMS.silence - QUIET_SPAN_US - 1)
     front.hear(StreamActive())
     front.run(10)
-    assert front.logic.held.list.place == (1, 2) and any(
+    assert front.logic.replica.list.revision == (1, 2) and any(
         said.event == "list-backwards" for said in front.said(LogEvent)
     )
 
@@ -194,8 +202,8 @@
 def test_a_gap_in_the_stream_has_the_whole_list_called_anew():
     front = Fronting()
     front.streams(whole(1), event(2))
-    assert "5 comes after 2" in of(front.hear(StreamEventReceived(event(5))), CloseStream)[0].why
-    assert front.logic.held.list.place.number == 2 and front.logic.stream.whole
+    assert "5 comes after 2" in of(front.hear(StreamEventReceived(event(5))), CloseStream)[0].reason
+    assert front.logic.replica.list.revision.number == 2 and front.logic.stream.replay_needed
 
 
 def test_an_event_that_cannot_be_read_twice_is_skipped_by_name():
@@ -203,12 +211,12 @@
     front.streams(whole(1), event(2))
     for _ in range(2):
         front.hear(StreamEventReceived('{"seq": 3, "fleet": {"members": [{"id": "s-9"}]}}', "3"))
-        while front.logic.stream.state is None:
+        while front.logic.stream.state == StreamState.CLOSED:
             front.run(100 * MS)
     assert any(
         said.event == "list-event" and "s-9" in said.fields["skipped"] for said in front.said(LogEvent)
     )
-    assert front.logic.held.list.place.number == 2
+    assert front.logic.replica.list.revision.number == 2
 
 
 def test_a_purge_is_no_older_than_the_list_was_up_to_date_whatever_the_clocks_say():
@@ -216,35 +224,35 @@
     front.streams(whole(1))
     front.run(300 * MS)
     taken = of(front.hear(StreamEventReceived(event(2))), ApplyEvent)
-    assert taken[0].oldest == 300 * MS
+    assert taken[0].max_purge_age == 300 * MS
 
 
 def test_two_relays_that_tell_different_lists_are_not_believed_and_the_service_is_asked():
-    front = Fronting([2, 3], held(4).packed(), TERMS._replace(fronts=3)).run(SECOND)
+    front = Fronting([2, 3], held(4).pack(), TERMS._replace(fronts=3)).run(SECOND)
     front.hear(PeerMessage(2, Heartbeat("sur", 0, 4, held(4).digest, 10 * MS)))
-    assert front.logic.roles.role != Role.ALONE and not front.logic.roles.suspicious
+    assert front.logic.roles.role != Role.ALONE and not front.logic.roles.contradiction_seen
     front.hear(PeerMessage(3, Heartbeat("sur", 0, 4, held(4).digest ^ 1, 10 * MS)))
     assert (
-        front.logic.roles.suspicious
-        and front.logic.upstream.flaw_of(front.logic.upstream.sources[3]) == "bad"
+        front.logic.roles.contradiction_seen
+        and front.logic.upstream.fault_of(front.logic.upstream.sources[3]) == "bad"
     )
     front.streams(whole(1), event(2), event(3), event(4))
-    assert not front.logic.roles.suspicious and front.logic.held.list.digest == held(4).digest
+    assert not front.logic.roles.contradiction_seen and front.logic.replica.list.digest == held(4).digest
 
 
 def test_a_relay_that_says_it_is_up_to_date_and_stays_behind_is_passed_over():
-    front = Fronting([2, 3], held(6).packed(), TERMS._replace(relays=3)).run(SECOND)
+    front = Fronting([2, 3], held(6).pack(), TERMS._replace(relays=3)).run(SECOND)
     for _ in range(6):
         front.hear(
             PeerMessage(2, Heartbeat("sur", 0, 6, held(6).digest, 400 * MS)),
             PeerMessage(3, Heartbeat("sur", 0, 4, held(4).digest, 10 * MS)),
         )
         front.run(TERMS.beat)
-    assert front.logic.upstream.flaw_of(
+    assert front.logic.upstream.fault_of(
         front.logic.upstream.sources[3]
-    ) == "bad" and not front.logic.upstream.flaw_of(front.logic.upstream.sources[2])
+    ) == "bad" and not front.logic.upstream.fault_of(front.logic.upstream.sources[2])
     front.run(BAD_PEER_US)
-    assert front.logic.upstream.flaw_of(front.logic.upstream.sources[3]) != "bad"
+    assert front.logic.upstream.fault_of(front.logic.upstream.sources[3]) != "bad"
 
 
 @pytest.mark.parametrize(
@@ -256,26 +264,28 @@
     ],
 )
 def test_a_relays_nonsense_is_named_and_nothing_of_it_is_taken(nonsense):
-    front = Fronting([2], held(3).packed()).run(SECOND)
+    front = Fronting([2], held(3).pack()).run(SECOND)
     front.hear(PeerMessage(2, nonsense))
     assert (
-        front.logic.held.list.place.number == 3
+        front.logic.replica.list.revision.number == 3
         and front.logic.counts["nonsense"] == 1
-        and front.logic.upstream.flaw_of(front.logic.upstream.sources[2]) == "bad"
+        and front.logic.upstream.fault_of(front.logic.upstream.sources[2]) == "bad"
     )
-    assert front.logic.held.list.digest == held(3).digest
+    assert front.logic.replica.list.digest == held(3).digest
 
 
 def test_what_one_that_is_not_followed_tells_is_not_taken():
-    front = Fronting([2], held(3).packed()).run(SECOND)
+    front = Fronting([2], held(3).pack()).run(SECOND)
     front.hear(PeerMessage(9, Events(0, 4, (event(4),), 0)), PeerMessage(9, Heartbeat("sur", 0, 9, 1, 0)))
-    assert front.logic.held.list.place.number == 3 and not front.logic.snapshot.fetch
+    assert front.logic.replica.list.revision.number == 3 and not front.logic.snapshot_transfer.download
 
 
-def fetched(served, longest=4_000_000, spoil=lambda piece: piece):
+def fetched(served, longest=4_000_000, spoil=lambda chunk: chunk):
     """A newcomer gets a whole list from one that holds it; give the newcomer."""
     newcomer = Fronting([2], terms=TERMS._replace(longest=longest)).run(SECOND)
-    newcomer.hear(PeerMessage(2, Heartbeat("sur", *served.held.list.place, served.held.list.digest, 10 * MS)))
+    newcomer.hear(
+        PeerMessage(2, Heartbeat("sur", *served.replica.list.revision, served.replica.list.digest, 10 * MS))
+    )
     done = 0
     for _ in range(3000):
         newcomer.run(10 * MS)
@@ -285,7 +295,7 @@
             if isinstance(order, SendToMember) and isinstance(order.message, SnapshotChunkRequest)
         ]
         done = len(newcomer.out)
-        if not newcomer.logic.snapshot.fetch:
+        if not newcomer.logic.snapshot_transfer.download:
             break
         for ask in asked:
             for answer in of(served.handle(newcomer.now + 10**9, [PeerMessage(1, ask)]), SendToMember):
@@ -304,10 +314,10 @@
     served = full(10_000)
     newcomer = fetched(served)
     assert (
-        len(served.held.list.packed()) > 25 * CHUNK_BYTES
-        and newcomer.logic.held.list.digest == served.held.list.digest
+        len(served.replica.list.pack()) > 25 * CHUNK_BYTES
+        and newcomer.logic.replica.list.digest == served.replica.list.digest
     )
-    assert len(newcomer.said(ApplyEvent)[0].told["fleet"]["members"]) == 10_000 and newcomer.said(
+    assert len(newcomer.said(ApplyEvent)[0].event["fleet"]["members"]) == 10_000 and newcomer.said(
         ListConfirmed
     )
 
@@ -317,11 +327,11 @@
     assert "over 1000 bytes" in fetched(served, 1000).said(LogEvent)[-1].fields["why"]
     spoilt = fetched(
         served,
-        spoil=lambda piece: (
-            piece._replace(data=b"x" * len(piece.data))
-            if hasattr(piece, "_replace")
+        spoil=lambda chunk: (
+            chunk._replace(data=b"x" * len(chunk.data))
+            if hasattr(chunk, "_replace")
             else SnapshotChunk(
-                piece.generation, piece.number, piece.piece, piece.of, snapshot_digest(b""), piece.data
+                chunk.generation, chunk.number, chunk.chunk, chunk.count, snapshot_digest(b""), chunk.data
             )
         ),
     )
@@ -332,11 +342,11 @@
 
 def test_a_small_view_does_not_make_a_front_think_that_it_is_nearly_alone():
     budget = CallBudget(DiscoverySettings(fronts=200), lambda: 0.0)
-    budget.view(0, 3)
+    budget.update_view(0, 3)
     assert (
-        budget.sharing(0, 2) == 200
-        and budget.sharing(3 * SECOND, 2) == 2
-        and budget.sharing(3 * SECOND, 0) == 200
+        budget.count_sharing(0, 2) == 200
+        and budget.count_sharing(3 * SECOND, 2) == 2
+        and budget.count_sharing(3 * SECOND, 0) == 200
     )
     lonely = Fronting([], terms=TERMS._replace(fronts=200)).run(120 * SECOND)
     for _ in range(3):
--- a/tests/test_topology.py
+++ b/tests/test_topology.py
@@ -160,7 +160,7 @@
     older = DiscoveryEngine(
         me, DiscoverySettings(zone="sur", relays=relays), 1, lambda: [one for one in scopes if one != me]
     )
-    assert {token for token, at in all_positions.items() if at.is_root} == set(older.upstream.ranked(relays))
+    assert {token for token, at in all_positions.items() if at.is_root} == set(older.upstream.rank(relays))
 
 
 @repeatable
