--- a/limepath/cli/listing.py
+++ b/limepath/cli/listing.py
@@ -44,7 +44,7 @@
     said = {
         "event": "an event at every front, s",
         "repaired": "the same, its push lost, s",
-        "relays_gone": "the same, all relays of a zone gone in that moment, s",
+        "relays_lost": "the same, all relays of a zone gone in that moment, s",
         "stream_still": "the same, their streams standing still, s",
         "restored": "the same, the service going back to an older state, s",
         "alone": "the same, at a front that hears of nobody, s",
@@ -72,7 +72,7 @@
         Row("hops from a root to a front, at the most", told.hops),
         Row("fronts that one sends events to, at the most", told.children),
         Row(
-            "an event at every front, a front with children gone in that moment, s", seconds(told.inner_gone)
+            "an event at every front, a front with children gone in that moment, s", seconds(told.inner_lost)
         ),
         Row("bytes a second sent by any front, whatever others lack", told.max_bytes),
     ]
--- a/limepath/discovery/bounds.py
+++ b/limepath/discovery/bounds.py
@@ -21,7 +21,7 @@
 MIN_BATCH_EVENT_BYTES = 900  # of events in a full datagram, at the least
 SCOPE_BYTES_PER_SECOND = 12_000
 COMMENT_INTERVAL_US = 1_000_000  # in which the service says that it is alive
-ONE_WAY_DELAY_US = 100_000  # for a call to come up and be answered, and for a push
+LINK_DELAY_US = 100_000  # for a call to come up and be answered, and for a push
 QUIET_SPAN_US = 500_000  # without an event, until a stream has sent all that it had
 BATCH_DELAY_US = 20_000  # in which events are gathered before they are pushed
 RELAY_RETRY_SPAN_US = 5_000_000  # for which a relay may call in vain until the next by hash tries beside it
@@ -37,7 +37,7 @@
 
     event: int  # until an event is at every front, nothing failing
     repaired: int  # the same where its push is lost
-    relays_gone: int  # the same where all relays of a zone are killed, stopped or cut off in that moment
+    relays_lost: int  # the same where all relays of a zone are killed, stopped or cut off in that moment
     stream_still: int  # the same where the relays' streams stand still in that moment
     restored: int  # the same where the service goes back to an older state in that moment
     alone: int  # the same at a front that no other answers, beside all others like it
@@ -52,12 +52,12 @@
 
     Each hop below a root passes it on with the next heartbeat.
     """
-    return settings.silence + settings.patience + hops * (settings.beat + ONE_WAY_DELAY_US)
+    return settings.silence + settings.patience + hops * (settings.beat + LINK_DELAY_US)
 
 
 def delivery_time(settings: DiscoverySettings, hops: int) -> int:
     """Until an event is at every front of a tree, nothing failing."""
-    return hops * (settings.gather + ONE_WAY_DELAY_US)
+    return hops * (settings.gather + LINK_DELAY_US)
 
 
 def max_children(settings: DiscoverySettings) -> int:
@@ -90,17 +90,17 @@
     hops = max_hops(settings, fronts, zones, sites)
     sharing = max(fronts, settings.fronts)
     budget = CallBudget(settings._replace(fronts=sharing), lambda: 1.0)
-    answer = settings.silence + ONE_WAY_DELAY_US + QUIET_SPAN_US
+    answer = settings.silence + LINK_DELAY_US + QUIET_SPAN_US
     relay_call = int(1.5 * budget.mean_interval(settings.relays * zones)) + answer
     any_call = int(1.5 * budget.mean_interval(sharing)) + answer
-    whole_list = 2 * settings.beat + ONE_WAY_DELAY_US + fronts * LIST_CHUNK_TIME_US
-    event = delivery_time(settings, hops) if hops else BATCH_DELAY_US + ONE_WAY_DELAY_US
+    whole_list = 2 * settings.beat + LINK_DELAY_US + fronts * LIST_CHUNK_TIME_US
+    event = delivery_time(settings, hops) if hops else BATCH_DELAY_US + LINK_DELAY_US
     late = freshness_limit(settings, hops)
     ready_in_turn = int(sharing / settings.ready * 1e6) if settings.ready else 0
     return Bounds(
         event=event,
         repaired=event + settings.beat,
-        relays_gone=late + settings.beat + relay_call + settings.beat + event,
+        relays_lost=late + settings.beat + relay_call + settings.beat + event,
         stream_still=settings.silence + relay_call + event,
         restored=2 * relay_call + settings.silence + 2 * settings.beat + whole_list + event,
         alone=late + RELAY_RETRY_SPAN_US + 2 * settings.beat + any_call,
@@ -120,8 +120,8 @@
 
     hops: int
     event: int  # until an event is at every front, nothing failing; each lost datagram in a row adds a beat
-    inner_gone: int  # the same where a front with children is killed, stopped or slow in that moment
-    root_gone: int  # the same where a root is
+    inner_lost: int  # the same where a front with children is killed, stopped or slow in that moment
+    root_lost: int  # the same where a root is
     known_late: int  # until a front knows that its list is late
     rejoined: int  # from a start with nothing until a front has all, an empty list of its zone included
     reconnected: int  # from the end of a cut from the service until a root's stream has sent all
@@ -150,9 +150,9 @@
     hops = max_hops(with_site, fronts, zones, sites)
     event = delivery_time(settings, hops)
     # The place of a silent parent is taken by the next candidate.
-    passed_over = settings.patience + 2 * settings.beat + ONE_WAY_DELAY_US
+    passed_over = settings.patience + 2 * settings.beat + LINK_DELAY_US
     interval = CallBudget(settings, lambda: 1.0).mean_interval(settings.relays * zones)
-    call = int(1.5 * interval) + ONE_WAY_DELAY_US + QUIET_SPAN_US
+    call = int(1.5 * interval) + LINK_DELAY_US + QUIET_SPAN_US
     ticks = SECOND / settings.gather
     children = max_children(settings)
     control = SECOND / settings.beat * (children + max_watchers(settings) + 4)
@@ -160,8 +160,8 @@
     return TreeBounds(
         hops=hops,
         event=event,
-        inner_gone=passed_over + 2 * event,
-        root_gone=passed_over + 2 * event,
+        inner_lost=passed_over + 2 * event,
+        root_lost=passed_over + 2 * event,
         known_late=freshness_limit(settings, hops),
         rejoined=REJOIN_US + passed_over + 2 * event,
         reconnected=call + 2 * settings.silence + settings.beat,
--- a/limepath/discovery/engine.py
+++ b/limepath/discovery/engine.py
@@ -97,14 +97,22 @@
         self.star_subscribers = StarSubscribers(self)
         self.tree_subscribers = TreeSubscribers(self)
         self.snapshot_transfer = SnapshotTransfer(self)
-        self.stream_handlers: dict[type, Callable[[Any], None]] = {
+        self.stream_handlers = self._stream_handlers()
+        self.message_handlers = self._message_handlers()
+        if saved is not None:
+            self.replica.load(saved)
+
+    def _stream_handlers(self) -> dict[type, Callable[[Any], None]]:
+        return {
             StreamOpened: self.stream.on_opened,
             StreamActive: self.stream.on_active,
             StreamEventReceived: self.stream.on_event,
             StreamClosed: self.stream.on_closed,
             ServiceMoved: self.stream.on_service_moved,
         }
-        self.message_handlers: dict[type, Callable[[int, Any], None]] = {
+
+    def _message_handlers(self) -> dict[type, Callable[[int, Any], None]]:
+        return {
             ScopeAnnouncement: self.scopes.on_announcement,
             Subscribe: self.star_subscribers.on_subscribe,
             Heartbeat: self.intake.on_heartbeat,
@@ -117,8 +125,6 @@
             PageChunkRequest: self.page_transfer.on_request,
             PageChunk: self.page_transfer.on_chunk,
         }
-        if saved is not None:
-            self.replica.load(saved)
 
     def start(self, now: int) -> list[Any]:
         """Schedule the first round; give the commands."""
--- a/limepath/discovery/event_intake.py
+++ b/limepath/discovery/event_intake.py
@@ -208,7 +208,7 @@
             return
         self.tree.record_available(events[-1].body["seq"])
         if first > self.replica.list.revision.number + 1:
-            self._keep_early(token, message)
+            self._store_early(token, message)
             return
         self._take_batch(token, message, events)
 
@@ -234,7 +234,7 @@
             return False
         return True
 
-    def _keep_early(self, token: int, message: EventBatch) -> None:
+    def _store_early(self, token: int, message: EventBatch) -> None:
         """Keep a batch that has overtaken another for a while; or that one was lost."""
         if len(self.early) < MAX_EARLY_BATCHES:
             self.early[message.first] = EarlyBatch(token, message)
--- a/limepath/discovery/host.py
+++ b/limepath/discovery/host.py
@@ -32,15 +32,14 @@
     SaveSnapshot,
     SendToMember,
     ServiceMoved,
-    StreamActive,
     StreamClosed,
-    StreamEventReceived,
-    StreamOpened,
 )
+from limepath.discovery.purge_age import PurgeAgeLimit
+from limepath.discovery.stream_feed import StreamFeed, WatchStream
 from limepath.duties.host import clock
 from limepath.frequency_exchange.host import Tallies
-from limepath.front.changelog import BadEvent, ChangeLog, Stream
-from limepath.interface.events import EndpointListFreshnessChanged, PurgeAnnounced
+from limepath.front.changelog import BadEvent, ChangeLog
+from limepath.interface.events import EndpointListFreshnessChanged
 from limepath.logic_host import LogicHost
 
 if TYPE_CHECKING:
@@ -56,27 +55,13 @@
 REQUEST_COUNTS_SEED = 0x7A11  # keeps the draws of the request counts apart from those of the front
 
 
-class WatchStream(Stream):
-    """A stream that reports when the service has accepted the call, and each sign of life after that."""
-
-    def dataReceived(self, data: bytes) -> None:
-        """Hand the bytes to the parser, then report what they were."""
-        had_body = self.body
-        events = self.feed.event_count
-        super().dataReceived(data)
-        if self.body and not had_body:
-            self.feed.submit(StreamOpened())
-        elif self.body and self.feed.event_count == events and not (self.reader.rest or self.reader.data):
-            self.feed.submit(StreamActive())
-
-
 class DiscoveryChangeLog(ChangeLog):
     """The list of a front that shares; `cooperation` carries messages to others and keeps the store."""
 
     def __init__(
         self,
         reactor: IReactorTime,
-        turn: Any,
+        event_loop: Any,
         caches: Any,
         limits: Any,
         log: Any,
@@ -85,7 +70,7 @@
         cooperation: Cooperation,
         discovery: DiscoverySettings,
     ):
-        super().__init__(reactor, turn, caches, limits, log, settings, seed)
+        super().__init__(reactor, event_loop, caches, limits, log, settings, seed)
         self.cooperation = cooperation
         members = cooperation.instance.members
         saved = cooperation.store.all().get(SAVED_LIST_ROW)
@@ -95,7 +80,7 @@
         self.max_purge_age: int = -1  # of the event that is being applied, in microseconds; -1: not known
         self.confirmed: Callable[[], None] | None = None  # called once the front may be ready
         self.paced: Any = None  # the fleet-wide pace of connections, where it is set
-        self.tallies: Tallies | None = None  # the exchange of request counts
+        self.request_counts: Tallies | None = None  # the exchange of request counts
 
     def known(self, known: dict[str, Any]) -> None:
         """What the configuration holds is as old as its file; the service or a relay sends what counts."""
@@ -109,7 +94,7 @@
             self.submit(ServiceMoved())
         else:
             self.logic_host.carry_out(self.logic.start(clock()))
-            self.tallies.start()
+            self.request_counts.start()
 
     def submit(self, *events: Any) -> None:
         """Hand events to the logic."""
@@ -169,23 +154,23 @@
             self.log.say("changelog", f"{error}; skipped", number=number)
         self.last = number
 
-    def fleet(self, told: dict[str, Any]) -> None:
+    def fleet(self, fleet: dict[str, Any]) -> None:
         """Apply members, and look again at the pace of connections."""
         try:
-            super().fleet(told)
+            super().fleet(fleet)
         finally:  # some of it may have been unreadable
             if self.paced:
                 self.paced.look()
 
-    def invalidated(self, told: dict[str, Any]) -> None:
+    def invalidated(self, purge: dict[str, Any]) -> None:
         """Apply a purge, which is no older than this front's list was up to date, whatever the clocks say."""
         if self.max_purge_age < 0:
-            super().invalidated(told)
+            super().invalidated(purge)
             return
         plain = self.turn
-        self.turn = _PurgeAgeLimit(plain, self.max_purge_age)
+        self.turn = PurgeAgeLimit(plain, self.max_purge_age)
         try:
-            super().invalidated(told)
+            super().invalidated(purge)
         finally:
             self.turn = plain
 
@@ -196,7 +181,7 @@
         serial = self.serial
         timeout = self.limits.connect / US_PER_SECOND
         endpoint = TCP4ClientEndpoint(self.reactor, self.host, self.port, timeout=timeout)
-        feed = _StreamFeed(self, serial, after)
+        feed = StreamFeed(self, serial, after)
         self.coming: Deferred | None = endpoint.connect(Factory.forProtocol(lambda: WatchStream(feed)))
         self.coming.addCallbacks(self.came_up, lambda failure: self._connection_failed(failure, serial))
 
@@ -225,7 +210,7 @@
 
 def create_change_log(
     reactor: IReactorTime,
-    turn: Any,
+    event_loop: Any,
     caches: Any,
     limits: Any,
     log: Any,
@@ -238,18 +223,18 @@
     gone_ns = int(front.settings.get("family-info", {}).get("gone-everywhere", 0))
     discovery = discovery._replace(zone=zone, gone=gone_ns // NS_PER_US or discovery.gone)
     changes = DiscoveryChangeLog(
-        reactor, turn, caches, limits, log, front.settings, front.seed, cooperation, discovery
+        reactor, event_loop, caches, limits, log, front.settings, front.seed, cooperation, discovery
     )
     cooperation.guests.append(changes)
-    changes.tallies = Tallies(reactor, turn, cooperation, front.seed ^ REQUEST_COUNTS_SEED)
-    cooperation.hearers.append(changes.tallies)
+    changes.request_counts = Tallies(reactor, event_loop, cooperation, front.seed ^ REQUEST_COUNTS_SEED)
+    cooperation.hearers.append(changes.request_counts)
     if cooperation.told.connections:
         from limepath.connection_pacing.host import Paced  # nothing of it is loaded where no pace is set
 
         members = cooperation.instance.members
         changes.paced = Paced(
             reactor,
-            turn,
+            event_loop,
             caches,
             float(cooperation.told.connections),
             lambda: max(discovery.fronts, len(members.ring) + 1),
@@ -257,62 +242,3 @@
         )
     cooperation.views["listing"] = changes.describe
     return changes
-
-
-class _StreamFeed:
-    """What one stream knows of its change log, so that a former call's bytes reach nobody.
-
-    `last`, `pauses`, `host`, `limits`, `log`, `stream`, `answered`, `event` and `lost` are what a `Stream` of
-    the front uses.
-    """
-
-    def __init__(self, changes: DiscoveryChangeLog, serial: int, last: int):
-        self.changes = changes
-        self.serial = serial
-        self.last = last
-        self.pauses = 0
-        self.event_count: int = 0
-        self.host = changes.host
-        self.limits = changes.limits
-        self.log = changes.log
-
-    @property
-    def stream(self) -> Stream | None:
-        return self.changes.stream
-
-    @stream.setter
-    def stream(self, stream: Stream | None) -> None:
-        if self.serial == self.changes.serial:
-            self.changes.stream = stream
-
-    def answered(self, stream: Stream) -> None:
-        """Nothing to let go of: there is one call at a time."""
-
-    def event(self, number: str, text: str) -> None:
-        self.event_count += 1
-        self.submit(StreamEventReceived(text, number))
-
-    def submit(self, *events: Any) -> None:
-        if self.serial == self.changes.serial:
-            self.changes.submit(*events)
-
-    def lost(self, stream: Stream) -> None:
-        if self.changes.stream is stream:
-            self.changes.stream = None
-        self.submit(StreamClosed("the stream ended"))
-
-
-class _PurgeAgeLimit:
-    """Passes events on to an event loop; no purge in them is older than so many microseconds."""
-
-    def __init__(self, turn: Any, max_age: int):
-        self.turn = turn
-        self.max_age = max_age
-
-    def gather(self, *events: Any) -> None:
-        self.turn.gather(*map(self._limit, events))
-
-    def _limit(self, event: Any) -> Any:
-        if isinstance(event, PurgeAnnounced):
-            return event._replace(age=min(event.age, self.max_age))
-        return event
--- a/limepath/discovery/recent_purges.py
+++ b/limepath/discovery/recent_purges.py
@@ -52,13 +52,13 @@
 class RecentPurges:
     """The latest purge of each object and bucket, until its copies are gone everywhere.
 
-    `gone_everywhere` is how long copies last after a purge. A front may hear of it the span of a cut later,
-    so that one which asks then has to be sent it: each is kept for `gone_everywhere + span` after it was
+    `copy_lifetime` is how long copies last after a purge. A front may hear of it the span of a cut later,
+    so that one which asks then has to be sent it: each is kept for `copy_lifetime + span` after it was
     accepted. What comes from another front brings its age along, else restarts would keep purges for ever.
     """
 
-    def __init__(self, gone_everywhere: int, span: int, max_bytes: int):
-        self.retention: int = gone_everywhere + span
+    def __init__(self, copy_lifetime: int, span: int, max_bytes: int):
+        self.retention: int = copy_lifetime + span
         self.max_bytes = max_bytes
         self.purges: OrderedDict[PurgeTarget, RetainedPurge] = OrderedDict()
         self.bytes: int = 0
--- a/limepath/discovery/simulate.py
+++ b/limepath/discovery/simulate.py
@@ -452,7 +452,7 @@
     relays = world.relays(zone)
     count = len(service.events)
     world.lates = []
-    limit, back = bound.relays_gone, None
+    limit, back = bound.relays_lost, None
     if kind == "relays-killed":
         for node in relays:
             node.stop()
--- a/limepath/discovery/simulate_tree.py
+++ b/limepath/discovery/simulate_tree.py
@@ -488,7 +488,7 @@
         cut_off(world, kind, since, whole, bound, rows)
     else:
         late, missing = lateness(world, fronts, since, since + 10 * SECOND)
-        limit = bound.inner_gone if kind != "root-killed" else bound.root_gone
+        limit = bound.inner_lost if kind != "root-killed" else bound.root_lost
         rows += [
             at_most(f"{kind}: an event told then, at the last front, s", seconds(late[-1]), seconds(limit)),
             at_most(f"{kind}: events that a front never had", missing, 0),
--- a/limepath/discovery/tree_subscribers.py
+++ b/limepath/discovery/tree_subscribers.py
@@ -13,7 +13,7 @@
 
 from limepath.discovery.bounds import (
     EXTRA_BATCHES_PER_TICK,
-    ONE_WAY_DELAY_US,
+    LINK_DELAY_US,
     SNAPSHOT_CHUNKS_PER_TICK,
     max_children,
     max_watchers,
@@ -27,7 +27,7 @@
     from limepath.discovery.engine import DiscoveryEngine
 
 LEASE_HEARTBEATS = 4  # heartbeat intervals for which a subscription lasts
-ACKNOWLEDGEMENT_TIMEOUT_US = 2 * ONE_WAY_DELAY_US
+ACKNOWLEDGEMENT_TIMEOUT_US = 2 * LINK_DELAY_US
 
 
 class SentBatch(NamedTuple):
--- a/limepath/scale/bounds.py
+++ b/limepath/scale/bounds.py
@@ -97,8 +97,8 @@
     if phase == Kind.LOSS:
         return (tree or told).event + lost_in_a_row(pieces, LOSS) * peers.listing.beat
     if tree:
-        return max(tree.inner_gone, tree.root_gone)
-    return told.relays_gone
+        return max(tree.inner_lost, tree.root_lost)
+    return told.relays_lost
 
 
 def lost_in_a_row(pieces, loss):
--- a/limepath/scale/hollow.py
+++ b/limepath/scale/hollow.py
@@ -73,7 +73,7 @@
     def charge(self):
         """Charge calls from one host into another; timers and sockets are charged by the reactor."""
         account, cooperation, changes = self.account, self.cooperation, self.changes
-        members, tallies, carriers = cooperation.instance.members, changes.tallies, self.turn.carriers
+        members, tallies, carriers = cooperation.instance.members, changes.request_counts, self.turn.carriers
         members.handle = account.charged(members.handle, Subsystem.MEMBERSHIP)
         self.turn.listener = account.charged(self.turn.listener, Subsystem.DUTIES)
         tallies.heard = account.charged(tallies.heard, Subsystem.COUNTS)
@@ -165,7 +165,7 @@
         self.reactor.kill()
         self.cooperation.store.close()
         instance, changes = self.cooperation.instance, self.changes
-        parts = (self.caches, self.turn, changes.logic, changes.tallies, changes, instance.learnt)
+        parts = (self.caches, self.turn, changes.logic, changes.request_counts, changes, instance.learnt)
         parts += (instance.members.timers, instance.members, instance)
         parts += (self.cooperation.line, self.cooperation, self)
         for part in parts:  # they hold each other: freed now, without a walk over all fronts of the process
--- a/limepath/testbed/coldstart.py
+++ b/limepath/testbed/coldstart.py
@@ -380,7 +380,7 @@
         service, bound, zone = self.service, self.bound(), self.chance.choice(ZONES)
         relays = self.relays(zone) or [node for node in self.nodes if node.zone == zone][:1]
         one, everyone = relays[0], frozenset(range(self.count))
-        since, limit, ends = self.now(), bound.relays_gone, []
+        since, limit, ends = self.now(), bound.relays_lost, []
         name = f"{kind} at {since / 1e6:.1f}"
         if kind in ("relays-killed", "half-killed", "stores-cut"):
             gone = relays if kind == "relays-killed" else self.chance.sample(self.nodes, self.count // 2)
@@ -418,7 +418,7 @@
         elif kind in TREE_KINDS:
             one = self.busiest_inner()
             relays = [one]
-            limit = tree_bounds(self.terms, self.count, len(ZONES), self.sites).inner_gone
+            limit = tree_bounds(self.terms, self.count, len(ZONES), self.sites).inner_lost
             if kind == "inner-held":
                 self.upon.begin(Way(name, Kind.HOLD, frozenset((one.who,)), everyone - {one.who}))
                 ends.append(lambda: self.ways.end(name))
@@ -514,7 +514,7 @@
         for at, _ in cache.forwards
         if at > drill.drained[name][0]
     ]
-    drains = max(bound.relays_gone, 4 * SECOND + bound.stream_still) + SLACK
+    drains = max(bound.relays_lost, 4 * SECOND + bound.stream_still) + SLACK
     well = drill.wave.get(200, 0) / max(1, sum(drill.wave.values()))
     connected = max(
         most_in(sorted(int(at * 1e6) for at in cache.connected), SECOND // 10) for cache in caches
--- a/tests/test_listing.py
+++ b/tests/test_listing.py
@@ -381,7 +381,7 @@
     one = bounds(DiscoverySettings(fronts=10), 10)
     assert bounds(
         DiscoverySettings(fronts=10, silence=5 * SECOND), 10
-    ).relays_gone > one.relays_gone and one.known_late == freshness_limit(DiscoverySettings())
+    ).relays_lost > one.relays_lost and one.known_late == freshness_limit(DiscoverySettings())
     assert (
         bounds(DiscoverySettings(fronts=300), 300).alone > one.alone and one.calls <= DiscoverySettings().rate
     )
