--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -32,8 +32,8 @@
     RequestCountsReceived,
     RequestCountsWanted,
 )
+from tests.discovery_harness import PEERS
 from tests.fake_host import PARENT, SECOND, FakeHost
-from tests.test_listing import PEERS
 
 MS = 1000
 
--- /dev/null
+++ b/tests/test_membership_views.py
@@ -0,0 +1,45 @@
+"""Tests of the membership of a fleet that starts cold, in virtual time."""
+
+from limepath.configuration.sharing_settings import (
+    DutyMode,
+    DutySettings,
+    LeaseSettings,
+    MembershipTimeouts,
+)
+from limepath.duties.world import World
+from limepath.membership.members import spread
+from tests.discovery_harness import SECOND
+
+
+def test_views_of_a_cold_fleet_agree_after_the_dissemination_time():
+    world = World(
+        100,
+        4,
+        (DutySettings("probe", DutyMode.AT_LEAST_ONCE, 5 * SECOND),),
+        MembershipTimeouts(),
+        LeaseSettings(),
+        1,
+    )
+    world.open(False)
+    world.run(spread(MembershipTimeouts(), 100))
+    assert world.views_agree()  # after 2 s; 9.5 s where a page a period was pulled
+
+
+def test_partitions_that_suspected_each_other_declare_no_live_member_dead():
+    world = World(
+        150,
+        4,
+        (DutySettings("probe", DutyMode.AT_LEAST_ONCE, 20 * SECOND),),
+        MembershipTimeouts(),
+        LeaseSettings(),
+        1,
+    )
+    world.open(True)
+    world.run(3 * SECOND)
+    one = frozenset(range(75))
+    world.network.cuts["split"] = one, frozenset(range(150)) - one
+    world.network.cuts["back"] = frozenset(range(150)) - one, one
+    world.run(9 * SECOND)
+    world.network.cuts.clear()
+    world.run(40 * SECOND)
+    assert not world.false_deaths and world.views_agree()
