--- a/limepath/cli/coldstart.py
+++ b/limepath/cli/coldstart.py
@@ -73,7 +73,7 @@
         return click.echo(", ".join(KINDS))
     chosen = () if kinds == "none" or alone else named_kinds(kinds, KINDS, "--faults")
     found = simulated(fronts, zones, seed, down, loss, alone, chosen, saved=saved)
-    conclude(found.rows, as_json, found.said, seed=seed, alone=alone, loss=loss)
+    conclude(found.rows, as_json, found.log, seed=seed, alone=alone, loss=loss)
 
 
 @command.command("tree")
@@ -97,14 +97,15 @@
     """Events to a fleet in trees, in virtual time: what the busiest front sends, how late an event is, under
     faults.
     """
-    from limepath.discovery.simulate_tree import FAULTS, Plan, run_tree
+    from limepath.discovery.simulate_tree import FAULTS, run_tree
+    from limepath.discovery.tree_world import Plan
 
     if kinds == "help":
         return click.echo(", ".join(FAULTS))
     chosen = () if kinds == "none" else named_kinds(kinds, FAULTS, "--faults")
     plan = Plan(fronts, regions, zones, sites, purges, span, loss, tuple(chosen), cut, broken or "")
     found = run_tree(plan, seed)
-    conclude(found.rows, as_json, found.said, seed=seed, loss=loss)
+    conclude(found.rows, as_json, found.log, seed=seed, loss=loss)
 
 
 @command.command("measure")
@@ -119,4 +120,4 @@
     """
     from limepath.discovery.measure import measured
 
-    click.echo(measured(out, numbers(sizes), numbers(fronts), say=lambda line: click.echo(line, err=True)))
+    click.echo(measured(out, numbers(sizes), numbers(fronts), report=lambda line: click.echo(line, err=True)))
--- a/limepath/discovery/measure.py
+++ b/limepath/discovery/measure.py
@@ -1,11 +1,14 @@
-"""Measurements of the cold start over sizes, told once to the fleet and each front alone: table, chart, raw
-figures, the machine.
+"""Measurements of the cold start over sizes, with relays and each front alone.
+
+They give a table, a chart, the raw figures and the machine.
 """
 
 import json
 import os
 import subprocess
 import sys
+from collections.abc import Callable, Sequence
+from typing import Any
 
 from limepath.discovery.simulate import simulated
 from limepath.duties.measure import columns, machine, value
@@ -29,23 +32,24 @@
 ]
 
 
-def virtual(sizes, say):
-    told = []
+def measure_virtual(sizes: Sequence[int], report: Callable[[str], object]) -> list[dict[str, Any]]:
+    """The figures in virtual time, for each size shared and alone."""
+    results = []
     for fronts in sizes:
         for way in ("shared", "alone"):
             rows = simulated(fronts, alone=way == "alone").rows
-            told.append(
+            results.append(
                 {"fronts": fronts, "way": way, "streams_of_a_zone": value(rows, "most streams of one zone")}
                 | {name: value(rows, what) for name, what in WHAT.items()}
                 | {"messages": value(rows, "all messages per front and second")}
             )
-            say(str(told[-1]))
-    return told
+            report(str(results[-1]))
+    return results
 
 
-def drills(fronts, say):
+def measure_drills(fronts: Sequence[int], report: Callable[[str], object]) -> list[dict[str, Any]]:
     """Real processes, no faults but the service that is away at first."""
-    told = []
+    results = []
     for count in fronts:
         for way in ((), ("--alone",)):
             done = subprocess.run(
@@ -68,7 +72,7 @@
             if done.returncode not in (0, 1):
                 raise RuntimeError(done.stderr)
             rows = {row["what"]: row["measured"] for row in json.loads(done.stdout)["rows"]}
-            told.append(
+            results.append(
                 {"fronts": count, "way": "alone" if way else "shared"}
                 | {name: rows.get(what, "-") for name, what in WHAT.items()}
                 | {
@@ -79,11 +83,12 @@
                     "answered": next(value for what, value in rows.items() if what.startswith("share of")),
                 }
             )
-            say(str(told[-1]))
-    return told
+            report(str(results[-1]))
+    return results
 
 
-def chart(told, path):
+def draw_chart(results: dict[str, Any], path: str) -> None:
+    """Write the chart of calls and streams to a file."""
     import matplotlib
 
     matplotlib.use("Agg")
@@ -91,7 +96,7 @@
 
     figure, (left, right) = pyplot.subplots(1, 2, figsize=(11, 4))
     for way in ("shared", "alone"):
-        rows = [row for row in told["virtual"] if row["way"] == way]
+        rows = [row for row in results["virtual"] if row["way"] == way]
         left.plot(
             [row["fronts"] for row in rows], [row["calls_a_second"] for row in rows], marker="o", label=way
         )
@@ -118,8 +123,9 @@
     figure.savefig(path, dpi=90)
 
 
-def page(told, command):
-    facts = ", ".join(f"{name} {value}" for name, value in told["machine"].items())
+def format_page(results: dict[str, Any], command: str) -> str:
+    """The page in Markdown."""
+    facts = ", ".join(f"{name} {value}" for name, value in results["machine"].items())
     return f"""# A cold start, measured
 
 Made by `{command}` ({facts}); the raw figures are in `coldstart.json`. Two zones; the list
@@ -128,7 +134,7 @@
 
 ## Virtual time, the real logic
 
-{columns(told["virtual"], ["fronts", "way", *WHAT, "streams_of_a_zone", "messages"])}
+{columns(results["virtual"], ["fronts", "way", *WHAT, "streams_of_a_zone", "messages"])}
 
 ## Real processes on loopback
 
@@ -136,20 +142,29 @@
 second, all for the same ten objects. `connections` and
 `forwards` are the most at one cache, `answered` the share of these GETs that was.
 
-{columns(told["drills"], DRILL_COLUMNS)}
+{columns(results["drills"], DRILL_COLUMNS)}
 
 ![calls and streams](coldstart.png)
 """
 
 
-def measured(folder, sizes=SIZES, fronts=FRONTS, say=print):
+def measured(
+    folder: str,
+    sizes: Sequence[int] = SIZES,
+    fronts: Sequence[int] = FRONTS,
+    report: Callable[[str], object] = print,
+) -> str:
     """Measure all, write page, chart and raw figures to the folder; give the page's path."""
-    told = {"machine": machine(), "virtual": virtual(sizes, say), "drills": drills(fronts, say)}
+    results = {
+        "machine": machine(),
+        "virtual": measure_virtual(sizes, report),
+        "drills": measure_drills(fronts, report),
+    }
     os.makedirs(folder, exist_ok=True)
     with open(os.path.join(folder, "coldstart.json"), "w", encoding="utf-8") as file:
-        json.dump(told, file, indent=1)
-    chart(told, os.path.join(folder, "coldstart.png"))
+        json.dump(results, file, indent=1)
+    draw_chart(results, os.path.join(folder, "coldstart.png"))
     path = os.path.join(folder, "coldstart.md")
     with open(path, "w", encoding="utf-8") as file:
-        file.write(page(told, f"limepath coldstart measure --sizes {','.join(map(str, sizes))}"))
+        file.write(format_page(results, f"limepath coldstart measure --sizes {','.join(map(str, sizes))}"))
     return path
--- /dev/null
+++ b/limepath/discovery/star_service.py
@@ -0,0 +1,111 @@
+"""The list service of the star in virtual time, which can be down, silent or still."""
+
+from __future__ import annotations
+
+import json
+from collections.abc import Iterable
+from typing import TYPE_CHECKING, Any
+
+from limepath.discovery.interface import (
+    StreamActive,
+    StreamClosed,
+    StreamEventReceived,
+    StreamOpened,
+)
+
+if TYPE_CHECKING:
+    from limepath.discovery.star_world import Node, World
+
+SECOND, MS = 1_000_000, 1000
+
+
+def member(name: str, phase: str = "in_service") -> dict[str, Any]:
+    """A member of the list as the service words it."""
+    return {
+        "id": name,
+        "host_port": "127.0.0.1:9001",
+        "locality": "z0",
+        "flavor": "box",
+        "phase": phase,
+        "up_since_ms": 0,
+        "cell": 0,
+        "size": 6,
+    }
+
+
+class Service:
+    """The list service: `mode` is up, down (refuses), silent (accepts and says nothing) or still (says
+    nothing more).
+    """
+
+    def __init__(self, world: World, caches: int) -> None:
+        self.world = world
+        self.mode = "up"
+        self.events = []
+        self.streams = {}
+        self.calls = []
+        self.most_streams = {}
+        self.added_at = {}
+        self.add(
+            {"fleet": {"complete": True, "revision": 1, "members": [member(f"s-{i}") for i in range(caches)]}}
+        )
+
+    def add(self, event: dict[str, Any]) -> None:
+        """Add the next event, and send it on all streams."""
+        number = len(self.events) + 1
+        self.events.append(json.dumps({"seq": number} | event))
+        self.added_at[self.world.epoch, number] = self.world.now
+        if self.mode == "up":
+            for node, serial in list(self.streams.items()):
+                self.send(node, serial, StreamEventReceived(self.events[-1], str(number)))
+
+    def send(self, node: Node, serial: int, *events: Any) -> None:
+        """Send events on a stream."""
+        self.world.at(self.world.now + 500, self.arrive, node, serial, events)
+
+    def arrive(self, node: Node, serial: int, events: Iterable[Any]) -> None:
+        """What was sent has arrived, unless the stream was closed meanwhile."""
+        if node.serial == serial:
+            node.handle_events(events)
+
+    def call(self, node: Node, after: int) -> None:
+        """A front calls; send it the events after the one that it names."""
+        self.calls.append(self.world.now)
+        if self.mode == "down":
+            return self.send(node, node.serial, StreamClosed("refused"))
+        self.streams[node] = node.serial
+        zone = node.zone
+        self.most_streams[zone] = max(
+            self.most_streams.get(zone, 0), sum(one.zone == zone for one in self.streams)
+        )
+        if self.mode == "up":
+            self.replay(node, after)
+
+    def replay(self, node: Node, after: int) -> None:
+        """Accept a call and send the events after a number."""
+        self.send(node, node.serial, StreamOpened())
+        for number in range(after, len(self.events)):
+            self.send(node, node.serial, StreamEventReceived(self.events[number], str(number + 1)))
+        self.send(node, node.serial, StreamActive())
+
+    def comment(self) -> None:
+        """Show each second that the service is alive."""
+        if self.mode == "up":
+            for node, serial in self.streams.items():
+                self.send(node, serial, StreamActive())
+        self.world.at(self.world.now + SECOND, self.comment)
+
+    def set_mode(self, mode: str) -> None:
+        """Change the mode; a service that goes down ends its streams."""
+        self.mode = mode
+        if mode == "down":
+            for node, serial in list(self.streams.items()):
+                self.send(node, serial, StreamClosed("ended"))
+            self.streams = {}
+
+    def restored(self, number: int) -> None:
+        """An older state: numbers run backwards, its streams end."""
+        self.set_mode("down")
+        self.world.epoch += 1
+        del self.events[number:]
+        self.mode = "up"
--- a/limepath/scale/roles_relay.py
+++ b/limepath/scale/roles_relay.py
@@ -16,7 +16,7 @@
 
 from limepath.configuration.sharing_settings import DiscoverySettings, MembershipTimeouts
 from limepath.discovery.interface import MESSAGES as LIST_MESSAGES
-from limepath.discovery.simulate import World
+from limepath.discovery.star_world import World
 from limepath.duties.interface import MESSAGES as DUTY_MESSAGES
 from limepath.membership.guard import Guard, Key
 from limepath.membership.interface import MESSAGES
@@ -121,7 +121,7 @@
     zone.run(since + SPAN)
     traffic, zone.traffic = zone.traffic, Traffic()
     zone.run(zone.now + ARRIVE)
-    told = {number for (_, number), at in zone.service.told_at.items() if since <= at < since + SPAN}
+    told = {number for (_, number), at in zone.service.added_at.items() if since <= at < since + SPAN}
     late = sorted(late for late, number, _ in zone.lates if number in told)
     return Played(fronts, traffic, late, fronts * len(told) - len(late))
 
--- a/limepath/scale/roles_tree.py
+++ b/limepath/scale/roles_tree.py
@@ -36,14 +36,14 @@
 
 def zone(fronts):
     """The world of one zone, its fronts at as many sites as they fill, all of them with the list."""
-    from limepath.discovery.simulate_tree import Plan, World
+    from limepath.discovery.tree_world import Plan, World
 
     sites = max(1, round(fronts / SITE))
     world = World(Plan(fronts=fronts, regions=1, zones=1, sites=sites, rate=EVENTS), 1)
     world.at(SECOND // 2, world.service.comment)
     for front in world.fronts:
         world.at(world.chance.randrange(SECOND), front.start)
-    while not world.whole() and world.now < LIMIT:
+    while not world.is_complete() and world.now < LIMIT:
         world.run(world.now + SECOND)
     return world
 
--- a/tests/discovery_harness.py
+++ b/tests/discovery_harness.py
@@ -24,7 +24,7 @@
     StreamOpened,
     Subscribe,
 )
-from limepath.discovery.simulate import member
+from limepath.discovery.star_service import member
 from limepath.discovery.topology import Scope, Zone
 
 SECOND, MS = 1_000_000, 1000
--- a/tests/hollow_fleet.py
+++ b/tests/hollow_fleet.py
@@ -7,7 +7,7 @@
 import sys
 import time
 
-from limepath.discovery.simulate import member
+from limepath.discovery.star_service import member
 from limepath.scale import control
 from limepath.testbed.duties import SETTINGS
 from limepath.testbed.process import HOST, free_ports
--- a/tests/test_hollow_fronts.py
+++ b/tests/test_hollow_fronts.py
@@ -10,7 +10,7 @@
 from limepath.configuration.process_limits import planned
 from limepath.discovery.endpoint_list import EndpointList
 from limepath.discovery.interface import Subscribe
-from limepath.discovery.simulate import member
+from limepath.discovery.star_service import member
 from limepath.duties.host import clock
 from limepath.membership.control import ask
 from limepath.membership.interface import Hello
--- a/tests/test_page_transfer.py
+++ b/tests/test_page_transfer.py
@@ -11,7 +11,7 @@
     PeerMessage,
     SendToMember,
 )
-from limepath.discovery.simulate import member
+from limepath.discovery.star_service import member
 from tests.discovery_harness import (
     MS,
     TREE_SETTINGS,
--- a/tests/test_tree_simulation.py
+++ b/tests/test_tree_simulation.py
@@ -6,8 +6,9 @@
     DiscoverySettings,
 )
 from limepath.discovery.bounds import tree_bounds
-from limepath.discovery.simulate_tree import Plan, run_tree
+from limepath.discovery.simulate_tree import run_tree
 from limepath.discovery.topology import Scope, Zone
+from limepath.discovery.tree_world import Plan
 from limepath.report_table import hold
 from tests.discovery_harness import SECOND
 
