--- a/limepath/scale/roles_listing.py
+++ b/limepath/scale/roles_listing.py
@@ -102,7 +102,7 @@
     works = {
         "parse": [partial(taken_in, text) for text in texts],
         "check": [partial(checked, text) for text in texts],
-        "pack": [held.packed for held in lists],
+        "pack": [held.pack for held in lists],
         "unpack": [partial(unpack_list, pack, LONGEST) for pack in packs],
     }
     values = {name: [spent / 1000 for spent in least_cpu(work)] for name, work in works.items()}
--- a/limepath/testbed/coldstart.py
+++ b/limepath/testbed/coldstart.py
@@ -353,7 +353,7 @@
             if (
                 not told
                 or told["confirmed_us_ago"] is None
-                or (told["number"], told["digest"]) != (held.place.number, f"{held.digest:016x}")
+                or (told["number"], told["digest"]) != (held.revision.number, f"{held.digest:016x}")
             ):
                 return False
         return True
