--- a/limepath/discovery/__init__.py
+++ b/limepath/discovery/__init__.py
@@ -29,5 +29,6 @@
   `paged_snapshot`, `page_coding`), for fronts in trees.
 
 The coded form of events is in `event_coding`, `purge_fields` and `varint`; `bounds` computes what the
-settings promise; `simulate`, `simulate_tree` and `measure` run the same logic in virtual time.
+settings promise. `simulate` and `simulate_tree` run the same logic in virtual time, in the worlds of
+`star_world` and `tree_world`; `measure` makes a page of it.
 """
--- a/limepath/discovery/simulate_tree.py
+++ b/limepath/discovery/simulate_tree.py
@@ -112,16 +112,31 @@
     terms: DiscoverySettings | None = None,
     prepare: Callable[[World], None] | None = None,
 ) -> Measured:
-    """Start a fleet with nothing, let events flow, cause the faults one after another; give Measured.
+    """Start a fleet with nothing, let events flow, cause the faults one after another.
+
     `prepare(world)` changes the fleet before it starts.
     """
     world = World(plan, seed, terms)
     bound = tree_bounds(world.terms, plan.fronts, plan.zones, plan.sites)
-    interval = int(SECOND / plan.rate)
     if plan.broken == "fan-out":
         world.terms = world.terms._replace(fan_out=plan.fronts)
     if prepare:
         prepare(world)
+    _start(world)
+    log: list[str] = []
+    rows = [at_most("a fleet that starts with nothing has the list, s", seconds(world.now), 60.0)]
+    interval = int(SECOND / plan.rate)
+    world.at(world.now, purge_every, world, interval, world.now + 3600 * SECOND)
+    world.run(world.now + SETTLE)
+    calm(world, plan, bound, rows)
+    for kind in plan.faults:
+        failing(world, kind, bound, rows, log)
+    rows += _load_rows(world, bound)
+    return Measured(rows, log, world)
+
+
+def _start(world: World) -> None:
+    """Start all fronts and run until they have the list, for a limited time."""
     world.at(SECOND // 2, world.service.comment)
     for front in world.fronts:
         world.at(world.chance.randrange(200 * MS), front.start)
@@ -130,24 +145,20 @@
         if world.is_complete():
             break
         world.run(world.now + 100 * MS)
-    rows, log = [], []
-    rows.append(at_most("a fleet that starts with nothing has the list, s", seconds(world.now), 60.0))
-    ends = world.now + 3600 * SECOND
-    world.at(world.now, purge_every, world, interval, ends)
-    world.run(world.now + SETTLE)
-    calm(world, plan, bound, rows)
-    for kind in plan.faults:
-        failing(world, kind, bound, rows, log)
-    most = max(front.readers_seen for front in world.fronts)
-    service = world.service
-    rows += [
-        at_most("most children of any front, ever", most, bound.children),
-        at_most("most calls at the list service in a second", most_in(service.calls, SECOND),
-                int(world.terms.rate)),
-        at_most("most streams of one zone", max(service.most_streams.values()),
-                world.terms.relays * (2 + HELPERS_PER_RELAY)),
-    ]  # fmt: skip
-    return Measured(rows, log, world)
+
+
+def _load_rows(world: World, bound: TreeBounds) -> list[Row]:
+    """What the busiest front and the service had to bear, against the bounds."""
+    service, terms = world.service, world.terms
+    children = max(front.most_children for front in world.fronts)
+    calls = most_in(service.calls, SECOND)
+    streams = max(service.most_streams.values())
+    max_streams = terms.relays * (2 + HELPERS_PER_RELAY)
+    return [
+        at_most("most children of any front, ever", children, bound.children),
+        at_most("most calls at the list service in a second", calls, int(terms.rate)),
+        at_most("most streams of one zone", streams, max_streams),
+    ]
 
 
 def calm(world: World, plan: Plan, bound: TreeBounds, rows: list[Row]) -> None:
--- a/limepath/discovery/tree_world.py
+++ b/limepath/discovery/tree_world.py
@@ -103,7 +103,7 @@
         self.most_bytes = 0
         self.second = 0
         self.second_bytes = 0
-        self.readers_seen = 0
+        self.most_children = 0
 
     def start(self) -> None:
         """Start with nothing."""
@@ -159,7 +159,7 @@
                 self.record_applied(command.event)
             elif isinstance(command, ListFreshnessChanged):
                 self.stale.append((world.now, command.stale))
-        self.readers_seen = max(self.readers_seen, self.count_children())
+        self.most_children = max(self.most_children, self.count_children())
         due = self.logic.next()
         if due is not None and (self.wake_at is None or due < self.wake_at or self.wake_at <= world.now):
             self.wake_at = max(world.now + 1, due)
--- a/tests/test_tree_simulation.py
+++ b/tests/test_tree_simulation.py
@@ -66,7 +66,7 @@
 def test_no_front_has_more_children_than_the_bound_where_views_differ():
     found = run_tree(small(), 5, prepare=hide)
     assert (
-        max(front.readers_seen for front in found.world.fronts)
+        max(front.most_children for front in found.world.fronts)
         <= tree_bounds(DiscoverySettings(), 48, 2, 8).children
     )
     behind = [front for front in found.world.running() if front.front < len(found.world.service.events) - 200]
