--- a/limepath/discovery/engine.py
+++ b/limepath/discovery/engine.py
@@ -163,7 +163,7 @@
             "digest": f"{replica.list.digest:016x}",
             "confirmed_us_ago": replica.age(),
             "late": replica.is_stale(),
-            "role": self.roles.role.name.lower(),
+            "role": self.roles.role.value,
             "stream": str(self.stream.state),
             "zone": self.settings.zone,
             "site": self.settings.site,
--- a/limepath/discovery/interface.py
+++ b/limepath/discovery/interface.py
@@ -6,7 +6,7 @@
 The tag of a message and the order of its fields are the wire format; class and field names are not.
 """
 
-from enum import IntEnum
+from enum import IntEnum, StrEnum
 from typing import Any, NamedTuple
 
 import msgspec
@@ -24,12 +24,12 @@
     number: int = 0
 
 
-class Role(IntEnum):
-    """How a front gets the list; the lower-case names stand in logs and reports."""
+class Role(StrEnum):
+    """How a front gets the list; the values stand in logs and reports."""
 
-    FOLLOWS = 0
-    RELAYS = 1  # one of its zone's first by hash: holds a stream, or tries to
-    ALONE = 2  # no relay that it knows is up to date: calls the service for itself
+    FOLLOWER = "follows"
+    RELAY = "relays"  # one of its zone's first by hash: holds a stream, or tries to
+    STANDALONE = "alone"  # no relay that it knows is up to date: calls the service for itself
 
 
 class SubscriptionMode(IntEnum):
--- a/limepath/discovery/roles.py
+++ b/limepath/discovery/roles.py
@@ -28,7 +28,7 @@
     def __init__(self, engine: DiscoveryEngine):
         super().__init__(engine)
         self.budget = CallBudget(self.settings, self.timers.random_fraction)
-        self.role: Role = Role.FOLLOWS
+        self.role: Role = Role.FOLLOWER
         self.stream_unneeded_since: int | None = None
         self.unsupplied_since: int | None = None  # since when the list is stale and no source is at work
         self.next_round_at: int = 0
@@ -84,7 +84,7 @@
         is_unsupplied = self.replica.is_stale() and not self.upstream.is_supplied()
         is_relay = self._is_relay(is_unsupplied)
         self._set_role(is_relay, is_unsupplied)
-        if self.role == Role.FOLLOWS:
+        if self.role == Role.FOLLOWER:
             self._release_stream()
             return
         self.stream_unneeded_since = None
@@ -111,9 +111,9 @@
         calls_for_itself = self.contradiction_seen or (
             is_unsupplied and now - self.unsupplied_since >= RELAY_RETRY_SPAN_US
         )
-        role = Role.RELAYS if is_relay else Role.ALONE if calls_for_itself else Role.FOLLOWS
+        role = Role.RELAY if is_relay else Role.STANDALONE if calls_for_itself else Role.FOLLOWER
         if role != self.role:
-            self.timers.emit(LogEvent("list-role", {"role": role.name.lower(), "live": len(self.live()) + 1}))
+            self.timers.emit(LogEvent("list-role", {"role": role.value, "live": len(self.live()) + 1}))
             self.role = role
 
     def _release_stream(self) -> None:
--- a/limepath/discovery/service_stream.py
+++ b/limepath/discovery/service_stream.py
@@ -123,7 +123,7 @@
         self.state = StreamState.CLOSED
         self.replay = None
         self.serial += 1
-        if self.roles.role != Role.FOLLOWS:
+        if self.roles.role != Role.FOLLOWER:
             self.roles.failing_since = self.roles.failing_since or now
             self.roles.decide_role()
 
--- a/tests/list_service.py
+++ b/tests/list_service.py
@@ -13,11 +13,14 @@
 
 from limepath.testbed.stand_ins import StandInListService
 
-BEAT = 0.2  # seconds between its words that it is alive
+COMMENT_INTERVAL = 0.2  # seconds in which the service shows that it is alive
 
 
-class Events(LineReceiver):
-    delimiter, MAX_LENGTH = b"\n", 1 << 20
+class EventInput(LineReceiver):
+    """Adds each line of standard input to the list service as an event."""
+
+    delimiter = b"\n"
+    MAX_LENGTH = 1 << 20
 
     def __init__(self, service):
         self.service = service
@@ -34,6 +37,6 @@
 
 if __name__ == "__main__":
     service = StandInListService(reactor, int(sys.argv[1]), lambda who: "sur")
-    stdio.StandardIO(Events(service))
-    LoopingCall(service.beat).start(BEAT)
+    stdio.StandardIO(EventInput(service))
+    LoopingCall(service.beat).start(COMMENT_INTERVAL)
     reactor.run()
--- a/tests/test_event_intake.py
+++ b/tests/test_event_intake.py
@@ -30,7 +30,7 @@
 def test_two_relays_with_different_lists_are_passed_over_and_the_service_is_called():
     front = EngineHarness([2, 3], list_at(4).pack(), STAR_SETTINGS._replace(fronts=3)).run(SECOND)
     front.handle(PeerMessage(2, Heartbeat("sur", 0, 4, list_at(4).digest, 10 * MS)))
-    assert front.logic.roles.role != Role.ALONE and not front.logic.roles.contradiction_seen
+    assert front.logic.roles.role != Role.STANDALONE and not front.logic.roles.contradiction_seen
     front.handle(PeerMessage(3, Heartbeat("sur", 0, 4, list_at(4).digest ^ 1, 10 * MS)))
     assert (
         front.logic.roles.contradiction_seen
--- a/tests/test_scopes.py
+++ b/tests/test_scopes.py
@@ -31,7 +31,7 @@
         *(PeerMessage(token, ScopeAnnouncement(f"z{token % 20}", False, "b")) for token in range(1000, 1040))
     )
     front.run(5 * SECOND)
-    assert front.logic.roles.role == Role.RELAYS and not front.logic.scopes.is_settled()
+    assert front.logic.roles.role == Role.RELAY and not front.logic.scopes.is_settled()
     front.handle(PeerMessage(1299, ScopeAnnouncement("sur", False, "a")))
     front.handle(
         *(PeerMessage(token, ScopeAnnouncement(f"z{token % 20}", False, "b")) for token in range(1040, 1140))
