--- a/limepath/discovery/component.py
+++ b/limepath/discovery/component.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable, Iterable
+from collections.abc import Callable, Collection
 from typing import TYPE_CHECKING
 
 from limepath.configuration.sharing_settings import DiscoverySettings
@@ -30,7 +30,7 @@
         self.engine = engine
         self.me: int = engine.me  # this front's token
         self.settings: DiscoverySettings = engine.settings
-        self.live: Callable[[], Iterable[int]] = engine.live  # tokens of the other live fronts
+        self.live: Callable[[], Collection[int]] = engine.live  # tokens of the other live fronts
         self.timers: TimerQueue = engine.timers
         self.counts: dict[str, int] = engine.counts
 
--- a/limepath/discovery/engine.py
+++ b/limepath/discovery/engine.py
@@ -10,7 +10,7 @@
 One component a job; see the package's docstring. Free of I/O.
 """
 
-from collections.abc import Callable, Iterable
+from collections.abc import Callable, Collection, Iterable
 from typing import Any
 
 import msgspec
@@ -78,7 +78,7 @@
         me: int,
         settings: DiscoverySettings,
         seed: int,
-        live: Callable[[], Iterable[int]],
+        live: Callable[[], Collection[int]],
         saved: bytes | None = None,
     ):
         self.me = me
--- a/limepath/discovery/event_coding.py
+++ b/limepath/discovery/event_coding.py
@@ -192,10 +192,10 @@
 
     def __init__(self, first: int):
         self.first = first
-        self.parts = []
+        self.parts: list[bytes] = []
         self.size = 0
-        self.base = None
-        self.time = None  # of the first purge here and of the last
+        self.base: int | None = None  # time of the first purge here
+        self.time: int | None = None  # that of the last
 
     def add(self, seq: int, entry: Entry, limit: int) -> bool:
         """Add one more event, or return False where it does not follow or the batch would pass `limit`."""
--- a/limepath/discovery/event_window.py
+++ b/limepath/discovery/event_window.py
@@ -105,7 +105,7 @@
         """
         if not self.covers(number):
             raise CompactedError(f"events after {number}: held from {self.oldest} to {self.newest}")
-        found = []
+        found: list[bytes] = []
         size = 0
         for following in range(number + 1, self.newest + 1):
             encoded = self.events[following].encoded
--- a/limepath/discovery/page_coding.py
+++ b/limepath/discovery/page_coding.py
@@ -10,6 +10,7 @@
 from limepath.discovery.event_checks import InvalidEventError, check_member
 from limepath.discovery.event_coding import (
     OversizedError,
+    ServiceEvent,
     decode_batch,
     decompress,
     encode_batches,
@@ -91,7 +92,7 @@
     for _ in range(count):
         age += zigzag_decode(reader.integer())
         ages.append(age)
-    events = []
+    events: list[ServiceEvent] = []
     while reader.left():
         events += decode_batch(reader.take(reader.integer()), MAX_PAGE_BYTES)
     if len(events) != count or min(ages, default=0) < 0:
--- a/limepath/discovery/pages.py
+++ b/limepath/discovery/pages.py
@@ -96,8 +96,8 @@
 
 def spread_over_pages(contents: ListContents, layout: PageLayout) -> list[PageContents]:
     """What of a list is on each page of a layout; purges that have no page there are left out."""
-    members = [[] for _ in range(layout.pages)]
-    purges = [[] for _ in range(layout.pages)]
+    members: list[list[dict]] = [[] for _ in range(layout.pages)]
+    purges: list[list[AgedPurge]] = [[] for _ in range(layout.pages)]
     for name, member in contents.members.items():
         members[layout.page_of_member(name)].append(member)
     for purge in contents.purges:
--- a/limepath/discovery/purge_fields.py
+++ b/limepath/discovery/purge_fields.py
@@ -51,7 +51,7 @@
     return f"{number:016x}"
 
 
-def parse_object_name(name: str) -> int:
+def parse_object_name(name: Any) -> int:
     """The number of an object, however it is written; ValueError or TypeError where it is none."""
     return int(name, 16)
 
--- a/limepath/discovery/star_service.py
+++ b/limepath/discovery/star_service.py
@@ -40,12 +40,12 @@
 
     def __init__(self, world: World, caches: int) -> None:
         self.world = world
-        self.mode = "up"
-        self.events = []
-        self.streams = {}
-        self.calls = []
-        self.most_streams = {}
-        self.added_at = {}
+        self.mode: str = "up"
+        self.events: list[str] = []  # JSON texts, the first with number 1
+        self.streams: dict[Node, int] = {}  # the serial of the call by front
+        self.calls: list[int] = []  # when each came
+        self.most_streams: dict[str, int] = {}  # at once, by zone
+        self.added_at: dict[tuple[int, int], int] = {}  # when, by (epoch, number)
         self.add(
             {"fleet": {"complete": True, "revision": 1, "members": [member(f"s-{i}") for i in range(caches)]}}
         )
--- a/limepath/discovery/star_world.py
+++ b/limepath/discovery/star_world.py
@@ -48,17 +48,17 @@
         self.world = world
         self.index = index
         self.zone = f"z{index % world.zones}"
-        self.token = world.chance.getrandbits(63)
-        self.starts = 0
-        self.serial = 0
-        self.members = None
-        self.logic = None
-        self.wake_at = None
-        self.saved = None
-        self.paused = False
-        self.queue = []
-        self.front = 0
-        self.ready_at = None
+        self.token: int = world.chance.getrandbits(63)
+        self.starts: int = 0  # so far
+        self.serial: int = 0  # of the current call to the service
+        self.members: Members | None = None  # None while it does not run
+        self.logic: DiscoveryEngine | StandaloneFront | None = None
+        self.wake_at: int | None = None  # the timer that is set
+        self.saved: bytes | None = None  # the packed list in its store
+        self.paused: bool = False
+        self.queue: list[Any] = []  # events that came while it was stopped
+        self.front: int = 0  # the last event applied
+        self.ready_at: int | None = None
 
     def start(self, seeds: list[tuple[str, int]]) -> None:
         """Start, or start again with the list that was saved."""
@@ -166,8 +166,8 @@
     ) -> None:
         self.chance = Random(seed)
         self.now = 0
-        self.due = None
-        self.pauses = 0
+        self.due: int | None = None  # when the next call is due
+        self.pauses: int = 0  # since the last event
         self.up = False
         self.number = 0
 
@@ -216,20 +216,20 @@
         spans: MembershipTimeouts,
     ) -> None:
         self.chance = Random(seed)
-        self.now = 0
-        self.order = 0
-        self.schedule = []
+        self.now: int = 0  # microseconds
+        self.order: int = 0  # of calls scheduled for one time
+        self.schedule: list[tuple[int, int, Callable[..., object], tuple[Any, ...]]] = []
         self.zones = zones
         self.loss = loss
         self.alone = alone
         self.spans = spans
-        self.epoch = 0
-        self.messages = 0
-        self.list_messages = 0
+        self.epoch: int = 0  # grows as the service is restored
+        self.messages: int = 0  # datagrams sent
+        self.list_messages: int = 0  # those of the list
         self.terms = terms
         self.network = Network(Random(seed + 1), loss)
         self.service = Service(self, caches)
-        self.lates = []
+        self.lates: list[tuple[int, int, int]] = []  # (microseconds, number, front) of events
         self.wrong = 0
         self.nodes = [Node(self, index) for index in range(fronts)]
 
--- a/limepath/discovery/topology.py
+++ b/limepath/discovery/topology.py
@@ -76,7 +76,7 @@
         members = [token for token, scope in scopes.items() if scope.zone == zone]
         self.roots = order_by_hash(members, zone)[:relays]  # the hash of `Upstream.rank`
         roots = set(self.roots)
-        by_site = {}
+        by_site: dict[str, list[int]] = {}
         for token in members:
             if token not in roots and scopes[token].site:
                 by_site.setdefault(scopes[token].site, []).append(token)
--- a/limepath/discovery/tree_service.py
+++ b/limepath/discovery/tree_service.py
@@ -27,11 +27,11 @@
 
     def __init__(self, world: World, caches: int) -> None:
         self.world = world
-        self.streams = {}
-        self.events = []
-        self.added_at = {}
-        self.calls = []
-        self.most_streams = {}  # when; the most streams of a zone at once
+        self.streams: dict[Front, int] = {}  # the serial of the call by front
+        self.events: list[str] = []  # JSON texts, the first with number 1
+        self.added_at: dict[int, int] = {}  # when, by number
+        self.calls: list[int] = []  # when each came
+        self.most_streams: dict[str, int] = {}  # at once, by zone
         members = [member(f"s-{index}") for index in range(caches)]
         self.add({"fleet": {"complete": True, "revision": 1, "members": members}})
 
--- a/limepath/discovery/tree_world.py
+++ b/limepath/discovery/tree_world.py
@@ -87,20 +87,20 @@
         self.site = f"site{site}"
         self.region = site % plan.zones % plan.regions
         self.me = MemberRecord(self.token, f"n{index}", "127.0.0.1", PORT, 1 << REFUTATION_BITS, 0)
-        self.logic = None
-        self.paused = False
-        self.queue = []
-        self.wake_at = None
-        self.serial = 0
-        self.older = False
-        self.delay = 0
-        self.front = 0
-        self.applied_at = {}
-        self.stale = []
-        self.fetched = 0
-        self.bytes = 0
-        self.datagrams = 0
-        self.most_bytes = 0
+        self.logic: DiscoveryEngine | None = None  # None while it does not run
+        self.paused: bool = False
+        self.queue: list[Any] = []  # events that came while it was stopped
+        self.wake_at: int | None = None  # the timer that is set
+        self.serial: int = 0  # of the current call to the service
+        self.older: bool = False  # it runs an older program
+        self.delay: int = 0  # added to what it sends, in microseconds
+        self.front: int = 0  # the last event applied
+        self.applied_at: dict[int, int] = {}  # when, by number
+        self.stale: list[tuple[int, bool]] = []  # when its list became stale or fresh
+        self.fetched: int = 0  # whole lists before the current fault
+        self.bytes: int = 0  # sent
+        self.datagrams: int = 0  # sent
+        self.most_bytes: int = 0  # sent in one second
         self.second = 0
         self.second_bytes = 0
         self.most_children = 0
@@ -199,22 +199,22 @@
     def __init__(self, plan: Plan, seed: int, terms: DiscoverySettings | None = None) -> None:
         self.plan = plan
         self.chance = Random(seed)
-        self.now = 0
-        self.order = 0
-        self.schedule = []
+        self.now: int = 0  # microseconds
+        self.order: int = 0  # of calls scheduled for one time
+        self.schedule: list[tuple[int, int, Callable[..., object], tuple[Any, ...]]] = []
         self.terms = (terms or DiscoverySettings())._replace(fronts=plan.fronts)
         if plan.broken == "window":
             self.terms = self.terms._replace(window=10 * SECOND, window_bytes=10_000)
         self.network = Network(Random(seed + 1), plan.loss)
-        self.cuts = set()
+        self.cuts: set[tuple[int, int]] = set()  # pairs of regions
         self.service = Service(self, plan.caches)
         self.fronts = [Front(self, index) for index in range(plan.fronts)]
         self.by_token = {front.token: front for front in self.fronts}
         self.alive = {front.token: None for front in self.fronts}
-        self.hidden = {}
+        self.hidden: dict[int, set[int]] = {}  # tokens that a front takes for dead, by its index
         self.encoder = msgspec.msgpack.Encoder()
-        self.sizes = {}
-        self.counted = {}
+        self.sizes: dict[type, int] = {}  # the last size of a kind of message
+        self.counted: dict[type, int] = {}  # messages of a kind
 
     def at(self, when: int, call: Callable[..., object], *arguments: Any) -> None:
         """Schedule a call."""
