--- a/limepath/discovery/paged_snapshot.py
+++ b/limepath/discovery/paged_snapshot.py
@@ -36,7 +36,7 @@
 
 
 class PageTransferError(Exception):
-    """What can't be taken or told; the text says why. Nothing of it was taken."""
+    """A chunk or page that can't be used or sent; the text says why. Nothing of it was used."""
 
 
 class ChunkNotFoundError(PageTransferError):
@@ -48,7 +48,7 @@
 
 
 class DamagedPageError(PageTransferError):
-    """A page or an index that is not what it was told to be; it is to be asked for again."""
+    """A page or an index that does not fit its digest or its form; it is to be asked for again."""
 
 
 class IncompleteDownloadError(PageTransferError):
--- a/limepath/discovery/service_stream.py
+++ b/limepath/discovery/service_stream.py
@@ -52,7 +52,7 @@
 
 
 class ServiceStream(Component):
-    """One stream at a time; what comes of an earlier one is told by its `serial` and ignored."""
+    """One stream at a time; what comes of an earlier one is known by its `serial` and ignored."""
 
     def __init__(self, engine: DiscoveryEngine):
         super().__init__(engine)
--- a/limepath/discovery/simulate.py
+++ b/limepath/discovery/simulate.py
@@ -25,8 +25,8 @@
 class Found(NamedTuple):
     """What a run gave: the rows of its table, what happened when, and the world as it ended."""
 
-    rows: list
-    log: list
+    rows: list[Row]
+    log: list[str]
     world: World
 
 
--- a/limepath/discovery/simulate_tree.py
+++ b/limepath/discovery/simulate_tree.py
@@ -1,7 +1,6 @@
-"""Events to a fleet in trees, in virtual time: regions, zones and sites, events of the service at one rate,
-faults while they flow, what each front sent.
+"""Events to a fleet in trees, in virtual time: how late they are and what each front sends, under faults.
 
-The listing logic is that of the real program. Who lives is not: all fronts see the same live view, from which
+The discovery logic is that of the real program. Who lives is not: all fronts see the same live view, from which
 one that is killed or stopped goes DETECTED later, so that hundreds of fronts take seconds (the membership has
 a run of its own, `limepath duties simulate`). A front's bytes are those of its datagrams as they would be
 sealed. The same seed gives the same figures.
@@ -20,17 +19,17 @@
 from limepath.report_table import Row, at_most, seconds
 
 DETECTED = 6 * SECOND  # until a front that is killed or stopped is in no live view
-COLD = 20 * SECOND  # for a fleet that starts with nothing to be whole
+COLD = 20 * SECOND  # for a fleet that starts with nothing to have the list
 SETTLE = 10 * SECOND  # of events, before anything is measured
 FAULTS = ("inner-killed", "inner-stopped", "root-killed", "inner-slow", "region-cut", "site-killed")
 BROKEN = ("fan-out", "window")
 
 
 class Measured(NamedTuple):
-    """What one run gives."""
+    """What one run gives: the rows of its table, what happened when, and the world as it ended."""
 
-    rows: list
-    log: list
+    rows: list[Row]
+    log: list[str]
     world: World
 
 
