--- a/limepath/discovery/bounds.py
+++ b/limepath/discovery/bounds.py
@@ -119,7 +119,7 @@
     """
 
     hops: int
-    event: int  # until an event is at every front, nothing failing; each lost datagram in a row adds one interval
+    event: int  # until an event is at every front; each lost datagram in a row adds an interval
     inner_lost: int  # the same where a front with children is killed, stopped or slow in that moment
     root_lost: int  # the same where a root is
     known_late: int  # until a front knows that its list is late
--- a/limepath/discovery/simulate_tree.py
+++ b/limepath/discovery/simulate_tree.py
@@ -1,9 +1,9 @@
 """Events to a fleet in trees, in virtual time: how late they are and what each front sends, under faults.
 
-The discovery logic is that of the real program. Who lives is not: all fronts see the same live view, from which
-one that is killed or stopped goes DETECTED later, so that hundreds of fronts take seconds (the membership has
-a run of its own, `limepath duties simulate`). A front's bytes are those of its datagrams as they would be
-sealed. The same seed gives the same figures.
+The discovery logic is that of the real program. Who lives is not: all fronts see the same live view, from
+which one that is killed or stopped goes DETECTED later, so that hundreds of fronts take seconds (the
+membership has a run of its own, `limepath duties simulate`). A front's bytes are those of its datagrams as
+they would be sealed. The same seed gives the same figures.
 """
 
 from __future__ import annotations
