--- a/limepath/cli/coldstart.py
+++ b/limepath/cli/coldstart.py
@@ -63,7 +63,7 @@
         return
     chosen = () if kinds == "none" else chosen_kinds(kinds, known, "--faults")
     found = drilled(fronts, seed, chosen, alone, down, keep=folder, sites=sites)
-    conclude(found.rows, as_json, found.said, seed=seed, alone=alone)
+    conclude(found.rows, as_json, found.log, seed=seed, alone=alone)
 
 
 @command.command("simulate")
@@ -97,7 +97,7 @@
         return
     chosen = () if kinds == "none" or alone else chosen_kinds(kinds, KINDS, "--faults")
     found = simulated(fronts, zones, seed, down, loss, alone, chosen, saved=saved)
-    conclude(found.rows, as_json, found.said, seed=seed, alone=alone, loss=loss)
+    conclude(found.rows, as_json, found.log, seed=seed, alone=alone, loss=loss)
 
 
 @command.command("tree")
@@ -135,7 +135,8 @@
 
     The table has what the busiest front sends, and how late an event is.
     """
-    from limepath.discovery.simulate_tree import FAULTS, Plan, run_tree
+    from limepath.discovery.simulate_tree import FAULTS, run_tree
+    from limepath.discovery.tree_world import Plan
 
     if kinds == "help":
         click.echo(", ".join(FAULTS))
@@ -143,7 +144,7 @@
     chosen = () if kinds == "none" else chosen_kinds(kinds, FAULTS, "--faults")
     plan = Plan(fronts, regions, zones, sites, purges, span, loss, tuple(chosen), cut, broken or "")
     found = run_tree(plan, seed)
-    conclude(found.rows, as_json, found.said, seed=seed, loss=loss)
+    conclude(found.rows, as_json, found.log, seed=seed, loss=loss)
 
 
 @command.command("measure")
@@ -159,4 +160,6 @@
     """
     from limepath.discovery.measure import measured
 
-    click.echo(measured(out, integers(sizes), integers(fronts), say=lambda line: click.echo(line, err=True)))
+    click.echo(
+        measured(out, integers(sizes), integers(fronts), report=lambda line: click.echo(line, err=True))
+    )
--- a/limepath/cli/discovery.py
+++ b/limepath/cli/discovery.py
@@ -47,7 +47,7 @@
     labels = {
         "event": "an event at every front, s",
         "repaired": "the same, its push lost, s",
-        "relays_gone": "the same, all relays of a zone gone in that moment, s",
+        "relays_lost": "the same, all relays of a zone gone in that moment, s",
         "stream_still": "the same, their streams standing still, s",
         "restored": "the same, the service going back to an older state, s",
         "alone": "the same, at a front that hears of nobody, s",
@@ -75,9 +75,9 @@
         CheckResult("fronts that one sends events to, at the most", computed.children),
         CheckResult(
             "an event at every front, a front with children gone in that moment, s",
-            seconds(computed.inner_gone),
+            seconds(computed.inner_lost),
         ),
-        CheckResult("bytes a second sent by any front, whatever others lack", computed.most_bytes),
+        CheckResult("bytes a second sent by any front, whatever others lack", computed.max_bytes),
     ]
 
 
--- a/limepath/discovery/pages.py
+++ b/limepath/discovery/pages.py
@@ -1,15 +1,15 @@
-"""A whole list in pages with digests, so that a front far behind is told only what differs of it.
+"""A list in pages with digests, so that a front far behind is sent only the pages that differ.
 
 A list's members are spread over pages by a hash of their names, its purges by their numbers. The index holds
 a digest of each page; whoever wants the list compares it with its own and asks for the pages that differ. A
-page is taken only if it has the digest that the index told. `page_bytes` turns pages and index to bytes,
-`catch_up` carries them in datagrams.
+page is taken only if it has the digest that stands in the index. `page_coding` turns pages and index to
+bytes, `paged_snapshot` carries them in datagrams.
 
 A page's digest is the XOR of those of its members, so that the XOR of all member pages is the list's own
-(`state.List.digest`). At 1,400 members and 36 purges a second a page fits one or two datagrams, and the index
-two.
+(`EndpointList.digest`). At 1,400 members and 36 purges a second a page fits one or two datagrams, and the
+index two.
 
-Nothing changes the list that one has: `apply` makes another. Free of I/O.
+Nothing changes the list that one has: `apply_pages` makes another. Free of I/O.
 """
 
 from collections.abc import Mapping
@@ -18,30 +18,31 @@
 from operator import xor
 from typing import NamedTuple
 
-from limepath.discovery.coding import TEXT_KINDS, decode
-from limepath.discovery.events import summary
-from limepath.discovery.integers import Damaged
+from limepath.discovery.event_checks import json_digest
+from limepath.discovery.event_coding import TEXT_KINDS, decode_event
 from limepath.discovery.interface import Revision
-from limepath.discovery.window import KeptPurge
+from limepath.discovery.recent_purges import AgedPurge
+from limepath.discovery.varint import DamagedError
 
-MEMBERS_A_PAGE = 32  # in the mean
-PURGE_NUMBERS = 128  # numbers of events that share a page of purges, at the least
-PURGE_PAGES = 128  # at the most; numbers that reach further share pages of twice as many, and so on
+MEMBERS_PER_PAGE = 32  # in the mean
+MIN_PAGE_WIDTH = 128  # numbers of events that share a page of purges, at the least
+MAX_PURGE_PAGES = 128  # at the most; numbers that reach further share pages of twice as many, and so on
 DIGEST_BYTES = 8
 
 
-class Contents(NamedTuple):
-    """A list as it stood, `members` by id. Nobody changes one: the members are a copy of the list's."""
+class ListContents(NamedTuple):
+    """A list as it stood, `members` by id, `fleet_revision` the service's own. It is never changed."""
 
-    place: Revision
-    revision: int
+    revision: Revision
+    fleet_revision: int
     members: Mapping[str, dict]
-    purges: tuple[KeptPurge, ...]
+    purges: tuple[AgedPurge, ...]
 
 
-class Layout(NamedTuple):
-    """How a list is spread over pages: those of members first, then those of purges. A page of purges has
-    `width` numbers, the first of them the numbers from `first * width` on.
+class PageLayout(NamedTuple):
+    """How a list is spread over pages: those of members first, then those of purges.
+
+    A page of purges has `width` numbers, the first of them the numbers from `first * width` on.
     """
 
     member_pages: int
@@ -51,9 +52,11 @@
 
     @property
     def pages(self) -> int:
+        """How many pages there are."""
         return self.member_pages + self.purge_pages
 
     def page_of_member(self, name: str) -> int:
+        """The page of a member, by a hash of its id."""
         hashed = blake2b(name.encode(errors="surrogatepass"), digest_size=DIGEST_BYTES).digest()
         return int.from_bytes(hashed) % self.member_pages
 
@@ -63,12 +66,12 @@
         return self.member_pages + at if 0 <= at < self.purge_pages else None
 
 
-class Digests(NamedTuple):
-    """The digests of all pages of a list that stands at `place`."""
+class ListDigests(NamedTuple):
+    """The digests of all pages of a list that stands at `revision`."""
 
-    place: Revision
-    revision: int
-    layout: Layout
+    revision: Revision
+    fleet_revision: int
+    layout: PageLayout
     pages: tuple[int, ...]
 
 
@@ -76,81 +79,89 @@
     """What is on one page, both in order."""
 
     members: tuple[dict, ...]
-    purges: tuple[KeptPurge, ...]
+    purges: tuple[AgedPurge, ...]
 
 
-def layout_of(contents: Contents) -> Layout:
+def choose_layout(contents: ListContents) -> PageLayout:
     """How to spread this list."""
-    member_pages = max(1, -(-len(contents.members) // MEMBERS_A_PAGE))
-    numbers = [number_of(kept) for kept in contents.purges]
+    member_pages = max(1, -(-len(contents.members) // MEMBERS_PER_PAGE))
+    numbers = [purge_number(purge) for purge in contents.purges]
     if not numbers:
-        return Layout(member_pages, PURGE_NUMBERS, 0, 0)
-    least, most, width = min(numbers), max(numbers), PURGE_NUMBERS
-    while most // width - least // width >= PURGE_PAGES:
+        return PageLayout(member_pages, MIN_PAGE_WIDTH, 0, 0)
+    least, most, width = min(numbers), max(numbers), MIN_PAGE_WIDTH
+    while most // width - least // width >= MAX_PURGE_PAGES:
         width *= 2
-    return Layout(member_pages, width, least // width, most // width - least // width + 1)
+    return PageLayout(member_pages, width, least // width, most // width - least // width + 1)
 
 
-def spread(contents: Contents, layout: Layout) -> list[PageContents]:
+def spread_over_pages(contents: ListContents, layout: PageLayout) -> list[PageContents]:
     """What of a list is on each page of a layout; purges that have no page there are left out."""
-    members = [[] for _ in range(layout.pages)]
-    purges = [[] for _ in range(layout.pages)]
+    members: list[list[dict]] = [[] for _ in range(layout.pages)]
+    purges: list[list[AgedPurge]] = [[] for _ in range(layout.pages)]
     for name, member in contents.members.items():
         members[layout.page_of_member(name)].append(member)
-    for kept in contents.purges:
-        page = layout.page_of_purge(number_of(kept))
+    for purge in contents.purges:
+        page = layout.page_of_purge(purge_number(purge))
         if page is not None:
-            purges[page].append(kept)
+            purges[page].append(purge)
     return [
-        PageContents(tuple(sorted(some, key=name_of)), tuple(sorted(others, key=number_of)))
-        for some, others in zip(members, purges, strict=True)
+        PageContents(tuple(sorted(page_members, key=member_id)), tuple(sorted(page_purges, key=purge_number)))
+        for page_members, page_purges in zip(members, purges, strict=True)
     ]
 
 
-def digest_of(page: PageContents) -> int:
+def page_digest(page: PageContents) -> int:
     """64 bits of a page; ages do not count, for each front has its own."""
-    parts = [summary(member) for member in page.members] + [purge_digest(kept) for kept in page.purges]
+    parts = [json_digest(member) for member in page.members] + [purge_digest(purge) for purge in page.purges]
     return reduce(xor, parts, 0)
 
 
-def digests(contents: Contents) -> Digests:
+def list_digests(contents: ListContents) -> ListDigests:
     """The digests of all pages, in a layout for this list."""
-    layout = layout_of(contents)
-    return Digests(contents.place, contents.revision, layout, tuple(map(digest_of, spread(contents, layout))))
+    layout = choose_layout(contents)
+    return ListDigests(
+        contents.revision,
+        contents.fleet_revision,
+        layout,
+        tuple(map(page_digest, spread_over_pages(contents, layout))),
+    )
+
 
+def differing_pages(own: ListContents, other: ListDigests) -> tuple[int, ...]:
+    """The pages that are to be asked for, so that `own` becomes the list of the digests `other`."""
+    here = spread_over_pages(own, other.layout)
+    return tuple(at for at, page in enumerate(here) if page_digest(page) != other.pages[at])
 
-def differing(mine: Contents, theirs: Digests) -> tuple[int, ...]:
-    """The pages that are to be asked for, so that `mine` becomes the list that `theirs` tells."""
-    here = spread(mine, theirs.layout)
-    return tuple(at for at, page in enumerate(here) if digest_of(page) != theirs.pages[at])
 
+def apply_pages(own: ListContents, other: ListDigests, pages: Mapping[int, PageContents]) -> ListContents:
+    """The list of the digests `other`: its pages where they are given, all others from `own`.
 
-def apply(mine: Contents, theirs: Digests, pages: Mapping[int, PageContents]) -> Contents:
-    """The list that `theirs` tells: its pages where they are given, all others from `mine`. Raise Damaged
-    where the outcome is not that list.
+    Raise DamagedError where the outcome is not that list.
     """
-    whole = [pages.get(at, page) for at, page in enumerate(spread(mine, theirs.layout))]
-    for at, page in enumerate(whole):
-        if digest_of(page) != theirs.pages[at]:
-            raise Damaged(f"page {at} is not the one that was told")
-    members = {member["id"]: member for page in whole for member in page.members}
-    purges = tuple(kept for page in whole for kept in page.purges)
-    return Contents(theirs.place, theirs.revision, members, purges)
+    combined = [pages.get(at, page) for at, page in enumerate(spread_over_pages(own, other.layout))]
+    for at, page in enumerate(combined):
+        if page_digest(page) != other.pages[at]:
+            raise DamagedError(f"page {at} is not the one that was told")
+    members = {member["id"]: member for page in combined for member in page.members}
+    purges = tuple(purge for page in combined for purge in page.purges)
+    return ListContents(other.revision, other.fleet_revision, members, purges)
 
 
 # Parts
 
 
-def name_of(member: dict) -> str:
+def member_id(member: dict) -> str:
+    """The name by which members are ordered."""
     return member["id"]
 
 
-def number_of(kept: KeptPurge) -> int:
-    return kept.number
+def purge_number(purge: AgedPurge) -> int:
+    """The number of its event, by which purges are ordered."""
+    return purge.number
 
 
-def purge_digest(kept: KeptPurge) -> int:
+def purge_digest(purge: AgedPurge) -> int:
     """64 bits of a purge; of one that went as text those of its event, since zlib's bytes may differ."""
-    if kept.encoded[0] in TEXT_KINDS:
-        return summary(decode(kept.encoded).told)
-    return int.from_bytes(blake2b(kept.encoded, digest_size=DIGEST_BYTES).digest())
+    if purge.encoded[0] in TEXT_KINDS:
+        return json_digest(decode_event(purge.encoded).body)
+    return int.from_bytes(blake2b(purge.encoded, digest_size=DIGEST_BYTES).digest())
--- a/limepath/front/front_process.py
+++ b/limepath/front/front_process.py
@@ -108,9 +108,9 @@
             return EndpointWatch(
                 reactor, self.decision_loop, self.servers, limits, self.log, settings.settings, settings.seed
             )
-        from limepath.discovery.host import guided
+        from limepath.discovery.host import create_change_log
 
-        watch = guided(
+        watch = create_change_log(
             reactor,
             self.decision_loop,
             self.servers,
--- a/limepath/scale/bounds.py
+++ b/limepath/scale/bounds.py
@@ -97,8 +97,8 @@
     if phase == Kind.LOSS:
         return (tree or told).event + lost_in_a_row(pieces, LOSS) * peers.listing.beat
     if tree:
-        return max(tree.inner_gone, tree.root_gone)
-    return told.relays_gone
+        return max(tree.inner_lost, tree.root_lost)
+    return told.relays_lost
 
 
 def lost_in_a_row(pieces, loss):
@@ -111,7 +111,7 @@
     if tree is None:
         bound = told.ready
     elif fault.kind == Kind.CUT:
-        bound = tree.whole_again(shape.rate, fault.until - fault.at)
+        bound = tree.recovery_time(shape.rate, fault.until - fault.at)
     else:
-        bound = max(tree.rejoined, tree.whole_again(shape.rate, fault.until - fault.at))
+        bound = max(tree.rejoined, tree.recovery_time(shape.rate, fault.until - fault.at))
     return bound + SLACK + SAMPLE
--- a/limepath/scale/hollow.py
+++ b/limepath/scale/hollow.py
@@ -11,7 +11,7 @@
 
 from limepath.configuration import peers_file, platform
 from limepath.configuration.ini import SettingError
-from limepath.discovery.host import guided
+from limepath.discovery.host import create_change_log
 from limepath.discovery.interface import Events
 from limepath.duties.host import Cooperation, clock
 from limepath.interface.commands import ReportRequestCounts
@@ -50,7 +50,7 @@
             self.cooperation = Cooperation(self.reactor, self.turn, self.caches, log, shared, opening)
         except (SettingError, platform.ConfigurationError, StartError) as flaw:
             raise NotDone(f"{config.name}: {flaw}") from None
-        self.changes = guided(
+        self.changes = create_change_log(
             self.reactor,
             self.turn,
             self.caches,
@@ -73,7 +73,11 @@
     def charge(self):
         """Charge calls from one host into another; timers and sockets are charged by the reactor."""
         account, cooperation, changes = self.account, self.cooperation, self.changes
-        members, tallies, carriers = cooperation.instance.members, changes.tallies, self.turn.command_handlers
+        members, tallies, carriers = (
+            cooperation.instance.members,
+            changes.request_counts,
+            self.turn.command_handlers,
+        )
         members.handle = account.charged(members.handle, Subsystem.MEMBERSHIP)
         self.turn.listener = account.charged(self.turn.listener, Subsystem.DUTIES)
         tallies.heard = account.charged(tallies.heard, Subsystem.COUNTS)
@@ -86,10 +90,10 @@
         """Count datagrams and events where they pass the front's socket and its list."""
         line, changes = self.cooperation.line, self.changes
         self.receive, self.open_datagram, self.seal = line.datagramReceived, line.guard.open, line.guard.seal
-        self.send_order, self.take_event, self.hear = line.send, changes.give, changes.heard
+        self.send_order, self.take_event, self.hear = line.send, changes.apply_list_event, changes.heard
         line.datagramReceived, line.guard.open = self.datagram_came, self.opened
         line.guard.seal, line.send = self.sealed, self.sent
-        changes.give, changes.heard = self.event_taken, self.heard
+        changes.apply_list_event, changes.heard = self.event_taken, self.heard
 
     # Datagrams
 
@@ -128,8 +132,8 @@
 
     def event_taken(self, order):
         logic = self.changes.logic
-        place = getattr(logic, "held", logic).list.place
-        self.arrivals.taken(place.generation, order.told["seq"], clock())
+        revision = logic.replica.list.revision
+        self.arrivals.taken(revision.generation, order.event["seq"], clock())
         self.take_event(order)
 
     def count_doubled(self):
@@ -165,7 +169,14 @@
         self.reactor.kill()
         self.cooperation.store.close()
         instance, changes = self.cooperation.instance, self.changes
-        parts = (self.caches, self.turn, changes.logic, changes.tallies, changes, instance.shared_results)
+        parts = (
+            self.caches,
+            self.turn,
+            changes.logic,
+            changes.request_counts,
+            changes,
+            instance.shared_results,
+        )
         parts += (instance.members.timers, instance.members, instance)
         parts += (self.cooperation.line, self.cooperation, self)
         for part in parts:  # they hold each other: freed now, without a walk over all fronts of the process
@@ -173,7 +184,7 @@
 
     def describe(self, report):
         """Fill in how this front stands."""
-        members, told = self.cooperation.instance.members, self.changes.shown()
+        members, told = self.cooperation.instance.members, self.changes.describe()
         live = sorted([members.me.token, *members.ring])
         report.live, report.view = len(live), digest_of(live)
         report.late, report.age_us = told["late"], told["confirmed_us_ago"]
--- a/limepath/scale/roles_relay.py
+++ b/limepath/scale/roles_relay.py
@@ -16,7 +16,7 @@
 
 from limepath.configuration.sharing_settings import DiscoverySettings, MembershipTimeouts
 from limepath.discovery.interface import MESSAGES as LIST_MESSAGES
-from limepath.discovery.simulate import World
+from limepath.discovery.star_world import World
 from limepath.duties.interface import MESSAGES as DUTY_MESSAGES
 from limepath.membership.guard import Guard, Key
 from limepath.membership.interface import MESSAGES
@@ -121,7 +121,7 @@
     zone.run(since + SPAN)
     traffic, zone.traffic = zone.traffic, Traffic()
     zone.run(zone.now + ARRIVE)
-    told = {number for (_, number), at in zone.service.told_at.items() if since <= at < since + SPAN}
+    told = {number for (_, number), at in zone.service.added_at.items() if since <= at < since + SPAN}
     late = sorted(late for late, number, _ in zone.lates if number in told)
     return Played(fronts, traffic, late, fronts * len(told) - len(late))
 
@@ -154,15 +154,15 @@
 
 def window():
     """Events that a front keeps for those behind, and how: a count, or a span in seconds."""
-    from limepath.discovery import relay, state
+    from limepath.discovery import endpoint_list, engine
 
     if span := getattr(DiscoverySettings(), "window", None):
         yield Fact("window", "span of events kept for those behind", "s", span / 1e6)
-    elif kept := getattr(relay, "KEPT", None):
+    elif kept := getattr(engine, "KEPT", None):
         yield Fact("events kept", "events kept for those behind", "events", kept)
-    if kept := getattr(state, "KEPT_PURGES", None):
+    if kept := getattr(endpoint_list, "KEPT_PURGES", None):
         yield Fact("purges kept", "purges kept in the list", "purges", kept)
-    elif span := getattr(state, "PURGES_KEPT", None):
+    elif span := getattr(endpoint_list, "PURGE_RETENTION_US", None):
         yield Fact("purge span", "span of purges kept in the list", "s", span / 1e6)
 
 
--- a/limepath/testbed/coldstart.py
+++ b/limepath/testbed/coldstart.py
@@ -24,8 +24,8 @@
 from limepath.configuration.sharing_settings import DiscoverySettings
 from limepath.connection_pacing.connections import most_expected
 from limepath.discovery.bounds import bounds, tree_bounds
+from limepath.discovery.endpoint_list import EndpointList
 from limepath.discovery.simulate import most_in
-from limepath.discovery.state import List
 from limepath.membership.control import NoAnswerError, ask
 from limepath.report_table import CheckResult, at_most, seconds
 from limepath.testbed.duties import SETTINGS
@@ -343,9 +343,9 @@
 
     def all_know(self):
         """Whether every living front holds the service's list, and knows it."""
-        held = List()
+        held = EndpointList()
         for text in self.service.events:
-            held.take(json.loads(text))
+            held.apply(json.loads(text))
         for node in self.nodes:
             if not node.running() or node.stopped:
                 continue
@@ -353,7 +353,7 @@
             if (
                 not told
                 or told["confirmed_us_ago"] is None
-                or (told["number"], told["digest"]) != (held.place.number, f"{held.digest:016x}")
+                or (told["number"], told["digest"]) != (held.revision.number, f"{held.digest:016x}")
             ):
                 return False
         return True
@@ -380,7 +380,7 @@
         service, bound, zone = self.service, self.bound(), self.chance.choice(ZONES)
         relays = self.relays(zone) or [node for node in self.nodes if node.zone == zone][:1]
         one, everyone = relays[0], frozenset(range(self.count))
-        since, limit, ends = self.now(), bound.relays_gone, []
+        since, limit, ends = self.now(), bound.relays_lost, []
         name = f"{kind} at {since / 1e6:.1f}"
         if kind in ("relays-killed", "half-killed", "stores-cut"):
             gone = relays if kind == "relays-killed" else self.chance.sample(self.nodes, self.count // 2)
@@ -418,7 +418,7 @@
         elif kind in TREE_KINDS:
             one = self.busiest_inner()
             relays = [one]
-            limit = tree_bounds(self.terms, self.count, len(ZONES), self.sites).inner_gone
+            limit = tree_bounds(self.terms, self.count, len(ZONES), self.sites).inner_lost
             if kind == "inner-held":
                 self.upon.begin(Way(name, Kind.HOLD, frozenset((one.who,)), everyone - {one.who}))
                 ends.append(lambda: self.ways.end(name))
@@ -514,7 +514,7 @@
         for at, _ in cache.forwards
         if at > drill.drained[name][0]
     ]
-    drains = max(bound.relays_gone, 4 * SECOND + bound.stream_still) + SLACK
+    drains = max(bound.relays_lost, 4 * SECOND + bound.stream_still) + SLACK
     well = drill.wave.get(200, 0) / max(1, sum(drill.wave.values()))
     connected = max(
         most_in(sorted(int(at * 1e6) for at in cache.connected), SECOND // 10) for cache in caches
--- a/tests/test_connection_pacing.py
+++ b/tests/test_connection_pacing.py
@@ -18,8 +18,8 @@
     ConnectionAvailabilityChanged,
     RequestArrived,
 )
+from tests.discovery_harness import PEERS
 from tests.fake_host import PARENT, SECOND, FakeHost
-from tests.test_listing import PEERS
 
 
 @settings(max_examples=40, deadline=None, derandomize=True)
