--- a/tests/stand_ins.py
+++ b/tests/stand_ins.py
@@ -18,6 +18,8 @@
 BOUND = 60  # seconds that anything may take before a story has failed
 MS = 1_000_000
 LISTEN = "0A"  # tcp_states.h, as /proc/net/tcp shows it
+# The program itself writes the counts of injected faults; on a disk, a slow write would stop the program.
+MEMORY_FOLDER = "/dev/shm" if os.path.isdir("/dev/shm") else None
 SETTINGS = {
     "az": 0,
     "replicas-of-me": 1,
@@ -349,7 +351,7 @@
     many descriptors, where that is told.
     """
     limited = ["sh", "-c", f'ulimit -Sn {descriptors}; exec "$@"', "sh"] if descriptors else []
-    file = tempfile.NamedTemporaryFile("w", suffix=".json")
+    file = tempfile.NamedTemporaryFile("w", suffix=".json", dir=MEMORY_FOLDER)
     file.write(told if isinstance(told, str) else json.dumps(told))
     file.flush()
     process = subprocess.Popen(
@@ -374,7 +376,8 @@
             ("-m", "limepath"),
         )
         if faults is not None:
-            self.control = os.path.join(tempfile.mkdtemp(), "faults.json")
+            self.folder = tempfile.TemporaryDirectory(dir=MEMORY_FOLDER)
+            self.control = os.path.join(self.folder.name, "faults.json")
             self.program = ("-m", "tests.faulty_system", self.control)
         self.caches = [StandInCache(name, "box", "sur", tls) for name in caches]
         self.cache = self.caches[0]
@@ -452,5 +455,8 @@
         self.process.kill()
         self.process.wait()
         self.process.stderr.close()
+        self.process.file.close()
+        if self.faults is not None:
+            self.folder.cleanup()
         for member in (*self.members, self.log):
             member.listener.close()
