--- a/limepath/membership/failure_detector.py
+++ b/limepath/membership/failure_detector.py
@@ -1,9 +1,10 @@
 """Failure detection by protocol periods of direct and indirect pings (SWIM, sections 3 and 4.3).
 
-Each period an instance pings its ring successor and one more member, alternately the successor's successor
-and the next of a shuffled round. Without an ack within the direct timeout other members are asked to ping it;
-without one by the end of the period it is suspected. Acks that an instance misses itself stretch its own
-timeouts (Lifeguard's local health multiplier: Dadgar, Phillips, Currey 2018).
+In each protocol period an instance pings its ring successor and one more member: alternately the second ring
+successor and the next member of a shuffled round-robin order. If no ack arrives within the direct timeout,
+the instance requests indirect pings from other members. If no ack arrives by the end of the period, the
+member is suspected. Each missed ack lengthens the timeouts of the instance that missed it, because that
+instance may be the slow one (Lifeguard's local health multiplier: Dadgar, Phillips, Currey 2018).
 """
 
 from __future__ import annotations
@@ -19,8 +20,8 @@
     from limepath.membership.members import Members
 
 
-class SequenceWithoutOne(Sequence[int]):
-    """A sequence without the item at one index; nothing is copied."""
+class SequenceWithoutIndex(Sequence[int]):
+    """A view of a sequence that leaves out the item at one index, without copying the sequence."""
 
     def __init__(self, items: Sequence[int], omitted: int) -> None:
         self.items = items
@@ -36,14 +37,14 @@
 
 
 class RelayedPing(NamedTuple):
-    """A ping sent in another member's stead: who asked, and its sequence number of the probe."""
+    """The origin of a ping sent on behalf of another member: the requester and its own sequence number."""
 
     requester: MemberRecord
     sequence: int
 
 
 class FailureDetector:
-    """Probes members, and answers probes. Members that fail a probe go to `members.suspicions`."""
+    """Probes members and acknowledges pings. Passes members that fail a probe to `members.suspicions`."""
 
     def __init__(self, members: Members) -> None:
         self.members = members
@@ -51,25 +52,25 @@
         self.timers = members.timers
         self.timeouts = members.timeouts
         self.sequence = 0
-        """Number of the last ping."""
+        """Sequence number of the last ping that was sent."""
         self.pending: dict[int, MemberRecord] = {}
-        """Members whose ack is awaited, as known when pinged, by the ping's sequence number."""
+        """Pinged members that have not acknowledged, by sequence number; the records date from the ping."""
         self.relayed: dict[int, RelayedPing] = {}
-        """Pings sent in others' stead, by this instance's own sequence number."""
+        """Pings sent on behalf of other members, by this instance's own sequence number."""
         self.round: list[int] = []
-        """Members still to be probed in the shuffled round, the next one last."""
+        """Tokens of the members not yet probed in the current round-robin round; the next one is last."""
         self.health_score = 0
-        """Local health of Lifeguard: 0 is healthy, each sign of own delay adds one."""
+        """Local health score of Lifeguard: 0 is healthy, each sign of local delay adds 1."""
 
     def run_period(self, period: int) -> None:
-        """Probe the members due in a period, given its number."""
+        """Probe the members that are due in the period with this number."""
         for token in self._due_members(period):
             self._probe(self.view.table[token])
 
     def probe_before_declaring(
         self, suspect: MemberRecord, declare: Callable[..., None], *arguments: Any
     ) -> None:
-        """Ping a suspect once more; a period later `declare(*arguments)` is called in any case.
+        """Ping a suspect once more, and call `declare(*arguments)` one period later, with or without an ack.
 
         The ping carries the suspicion, so that the suspect can refute it.
         """
@@ -80,41 +81,44 @@
         )
 
     def raise_health_score(self) -> None:
-        """Count one more sign that it is this instance that is slow."""
+        """Raise the health score by 1, up to its maximum: this instance may be the slow one."""
         self.health_score = min(MAX_HEALTH_SCORE, self.health_score + 1)
 
     def handle_ping(self, sender: MemberRecord, message: Ping) -> None:
-        """Answer a probe."""
+        """Merge the records of a Ping, send an Ack, and compare digests."""
         members = self.members
         members.updates.apply_all(message.records)
         members.send(sender, Ack(message.seq, members.records_for(sender.token), members.digest_to_send()))
         members.anti_entropy.compare_digest(sender, message.digest)
 
     def handle_ack(self, sender: MemberRecord, message: Ack) -> None:
-        """End a probe of this instance; pass on the ack of one made in another's stead."""
+        """End the probe that an Ack belongs to; forward the Ack of a ping sent for another member."""
         self.members.updates.apply_all(message.records)
         probed = self.pending.pop(message.seq, None)
         if probed is None:
-            self._pass_on_ack(sender, message)
+            self._forward_ack(sender, message)
         elif probed.token == sender.token:
             self.health_score = max(0, self.health_score - 1)
         self.members.anti_entropy.compare_digest(sender, message.digest)
 
     def handle_indirect_ping(self, sender: MemberRecord, message: IndirectPing) -> None:
-        """Ping a member in the sender's stead; its ack is passed on if it comes."""
+        """Ping a member on behalf of the sender; a later Ack of the member is forwarded to the sender."""
         self.members.updates.apply_all(message.records)
         target = self.view.table.get(message.about.token, message.about)
         if target.token == self.view.me.token:
             return
         self.sequence += 1
         self.relayed[self.sequence] = RelayedPing(sender, message.seq)
-        # the requester, however slow, has given up by then
+        # The longest timeout of any requester: its probe has ended by then.
         expiry = self.timers.now + self.timeouts.period * (1 + MAX_HEALTH_SCORE)
         self.timers.schedule(expiry, self.relayed.pop, self.sequence, None)
         self.members.ping(target, self.sequence)
 
     def _due_members(self, period: int) -> Iterable[int]:
-        """Return the ring successor, and in turn the one after it or the next of the shuffled round."""
+        """Return the tokens of the ring successor and of one more member.
+
+        The second member is the next of the shuffled round in odd periods, the second successor in even ones.
+        """
         ring = self.view.ring
         if not ring:
             return ()
@@ -124,7 +128,7 @@
         return dict.fromkeys((first, second))
 
     def _next_of_round(self) -> int:
-        """Return the next live member of the shuffled round; a new round begins when one is over."""
+        """Return the next live member of the shuffled round, after starting a new round if it is empty."""
         while self.round and not self.view.is_live(self.round[-1]):
             self.round.pop()
         if not self.round:
@@ -132,12 +136,12 @@
         return self.round.pop()
 
     def _probe(self, target: MemberRecord) -> None:
-        """Ping a member; without an ack others are asked, then it is suspected."""
-        stretch = 1 + self.health_score
+        """Ping a member, and schedule the indirect pings and the end of the probe."""
+        multiplier = 1 + self.health_score
         sequence = self._ping(target)
         now = self.timers.now
-        self.timers.schedule(now + self.timeouts.direct * stretch, self._request_indirect_pings, sequence)
-        self.timers.schedule(now + self.timeouts.period * stretch, self._end_probe, sequence)
+        self.timers.schedule(now + self.timeouts.direct * multiplier, self._request_indirect_pings, sequence)
+        self.timers.schedule(now + self.timeouts.period * multiplier, self._end_probe, sequence)
 
     def _ping(self, target: MemberRecord) -> int:
         self.sequence += 1
@@ -146,18 +150,18 @@
         return self.sequence
 
     def _request_indirect_pings(self, sequence: int) -> None:
-        """Without an ack so far, ask others: only the path between the two may be broken."""
+        """Request indirect pings if no ack has arrived, because only the direct path may be broken."""
         target = self.pending.get(sequence)
         if target is None or not self.view.is_live(target.token):
             return
         ring = self.view.ring
-        others = SequenceWithoutOne(ring, bisect_left(ring, target.token))
+        others = SequenceWithoutIndex(ring, bisect_left(ring, target.token))
         for token in self.timers.sample(others, min(self.timeouts.indirect, len(others))):
             request = IndirectPing(sequence, target, self.members.records_for(token))
             self.members.send(self.view.table[token], request)
 
     def _end_probe(self, sequence: int) -> None:
-        """Without an ack until now, suspect the member, unless it went on to a newer incarnation."""
+        """Suspect the member if no ack has arrived, unless it has a newer incarnation by now."""
         target = self.pending.pop(sequence, None)
         if target is None:
             return
@@ -175,7 +179,7 @@
         self.pending.pop(sequence, None)
         declare(*arguments)
 
-    def _pass_on_ack(self, sender: MemberRecord, message: Ack) -> None:
+    def _forward_ack(self, sender: MemberRecord, message: Ack) -> None:
         relayed = self.relayed.pop(message.seq, None)
         if relayed is None:
             return
--- a/limepath/membership/suspicion.py
+++ b/limepath/membership/suspicion.py
@@ -1,9 +1,10 @@
 """Suspicion of a member before it is declared dead (SWIM, section 4.2).
 
-The suspicion timeout shrinks as more members confirm it (Lifeguard: Dadgar, Phillips, Currey 2018). When it
-is over without a refutation, the suspect is pinged once more, with the suspicion on the ping, and then
-declared dead: first by the members whose own probes it failed; all others leave these the time for that.
-So after a partition many suspects can refute at once without having to overtake old suspicions in gossip.
+The suspicion timeout shrinks as more members confirm the suspicion (Lifeguard: Dadgar, Phillips, Currey
+2018). If it expires without a refutation, the suspect is pinged once more, with the suspicion on the ping,
+and then declared dead. Members whose own probes failed declare first; all others wait long enough for that.
+After a partition, many suspects can therefore refute at once, and their refutations need not overtake old
+suspicions in gossip.
 """
 
 from __future__ import annotations
@@ -21,7 +22,7 @@
 if TYPE_CHECKING:
     from limepath.membership.members import Members
 
-MAX_CONFIRMATIONS = 3  # independent confirmations at which the suspicion timeout is at its minimum
+MAX_CONFIRMATIONS = 3  # independent confirmations that lower the suspicion timeout to its minimum
 
 
 class Suspicion:
@@ -32,9 +33,9 @@
     def __init__(self, incarnation: int, since: int, reporter: int) -> None:
         self.incarnation = incarnation
         self.since = since
-        """When this instance first knew of it, in microseconds."""
+        """When this instance opened the suspicion, in microseconds."""
         self.reporters = {reporter}
-        """Tokens of the members that suspect it."""
+        """Tokens of the members that suspect the member."""
         self.is_last_probe_sent = False
 
 
@@ -47,10 +48,10 @@
         self.timers = members.timers
         self.timeouts = members.timeouts
         self.open: dict[int, Suspicion] = {}
-        """By token of the suspect."""
+        """Open suspicions, by token of the suspect."""
 
     def suspect(self, record: MemberRecord, reporter: int) -> None:
-        """Open a suspicion of the record's incarnation, or let the member `reporter` confirm it."""
+        """Open a suspicion of the record's incarnation, or add the member `reporter` as a confirmation."""
         suspicion = self.open.get(record.token)
         if suspicion is None or suspicion.incarnation < record.incarnation:
             suspicion = self._open(record, reporter)
@@ -63,10 +64,10 @@
         self.timers.schedule(due, self._expire, record.token, record.incarnation, len(suspicion.reporters))
 
     def deadline(self, suspicion: Suspicion) -> int:
-        """Return when the suspect may be declared dead, in microseconds, unless it refutes before.
+        """Return when the suspect may be declared dead unless it refutes earlier, in microseconds.
 
-        The timeout falls from its maximum to its minimum with the logarithm of the confirmations (Lifeguard,
-        "Local Health Aware Suspicion").
+        The timeout falls from its maximum to its minimum with the logarithm of the number of confirmations
+        (Lifeguard, "Local Health Aware Suspicion").
         """
         others = len(self.view.ring)
         minimum = minimum_suspicion_timeout(self.timeouts, others + 1)
@@ -75,12 +76,12 @@
         maximum = MAX_SUSPICION_FACTOR * minimum
         timeout = int(max(minimum, maximum - (MAX_SUSPICION_FACTOR - 1) * minimum * confirmed))
         if self.view.me.token not in suspicion.reporters:
-            # a member that missed acks itself probes once more and declares; time for that and its gossip
+            # Members whose own probes failed probe once more and declare first: wait for that and its gossip.
             timeout += 2 * self.timeouts.period + dissemination_time(self.timeouts, others + 1)
         return suspicion.since + timeout
 
     def clear(self, token: int) -> None:
-        """End the suspicion of a member: it is known to be alive, dead or gone."""
+        """End the suspicion of a member that is known to be alive or dead or to have left."""
         self.open.pop(token, None)
 
     def _open(self, record: MemberRecord, reporter: int) -> Suspicion:
@@ -92,13 +93,16 @@
         return suspicion
 
     def _is_confirmed_by(self, suspicion: Suspicion, reporter: int) -> bool:
-        """Whether a reporter is a further one that counts; this instance always does."""
+        """Return whether a reporter adds a confirmation; beyond the maximum only this instance does."""
         if reporter in suspicion.reporters:
             return False
         return len(suspicion.reporters) <= MAX_CONFIRMATIONS or reporter == self.view.me.token
 
     def _expire(self, token: int, incarnation: int, confirmations: int) -> None:
-        """End the timeout that was set when so many members suspected; a later one has set a new timeout."""
+        """Send the last probe when the suspicion timeout expires.
+
+        Does nothing if the number of reporters has changed since, because each new one sets a new timeout.
+        """
         suspicion = self._current(token, incarnation)
         if suspicion is None or len(suspicion.reporters) != confirmations or suspicion.is_last_probe_sent:
             return
@@ -107,7 +111,7 @@
         self.members.failure_detector.probe_before_declaring(record, self._declare_dead, token, incarnation)
 
     def _declare_dead(self, token: int, incarnation: int) -> None:
-        """Declare a suspect dead whose suspicion is open still, after its last probe."""
+        """Declare a suspect dead after its last probe if the suspicion is still open."""
         suspicion = self._current(token, incarnation)
         if suspicion is None:
             return
@@ -119,7 +123,7 @@
         self.members.updates.put(record._replace(state=MemberState.DEAD, reported_by=self.view.me.token))
 
     def _current(self, token: int, incarnation: int) -> Suspicion | None:
-        """Return the suspicion of that incarnation if it is open still, or None."""
+        """Return the open suspicion of that incarnation, or None."""
         suspicion = self.open.get(token)
         if suspicion is None or suspicion.incarnation != incarnation or self.members.stopped:
             return None
--- a/tests/test_membership_failure_detector.py
+++ b/tests/test_membership_failure_detector.py
@@ -3,7 +3,7 @@
 import pytest
 
 from limepath.membership.bounds import detection_time
-from limepath.membership.failure_detector import SequenceWithoutOne
+from limepath.membership.failure_detector import SequenceWithoutIndex
 from limepath.membership.interface import Ack, IndirectPing, MemberState, Ping, SendMessage
 from tests.membership_group import FIRST_PORT, SECOND, TIMEOUTS, receive, record, started_members
 
@@ -34,8 +34,8 @@
 
 
 @pytest.mark.parametrize("omitted", range(4))
-def test_a_sequence_without_one_has_all_the_others_in_order(omitted: int) -> None:
+def test_a_sequence_without_an_index_has_all_other_items_in_order(omitted: int) -> None:
     items = [1, 2, 3, 4]
-    others = SequenceWithoutOne(items, omitted)
+    others = SequenceWithoutIndex(items, omitted)
     assert list(others) == [item for item in items if item != items[omitted]]
     assert len(others) == 3
