--- a/limepath/membership/members.py
+++ b/limepath/membership/members.py
@@ -1,16 +1,16 @@
-"""The membership logic of one instance: events in, commands out, free of I/O.
+"""The membership logic of one instance: takes events, returns commands, does no I/O.
 
-It is SWIM with suspicion (Das, Gupta, Motivala 2002) and Lifeguard's local health (Dadgar, Phillips, Currey
-2018). Here is the state that its parts share; a message is checked here and goes to the part that handles it:
+It implements SWIM with suspicion (Das, Gupta, Motivala 2002) and Lifeguard's local health (Dadgar, Phillips,
+Currey 2018). `Members` owns the state that its parts share, checks each message and dispatches it to a part:
 
-- `failure_detector` probes members, directly and through others;
-- `suspicion` leaves a member that did not answer the time to refute;
-- `record_updates` decides which record overrides which, and `member_table` holds them;
+- `failure_detector` probes members, directly and through other members;
+- `suspicion` gives a member that did not answer time to refute;
+- `record_updates` decides which record overrides which, and `member_table` stores the records;
 - `gossip` carries changed records on pings and acks;
-- `anti_entropy` makes views equal that gossip left different;
-- `join` finds members, at the start and after a partition; `leave` says that this instance goes.
+- `anti_entropy` repairs differences between views that gossip has left;
+- `join` contacts members at the start and after a partition; `leave` announces that this instance stops.
 
-docs/duties.md has the options weighed.
+docs/duties.md compares the options.
 """
 
 from collections.abc import Callable, Iterable, Sequence
@@ -45,12 +45,12 @@
 from limepath.membership.suspicion import Suspicions
 from limepath.timer_queue import TimerQueue
 
-REJOIN_PERIODS = 5  # periods between attempts to reach lost members
-NAME_IN_USE = "an older instance of this name is alive"
+REJOIN_PERIODS = 5  # protocol periods between attempts to reach lost members
+NAME_IN_USE = "an instance with the same name that started earlier is alive"
 
 
 class Members:
-    """One instance's membership, as its host and other logic use it."""
+    """The membership of one instance: the interface for its host and for other logic."""
 
     def __init__(
         self,
@@ -60,7 +60,10 @@
         seed: int,
         version: int = NEWEST_VERSION,
     ) -> None:
-        """Know only `me`, an alive record; `seeds` are addresses, `seed` is that of all random draws."""
+        """Start with the alive record `me` as the only member.
+
+        `seeds` are the addresses to join by; `seed` is the seed of the random number generator.
+        """
         self.timeouts = timeouts
         self.version = version
         """Protocol version that this instance sends."""
@@ -70,11 +73,11 @@
         self.ring = self.view.ring
         self.gossip = BroadcastQueue()
         self.periods = 0
-        """Number of the present protocol period, from 1."""
+        """Number of the current protocol period, from 1."""
         self.stopped = False
-        """Whether this instance has left or yielded its identity; it handles nothing any more."""
+        """Whether this instance has left or yielded its identity; it ignores all events from then on."""
         self.counts = {"misaddressed": 0, "former": 0, "refuted": 0, "suspected": 0, "declared": 0}
-        """Messages for and from former generations, own refutations, suspicions, members declared dead."""
+        """Messages to and from former generations, refutations, suspicions and members declared dead."""
         self.updates = RecordUpdates(self)
         self.suspicions = Suspicions(self)
         self.failure_detector = FailureDetector(self)
@@ -91,7 +94,7 @@
         }
 
     def start(self, now: int) -> list[Any]:
-        """Say Hello to seeds, and begin the protocol periods at a random time within the first."""
+        """Send Hello to seeds, and schedule the first protocol period after a random part of a period."""
         self.timers.now = now
         self.join_protocol.start()
         first = now + int(self.timers.random_fraction() * self.timeouts.period)
@@ -99,7 +102,7 @@
         return self.timers.take_commands()
 
     def handle(self, now: int, events: Iterable[MessageReceived | LeaveRequested]) -> list[Any]:
-        """Do what is due at `now`, take the events in, and return the commands."""
+        """Run the timers due at `now`, handle the events, and return the commands."""
         self.timers.run_due(now)
         for event in events:
             if isinstance(event, MessageReceived):
@@ -109,18 +112,18 @@
         return self.timers.take_commands()
 
     def next(self) -> int | None:
-        """Return when something is due next, in microseconds, or None."""
+        """Return when the next timer is due, in microseconds, or None without a timer."""
         return self.timers.next_due()
 
     def add_known_members(self, records: Iterable[MemberRecord]) -> None:
-        """Know these members without a join (a fleet set up by hand, in virtual time)."""
+        """Add members without the join protocol (for simulations and tests in virtual time)."""
         for record in records:
             self.updates.apply(record)
         self.gossip.clear()
         self.anti_entropy.joining = False
 
     def send_to_member(self, token: int, message: Message) -> None:
-        """Send a message of another protocol to a member, if it counts as alive."""
+        """Send a message of another protocol to a member if it is alive or suspected."""
         record = self.table.get(token)
         if record is not None and record.is_live:
             self.send(record, message)
@@ -132,41 +135,41 @@
 
     @property
     def digest(self) -> int:
-        """Digest of the whole view; views that are equal have equal digests."""
+        """Digest of the whole view; equal views have equal digests."""
         return self.view.digests.combined
 
     @property
     def joining(self) -> bool:
-        """Whether a whole view is still to be pulled."""
+        """Whether this instance has not yet pulled a whole view."""
         return self.anti_entropy.joining
 
     def is_live(self, token: int) -> bool:
-        """Return whether a member counts as alive, suspected or not; this instance does."""
+        """Return whether a member is alive or suspected; always true for this instance."""
         return self.view.is_live(token)
 
-    # For the parts of the logic
+    # Used by the parts of the membership logic
 
     def send(self, receiver: MemberRecord, message: Message) -> None:
-        """Send a message to a member's present generation."""
+        """Send a message to the current generation of a member."""
         self.timers.emit(SendMessage(receiver.host, receiver.port, receiver.session_token, message))
 
     def ping(self, receiver: MemberRecord, sequence: int) -> None:
-        """Send a Ping with records and digest; with `sequence` 0 nobody waits for its Ack."""
+        """Send a Ping with records and digest; the Ack of a Ping with `sequence` 0 is not awaited."""
         self.send(receiver, Ping(sequence, self.records_for(receiver.token), self.digest_to_send()))
 
     def records_for(self, token: int) -> tuple[MemberRecord, ...]:
-        """Return the records to carry on a message to a member."""
+        """Return the records to include in a message to a member."""
         return self.gossip.take_records(self.table.get(token))
 
     def digest_to_send(self) -> int:
-        """Return the digest to put on messages; 0 where this instance plays an older version."""
+        """Return the digest to include in messages; 0 if this instance sends a version without digests."""
         return self.digest if self.version >= DIGEST_VERSION else 0
 
     def broadcast(self, record: MemberRecord) -> None:
-        """Disseminate a record by gossip."""
+        """Queue a record for dissemination by gossip."""
         self.gossip.add(record, len(self.ring))
 
-    # Inside
+    # Internal
 
     def _run_period(self) -> None:
         if self.stopped:
@@ -180,7 +183,7 @@
         self.view.forget_dead(self.timeouts.forget)
 
     def _handle_message(self, event: MessageReceived) -> None:
-        """Check the sender and the generations, then hand the message to its part or to other logic."""
+        """Check the sender and the generations, then dispatch the message."""
         sender, message = event.sender, event.message
         if self.stopped:
             return
@@ -193,7 +196,7 @@
             self.join_protocol.send_hello(sender.host, sender.port)
         elif self._is_of_former_generation(sender):
             self.counts["former"] += 1
-        elif self._is_older_namesake(sender):
+        elif self._is_older_instance_of_same_name(sender):
             self.leave_protocol.yield_identity(sender, NAME_IN_USE)
         else:
             self._mark_alive(sender)
@@ -203,8 +206,11 @@
         known = self.table.get(sender.token)
         return known is not None and sender.generation < known.generation
 
-    def _is_older_namesake(self, sender: MemberRecord) -> bool:
-        """Whether the sender holds this instance's name and started first; it has just sent, so it lives."""
+    def _is_older_instance_of_same_name(self, sender: MemberRecord) -> bool:
+        """Return whether the sender has this instance's name and started earlier.
+
+        The sender is alive, because it has just sent a message.
+        """
         me = self.me
         return sender.name == me.name and (sender.birth, sender.token) < (me.birth, me.token)
 
--- a/limepath/membership/record_updates.py
+++ b/limepath/membership/record_updates.py
@@ -1,7 +1,8 @@
-"""Which record overrides which: received records are merged into the member table.
+"""Merges received records into the member table, and decides which record overrides which.
 
-The order is that of SWIM, section 4.2: a newer incarnation overrides an older one, and within one incarnation
-a suspicion overrides alive, and dead or left override both. Only the member itself starts a new incarnation.
+The precedence is that of SWIM, section 4.2: a newer incarnation overrides an older one. Within one
+incarnation, suspected overrides alive, and dead and left override both. Only the member itself starts a new
+incarnation.
 """
 
 from __future__ import annotations
@@ -14,24 +15,24 @@
 if TYPE_CHECKING:
     from limepath.membership.members import Members
 
-IDENTITY_REPLACED = "another instance goes on under this identity"
+IDENTITY_REPLACED = "another instance is running with the same identity"
 
 
 class RecordUpdates:
-    """Merges records into the view of one instance. Owns no state."""
+    """Merges records into the view of one instance. Has no state of its own."""
 
     def __init__(self, members: Members) -> None:
         self.members = members
         self.view = members.view
 
     def apply_all(self, records: Iterable[MemberRecord]) -> None:
-        """Merge the records that a message carries, until this instance takes no further part."""
+        """Merge the records of a message; ignore the rest once one of them has stopped this instance."""
         for record in records:
             if not self.members.stopped:
                 self.apply(record)
 
     def apply(self, record: MemberRecord) -> None:
-        """Merge one record, if it overrides what is known."""
+        """Merge one record if it overrides the known record of the member."""
         if record.token == self.view.me.token:
             self.apply_to_self(record)
             return
@@ -51,17 +52,17 @@
             self.put(record)
 
     def put(self, record: MemberRecord) -> None:
-        """Write a record into the view, and disseminate it."""
+        """Store a record in the view, and queue it for dissemination."""
         if record.state != MemberState.SUSPECT:
             self.members.suspicions.clear(record.token)
         self.view.put(record)
         self.members.broadcast(record)
 
     def apply_to_self(self, record: MemberRecord) -> None:
-        """Refute what is said of this generation; yield to another instance under this identity.
+        """Refute a suspicion or death of this generation, or yield to another instance of this identity.
 
-        Of two instances that run on copies of one store, the one of the later generation goes on, and of one
-        generation, the one that started first.
+        Of two instances that run on copies of one store, the one with the later generation keeps running.
+        With equal generations, the one that started first keeps running.
         """
         me = self.view.me
         if self.members.leave_protocol.started:
@@ -74,10 +75,10 @@
             self._refute(record)
 
     def track_name(self, sender: MemberRecord) -> None:
-        """Track who speaks under a name, and declare dead whose address the sender has taken.
+        """Record the sender's token under its name, and declare dead the member that the sender replaces.
 
-        One process holds an address at a time: a member of the same name and address under another token
-        lost its store and started anew.
+        Only one process can hold an address at a time. A sender with the name and address of a member but
+        with another token is therefore that member, restarted with a new store.
         """
         names = self.view.names
         former_token = names.get(sender.name)
@@ -89,7 +90,7 @@
             self.put(former._replace(state=MemberState.DEAD, reported_by=self.view.me.token))
 
     def _apply_unknown(self, record: MemberRecord) -> None:
-        """Add a member; one that is unknown and not live is of no interest."""
+        """Add an unknown member if it is live; ignore it otherwise."""
         if not record.is_live:
             return
         self.put(record._replace(state=MemberState.ALIVE))
@@ -103,7 +104,7 @@
             self.members.suspicions.suspect(record, record.reported_by)
 
     def _refute(self, record: MemberRecord) -> None:
-        """Go on under an incarnation that overrides `record`."""
+        """Start an incarnation that overrides `record`, and disseminate it."""
         self.members.counts["refuted"] += 1
         self.members.failure_detector.raise_health_score()
         self.view.advance_incarnation(record.incarnation + 1)
