--- a/limepath/membership/gossip.py
+++ b/limepath/membership/gossip.py
@@ -7,38 +7,38 @@
 
 from limepath.membership.interface import MemberRecord, MemberState
 
-MAX_RECORDS = 8  # on one message
+MAX_RECORDS = 8  # records per message
 RETRANSMIT_MULTIPLIER = (
-    3  # times log2 of the members: how often a record is sent (memberlist: RetransmitMult)
+    3  # a record is sent this many times log2 of the number of members (memberlist: RetransmitMult)
 )
 
 
 class Broadcast(NamedTuple):
-    """A record to be sent on so many more messages."""
+    """A record, and the number of messages that it is still to be sent with."""
 
     record: MemberRecord
     transmits_left: int
 
 
 class BroadcastQueue:
-    """Records that are still to be disseminated: the newest first, then each in its turn."""
+    """Records to be disseminated: the newest first, then in round-robin order."""
 
     def __init__(self) -> None:
         self._queue: OrderedDict[int, Broadcast] = OrderedDict()
-        """By token of the member; the next to be sent first."""
+        """Broadcasts by token of the member, the next to be sent first."""
 
     def __contains__(self, token: int) -> bool:
         return token in self._queue
 
     def add(self, record: MemberRecord, live: int) -> None:
-        """Queue a changed record, in place of an older one, at so many other live members."""
+        """Queue a changed record, replacing an older one; `live` is the number of other live members."""
         self._queue[record.token] = Broadcast(record, RETRANSMIT_MULTIPLIER * ceil(log2(live + 2)))
         self._queue.move_to_end(record.token, last=False)
 
     def take_records(self, receiver: MemberRecord | None) -> tuple[MemberRecord, ...]:
-        """Return the records for one message, and count them as sent once more.
+        """Return the records for one message, and count each of them as sent.
 
-        The receiver's own record, if it is known, goes first where it says what the receiver should refute.
+        The record of the receiver goes first if it is suspected or dead, so that the receiver can refute it.
         """
         records: list[MemberRecord] = []
         if receiver is not None and receiver.state not in (MemberState.ALIVE, MemberState.LEFT):
@@ -51,9 +51,9 @@
         return tuple(records)
 
     def discard(self, token: int) -> None:
-        """Disseminate nothing more about a member."""
+        """Remove the record of a member from the queue."""
         self._queue.pop(token, None)
 
     def clear(self) -> None:
-        """Disseminate nothing of what is queued."""
+        """Remove all records from the queue."""
         self._queue.clear()
--- a/limepath/membership/leave.py
+++ b/limepath/membership/leave.py
@@ -1,4 +1,4 @@
-"""Leaving the group: an instance that stops or yields its identity says so, and is not suspected first."""
+"""Leaving the group: an instance that stops or yields its identity notifies members, to avoid a suspicion."""
 
 from __future__ import annotations
 
@@ -10,28 +10,31 @@
 if TYPE_CHECKING:
     from limepath.membership.members import Members
 
-MIN_NOTIFIED = 4  # members notified in one round
-LEAVE_ROUNDS = 3  # rounds, a direct timeout apart
+MIN_NOTIFIED = 4  # least number of members notified in one round
+LEAVE_ROUNDS = 3  # rounds of notifications, one direct timeout apart
 
 
 class LeaveProtocol:
-    """Notifies members that this instance goes."""
+    """Notifies members that this instance leaves."""
 
     def __init__(self, members: Members) -> None:
         self.members = members
         self.view = members.view
         self.timers = members.timers
         self.started = False
-        """Whether this instance is leaving in an orderly way."""
+        """Whether this instance has started an orderly leave."""
 
     def start(self) -> None:
-        """Notify members in rounds that this instance has left; LeaveCompleted follows the last round."""
+        """Notify members in rounds that this instance has left; emit LeaveCompleted after the last round."""
         self.started = True
         self.view.me = self.view.me._replace(state=MemberState.LEFT)
         self._run_round(LEAVE_ROUNDS)
 
     def yield_identity(self, other: MemberRecord, why: str) -> None:
-        """Stop at once, for `other` goes on; a token of this instance's own is given up with it."""
+        """Stop at once because `other` keeps running under this identity.
+
+        If `other` has another token, members are notified that this instance's token has left.
+        """
         if self.members.stopped:
             return
         self.members.stopped = True
@@ -50,8 +53,8 @@
         self._notify(self.view.me, MIN_NOTIFIED + ceil(log2(others + 1)))
         self.timers.schedule(self.timers.now + self.members.timeouts.direct, self._run_round, rounds_left - 1)
 
-    def _notify(self, left: MemberRecord, count: int) -> None:
-        """Send the record to so many members, drawn at random."""
+    def _notify(self, record: MemberRecord, count: int) -> None:
+        """Send the record to `count` members, drawn at random."""
         ring = self.view.ring
         for token in self.timers.sample(ring, min(len(ring), count)):
-            self.members.send(self.view.table[token], Ping(0, (left,), 0))
+            self.members.send(self.view.table[token], Ping(0, (record,), 0))
