--- a/limepath/duties/host.py
+++ b/limepath/duties/host.py
@@ -147,7 +147,7 @@
             settings.leasing,
             seed,
             self.identity.ceiling,
-            self.identity.sure,
+            self.identity.is_ceiling_known,
         )
 
     def _target_kinds(self, front: FrontSettings) -> list[set[int]]:
--- a/limepath/membership/identity.py
+++ b/limepath/membership/identity.py
@@ -1,13 +1,13 @@
-"""Who an instance is, out of its store: its token, the number of this start, the ceiling of lease epochs.
+"""The identity of an instance, read from its store: its token, its generation and its lease-epoch ceiling.
 
-Damaged or missing state is never guessed: the instance is a new one then, under a new token, and its voter
-does not know which epochs it has granted.
+Damaged or missing state is never guessed. The instance then gets a new token, and its voter does not know
+which epochs it has granted.
 """
 
 from collections.abc import Callable, Mapping
 from typing import NamedTuple
 
-# Rows of the store. Their names are stored data and stay.
+# Names of rows in the store; changing one makes existing stores unreadable.
 TOKEN_ROW = "token"
 GENERATION_ROW = "life"
 EPOCH_CEILING_ROW = "ceiling"
@@ -16,20 +16,20 @@
 
 
 class Identity(NamedTuple):
-    """Identity of an instance in one generation."""
+    """The identity of an instance in one generation."""
 
     token: int
-    """63 random bits, drawn when the store was made."""
+    """63 random bits, drawn when the store was created."""
     generation: int
     """Number of this start, from 1."""
     ceiling: int
-    """Lease epochs above this one were never granted by this instance's voter; 0 if that is not known."""
-    sure: bool
-    """Whether the ceiling is known."""
+    """Highest lease epoch that this instance's voter may have granted; 0 if that is not known."""
+    is_ceiling_known: bool
+    """Whether the store had a valid ceiling."""
 
 
 class NextIdentity(NamedTuple):
-    """The identity of this start, and the rows to be stored before it is used."""
+    """The identity of this start, and the rows to store before the identity is used."""
 
     identity: Identity
     rows: dict[str, bytes]
@@ -38,7 +38,7 @@
 def next_identity(rows: Mapping[str, bytes], draw_token: Callable[[], int]) -> NextIdentity:
     """Return the identity of the next start, given the rows of the store.
 
-    `draw_token()` gives 63 random bits.
+    `draw_token()` returns 63 random bits.
     """
     try:
         token = int(rows[TOKEN_ROW])
@@ -53,5 +53,5 @@
 
 
 def epoch_ceiling_row(ceiling: int) -> dict[str, bytes]:
-    """Return the row that keeps the ceiling of lease epochs."""
+    """Return the row that stores the ceiling of lease epochs."""
     return {EPOCH_CEILING_ROW: b"%d" % ceiling}
