--- a/limepath/membership/guard.py
+++ b/limepath/membership/guard.py
@@ -1,18 +1,20 @@
-"""Datagrams to messages and back: authentic, no replay, of a known version and a bounded size, or rejected.
+"""Seals messages into datagrams and opens received ones.
 
-A datagram is
+A datagram is rejected if it is not authentic, is a replay, has an unknown version or exceeds the size limit.
+Its layout is
 
     b"LP" | version | key name | body | seal
     2       1         4          n      16 bytes
 
-The version byte holds the oldest version that the sender reads (high four bits) and the one that it speaks.
-The key name tells which key seals. The body is msgpack: the sender's record, the session token of the
-receiver that is meant, a counter and the message. The seal is keyed BLAKE2b (RFC 7693) over all before it.
+The version byte holds the oldest version that the sender reads (high four bits) and the version that it sends
+(low four bits). The key name identifies the key of the seal. The body is msgpack: the sender's record, the
+session token of the intended receiver, a counter and the message. The seal is a keyed BLAKE2b hash (RFC 7693)
+over all preceding bytes.
 
-A counter that was received before is a replay: a window behind the highest one is kept for each generation
-that sends. What was recorded before this instance's own generation began carries another session token, and
-`members` ignores it. Versions of one oldest version read each other: fields are added at the end of messages
-only, and unknown messages are rejected. Free of I/O.
+A counter that was received before marks a replay. For each sending generation, a window of counters below the
+highest one is kept. A datagram recorded before this instance's generation began carries another session
+token, and `members` ignores it. Versions with the same oldest version can read each other, because fields are
+added only at the end of messages and unknown messages are rejected. This module does no I/O.
 """
 
 from __future__ import annotations
@@ -34,7 +36,7 @@
     Message,
 )
 
-MAX_DATAGRAM_BYTES = 1400  # no fragments on an Ethernet
+MAX_DATAGRAM_BYTES = 1400  # not fragmented on Ethernet
 MAGIC = b"LP"
 VERSION_OFFSET = len(MAGIC)
 KEY_NAME_OFFSET = VERSION_OFFSET + 1
@@ -42,19 +44,19 @@
 HEADER_BYTES = KEY_NAME_OFFSET + KEY_NAME_BYTES
 SEAL_BYTES = 16
 
-REPLAY_WINDOW = 256  # counters behind the highest that are told apart
-MAX_SENDERS = 4096  # generations whose windows are kept
+REPLAY_WINDOW = 256  # counters, from the highest one down, that the window covers
+MAX_SENDERS = 4096  # sending generations whose windows are kept
 
 MIN_KEY_BYTES = 16
-MAX_KEY_BYTES = 64  # of BLAKE2b
+MAX_KEY_BYTES = 64  # limit of BLAKE2b
 MAX_NAME_CHARACTERS = 32
 MAX_PORT = 65_535
 
-ACCEPTED = "taken"  # the count of accepted datagrams, as the control socket names it
+ACCEPTED = "taken"  # name of the count of accepted datagrams in the control socket's views
 
 
 class RejectionReason(StrEnum):
-    """Why a datagram was rejected, as counted and logged."""
+    """Why a datagram was rejected; the values name the counts in views and logs."""
 
     OVERSIZED = "oversized"
     NOISE = "noise"
@@ -67,7 +69,7 @@
 
 
 class DatagramRejectedError(Exception):
-    """A received datagram is not to be used; the text is the reason's."""
+    """A received datagram was rejected; the text is the value of the reason."""
 
     def __init__(self, reason: RejectionReason) -> None:
         super().__init__(reason.value)
@@ -75,33 +77,33 @@
 
 
 class DatagramTooLargeError(ValueError):
-    """A message is too long for one datagram; the text tells its type and size."""
+    """A message is too long for one datagram; the text names its type and size."""
 
 
 class KeyFileError(Exception):
-    """A key file cannot be used; the text names the line."""
+    """A key file is invalid; the text names the line, if the fault is in one line."""
 
 
 class Key(NamedTuple):
-    """A shared secret, and the name by which datagrams refer to it."""
+    """A shared secret, and the name that identifies it in datagrams."""
 
     name: bytes
     secret: bytes
 
 
 class OpenedDatagram(NamedTuple):
-    """What an accepted datagram holds; `to` is the session token of the receiver that is meant."""
+    """The contents of an accepted datagram; `to` is the session token of the intended receiver."""
 
     sender: MemberRecord
     to: int
     message: Any
-    """Of one of the types that the guard accepts."""
+    """A message of one of the types that the guard accepts."""
 
 
 def parse_keys(text: str) -> tuple[Key, ...]:
-    """Read a key file's text: one key a line in hexadecimal. The first one seals, all of them open.
+    """Parse the text of a key file: one hexadecimal key per line, with `#` comments.
 
-    Raises KeyFileError.
+    The first key seals datagrams; all keys open them. Raises KeyFileError.
     """
     keys: list[Key] = []
     for number, line in enumerate(text.splitlines(), 1):
@@ -110,10 +112,10 @@
             continue
         key = _parse_key(content, number)
         if key in keys:
-            raise KeyFileError(f"line {number}: this key stands twice")
+            raise KeyFileError(f"line {number}: this key is listed twice")
         keys.append(key)
     if not keys:
-        raise KeyFileError("no key")
+        raise KeyFileError("the file contains no key")
     return tuple(keys)
 
 
@@ -121,25 +123,28 @@
     try:
         secret = bytes.fromhex(content)
     except ValueError:
-        raise KeyFileError(f"line {line_number}: no hexadecimal key") from None
+        raise KeyFileError(f"line {line_number}: not a hexadecimal key") from None
     if not MIN_KEY_BYTES <= len(secret) <= MAX_KEY_BYTES:
-        raise KeyFileError(f"line {line_number}: a key has {MIN_KEY_BYTES} to {MAX_KEY_BYTES} bytes")
+        raise KeyFileError(f"line {line_number}: a key must have {MIN_KEY_BYTES} to {MAX_KEY_BYTES} bytes")
     name = blake2b(secret, digest_size=KEY_NAME_BYTES, person=b"limepath").digest()
     return Key(name, secret)
 
 
 class ReplayWindow:
-    """Which counters of one generation were received (the anti-replay window of RFC 4303, section 3.4.3)."""
+    """The received counters of one generation (the anti-replay window of RFC 4303, section 3.4.3)."""
 
     __slots__ = ("highest", "received")
 
     def __init__(self) -> None:
         self.highest = -1
         self.received = 0
-        """Bit n: whether the counter n below the highest was received."""
+        """Bit set of received counters: bit n stands for the counter `highest` - n."""
 
     def is_new(self, counter: int) -> bool:
-        """Return whether a counter comes for the first time, and mark it. Those behind the window are old."""
+        """Return whether a counter is received for the first time, and record it.
+
+        Counters below the window count as received.
+        """
         if counter > self.highest:
             shift = min(REPLAY_WINDOW, counter - self.highest)
             self.received = (self.received << shift | 1) & (1 << REPLAY_WINDOW) - 1
@@ -153,7 +158,7 @@
 
 
 class Guard:
-    """Seals and opens datagrams."""
+    """Seals and opens datagrams, and counts accepted and rejected ones."""
 
     def __init__(
         self,
@@ -161,33 +166,35 @@
         types: Iterable[type[Message]] = MESSAGES,
         version: int = NEWEST_VERSION,
     ) -> None:
-        """Accept messages of these types, of all protocols on the socket; speak `version`."""
+        """Accept messages of `types`, which are those of all protocols on the socket; send `version`."""
         self.keys = keys
         self.version = version
         self.counter = 0
-        """Counter of the next datagram that is sealed."""
+        """Counter of the next sealed datagram."""
         self.windows: OrderedDict[tuple[int, int, int], ReplayWindow] = OrderedDict()
-        """By token, birth and generation of the sender; the one unused for longest first."""
+        """Replay windows by token, birth and generation of the sender, the least recently used first."""
         self.counts: Counter[str] = Counter()
-        """Datagrams accepted and rejected, by reason."""
+        """Number of accepted datagrams, and of rejected ones by reason."""
         self.encoder = msgspec.msgpack.Encoder()
         body = tuple[MemberRecord, int, int, msgspec.Raw]
         self.body_decoder = msgspec.msgpack.Decoder(body)
-        self.message_decoder = msgspec.msgpack.Decoder(Union[tuple(types)])  # noqa: UP007 (made from a tuple)
+        self.message_decoder = msgspec.msgpack.Decoder(Union[tuple(types)])  # noqa: UP007 (built from a tuple)
 
     def seal(self, me: MemberRecord, to: int, message: Message) -> bytes:
-        """Return the datagram of a message to the session `to`; raise DatagramTooLargeError."""
+        """Return the sealed datagram of a message to the session `to`; raise DatagramTooLargeError."""
         key = self.keys[0]
         body = self.encoder.encode((me, to, self.counter, message))
         self.counter += 1
         if len(body) + HEADER_BYTES + SEAL_BYTES > MAX_DATAGRAM_BYTES:
-            raise DatagramTooLargeError(f"a {type(message).__name__} of {len(body)} bytes")
+            raise DatagramTooLargeError(
+                f"a {type(message).__name__} of {len(body)} bytes is too large for a datagram"
+            )
         version = bytes((OLDEST_VERSION << 4 | self.version,))
         sealed = MAGIC + version + key.name + body
         return sealed + _seal_of(sealed, key)
 
     def open(self, datagram: bytes) -> OpenedDatagram:
-        """Return what a datagram holds, and count it; raise DatagramRejectedError."""
+        """Return the contents of a datagram, and count it; raise DatagramRejectedError."""
         try:
             opened = self._open(datagram)
         except DatagramRejectedError as error:
@@ -207,7 +214,7 @@
         return OpenedDatagram(sender, to, message)
 
     def _authenticate(self, datagram: bytes) -> None:
-        """Check size, version and seal."""
+        """Check the size, the version and the seal of a datagram; raise DatagramRejectedError."""
         if len(datagram) > MAX_DATAGRAM_BYTES:
             raise DatagramRejectedError(RejectionReason.OVERSIZED)
         if len(datagram) <= HEADER_BYTES + SEAL_BYTES or not datagram.startswith(MAGIC):
@@ -233,7 +240,10 @@
             raise DatagramRejectedError(RejectionReason.UNREADABLE) from None
 
     def _window_of(self, sender: MemberRecord) -> ReplayWindow:
-        """Return the window of the sender's generation; the one unused for longest goes if there are many."""
+        """Return the replay window of the sender's generation.
+
+        If there is none, create it, and remove the least recently used one beyond MAX_SENDERS.
+        """
         key = (sender.token, sender.birth, sender.generation)
         window = self.windows.get(key)
         if window is not None:
--- a/tests/test_datagram_guard.py
+++ b/tests/test_datagram_guard.py
@@ -195,7 +195,7 @@
     assert [len(key.secret) for key in keys] == [32, 32]
     with pytest.raises(KeyFileError) as error:
         parse_keys("abc")
-    assert str(error.value) == "line 1: no hexadecimal key"
+    assert str(error.value) == "line 1: not a hexadecimal key"
 
 
 def test_a_counter_is_new_once_and_while_the_window_reaches_it() -> None:
