--- a/limepath/duties/host.py
+++ b/limepath/duties/host.py
@@ -275,7 +275,7 @@
         now = clock()
         if now - self.keys_read_at > self.settings.keys_reread:
             self.keys_read_at = now
-            self.line.reread()
+            self.line.reload_keys()
         if now - self.reported_at > REPORT_INTERVAL:
             self.reported_at = now
             self.line.report()
@@ -283,7 +283,7 @@
     def reload(self) -> None:
         """Reread the keys."""
         if not self.over:
-            self.line.reread()
+            self.line.reload_keys()
 
     def leave(self) -> None:
         """Begin to leave: hand over the duties and tell the other members."""
--- a/limepath/membership/host.py
+++ b/limepath/membership/host.py
@@ -1,4 +1,4 @@
-"""The datagram socket of an instance: datagrams are opened by the guard, events handed on, commands sent."""
+"""The datagram socket of an instance, which opens received datagrams and seals sent messages by the guard."""
 
 import os
 from collections import Counter
@@ -19,44 +19,45 @@
 )
 from limepath.membership.interface import MemberRecord, Message, MessageReceived, SendMessage
 
-REJECTION_SPAN = 50_000  # microseconds in which rejected datagrams are counted together
-MAX_REJECTED = 400  # in one span; then the socket is left unread until the span is over
-MAX_READ_BYTES = 2048  # of one datagram; more than the guard accepts, so that it sees an oversized one
+REJECTION_INTERVAL = 50_000  # microseconds; rejected datagrams are counted per interval of this length
+MAX_REJECTED = 400  # rejected datagrams per interval, after which the socket is not read until it ends
+MAX_READ_BYTES = 2048  # per datagram; more than the guard accepts, so that it can detect an oversized one
 OTHERS_MODE_BITS = 0o077
 
-UNREAD_SPANS = "left unread"  # counts beside those of the guard, as the control socket names them
+# Names of counts in addition to those of the guard, as the control socket shows them
+UNREAD_INTERVALS = "left unread"
 UNSENT = "unsent"
 
 
 class StartError(Exception):
-    """The keys or the socket cannot be had; the text names which."""
+    """The key file or the socket cannot be used; the text names which one."""
 
 
 class FileVersion(NamedTuple):
-    """Whether a file has changed is seen by this."""
+    """Modification time and size of a file, which are compared to detect a change."""
 
     modified_ns: int
     size: int
 
     @classmethod
     def of(cls, status: os.stat_result) -> "FileVersion":
-        """Return the version of a file, given its status."""
+        """Return the version of the file with this status."""
         return cls(status.st_mtime_ns, status.st_size)
 
 
 class KeyFile(NamedTuple):
-    """The keys of a file, and the file's version when they were read."""
+    """The keys of a key file, and the version of the file when they were read."""
 
     keys: tuple[Key, ...]
     version: FileVersion
 
 
 def read_keys(path: str) -> KeyFile:
-    """Read a key file; raise StartError where it cannot be read, or others than its owner could."""
+    """Read a key file; raise StartError if it is unreadable, invalid or open to other users."""
     try:
         status = os.stat(path)
         if status.st_mode & OTHERS_MODE_BITS:
-            raise StartError(f"{path}: open to others; its mode should be 600")
+            raise StartError(f"{path}: the key file is open to others; its mode must be 600")
         with open(path, encoding="ascii") as file:
             return KeyFile(parse_keys(file.read()), FileVersion.of(status))
     except OSError as error:
@@ -66,7 +67,7 @@
 
 
 class DatagramSocket(DatagramProtocol):
-    """One UDP socket, for all protocols between instances."""
+    """The UDP socket for all protocols between instances."""
 
     def __init__(
         self,
@@ -75,101 +76,103 @@
         keys: str,
         types: Iterable[type[Message]],
         log: Log,
-        gather: Callable[[MessageReceived], None],
+        on_message: Callable[[MessageReceived], None],
     ) -> None:
-        """Listen at `address` once opened; `keys` is the key file's path. Raise StartError.
+        """Prepare to listen at `address`; raise StartError.
 
-        `gather(event)` takes each accepted message.
+        `keys` is the path of the key file, `types` are the accepted types of messages. `on_message(event)` is
+        called with each accepted message.
         """
         self.reactor = reactor
         self.address = address
-        self.path = keys
+        self.key_path = keys
         self.log = log
-        self.gather = gather
+        self.on_message = on_message
         key_file = read_keys(keys)
         self.key_file_version = key_file.version
         self.guard = Guard(key_file.keys, types)
         self.port: Any = None
         """Twisted's listening port, or None while closed."""
-        self.reported: Counter[str] = Counter()
-        """The guard's counts at the last report."""
+        self.reported_counts: Counter[str] = Counter()
+        """Counts of the guard at the last report."""
         self.sent = 0
-        """Datagrams sent."""
-        self.rejected_in_span = 0
-        self.is_span_open = False
+        """Number of datagrams sent."""
+        self.rejected_in_interval = 0
+        self.is_interval_open = False
 
     def open(self) -> None:
-        """Start to listen; raise twisted's CannotListenError."""
+        """Start listening; raise Twisted's CannotListenError."""
         host, port = self.address
         self.port = self.reactor.listenUDP(port, self, host, maxPacketSize=MAX_READ_BYTES)
 
     def close(self) -> None:
-        """Listen and send no more."""
+        """Stop listening and sending."""
         if self.port:
             self.port.stopListening()
         self.port = None
 
     def datagramReceived(self, datagram: bytes, address: tuple[str, int]) -> None:
-        """Hand an accepted message on; count a rejected datagram."""
+        """Pass an accepted message on, or count a rejected datagram."""
         try:
             opened = self.guard.open(datagram)
         except DatagramRejectedError:
             self._count_rejected()
             return
-        self.gather(MessageReceived(opened.sender, opened.to, opened.message))
+        self.on_message(MessageReceived(opened.sender, opened.to, opened.message))
 
-    def send(self, me: MemberRecord, order: SendMessage) -> None:
-        """Seal and send a message; one that cannot be sent is counted and logged."""
+    def send(self, me: MemberRecord, command: SendMessage) -> None:
+        """Seal and send a message; count and log a message that cannot be sent."""
         if self.port is None:
             return
         try:
-            datagram = self.guard.seal(me, order.to, order.message)
-            self.port.write(datagram, (order.host, order.port))
+            datagram = self.guard.seal(me, command.to, command.message)
+            self.port.write(datagram, (command.host, command.port))
             self.sent += 1
         except (OSError, MessageLengthError, ValueError) as error:
             self.guard.counts[UNSENT] += 1
-            self.log.say("peers-unsent", str(error), to=f"{order.host}:{order.port}")
+            self.log.say("peers-unsent", str(error), to=f"{command.host}:{command.port}")
 
-    def reread(self) -> None:
-        """Take the key file's keys if it has changed; a file that cannot be used leaves the old ones."""
+    def reload_keys(self) -> None:
+        """Load the keys if the key file has changed; keep the old keys if the file cannot be used."""
         try:
-            if FileVersion.of(os.stat(self.path)) == self.key_file_version:
+            if FileVersion.of(os.stat(self.key_path)) == self.key_file_version:
                 return
-            keys, self.key_file_version = read_keys(self.path)
+            keys, self.key_file_version = read_keys(self.key_path)
         except (OSError, StartError) as error:
             self.log.say("peers-keys", f"{error}; the old keys stay")
             return
         if keys != self.guard.keys:
             self.guard.keys = keys
-            self.log.say("peers-keys", "read anew", keys=len(keys), seals=keys[0].name.hex())
+            self.log.say("peers-keys", "keys reloaded", keys=len(keys), seals=keys[0].name.hex())
 
     def report(self) -> None:
-        """Log one line for all that was rejected or not sent since the last report."""
+        """Log one line with the counts of datagrams rejected or not sent since the last report."""
         counts = self.guard.counts
         increases = {
-            reason.replace(" ", "_"): count - self.reported[reason]
+            reason.replace(" ", "_"): count - self.reported_counts[reason]
             for reason, count in counts.items()
-            if reason != ACCEPTED and count > self.reported[reason]
+            if reason != ACCEPTED and count > self.reported_counts[reason]
         }
-        self.reported = Counter(counts)
+        self.reported_counts = Counter(counts)
         if increases:
             self.log.say("peers-dropped", **increases)
 
     def _count_rejected(self) -> None:
-        """Leave the socket unread for the rest of the span if too much is rejected.
+        """Count a rejected datagram, and stop reading for the rest of the interval beyond the maximum.
 
-        So a flood takes a part of a core only: the system drops what its buffer cannot hold.
+        A flood of invalid datagrams then uses only a part of a CPU core, because the kernel drops datagrams
+        that exceed the socket buffer.
         """
-        self.rejected_in_span += 1
-        if not self.is_span_open:
-            self.is_span_open = True
-            self.reactor.callLater(REJECTION_SPAN / 1e6, self._end_span)
-        elif self.rejected_in_span == MAX_REJECTED:
-            self.guard.counts[UNREAD_SPANS] += 1
+        self.rejected_in_interval += 1
+        if not self.is_interval_open:
+            self.is_interval_open = True
+            self.reactor.callLater(REJECTION_INTERVAL / 1e6, self._end_interval)
+        elif self.rejected_in_interval == MAX_REJECTED:
+            self.guard.counts[UNREAD_INTERVALS] += 1
             self.port.stopReading()
 
-    def _end_span(self) -> None:
-        if self.rejected_in_span >= MAX_REJECTED and self.port:
+    def _end_interval(self) -> None:
+        if self.rejected_in_interval >= MAX_REJECTED and self.port:
             self.port.startReading()
-        self.rejected_in_span = 0
-        self.is_span_open = False
+        self.rejected_in_interval = 0
+        self.is_interval_open = False
--- a/tests/test_datagram_socket.py
+++ b/tests/test_datagram_socket.py
@@ -9,14 +9,14 @@
 
 from limepath.log import Log
 from limepath.membership.guard import parse_keys
-from limepath.membership.host import MAX_REJECTED, REJECTION_SPAN, DatagramSocket
+from limepath.membership.host import MAX_REJECTED, REJECTION_INTERVAL, DatagramSocket
 from limepath.membership.interface import MESSAGES
 
 OLD_KEY = "ab" * 32
 NEW_KEY = "cd" * 32
 ADDRESS = ("127.0.0.1", 1)
 NOISE = b"noise" * 10
-REJECTION_SPAN_S = REJECTION_SPAN / 1e6
+REJECTION_INTERVAL_S = REJECTION_INTERVAL / 1e6
 
 
 class RecordingPort:
@@ -66,14 +66,14 @@
     return send
 
 
-def test_a_flood_of_noise_is_left_unread_until_its_span_is_over(clock, datagram_socket, flood) -> None:
+def test_a_flood_of_noise_is_left_unread_until_its_interval_ends(clock, datagram_socket, flood) -> None:
     calls = datagram_socket.port.calls
     flood(MAX_REJECTED - 1)
-    clock.advance(REJECTION_SPAN_S)
+    clock.advance(REJECTION_INTERVAL_S)
     assert calls == []  # fewer than the limit
     flood(MAX_REJECTED + 300)
     assert calls == ["stop"]
-    clock.advance(REJECTION_SPAN_S)
+    clock.advance(REJECTION_INTERVAL_S)
     assert calls == ["stop", "start"]
     assert datagram_socket.guard.counts["noise"] == 2 * MAX_REJECTED + 299
 
@@ -86,5 +86,5 @@
         key_path.write_text(text)
         key_path.chmod(mode)
         os.utime(key_path, ns=(len(text) + mode,) * 2)
-        datagram_socket.reread()
+        datagram_socket.reload_keys()
         assert datagram_socket.guard.keys == parse_keys(expected)
