--- a/limepath/membership/control.py
+++ b/limepath/membership/control.py
@@ -1,7 +1,7 @@
-"""The control socket: a running instance shows its state, one JSON object for each line that asks for it.
+"""The control socket: a local (Unix) socket on which a running instance returns its state as JSON.
 
-A request is {"show": VIEW} and a line feed, on a local (Unix) socket. An answer with the key "error" tells
-what was wrong.
+A request is {"show": VIEW} and a line feed. The answer is one JSON object on a line; an object with the key
+"error" describes a failure.
 """
 
 import json
@@ -22,11 +22,11 @@
 SOCKET_MODE = 0o600
 
 Views = Mapping[str, Callable[[], Any]]
-"""What can be shown, by name: functions that return plain values."""
+"""Functions that return the contents of a view as values that JSON can encode, by name of the view."""
 
 
 class NoAnswerError(Exception):
-    """No instance answers at a control socket, or not in a way that can be read; the text names the path."""
+    """A request to a control socket failed, or its answer is invalid or an error; the text names the path."""
 
 
 class ControlConnection(LineReceiver, TimeoutMixin):
@@ -38,66 +38,66 @@
     MAX_LENGTH = MAX_LINE_BYTES
 
     def connectionMade(self) -> None:
-        """Count the connection; close it if there are too many."""
+        """Count the connection, and close it if too many are open."""
         self.factory.connections += 1
         self.setTimeout(TIMEOUT_S)
         if self.factory.connections > MAX_CONNECTIONS:
-            self.send_answer({"error": "too many callers"})
+            self.send_answer({"error": "too many connections"})
             self.transport.loseConnection()
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        """Count it no more."""
+        """Subtract the connection from the count."""
         self.factory.connections -= 1
         self.setTimeout(None)
 
     def lineReceived(self, line: bytes) -> None:
-        """Answer a request."""
+        """Answer a request with its view or an error."""
         self.resetTimeout()
         try:
             request = json.loads(line)
             answer = self.factory.views[request["show"]]()
         except (ValueError, TypeError, KeyError, RecursionError):
             known = ", ".join(sorted(self.factory.views))
-            self.send_answer({"error": f'not understood; ask as {{"show": WHAT}}, with one of: {known}'})
+            self.send_answer({"error": f'invalid request; expected {{"show": VIEW}} with one of: {known}'})
             return
         self.send_answer(answer)
 
     def rawDataReceived(self, data: bytes) -> None:
-        """Close: only lines are expected."""
+        """Close the connection, because only lines are expected."""
         self.transport.loseConnection()
 
     def lineLengthExceeded(self, line: bytes) -> None:
-        """Close, after an error answer."""
-        self.send_answer({"error": f"a line of over {MAX_LINE_BYTES} bytes"})
+        """Send an error, and close the connection."""
+        self.send_answer({"error": f"the request line is longer than {MAX_LINE_BYTES} bytes"})
         self.transport.loseConnection()
 
     def send_answer(self, answer: Any) -> None:
-        """Send plain values as one line of JSON."""
+        """Send an answer as one line of JSON."""
         self.sendLine(json.dumps(answer).encode())
 
 
 class ControlFactory(Factory):
-    """Makes a ControlConnection for each client."""
+    """Creates a ControlConnection for each client."""
 
     protocol = ControlConnection  # type: ignore[assignment]
 
     def __init__(self, views: Views) -> None:
         self.views = views
         self.connections = 0
-        """Open connections."""
+        """Number of open connections."""
 
 
 def listen(reactor: Any, path: str, views: Views) -> Any:
-    """Answer at `path`, and return twisted's listening port; raise CannotListenError or OSError.
+    """Listen at `path`, and return Twisted's listening port; raise CannotListenError or OSError.
 
-    `views` may grow later.
+    Views that are added to `views` later are available too.
     """
     _remove_stale_socket(path)
     return reactor.listenUNIX(path, ControlFactory(views), mode=SOCKET_MODE)
 
 
 def _remove_stale_socket(path: str) -> None:
-    """Remove the socket of an instance that was killed: nobody accepts there."""
+    """Remove the socket file of a killed instance, which no process listens on."""
     if not (os.path.exists(path) and stat.S_ISSOCK(os.stat(path).st_mode)):
         return
     with socket.socket(socket.AF_UNIX) as probe:
@@ -108,19 +108,19 @@
 
 
 def ask(path: str, view: str, timeout: float = TIMEOUT_S) -> dict[str, Any]:
-    """Return what a running instance shows under `view`; raise NoAnswerError. `timeout` is in seconds."""
+    """Return a view of a running instance; raise NoAnswerError. `timeout` is in seconds."""
     line = _exchange(path, {"show": view}, timeout)
     try:
         answer = json.loads(line)
     except ValueError:
-        raise NoAnswerError(f"{path}: no answer that can be read") from None
+        raise NoAnswerError(f"{path}: the answer is not valid JSON") from None
     if "error" in answer:
         raise NoAnswerError(f"{path}: {answer['error']}")
     return answer
 
 
 def _exchange(path: str, request: dict[str, str], timeout: float) -> bytes:
-    """Send a request, and return the line that answers it."""
+    """Send a request, and return the line of the answer."""
     try:
         with socket.socket(socket.AF_UNIX) as connection:
             connection.settimeout(timeout)
