--- a/limepath/cli/membership.py
+++ b/limepath/cli/membership.py
@@ -8,7 +8,7 @@
 from limepath.cli.output import STATUS_FAILED, fail, fail_configuration
 from limepath.configuration import peers_file
 from limepath.configuration.ini import SettingError
-from limepath.membership.control import NoAnswerError, ask
+from limepath.membership.control import NoAnswerError, request_view
 
 
 @click.group("membership")
@@ -36,7 +36,7 @@
     answers there.
     """
     try:
-        view = ask(control_socket(where), "peers")
+        view = request_view(control_socket(where), "peers")
     except SettingError as error:
         fail_configuration(error)
     except NoAnswerError as error:
--- a/limepath/membership/control.py
+++ b/limepath/membership/control.py
@@ -107,7 +107,7 @@
             os.unlink(path)
 
 
-def ask(path: str, view: str, timeout: float = TIMEOUT_S) -> dict[str, Any]:
+def request_view(path: str, view: str, timeout: float = TIMEOUT_S) -> dict[str, Any]:
     """Return a view of a running instance; raise NoAnswerError. `timeout` is in seconds."""
     line = _exchange(path, {"show": view}, timeout)
     try:
--- a/limepath/scale/processes.py
+++ b/limepath/scale/processes.py
@@ -11,7 +11,7 @@
 
 import psutil
 
-from limepath.membership.control import NoAnswerError, ask
+from limepath.membership.control import NoAnswerError, request_view
 from limepath.scale.control import BadLine, End, Report, decode_reply, encode
 from limepath.scale.pace import boottime_us
 from limepath.testbed.process import Process
@@ -133,8 +133,8 @@
         listing = peers = cpu = rss = None
         if self.running() and not self.stopped:
             try:
-                listing = ask(self.path("peers.sock"), "listing", ASKING)
-                peers = ask(self.path("peers.sock"), "peers", ASKING)
+                listing = request_view(self.path("peers.sock"), "listing", ASKING)
+                peers = request_view(self.path("peers.sock"), "peers", ASKING)
             except NoAnswerError:
                 pass
             try:
--- a/limepath/testbed/duties.py
+++ b/limepath/testbed/duties.py
@@ -22,7 +22,7 @@
 from limepath.duties.bounds import bounds
 from limepath.duties.faults import Fault
 from limepath.duties.findings import RunRecord, findings
-from limepath.membership.control import NoAnswerError, ask
+from limepath.membership.control import NoAnswerError, request_view
 from limepath.report_table import CheckResult
 from limepath.testbed.faults import Fault as Way
 from limepath.testbed.faults import Faults, Kind, both_ways
@@ -143,7 +143,7 @@
         return super().words() + ["--peers", self.path("peers.ini")]
 
     def shown(self):
-        return ask(self.path("peers.sock"), "peers", 2)
+        return request_view(self.path("peers.sock"), "peers", 2)
 
 
 class Drill:
--- a/tests/test_hollow_fronts.py
+++ b/tests/test_hollow_fronts.py
@@ -12,7 +12,7 @@
 from limepath.discovery.interface import Subscribe
 from limepath.discovery.star_service import member
 from limepath.duties.host import clock
-from limepath.membership.control import ask
+from limepath.membership.control import request_view
 from limepath.membership.interface import Hello
 from limepath.scale import control, hollow_process
 from limepath.scale.accounting import Account, Meter
@@ -285,12 +285,12 @@
         control_socket = fleet.path("r0", "peers.sock")
 
         def joined(fronts):
-            real, listing = ask(control_socket, "peers"), ask(control_socket, "listing")
+            real, listing = request_view(control_socket, "peers"), request_view(control_socket, "listing")
             tokens = {member["token"] for member in real["members"] if member["state"] == "alive"}
             return {front.token for front in fronts.values()} < tokens and listing["number"] == purged
 
         fleet.until(joined)
-        hollow, real = (ask(fleet.path(name, "peers.sock"), "listing") for name in ("h0", "r0"))
+        hollow, real = (request_view(fleet.path(name, "peers.sock"), "listing") for name in ("h0", "r0"))
         assert hollow["digest"] == real["digest"] and hollow["members"] == real["members"] == 3
         assert set(hollow) == set(real) and set(hollow["counts"]) == set(real["counts"])
 
--- a/tests/two_versions_fleet.py
+++ b/tests/two_versions_fleet.py
@@ -17,7 +17,7 @@
 from twisted.internet import selectreactor
 from twisted.internet.task import LoopingCall
 
-from limepath.membership.control import NoAnswerError, ask
+from limepath.membership.control import NoAnswerError, request_view
 from limepath.testbed.duties import SETTINGS
 from limepath.testbed.process import HOST, Process, free_ports
 from limepath.testbed.stand_ins import StandInCache, StandInListService
@@ -184,7 +184,7 @@
     def view(self, command: Name, *path: Name) -> Any:
         """What the control socket answers, or the part of it at `path`; None where there is none."""
         try:
-            told = ask(self.path("peers.sock"), self.text.word(command), 2)
+            told = request_view(self.path("peers.sock"), self.text.word(command), 2)
         except NoAnswerError:
             return None
         for name in path:
