--- a/limepath/cli/discovery.py
+++ b/limepath/cli/discovery.py
@@ -11,7 +11,7 @@
 from limepath.configuration.ini import SettingError
 from limepath.configuration.peers_file import PeersSettings
 from limepath.configuration.sharing_settings import DiscoverySettings
-from limepath.membership.control import NoAnswerError, request_view
+from limepath.membership.control import ControlSocketError, request_view
 from limepath.report_table import CheckResult, seconds
 
 
@@ -92,7 +92,7 @@
     """
     try:
         view = request_view(read_settings(where).control if where.endswith(".ini") else where, "listing")
-    except NoAnswerError as error:
+    except ControlSocketError as error:
         fail(error, STATUS_FAILED)
     if as_json:
         click.echo(json.dumps(view, indent=1))
--- a/limepath/cli/membership.py
+++ b/limepath/cli/membership.py
@@ -8,7 +8,7 @@
 from limepath.cli.output import STATUS_FAILED, fail, fail_configuration
 from limepath.configuration import peers_file
 from limepath.configuration.ini import SettingError
-from limepath.membership.control import NoAnswerError, request_view
+from limepath.membership.control import ControlSocketError, request_view
 
 
 @click.group("membership")
@@ -39,7 +39,7 @@
         view = request_view(control_socket(where), "peers")
     except SettingError as error:
         fail_configuration(error)
-    except NoAnswerError as error:
+    except ControlSocketError as error:
         fail(error, STATUS_FAILED)
     if as_json:
         click.echo(json.dumps(view, indent=1))
--- a/limepath/membership/control.py
+++ b/limepath/membership/control.py
@@ -25,7 +25,7 @@
 """Functions that return the contents of a view as values that JSON can encode, by name of the view."""
 
 
-class NoAnswerError(Exception):
+class ControlSocketError(Exception):
     """A request to a control socket failed, or its answer is invalid or an error; the text names the path."""
 
 
@@ -108,14 +108,14 @@
 
 
 def request_view(path: str, view: str, timeout: float = TIMEOUT_S) -> dict[str, Any]:
-    """Return a view of a running instance; raise NoAnswerError. `timeout` is in seconds."""
+    """Return a view of a running instance; raise ControlSocketError. `timeout` is in seconds."""
     line = _exchange(path, {"show": view}, timeout)
     try:
         answer = json.loads(line)
     except ValueError:
-        raise NoAnswerError(f"{path}: the answer is not valid JSON") from None
+        raise ControlSocketError(f"{path}: the answer is not valid JSON") from None
     if "error" in answer:
-        raise NoAnswerError(f"{path}: {answer['error']}")
+        raise ControlSocketError(f"{path}: {answer['error']}")
     return answer
 
 
@@ -128,4 +128,4 @@
             connection.sendall(json.dumps(request).encode() + b"\n")
             return connection.makefile("rb").readline()
     except OSError as error:
-        raise NoAnswerError(f"{path}: {error.strerror or error}") from None
+        raise ControlSocketError(f"{path}: {error.strerror or error}") from None
--- a/limepath/scale/processes.py
+++ b/limepath/scale/processes.py
@@ -11,7 +11,7 @@
 
 import psutil
 
-from limepath.membership.control import NoAnswerError, request_view
+from limepath.membership.control import ControlSocketError, request_view
 from limepath.scale.control import BadLine, End, Report, decode_reply, encode
 from limepath.scale.pace import boottime_us
 from limepath.testbed.process import Process
@@ -135,7 +135,7 @@
             try:
                 listing = request_view(self.path("peers.sock"), "listing", ASKING)
                 peers = request_view(self.path("peers.sock"), "peers", ASKING)
-            except NoAnswerError:
+            except ControlSocketError:
                 pass
             try:
                 used = psutil.Process(self.process.pid)
--- a/limepath/testbed/coldstart.py
+++ b/limepath/testbed/coldstart.py
@@ -26,7 +26,7 @@
 from limepath.discovery.bounds import bounds, tree_bounds
 from limepath.discovery.endpoint_list import EndpointList
 from limepath.discovery.simulate import most_in
-from limepath.membership.control import NoAnswerError, request_view
+from limepath.membership.control import ControlSocketError, request_view
 from limepath.report_table import CheckResult, at_most, seconds
 from limepath.testbed.duties import SETTINGS
 from limepath.testbed.faults import Fault as Way
@@ -127,7 +127,7 @@
     def shown(self):
         try:
             return request_view(self.path("peers.sock"), "listing", 2)
-        except NoAnswerError:
+        except ControlSocketError:
             return None
 
     def said_at(self, event):
--- a/limepath/testbed/duties.py
+++ b/limepath/testbed/duties.py
@@ -22,7 +22,7 @@
 from limepath.duties.bounds import bounds
 from limepath.duties.faults import Fault
 from limepath.duties.findings import RunRecord, findings
-from limepath.membership.control import NoAnswerError, request_view
+from limepath.membership.control import ControlSocketError, request_view
 from limepath.report_table import CheckResult
 from limepath.testbed.faults import Fault as Way
 from limepath.testbed.faults import Faults, Kind, both_ways
@@ -254,7 +254,7 @@
                 try:
                     if node.shown()["me"]["joined"] or not self.sharing or self.count == 1:
                         break
-                except NoAnswerError:
+                except ControlSocketError:
                     pass
                 yield self.pause(50 * MS)
 
@@ -402,7 +402,7 @@
         for node in self.nodes:
             try:
                 told = node.shown()
-            except NoAnswerError:
+            except ControlSocketError:
                 return False
             views.add(
                 tuple(sorted(row["token"] for row in told["members"] if row["state"] in ("alive", "suspect")))
--- a/tests/two_versions_fleet.py
+++ b/tests/two_versions_fleet.py
@@ -17,7 +17,7 @@
 from twisted.internet import selectreactor
 from twisted.internet.task import LoopingCall
 
-from limepath.membership.control import NoAnswerError, request_view
+from limepath.membership.control import ControlSocketError, request_view
 from limepath.testbed.duties import SETTINGS
 from limepath.testbed.process import HOST, Process, free_ports
 from limepath.testbed.stand_ins import StandInCache, StandInListService
@@ -185,7 +185,7 @@
         """What the control socket answers, or the part of it at `path`; None where there is none."""
         try:
             told = request_view(self.path("peers.sock"), self.text.word(command), 2)
-        except NoAnswerError:
+        except ControlSocketError:
             return None
         for name in path:
             told = told.get(self.text.word(name)) if told else None
