--- a/limepath/duties/host.py
+++ b/limepath/duties/host.py
@@ -238,7 +238,7 @@
         other = command.other
         self.log.say(
             "gives-way",
-            command.why + "; this front shares nothing any more",
+            command.reason + "; this front shares nothing any more",
             name=other.name,
             other=f"{other.host}:{other.port}",
             life=other.generation,
--- a/limepath/duties/node.py
+++ b/limepath/duties/node.py
@@ -136,8 +136,8 @@
         for command in commands:
             if isinstance(command, (YieldIdentity, LeaveCompleted)):
                 if isinstance(command, YieldIdentity):
-                    self.yielded = command.why
-                    self.world.record_yield(self, command.why)
+                    self.yielded = command.reason
+                    self.world.record_yield(self, command.reason)
                 self.stop()
                 return
             self._carry_out_one(me, command)
--- a/limepath/membership/interface.py
+++ b/limepath/membership/interface.py
@@ -184,7 +184,7 @@
     """`other` keeps running under this instance's identity; this instance must leave the group at once."""
 
     other: MemberRecord
-    why: str
+    reason: str
 
 
 class MessageRelayed(NamedTuple):
--- a/limepath/membership/leave.py
+++ b/limepath/membership/leave.py
@@ -30,7 +30,7 @@
         self.view.me = self.view.me._replace(state=MemberState.LEFT)
         self._run_round(LEAVE_ROUNDS)
 
-    def yield_identity(self, other: MemberRecord, why: str) -> None:
+    def yield_identity(self, other: MemberRecord, reason: str) -> None:
         """Stop at once because `other` keeps running under this identity.
 
         If `other` has another token, members are notified that this instance's token has left.
@@ -40,7 +40,7 @@
         self.members.stopped = True
         if other.token != self.view.me.token:
             self._notify(self.view.me._replace(state=MemberState.LEFT), MIN_NOTIFIED)
-        self.timers.emit(YieldIdentity(other, why))
+        self.timers.emit(YieldIdentity(other, reason))
 
     def _run_round(self, rounds_left: int) -> None:
         if self.members.stopped:
--- a/tests/test_membership_record_updates.py
+++ b/tests/test_membership_record_updates.py
@@ -55,7 +55,7 @@
     younger = started_members(birth=5)
     *notifications, command = receive(younger, record(7, name="n1", birth=3), Ping(1))
     assert {one.message.records[0].state for one in notifications} == {MemberState.LEFT}
-    assert command.why == NAME_IN_USE
+    assert command.reason == NAME_IN_USE
     assert younger.handle(2 * SECOND, ()) == []
 
 
@@ -75,7 +75,7 @@
 def test_an_instance_stopped_while_a_later_generation_started_yields() -> None:
     woken = started_members(generation=1, birth=1)
     (command,) = yields(receive(woken, record(2), Ping(1, (record(1, generation=2, birth=9),))))
-    assert command.why == IDENTITY_REPLACED
+    assert command.reason == IDENTITY_REPLACED
 
 
 def test_of_two_instances_on_copies_of_one_store_the_later_start_yields() -> None:
