--- a/limepath/duties/host.py
+++ b/limepath/duties/host.py
@@ -175,7 +175,7 @@
 
     def _log_start(self) -> None:
         if self.store.found == DAMAGED:
-            self.log.say("store-damaged", "joins as a new instance", put_aside=self.store.aside)
+            self.log.say("store-damaged", "joins as a new instance", put_aside=self.store.damaged_path)
         elif self.store.found == NEW:
             self.log.say("store-new", "joins as a new instance", store=self.settings.store)
         host, port = self.settings.listen
--- a/limepath/store.py
+++ b/limepath/store.py
@@ -1,9 +1,9 @@
-"""The embedded store: small state that survives crashes, in SQLite; one way to open, check and recover it.
+"""An embedded store in SQLite for small state that survives crashes.
 
-Each row has a checksum. A good file, a missing one and a truncated or damaged one are distinguished; a
-damaged one is set aside and never read. One process holds a store at a time. Writes are on the disk when
-`put` returns (one file, a rollback journal, synchronous EXTRA): with a write-ahead log beside it, a truncated
-log would silently give the state of an earlier start.
+Each row has a checksum. Opening distinguishes a good file, a missing one, and a truncated or damaged one. A
+damaged file is moved aside and never read. Only one process can hold a store at a time. Writes are on disk
+when `put` returns (one file, a rollback journal, synchronous EXTRA). A write-ahead log is not used, because a
+truncated log would silently restore the state of an earlier start.
 """
 
 import os
@@ -18,7 +18,7 @@
 GOOD = "good"
 DAMAGED = "damaged"
 
-Rows = dict[str, bytes]  # by name
+Rows = dict[str, bytes]  # values by row name
 
 
 class StoreLockedError(Exception):
@@ -26,11 +26,11 @@
 
 
 class StoreUnusableError(Exception):
-    """The store cannot be made at this path; the text says why."""
+    """The store cannot be opened or created at this path; the text gives the reason."""
 
 
 class StoreDamagedError(ValueError):
-    """The file is a database, but not one that this program left whole; the text says what was found."""
+    """The database file is damaged; the text describes the damage."""
 
 
 def checksum(name: str, value: bytes) -> int:
@@ -43,21 +43,21 @@
 
     Attributes:
         path: the file.
-        found: NEW, GOOD or DAMAGED: what stood at the path when it was opened.
-        aside: where a damaged file was moved to, or None.
+        found: state of the file at the path when the store was opened: NEW (no file), GOOD or DAMAGED.
+        damaged_path: path to which a damaged file was moved, or None.
         database: the connection to the file, which holds its exclusive lock.
     """
 
     def __init__(self, path: str) -> None:
-        """Open the file, or make it; a damaged one is set aside and an empty store made.
+        """Open or create the file; move a damaged one aside and create an empty store.
 
         Raises:
-            StoreLockedError: another process holds it.
-            StoreUnusableError: it can be neither opened nor made.
+            StoreLockedError: another process holds the store.
+            StoreUnusableError: the file can be neither opened nor created.
         """
         self.path = path
         self.found = NEW
-        self.aside: str | None = None
+        self.damaged_path: str | None = None
         self.database: sqlite3.Connection | None = None
         os.makedirs(os.path.dirname(os.path.abspath(path)), exist_ok=True)
         existed = os.path.exists(path)
@@ -74,7 +74,10 @@
             self._replace_damaged()
 
     def _open(self) -> None:
-        """Open the database and take its lock; the connection is kept at once, so that it can be closed."""
+        """Open the database and acquire its lock.
+
+        `database` is set first, so that the connection can be closed after a later error.
+        """
         self.database = sqlite3.connect(self.path, timeout=0, isolation_level=None)
         self.database.execute("PRAGMA locking_mode = EXCLUSIVE")
         self.database.execute("PRAGMA journal_mode = DELETE")
@@ -88,7 +91,7 @@
 
     def _verify(self) -> None:
         if self.database.execute("PRAGMA quick_check").fetchone() != ("ok",):
-            raise StoreDamagedError("SQLite's quick_check found faults")
+            raise StoreDamagedError("SQLite's quick_check reported errors")
         self.all()
 
     def all(self) -> Rows:
@@ -100,18 +103,18 @@
         rows = {}
         for name, value, stored_checksum in self.database.execute("SELECT name, value, sum FROM state"):
             if not isinstance(value, bytes) or checksum(name, value) != stored_checksum:
-                raise StoreDamagedError(f"{name}: does not match its checksum")
+                raise StoreDamagedError(f"row {name}: the value does not match its checksum")
             rows[name] = value
         return rows
 
     def _replace_damaged(self) -> None:
-        """Set the damaged file aside for whoever wants to examine it, and make an empty store."""
+        """Move the damaged file aside, where it can be examined, and create an empty store."""
         self._close_damaged()
         number = 1
         while os.path.exists(f"{self.path}.damaged-{number}"):
             number += 1
-        self.aside = f"{self.path}.damaged-{number}"
-        os.replace(self.path, self.aside)
+        self.damaged_path = f"{self.path}.damaged-{number}"
+        os.replace(self.path, self.damaged_path)
         if os.path.exists(self.path + "-journal"):
             os.remove(self.path + "-journal")
         try:
@@ -128,10 +131,10 @@
             pass
 
     def put(self, rows: Rows) -> None:
-        """Write all these rows or none; they are on the disk when this returns.
+        """Write all these rows or none; they are on disk when this returns.
 
         Raises:
-            sqlite3.Error: the system refused the write; the store holds what it held before.
+            sqlite3.Error: the write failed; the store is unchanged.
         """
         self.database.execute("BEGIN IMMEDIATE")
         try:
@@ -141,24 +144,24 @@
             )
             self.database.execute("COMMIT")
         except sqlite3.Error:
-            if self.database.in_transaction:  # after some disk errors SQLite has rolled back by itself
+            if self.database.in_transaction:  # SQLite rolls back by itself after some disk errors
                 self.database.execute("ROLLBACK")
             raise
 
     def close(self) -> None:
-        """Release the file."""
+        """Close the file and release its lock."""
         self.database.close()
 
 
 class PendingWrites:
-    """Rows on their way to a store whose folder may refuse writes for a while.
+    """Retries writes to a store whose directory may temporarily reject them.
 
-    The latest value of each name is kept and retried until it is on the disk.
+    The latest value of each row is kept, and its write is retried until it succeeds.
 
     Attributes:
-        store: where the rows are written.
-        log: where failures, and the first success after them, are logged.
-        rows: what is not on the disk yet.
+        store: the store to which the rows are written.
+        log: the log for failures and for the first success after them.
+        rows: rows that are not on disk yet.
         failing: whether the last write failed.
     """
 
@@ -169,7 +172,7 @@
         self.failing = False
 
     def put(self, rows: Rows) -> None:
-        """Write these rows now, or as soon as the folder takes writes again."""
+        """Write these rows now, or at a later `retry` if the write fails."""
         self.rows |= rows
         self.retry()
 
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -45,7 +45,7 @@
         database.commit()
         database.close()
     found = Store(str(path))
-    assert found.found == DAMAGED and found.all() == {} and os.path.exists(found.aside)
+    assert found.found == DAMAGED and found.all() == {} and os.path.exists(found.damaged_path)
     identity, _ = next_identity(found.all(), lambda: 77)
     assert identity.token == 77 and not identity.is_ceiling_known
     found.put(epoch_ceiling_row(3))
