--- a/limepath/logic_host.py
+++ b/limepath/logic_host.py
@@ -1,7 +1,7 @@
-"""Runs a logic without I/O on a reactor: batches events, executes commands, keeps one timer.
+"""Runs a logic without I/O on a reactor: batches its events, executes its commands and manages its timer.
 
-A logic is handed the time and events and answers with commands (see `limepath.timer_queue`). Hosts that own
-sockets and files keep a LogicHost beside them: batching, failures and the timer are handled in one place.
+A logic takes the time and events and returns commands (see `limepath.timer_queue`). A host that owns sockets
+and files uses a LogicHost, which handles batching, errors and the timer.
 """
 
 from collections.abc import Callable, Iterable
@@ -14,26 +14,26 @@
 
 
 class Logic(Protocol):
-    """What is run: no socket, file, clock or global randomness in it. Times are whole microseconds."""
+    """A logic without sockets, files, clocks or global random state. Times are whole microseconds."""
 
     def handle(self, now: int, events: list[Any]) -> Iterable[Any]:
-        """Handle events at `now`, do what is due, and return the commands in their order."""
+        """Handle events at `now`, run the timers that are due, and return commands in execution order."""
 
     def next(self) -> int | None:
-        """Return when something is due next, on the clock of `handle`; None if nothing is."""
+        """Return when the next timer is due, by the clock of `handle`, or None without a timer."""
 
 
 class LogicHost:
-    """Hands the events of one event loop iteration to the logic together; wakes it when something is due.
+    """Passes the events of each event loop iteration to a logic as a batch, and calls it when a timer is due.
 
     Attributes:
         reactor: schedules iterations and the timer.
         clock: returns the time in microseconds.
-        logic: what is run.
-        execute: carries out one command.
-        failed: called with an exception of the logic or of `execute`. The logic goes on, without the rest of
-            that iteration's commands, unless `failed` closes the host.
-        closed: whether `close` was called; nothing is handled or executed after that.
+        logic: the logic to run.
+        execute: executes one command.
+        on_error: called with an exception of the logic or of `execute`. The remaining commands of the
+            iteration are dropped, and the logic keeps running unless `on_error` closes the host.
+        closed: whether `close` was called; after that no event is handled and no command is executed.
     """
 
     def __init__(
@@ -42,20 +42,20 @@
         clock: Callable[[], int],
         logic: Logic,
         execute: Callable[[Any], None],
-        failed: Callable[[Exception], None],
+        on_error: Callable[[Exception], None],
     ) -> None:
         self.reactor = reactor
         self.clock = clock
         self.logic = logic
         self.execute = execute
-        self.failed = failed
+        self.on_error = on_error
         self.closed = False
         self._events: list[Any] = []  # submitted since the last iteration
         self._scheduled = False  # whether `_run` is called in the next iteration
         self._timer: IDelayedCall | None = None
 
     def submit(self, *events: Any) -> None:
-        """Add events to the batch that is handled once this event loop iteration has read its input."""
+        """Add events to the batch that is handled after this event loop iteration has read its input."""
         if self.closed:
             return
         self._events += events
@@ -64,7 +64,7 @@
             self.reactor.callLater(0, self._run)
 
     def carry_out(self, commands: Iterable[Any]) -> None:
-        """Execute commands in their order, until one closes the host; then arm the timer."""
+        """Execute commands in their order, and arm the timer; stop if a command closes the host."""
         for command in commands:
             if self.closed:
                 return
@@ -72,7 +72,7 @@
         self._arm()
 
     def close(self) -> None:
-        """Drop submitted events and the timer, for good. `execute` and `failed` may call this."""
+        """Drop submitted events and the timer permanently. `execute` and `on_error` may call this."""
         self.closed = True
         self._events = []
         self._disarm()
@@ -85,8 +85,8 @@
         self._scheduled = False
         try:
             self.carry_out(self.logic.handle(self.clock(), events))
-        except Exception as error:  # the front goes on serving, whatever fails in a logic beside it
-            self.failed(error)
+        except Exception as error:  # the front must keep serving if one of its logics fails
+            self.on_error(error)
             self._arm()
 
     def _arm(self) -> None:
--- a/tests/test_logic_host.py
+++ b/tests/test_logic_host.py
@@ -29,13 +29,17 @@
 class HostUnderTest:
     """A LogicHost on a virtual clock, with its recording logic, executed commands and errors."""
 
-    def __init__(self, execute=None, failed=None):
+    def __init__(self, execute=None, on_error=None):
         self.reactor = Clock()
         self.logic = Recorder()
         self.executed = []
         self.errors = []
         self.host = LogicHost(
-            self.reactor, self.now, self.logic, execute or self.executed.append, failed or self.errors.append
+            self.reactor,
+            self.now,
+            self.logic,
+            execute or self.executed.append,
+            on_error or self.errors.append,
         )
 
     def now(self):
@@ -147,7 +151,7 @@
 
 
 def test_a_host_that_is_closed_when_it_fails_is_not_armed_again():
-    fixture = HostUnderTest(failed=lambda error: fixture.host.close())
+    fixture = HostUnderTest(on_error=lambda error: fixture.host.close())
     fixture.logic.answers, fixture.logic.due = [ValueError("broken")], 1_000_000
     fixture.host.submit("event")
     fixture.reactor.advance(0)
