--- a/tests/membership_group.py
+++ b/tests/membership_group.py
@@ -1,4 +1,4 @@
-"""Member records, one instance's membership logic without a network, and groups in virtual time."""
+"""Helpers for tests of membership: member records, single instances without a network, simulated groups."""
 
 from typing import Any
 
@@ -30,7 +30,7 @@
     state: MemberState = MemberState.ALIVE,
     refutations: int = 0,
 ) -> MemberRecord:
-    """A member's record; name and port follow from the token unless they are given."""
+    """Return a member's record; name and port are derived from the token unless they are given."""
     incarnation = (generation << REFUTATION_BITS) + refutations
     return MemberRecord(
         token, name or f"n{token}", HOST, port or FIRST_PORT + token, incarnation, birth, state
@@ -38,7 +38,7 @@
 
 
 def started_members(token: int = 1, others: Any = (2, 3, 4), **changes: Any) -> Members:
-    """An instance that knows the others; `changes` are those of its own record."""
+    """Return a started instance that knows `others`; `changes` are passed to `record` for its own record."""
     members = Members(record(token, **changes), (), TIMEOUTS, token)
     members.start(0)
     members.add_known_members([record(other) for other in others])
@@ -53,18 +53,18 @@
     now: int = SECOND // 100,
     to: int | None = None,
 ) -> list[SendMessage | YieldIdentity]:
-    """Hand a message to an instance, meant for its present session unless `to` is given."""
+    """Pass a message to an instance, addressed to its current session unless `to` is given."""
     session = members.me.session_token if to is None else to
     commands = members.handle(now, [MessageReceived(sender, session, message)])
     return [command for command in commands if isinstance(command, (SendMessage, YieldIdentity))]
 
 
 def yields(commands: list[SendMessage | YieldIdentity]) -> list[YieldIdentity]:
-    """The commands to yield the identity, of those returned by `receive`."""
+    """Return the YieldIdentity commands among the results of `receive`."""
     return [command for command in commands if isinstance(command, YieldIdentity)]
 
 
 def virtual_group(instances: int, seed: int, **network: float) -> World:
-    """Instances with one duty in virtual time; `network` has the shares of messages lost, doubled, late."""
+    """Return a simulated group with one duty; `network` has the shares of messages lost, doubled and late."""
     duties = (DutySettings("probe", DutyMode.AT_LEAST_ONCE, 5 * SECOND),)
     return World(instances, 10, duties, TIMEOUTS, LeaseSettings(), seed, **network)
--- a/tests/test_membership_anti_entropy.py
+++ b/tests/test_membership_anti_entropy.py
@@ -11,13 +11,13 @@
 
 
 def page_by_full_search(members: Members, after: int, buckets: tuple[int, ...]) -> tuple[list[int], bool]:
-    """The tokens that a pull should bring, and whether they are the last: all tokens are looked through."""
+    """Return the expected tokens of a page and its `last` flag, computed by a scan of all tokens."""
     tokens = sorted([*members.ring, members.me.token])
     if len(buckets) == BUCKETS:
         own = members.view.digests.buckets
         tokens = [token for token in tokens if own[bucket_of(token)] != buckets[bucket_of(token)]]
-    behind = [token for token in tokens if token > after]
-    return behind[:PAGE_RECORDS], len(behind) <= PAGE_RECORDS
+    following = [token for token in tokens if token > after]
+    return following[:PAGE_RECORDS], len(following) <= PAGE_RECORDS
 
 
 @given(
@@ -32,11 +32,11 @@
     digests = members.view.digests.buckets
     buckets = tuple(digest ^ (number not in equal) for number, digest in enumerate(digests))
     pull = Pull(after, buckets if has_buckets else ())
-    answers = [command.message for command in receive(members, record(5, name="asks"), pull)]
+    answers = [command.message for command in receive(members, record(5, name="requester"), pull)]
     (page,) = [message for message in answers if isinstance(message, MemberPage)]
-    # the sender is a member by now
+    # The receiver has added the sender as a member, so the expected page is computed only now.
     expected = page_by_full_search(members, after, pull.buckets)
-    assert ([one.token for one in page.records], page.last) == expected
+    assert ([member.token for member in page.records], page.last) == expected
 
 
 def test_the_ranges_of_tokens_go_from_the_first_to_the_last() -> None:
--- a/tests/test_membership_bounds.py
+++ b/tests/test_membership_bounds.py
@@ -7,5 +7,7 @@
 
 
 @pytest.mark.parametrize(("live", "expected"), [(5, 4_000_000), (1000, 12_000_000)])
-def test_the_minimum_suspicion_timeout_grows_with_the_digits_of_the_group(live: int, expected: int) -> None:
+def test_the_minimum_suspicion_timeout_grows_with_the_logarithm_of_the_group_size(
+    live: int, expected: int
+) -> None:
     assert minimum_suspicion_timeout(MembershipTimeouts(), live) == expected
--- a/tests/test_membership_failure_detector.py
+++ b/tests/test_membership_failure_detector.py
@@ -11,14 +11,14 @@
 SILENT = 2
 
 
-def test_a_member_without_an_ack_is_pinged_by_others_then_suspected_then_declared_dead() -> None:
+def test_a_silent_member_is_pinged_indirectly_then_suspected_then_declared_dead() -> None:
     members = started_members()
     sent: list[SendMessage] = []
     declared_at = None
     now = 0
     while declared_at is None:
         now += STEP
-        commands = [one for one in members.handle(now, ()) if isinstance(one, SendMessage)]
+        commands = [emitted for emitted in members.handle(now, ()) if isinstance(emitted, SendMessage)]
         sent += commands
         for command in commands:
             token = command.port - FIRST_PORT
--- a/tests/test_membership_group.py
+++ b/tests/test_membership_group.py
@@ -14,7 +14,7 @@
 
 
 def messages_per_instance(size: int) -> float:
-    """Messages that one instance sends a second in a calm group that has joined from seeds, unsuspected."""
+    """Return messages sent per instance and second in a group without faults that has joined from seeds."""
     group = virtual_group(size, 5)
     group.open(preset=False)
     group.run(15 * SECOND)
@@ -25,12 +25,12 @@
     return (group.messages - before) / size / MEASURED_S
 
 
-def test_a_view_comes_together_from_seeds_and_costs_much_the_same_in_a_large_group() -> None:
-    # results of rounds spread as an epidemic there; pings alone cost the same
+def test_instances_join_by_seeds_and_the_message_rate_grows_slowly_with_the_group() -> None:
+    # A larger group also spreads probe results by gossip; the number of pings per instance is the same.
     assert messages_per_instance(64) < messages_per_instance(8) * 4
 
 
-def test_an_instance_of_an_older_version_is_understood() -> None:
+def test_instances_of_two_protocol_versions_form_one_group() -> None:
     group = virtual_group(4, 3)
 
     def starting_at_version_1(node: Node) -> Callable:
@@ -52,7 +52,7 @@
 
 
 def kill(group: World, number: int) -> None:
-    """Stop an instance at once."""
+    """Stop an instance without a leave."""
     if group.nodes[number].instance:
         group.nodes[number].stop()
 
@@ -70,27 +70,27 @@
 
 
 def resume(group: World, number: int) -> None:
-    """Wake an instance that is suspended."""
+    """Resume a suspended instance."""
     node = group.nodes[number]
     if node.instance and node.paused:
         node.resume()
 
 
 def cut_outgoing(group: World, number: int) -> None:
-    """Lose all that an instance sends."""
+    """Drop all messages that an instance sends."""
     others = frozenset(range(SIZE)) - {number}
     group.network.cuts["a", number] = frozenset({number}), others
 
 
 def cut(group: World, number: int) -> None:
-    """Lose all that an instance sends and all that is sent to it."""
+    """Drop all messages from and to an instance."""
     cut_outgoing(group, number)
     others = frozenset(range(SIZE)) - {number}
     group.network.cuts["b", number] = others, frozenset({number})
 
 
 def heal(group: World, number: int) -> None:
-    """End all cuts."""
+    """Remove all cuts of the network."""
     group.network.cuts.clear()
 
 
@@ -101,7 +101,7 @@
 
 
 def wait(group: World, number: int) -> None:
-    """Do nothing."""
+    """Inject no fault."""
 
 
 FAULTS = (kill, start, pause, resume, cut, cut_outgoing, heal, lose_store, wait)
@@ -116,10 +116,10 @@
         max_size=12,
     ),
 )
-def test_whatever_fails_the_views_agree_again_once_it_is_over(seed, history) -> None:
+def test_views_agree_again_after_any_sequence_of_faults(seed, faults) -> None:
     group = virtual_group(SIZE, seed, loss=0.1, doubled=0.1, late=0.1)
     group.open(preset=True)
-    for inject, number, seconds in history:
+    for inject, number, seconds in faults:
         inject(group, number)
         group.run(group.now + seconds * SECOND)
     group.network.cuts.clear()
--- a/tests/test_membership_identity.py
+++ b/tests/test_membership_identity.py
@@ -4,7 +4,7 @@
 
 
 def drawn_token() -> int:
-    """The token of an instance that is new."""
+    """Return the token of a new instance."""
     return 6
 
 
@@ -14,7 +14,7 @@
     assert rows == {"token": b"6", "life": b"1"}
 
 
-def test_each_start_is_a_further_generation_of_the_stored_identity() -> None:
+def test_each_start_increments_the_generation_of_the_stored_identity() -> None:
     _, rows = next_identity({}, lambda: 5)
     expected = Identity(token=5, generation=2, ceiling=0, is_ceiling_known=False)
     assert next_identity(rows, drawn_token).identity == expected
--- a/tests/test_membership_join.py
+++ b/tests/test_membership_join.py
@@ -7,7 +7,7 @@
 SEED = (HOST, 1002)
 
 
-def test_a_hello_is_answered_and_nothing_in_it_is_believed() -> None:
+def test_a_hello_is_answered_and_its_sender_is_not_added() -> None:
     members = started_members()
     (welcome,) = receive(members, record(9), Hello(), to=0)
     assert isinstance(welcome.message, Welcome)
--- a/tests/test_membership_record_updates.py
+++ b/tests/test_membership_record_updates.py
@@ -6,7 +6,7 @@
 from tests.membership_group import SECOND, receive, record, started_members, yields
 
 
-def test_a_member_that_hears_of_its_suspicion_refutes_it_and_is_alive_again() -> None:
+def test_a_suspected_member_refutes_and_is_alive_again() -> None:
     members = started_members()
     ack = receive(members, record(2), Ping(9, (record(1, state=MemberState.SUSPECT),)))[0].message
     assert members.me.incarnation == (1 << REFUTATION_BITS) + 1
@@ -16,11 +16,11 @@
     assert other.table[1].state == MemberState.SUSPECT
     other.updates.apply(members.me)
     assert other.table[1].state == MemberState.ALIVE
-    other.updates.apply(record(1, state=MemberState.DEAD))  # of the incarnation before
+    other.updates.apply(record(1, state=MemberState.DEAD))  # of the previous incarnation
     assert other.table[1].state == MemberState.ALIVE
 
 
-def test_a_dead_member_is_notified_and_comes_back_under_a_newer_incarnation_only() -> None:
+def test_a_dead_member_is_notified_and_is_live_again_only_with_a_newer_incarnation() -> None:
     members = started_members()
     members.updates.apply(record(2, state=MemberState.DEAD))
     ack = receive(members, record(2), Ping(4))[0].message
@@ -30,7 +30,7 @@
     assert 2 in members.ring
 
 
-def test_a_message_for_a_former_generation_changes_nothing_and_is_answered_by_one_hello() -> None:
+def test_a_message_to_a_former_generation_has_no_effect_and_is_answered_by_one_hello() -> None:
     members = started_members(generation=2)
     before = dict(members.table)
     former_session = record(1, generation=1).session_token
@@ -39,10 +39,12 @@
     assert members.table == before
     assert [type(command.message) for command in commands] == [Hello]
     assert members.counts["misaddressed"] == 1
-    assert receive(members, record(9), Ping(2), to=5) == []  # one Hello to an address in a direct timeout
+    assert (
+        receive(members, record(9), Ping(2), to=5) == []
+    )  # at most one Hello per address and direct timeout
 
 
-def test_a_late_message_from_a_former_generation_changes_nothing() -> None:
+def test_a_late_message_from_a_former_generation_has_no_effect() -> None:
     members = started_members(generation=2)
     receive(members, record(2, generation=5), Ping(3))
     receive(members, record(2, generation=4), Ping(4, (record(3, state=MemberState.LEFT),)))
@@ -54,17 +56,17 @@
 def test_of_two_members_with_one_name_the_younger_leaves_and_yields() -> None:
     younger = started_members(birth=5)
     *notifications, command = receive(younger, record(7, name="n1", birth=3), Ping(1))
-    assert {one.message.records[0].state for one in notifications} == {MemberState.LEFT}
+    assert {notification.message.records[0].state for notification in notifications} == {MemberState.LEFT}
     assert command.reason == NAME_IN_USE
     assert younger.handle(2 * SECOND, ()) == []
 
 
-def test_of_two_members_with_one_name_the_older_goes_on() -> None:
+def test_of_two_members_with_one_name_the_older_keeps_running() -> None:
     older = started_members(birth=2)
     assert not yields(receive(older, record(7, name="n1", birth=3), Ping(1)))
 
 
-def test_a_member_with_a_new_store_at_its_old_address_replaces_its_former_self() -> None:
+def test_a_member_restarted_with_a_new_store_replaces_its_former_record() -> None:
     members = started_members(token=3, others=(1, 2))
     receive(members, record(1), Ping(1))
     receive(members, record(70, name="n1", port=1001), Ping(1))
@@ -72,9 +74,9 @@
     assert 70 in members.ring
 
 
-def test_an_instance_stopped_while_a_later_generation_started_yields() -> None:
-    woken = started_members(generation=1, birth=1)
-    (command,) = yields(receive(woken, record(2), Ping(1, (record(1, generation=2, birth=9),))))
+def test_an_instance_suspended_while_a_later_generation_started_yields() -> None:
+    resumed = started_members(generation=1, birth=1)
+    (command,) = yields(receive(resumed, record(2), Ping(1, (record(1, generation=2, birth=9),))))
     assert command.reason == IDENTITY_REPLACED
 
 
--- a/tests/test_membership_table.py
+++ b/tests/test_membership_table.py
@@ -10,7 +10,7 @@
 
 @pytest.fixture
 def table() -> MemberTable:
-    """A table of three members; the third died at time 0 and the second at time 1."""
+    """A table of the members 2, 3 and 4; member 3 died at time 0 and member 2 at time 1."""
     table = MemberTable(record(1), TimerQueue(1))
     for token in (2, 3, 4):
         table.put(record(token))
@@ -21,7 +21,7 @@
     return table
 
 
-def test_dead_members_are_forgotten_once_they_are_older_than_the_age(table: MemberTable) -> None:
+def test_dead_members_older_than_the_maximum_age_are_removed(table: MemberTable) -> None:
     table.forget_dead(10)
     assert list(table.dead) == [3, 2]
     table.forget_dead(9)
@@ -29,7 +29,7 @@
     assert set(table.table) == {2, 4}
 
 
-def test_the_oldest_dead_members_beyond_the_maximum_are_forgotten(table: MemberTable) -> None:
+def test_the_oldest_dead_members_beyond_the_maximum_number_are_removed(table: MemberTable) -> None:
     table.forget_dead(9)
     for token in range(10, 10 + MAX_REMEMBERED_DEAD):
         table.put(record(token, state=MemberState.DEAD))
--- a/tests/test_membership_views.py
+++ b/tests/test_membership_views.py
@@ -1,4 +1,4 @@
-"""Tests of the membership of a fleet that starts cold, in virtual time."""
+"""Tests of membership in simulated fleets after a cold start and after a partition."""
 
 from limepath.configuration.sharing_settings import (
     DutyMode,
@@ -11,7 +11,7 @@
 from tests.discovery_harness import SECOND
 
 
-def test_views_of_a_cold_fleet_agree_after_the_dissemination_time():
+def test_views_after_a_cold_start_agree_within_the_dissemination_time():
     world = World(
         100,
         4,
@@ -22,7 +22,7 @@
     )
     world.open(False)
     world.run(dissemination_time(MembershipTimeouts(), 100))
-    assert world.views_agree()  # after 2 s; 9.5 s where a page a period was pulled
+    assert world.views_agree()  # takes 2 s; took 9.5 s when only one page per period was pulled
 
 
 def test_partitions_that_suspected_each_other_declare_no_live_member_dead():
@@ -36,9 +36,9 @@
     )
     world.open(True)
     world.run(3 * SECOND)
-    one = frozenset(range(75))
-    world.network.cuts["split"] = one, frozenset(range(150)) - one
-    world.network.cuts["back"] = frozenset(range(150)) - one, one
+    first_half = frozenset(range(75))
+    world.network.cuts["split"] = first_half, frozenset(range(150)) - first_half
+    world.network.cuts["back"] = frozenset(range(150)) - first_half, first_half
     world.run(9 * SECOND)
     world.network.cuts.clear()
     world.run(40 * SECOND)
