--- a/tests/test_control_socket.py
+++ b/tests/test_control_socket.py
@@ -1,4 +1,4 @@
-"""The control socket answers whatever comes in, and ends a caller that never ends its line."""
+"""Tests of `limepath.membership.control`: invalid requests get an error, overlong lines close the socket."""
 
 import json
 
@@ -9,26 +9,26 @@
 from limepath.membership.control import ControlConnection
 
 
-def caller(shown):
-    one = ControlConnection()
-    one.factory = type("Factory", (), {"connections": 0, "views": shown})()
-    one.setTimeout = lambda span: None
+def connect(views):
+    connection = ControlConnection()
+    connection.factory = type("Factory", (), {"connections": 0, "views": views})()
+    connection.setTimeout = lambda timeout: None
     transport = StringTransport()
-    one.makeConnection(transport)
-    return one, transport
+    connection.makeConnection(transport)
+    return connection, transport
 
 
 @given(st.binary(max_size=200))
-def test_noise_at_the_control_socket_is_answered_with_an_error_and_the_connection_stays(noise):
-    one, transport = caller({"peers": lambda: {"me": 1}})
-    one.dataReceived(noise.replace(b"\n", b" ") + b"\n")
+def test_an_invalid_request_is_answered_with_an_error_and_the_connection_stays_open(noise):
+    connection, transport = connect({"peers": lambda: {"me": 1}})
+    connection.dataReceived(noise.replace(b"\n", b" ") + b"\n")
     assert "error" in json.loads(transport.value())
     transport.clear()
-    one.dataReceived(b'{"show": "peers"}\n')
+    connection.dataReceived(b'{"show": "peers"}\n')
     assert json.loads(transport.value()) == {"me": 1}
 
 
-def test_a_line_without_end_closes_the_connection():
-    one, transport = caller({})
-    one.dataReceived(b"x" * 10_000)
+def test_an_overlong_line_closes_the_connection():
+    connection, transport = connect({})
+    connection.dataReceived(b"x" * 10_000)
     assert transport.disconnecting and b"error" in transport.value()
--- a/tests/test_datagram_guard.py
+++ b/tests/test_datagram_guard.py
@@ -1,4 +1,4 @@
-"""Tests of `limepath.membership.guard`: sealed datagrams, keys and replays."""
+"""Tests of `limepath.membership.guard`: seals, keys, versions and replays of datagrams."""
 
 import msgspec
 import pytest
@@ -33,13 +33,13 @@
 
 
 class UnknownMessage(Message, tag="zz"):
-    """A message of a later version."""
+    """A message type of a later version."""
 
     number: int
 
 
 class LongerPing(Message, tag="p"):
-    """A ping of a later version: one more field at its end."""
+    """A Ping of a later version, with an additional last field."""
 
     seq: int
     records: tuple
@@ -49,23 +49,23 @@
 
 @pytest.fixture
 def receiver() -> Guard:
-    """A guard that takes the messages of membership."""
+    """Return a guard that accepts the messages of membership."""
     return Guard(parse_keys(OLD_KEY))
 
 
 @pytest.fixture
 def sender() -> Guard:
-    """A guard with the same key, that can seal a later version's message too."""
+    """Return a guard with the same key that can also seal a message of a later version."""
     return Guard(parse_keys(OLD_KEY), (*MESSAGES, UnknownMessage))
 
 
 def sealed_ping(guard: Guard) -> bytes:
-    """A datagram of the second member."""
+    """Return a sealed Ping from member 2."""
     return guard.seal(record(2), SESSION, Ping(1))
 
 
 def message_or_reason(guard: Guard, datagram: bytes) -> Message | str:
-    """What the guard gives: the message, or the text of its rejection."""
+    """Return the message that the guard opens, or the text of its rejection."""
     try:
         return guard.open(datagram).message
     except DatagramRejectedError as error:
@@ -73,7 +73,7 @@
 
 
 def with_flipped_bit(datagram: bytes) -> bytes:
-    """The datagram with one bit of its body changed."""
+    """Return the datagram with one bit of its body inverted."""
     changed = bytearray(datagram)
     changed[20] ^= 1
     return bytes(changed)
@@ -89,9 +89,9 @@
 @pytest.mark.parametrize(
     ("change", "reason"),
     [
-        pytest.param(with_flipped_bit, "forged", id="one bit"),
-        pytest.param(lambda datagram: datagram[:-1], "forged", id="cut at the end"),
-        pytest.param(lambda datagram: datagram[:9], "noise", id="cut to little more than a header"),
+        pytest.param(with_flipped_bit, "forged", id="one bit inverted"),
+        pytest.param(lambda datagram: datagram[:-1], "forged", id="truncated by one byte"),
+        pytest.param(lambda datagram: datagram[:9], "noise", id="truncated to the header"),
         pytest.param(lambda datagram: b"x" * 1000, "noise", id="no header"),
         pytest.param(lambda datagram: b"x" * (MAX_DATAGRAM_BYTES + 1), "oversized", id="too long"),
         pytest.param(lambda datagram: b"LP" + bytes((0x21,)) + datagram[3:], "version", id="version"),
@@ -105,8 +105,8 @@
 
 
 def test_a_datagram_sealed_with_an_unknown_key_is_rejected(receiver: Guard) -> None:
-    stranger = Guard(parse_keys(NEW_KEY))
-    assert message_or_reason(receiver, sealed_ping(stranger)) == "unknown key"
+    other_guard = Guard(parse_keys(NEW_KEY))
+    assert message_or_reason(receiver, sealed_ping(other_guard)) == "unknown key"
 
 
 @pytest.mark.parametrize(
@@ -123,7 +123,7 @@
     assert message_or_reason(receiver, sender.seal(member, SESSION, message)) == reason
 
 
-def test_a_later_versions_further_field_is_ignored(receiver: Guard, sender: Guard) -> None:
+def test_an_additional_field_of_a_later_version_is_ignored(receiver: Guard, sender: Guard) -> None:
     datagram = sender.seal(record(2), SESSION, LongerPing(4, (), 0, "more"))
     assert message_or_reason(receiver, datagram) == Ping(4)
 
@@ -151,7 +151,7 @@
 
 
 @given(st.binary(max_size=1500))
-def test_noise_is_rejected_with_and_without_a_valid_header(noise: bytes) -> None:
+def test_random_bytes_are_rejected_with_and_without_a_valid_header(noise: bytes) -> None:
     guard = Guard(parse_keys(OLD_KEY), MESSAGES + DUTY_MESSAGES)
     with pytest.raises(DatagramRejectedError):
         guard.open(noise)
@@ -160,7 +160,7 @@
         guard.open(header + noise)
 
 
-def test_keys_are_rotated_while_both_are_valid() -> None:
+def test_datagrams_are_accepted_during_a_key_rotation() -> None:
     one = Guard(parse_keys(OLD_KEY))
     other = Guard(parse_keys(OLD_KEY))
     assert message_or_reason(other, one.seal(record(1), 0, Hello())) == Hello()
@@ -190,7 +190,7 @@
     assert guard.message_decoder.decode(msgspec.msgpack.Encoder().encode(message)) == message
 
 
-def test_keys_are_read_one_a_line() -> None:
+def test_keys_are_parsed_one_per_line() -> None:
     keys = parse_keys("# new\n" + NEW_KEY + "\n" + OLD_KEY)
     assert [len(key.secret) for key in keys] == [32, 32]
     with pytest.raises(KeyFileError) as error:
@@ -198,7 +198,7 @@
     assert str(error.value) == "line 1: not a hexadecimal key"
 
 
-def test_a_counter_is_new_once_and_while_the_window_reaches_it() -> None:
+def test_a_counter_is_new_once_and_only_inside_the_window() -> None:
     window = ReplayWindow()
     answers = [window.is_new(counter) for counter in (0, 3, 1, 3, 1, 2, 400, 100, 399)]
     assert answers == [True, True, True, False, False, True, True, False, True]
--- a/tests/test_datagram_socket.py
+++ b/tests/test_datagram_socket.py
@@ -1,4 +1,4 @@
-"""Tests of `limepath.membership.host`: the datagram socket under a flood, and its key file."""
+"""Tests of `limepath.membership.host`: the datagram socket during a flood, and reloads of its key file."""
 
 import os
 from collections.abc import Callable
@@ -20,7 +20,7 @@
 
 
 class RecordingPort:
-    """Stands in for twisted's listening port, and records when reading stops and starts."""
+    """Fake of Twisted's listening port that records calls to stop and start reading."""
 
     def __init__(self) -> None:
         self.calls: list[str] = []
@@ -34,13 +34,13 @@
 
 @pytest.fixture
 def clock() -> Clock:
-    """The reactor's clock."""
+    """Return the clock that replaces the reactor."""
     return Clock()
 
 
 @pytest.fixture
 def key_path(tmp_path: Path) -> Path:
-    """A key file with the old key."""
+    """Return the path of a key file with the old key."""
     path = tmp_path / "keys"
     path.write_text(OLD_KEY)
     path.chmod(0o600)
@@ -49,15 +49,15 @@
 
 @pytest.fixture
 def datagram_socket(clock: Clock, key_path: Path) -> DatagramSocket:
-    """A socket on a recording port."""
-    one = DatagramSocket(clock, ADDRESS, str(key_path), MESSAGES, Log("n1", 0, 1), lambda event: None)
-    one.port = RecordingPort()
-    return one
+    """Return a datagram socket on a recording port."""
+    socket = DatagramSocket(clock, ADDRESS, str(key_path), MESSAGES, Log("n1", 0, 1), lambda event: None)
+    socket.port = RecordingPort()
+    return socket
 
 
 @pytest.fixture
 def flood(datagram_socket: DatagramSocket) -> Callable[[int], None]:
-    """Sends so many datagrams of noise."""
+    """Return a function that delivers the given number of invalid datagrams."""
 
     def send(count: int) -> None:
         for _ in range(count):
@@ -66,7 +66,7 @@
     return send
 
 
-def test_a_flood_of_noise_is_left_unread_until_its_interval_ends(clock, datagram_socket, flood) -> None:
+def test_the_socket_is_not_read_during_a_flood_until_the_interval_ends(clock, datagram_socket, flood) -> None:
     calls = datagram_socket.port.calls
     flood(MAX_REJECTED - 1)
     clock.advance(REJECTION_INTERVAL_S)
@@ -78,7 +78,7 @@
     assert datagram_socket.guard.counts["noise"] == 2 * MAX_REJECTED + 299
 
 
-def test_new_keys_are_taken_from_a_good_file_and_a_bad_one_leaves_the_old(
+def test_keys_are_reloaded_from_a_valid_file_and_kept_if_the_file_is_invalid(
     datagram_socket: DatagramSocket, key_path: Path
 ) -> None:
     both = NEW_KEY + "\n" + OLD_KEY
