--- a/tests/test_failing_disk.py
+++ b/tests/test_failing_disk.py
@@ -1,6 +1,6 @@
-"""The store's folder may refuse writes for a while (ENOSPC, EIO): what was accepted is kept and retried.
+"""Tests of writes to the store that fail temporarily (ENOSPC, EIO): accepted rows are kept and retried.
 
-Terms of the operators' notes: writes and syncs may fail for a while, and a kill may leave a write half done.
+The operators' notes say that writes and syncs may fail temporarily, and that a kill may interrupt a write.
 """
 
 import json
@@ -19,32 +19,32 @@
 from limepath.membership.interface import SendMessage
 from limepath.store import PendingWrites, Store
 
-WRITES_THAT_FAIL = """
+FAILING_WRITES = """
 import json, resource, sqlite3, sys
 from limepath.store import Store
 store = Store(sys.argv[1])
 store.put({"ceiling": b"1"})
 _, hard = resource.getrlimit(resource.RLIMIT_FSIZE)
 failed = 0
-for size in (0, 1, 100, 4096, 9000):  # a write fails at its first byte, or half way
+for size in (0, 1, 100, 4096, 9000):  # the write fails at its first byte or partway
     resource.setrlimit(resource.RLIMIT_FSIZE, (size, hard))
     try:
         store.put({"ceiling": b"2", "list": b"x" * 60_000})
     except sqlite3.OperationalError as error:
-        failed += "rollback" not in str(error)  # it tells what the system said
+        failed += "rollback" not in str(error)  # the system's error is not hidden
     resource.setrlimit(resource.RLIMIT_FSIZE, (hard, hard))
     assert store.all() == {"ceiling": b"1"}
-    store.put({"ceiling": b"1"})  # it goes on once it can
+    store.put({"ceiling": b"1"})  # writes succeed again
 store.put({"ceiling": b"3"})
 print(json.dumps(failed))
 """
 
 
-def test_writes_that_fail_for_a_while_keep_the_former_rows_and_succeed_later(tmp_path):
-    """Real files: the system refuses to let them grow, at once or in the middle of a write."""
+def test_failed_writes_keep_the_previous_rows_and_later_writes_succeed(tmp_path):
+    """Uses real files; a resource limit makes writes fail at their first byte or partway."""
     path = str(tmp_path / "peers.db")
     done = subprocess.run(
-        [sys.executable, "-c", WRITES_THAT_FAIL, path],
+        [sys.executable, "-c", FAILING_WRITES, path],
         capture_output=True,
         text=True,
         env=os.environ | {"PYTHONPATH": os.getcwd()},
@@ -55,7 +55,7 @@
 
 
 class FailingStore:
-    """Raises at each write while `fails` is set."""
+    """Fake store whose writes raise an error while `fails` is set."""
 
     def __init__(self):
         self.fails = True
@@ -70,44 +70,44 @@
 
 
 def cooperation_on(store, log):
-    """The part of an instance that carries out commands, on this store; with the datagrams it sent."""
-    one, sent = Cooperation.__new__(Cooperation), []
-    one.writes, one.over, one.counts = PendingWrites(store, log), False, Counter()
-    one.instance = SimpleNamespace(members=SimpleNamespace(me=None))
-    one.line = SimpleNamespace(send=lambda me, order: sent.append(order))
-    return one, sent
+    """Return a Cooperation that executes commands on this store, and the list of messages that it sends."""
+    cooperation, sent = Cooperation.__new__(Cooperation), []
+    cooperation.writes, cooperation.over, cooperation.counts = PendingWrites(store, log), False, Counter()
+    cooperation.instance = SimpleNamespace(members=SimpleNamespace(me=None))
+    cooperation.line = SimpleNamespace(send=lambda me, command: sent.append(command))
+    return cooperation, sent
 
 
 def test_no_lease_is_granted_while_the_epoch_ceiling_cannot_be_written(capsys):
-    """A voter's ceiling has to outlive a crash before the vote is sent; all else is said as ever."""
+    """The voter's epoch ceiling must be on disk before a vote is sent; other messages are sent at once."""
     store = FailingStore()
-    one, sent = cooperation_on(store, Log("n1", 5, 10**6))
+    cooperation, sent = cooperation_on(store, Log("n1", 5, 10**6))
     vote, ping = SendMessage("127.0.0.1", 9, 1, LeaseGrant(0, 1, (0,))), SendMessage("127.0.0.1", 9, 1, None)
-    one.execute(PersistEpochCeiling(4096))
-    one.execute(vote)
-    one.execute(ping)
+    cooperation.execute(PersistEpochCeiling(4096))
+    cooperation.execute(vote)
+    cooperation.execute(ping)
     assert sent == [ping] and store.rows == {}
-    one.writes.retry()
-    one.execute(vote)
+    cooperation.writes.retry()
+    cooperation.execute(vote)
     assert sent == [ping] and store.attempts == 2
-    one.execute(PersistEpochCeiling(8192))  # stands for both
+    cooperation.execute(PersistEpochCeiling(8192))  # replaces the first ceiling
     store.fails = False
-    one.writes.retry()
-    one.execute(vote)
+    cooperation.writes.retry()
+    cooperation.execute(vote)
     assert sent == [ping, vote] and store.rows == {"ceiling": b"8192"}
-    said = capsys.readouterr().err
-    assert "event=store-fails" in said and "event=store-written" in said
+    logged = capsys.readouterr().err
+    assert "event=store-fails" in logged and "event=store-written" in logged
 
 
-def test_an_endpoint_list_that_cannot_be_saved_is_followed_all_the_same():
-    """What comes behind it in the same pass, a drain for one, is carried out; it is saved once it can be."""
+def test_a_failed_save_of_the_endpoint_list_does_not_hold_back_other_commands():
+    """Commands after it in the same batch, for example a drain, are executed, and the save is retried."""
     store = FailingStore()
     changes = DiscoveryChangeLog.__new__(DiscoveryChangeLog)
     changes.cooperation, sent = cooperation_on(store, Log("n1", 0, 10**6))
     changes.execute(SaveSnapshot(b"first"))
     changes.execute(SaveSnapshot(b"second"))
     changes.cooperation.execute(SendMessage("127.0.0.1", 9, 1, LeaseGrant(0, 1, (0,))))
-    assert len(sent) == 1  # a vote rests on no list
+    assert len(sent) == 1  # a vote does not depend on the saved list
     store.fails = False
     changes.cooperation.writes.retry()
     changes.cooperation.writes.retry()
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -1,4 +1,4 @@
-"""The embedded store: what is written survives, one process holds it, damage is found and never read."""
+"""Tests of `limepath.store`: durability, exclusive access, and detection of damaged files."""
 
 import os
 import sqlite3
@@ -11,7 +11,7 @@
 from limepath.store import DAMAGED, GOOD, NEW, Store, StoreLockedError, StoreUnusableError
 
 
-def test_rows_survive_a_restart_and_one_process_holds_the_store(tmp_path):
+def test_rows_survive_a_restart_and_a_second_process_cannot_open_the_store(tmp_path):
     path = str(tmp_path / "sub" / "s.db")
     store = Store(path)
     assert store.found == NEW
@@ -19,23 +19,23 @@
     with pytest.raises(StoreLockedError):
         Store(path)
     store.close()
-    again = Store(path)
-    assert again.found == GOOD and again.all() == {"token": b"5", "life": b"1"}
-    again.close()
+    reopened = Store(path)
+    assert reopened.found == GOOD and reopened.all() == {"token": b"5", "life": b"1"}
+    reopened.close()
 
 
-@pytest.mark.parametrize("damage", ("cut", "noise", "row", "no database", "empty row"))
-def test_a_damaged_store_is_detected_set_aside_and_never_read(tmp_path, damage):
+@pytest.mark.parametrize("damage", ("truncated", "noise", "row", "not a database", "empty row"))
+def test_a_damaged_store_is_detected_moved_aside_and_never_read(tmp_path, damage):
     path = tmp_path / "s.db"
     store = Store(str(path))
     store.put({"token": b"5", "life": b"9", "ceiling": b"7000"})
     store.close()
     intact = path.read_bytes()
-    if damage == "cut":
+    if damage == "truncated":
         path.write_bytes(intact[: len(intact) // 2 + 7])
     elif damage == "noise":
         path.write_bytes(intact[: len(intact) - 4000] + b"\x55" * 4000)
-    elif damage == "no database":
+    elif damage == "not a database":
         path.write_bytes(b"hello" * 500)
     else:
         database = sqlite3.connect(path)
@@ -44,23 +44,23 @@
         )
         database.commit()
         database.close()
-    found = Store(str(path))
-    assert found.found == DAMAGED and found.all() == {} and os.path.exists(found.damaged_path)
-    identity, _ = next_identity(found.all(), lambda: 77)
+    reopened = Store(str(path))
+    assert reopened.found == DAMAGED and reopened.all() == {} and os.path.exists(reopened.damaged_path)
+    identity, _ = next_identity(reopened.all(), lambda: 77)
     assert identity.token == 77 and not identity.is_ceiling_known
-    found.put(epoch_ceiling_row(3))
-    found.close()
+    reopened.put(epoch_ceiling_row(3))
+    reopened.close()
     assert Store(str(path)).found == GOOD
 
 
-def test_a_store_that_cannot_be_made_is_an_error(tmp_path):
+def test_a_store_that_cannot_be_created_is_an_error(tmp_path):
     with pytest.raises(StoreUnusableError):
         Store(str(tmp_path))
     with pytest.raises(OSError):
         Store("/proc/none/s.db")
 
 
-def test_a_write_killed_half_way_is_applied_completely_or_not_at_all(tmp_path):
+def test_a_write_interrupted_by_a_kill_is_applied_completely_or_not_at_all(tmp_path):
     path = str(tmp_path / "s.db")
     script = (
         "import sys; from limepath.store import Store; store = Store(sys.argv[1])\n"
@@ -68,14 +68,14 @@
         "    store.put({name: b'%d' % number for name in ('a', 'b', 'c')})\n"
         "    print(number, flush=True)\n"
     )
-    for least in (3, 11):
+    for min_writes in (3, 11):
         process = subprocess.Popen(
             [sys.executable, "-c", script, path],
             stdout=subprocess.PIPE,
             text=True,
             env=os.environ | {"PYTHONPATH": os.getcwd()},
         )
-        while (acknowledged := int(process.stdout.readline())) < least:
+        while (acknowledged := int(process.stdout.readline())) < min_writes:
             pass
         process.kill()
         process.wait()
