--- a/tests/test_logic_host.py
+++ b/tests/test_logic_host.py
@@ -1,37 +1,37 @@
-"""`LogicHost` batches events, executes commands and keeps one timer for a logic without I/O."""
+"""Tests of `limepath.logic_host`: batches of events, execution of commands, errors and the timer."""
 
 from twisted.internet.task import Clock
 
 from limepath.logic_host import LogicHost
 
 
-class Recorder:
-    """A logic that records what it is handed; `answers` are the commands or errors of the next calls."""
+class RecordingLogic:
+    """Fake logic that records calls of `handle`; `results` are the commands or errors of the next calls."""
 
     def __init__(self):
         self.handled = []
-        self.answers = []
+        self.results = []
         self.due = None
 
     def handle(self, now, events):
         self.handled.append((now, events))
         if self.due is not None and self.due <= now:
             self.due = None
-        answer = self.answers.pop(0) if self.answers else []
-        if isinstance(answer, Exception):
-            raise answer
-        return answer
+        result = self.results.pop(0) if self.results else []
+        if isinstance(result, Exception):
+            raise result
+        return result
 
     def next(self):
         return self.due
 
 
-class HostUnderTest:
-    """A LogicHost on a virtual clock, with its recording logic, executed commands and errors."""
+class LogicHostFixture:
+    """Fixture with a LogicHost on a virtual clock, its fake logic, and the executed commands and errors."""
 
     def __init__(self, execute=None, on_error=None):
         self.reactor = Clock()
-        self.logic = Recorder()
+        self.logic = RecordingLogic()
         self.executed = []
         self.errors = []
         self.host = LogicHost(
@@ -50,7 +50,7 @@
 
 
 def test_events_of_one_iteration_are_handled_together_and_in_order():
-    fixture = HostUnderTest()
+    fixture = LogicHostFixture()
     fixture.host.submit("one")
     fixture.host.submit("two", "three")
     assert fixture.logic.handled == []
@@ -62,23 +62,23 @@
 
 
 def test_an_event_submitted_by_a_command_is_handled_in_the_next_iteration():
-    fixture = HostUnderTest(execute=lambda command: fixture.host.submit(command))
-    fixture.logic.answers = [["again"], []]
+    fixture = LogicHostFixture(execute=lambda command: fixture.host.submit(command))
+    fixture.logic.results = [["again"], []]
     fixture.host.submit("first")
     fixture.reactor.advance(0)
     assert fixture.logic.handled == [(0, ["first"]), (0, ["again"])]
 
 
 def test_commands_are_executed_in_order_and_then_one_timer_is_armed():
-    fixture = HostUnderTest()
-    fixture.logic.answers, fixture.logic.due = [["a", "b"]], 2_500_000
+    fixture = LogicHostFixture()
+    fixture.logic.results, fixture.logic.due = [["a", "b"]], 2_500_000
     fixture.host.submit("event")
     fixture.reactor.advance(0)
     assert fixture.executed == ["a", "b"] and fixture.timers() == [2_500_000]
 
 
-def test_the_timer_is_set_to_what_is_due_next():
-    fixture = HostUnderTest()
+def test_the_timer_is_armed_for_the_next_due_time():
+    fixture = LogicHostFixture()
     fixture.logic.due = 5_000_000
     fixture.host.carry_out(["begun"])
     assert fixture.executed == ["begun"] and fixture.timers() == [5_000_000]
@@ -91,17 +91,17 @@
     assert fixture.logic.handled[-1] == (1_000_000, []) and fixture.timers() == []
 
 
-def test_what_was_due_in_the_past_is_handled_in_the_next_iteration():
-    fixture = HostUnderTest()
+def test_a_due_time_in_the_past_is_handled_in_the_next_iteration():
+    fixture = LogicHostFixture()
     fixture.reactor.advance(3)
     fixture.logic.due = 1_000_000
     fixture.host.carry_out([])
     assert fixture.timers() == [3_000_000]
 
 
-def test_an_error_of_the_logic_is_reported_and_the_logic_goes_on():
-    fixture, error = HostUnderTest(), ValueError("broken")
-    fixture.logic.answers, fixture.logic.due = [error, ["after"]], 1_000_000
+def test_an_error_of_the_logic_is_reported_and_the_logic_keeps_running():
+    fixture, error = LogicHostFixture(), ValueError("broken")
+    fixture.logic.results, fixture.logic.due = [error, ["after"]], 1_000_000
     fixture.host.submit("bad")
     fixture.reactor.advance(0)
     assert fixture.errors == [error] and fixture.timers() == [1_000_000]
@@ -114,34 +114,34 @@
     def execute(command):
         if command == "bad":
             raise OSError("no room")
-        done.append(command)
+        executed.append(command)
 
-    done, fixture = [], HostUnderTest(execute=execute)
-    fixture.logic.answers, fixture.logic.due = [["a", "bad", "b"]], 1_000_000
+    executed, fixture = [], LogicHostFixture(execute=execute)
+    fixture.logic.results, fixture.logic.due = [["a", "bad", "b"]], 1_000_000
     fixture.host.submit("event")
     fixture.reactor.advance(0)
-    assert done == ["a"] and [str(error) for error in fixture.errors] == ["no room"]
+    assert executed == ["a"] and [str(error) for error in fixture.errors] == ["no room"]
     assert fixture.timers() == [1_000_000]
 
 
 def test_a_closed_host_handles_and_executes_nothing_and_has_no_timer():
     def execute(command):
-        done.append(command)
+        executed.append(command)
         if command == "last":
             fixture.host.close()
 
-    done, fixture = [], HostUnderTest(execute=execute)
-    fixture.logic.answers, fixture.logic.due = [["a", "last", "b"]], 1_000_000
+    executed, fixture = [], LogicHostFixture(execute=execute)
+    fixture.logic.results, fixture.logic.due = [["a", "last", "b"]], 1_000_000
     fixture.host.submit("event")
     fixture.reactor.advance(0)
-    assert done == ["a", "last"] and fixture.timers() == []
+    assert executed == ["a", "last"] and fixture.timers() == []
     fixture.host.submit("late")
     fixture.reactor.advance(2)
     assert len(fixture.logic.handled) == 1 and fixture.timers() == []
 
 
 def test_closing_cancels_the_timer_and_drops_submitted_events():
-    fixture = HostUnderTest()
+    fixture = LogicHostFixture()
     fixture.logic.due = 1_000_000
     fixture.host.carry_out([])
     fixture.host.submit("gathered")
@@ -150,9 +150,9 @@
     assert fixture.logic.handled == [] and fixture.timers() == []
 
 
-def test_a_host_that_is_closed_when_it_fails_is_not_armed_again():
-    fixture = HostUnderTest(on_error=lambda error: fixture.host.close())
-    fixture.logic.answers, fixture.logic.due = [ValueError("broken")], 1_000_000
+def test_a_host_closed_by_its_error_callback_is_not_armed_again():
+    fixture = LogicHostFixture(on_error=lambda error: fixture.host.close())
+    fixture.logic.results, fixture.logic.due = [ValueError("broken")], 1_000_000
     fixture.host.submit("event")
     fixture.reactor.advance(0)
     assert fixture.host.closed and fixture.timers() == []
