--- a/tests/byte_records.py
+++ b/tests/byte_records.py
@@ -1,8 +1,9 @@
-"""The values of the byte records in `tests/data` and how the program codes each of them.
+"""The values of the byte records in `tests/data`, with their encoders and decoders.
 
-The data files keep the bytes that fronts send to each other and hold in their stores. `write_byte_records`
-writes the files, `test_stored_bytes` compares the program with them. Labels are those of the files and do
-not depend on names in the program. Fields are given by name, so that a change of their order is seen.
+The data files contain the bytes that fronts send to each other and keep in their stores. `write_byte_records`
+writes the files, and `test_stored_bytes` compares the program with them. The labels are those of the files
+and do not depend on names in the program. Fields are given by name, so that a change of their order is
+detected.
 """
 
 import json
@@ -32,7 +33,7 @@
 from limepath.store import Store
 
 DATA = Path(__file__).parent / "data"
-WIRE, STORE, ENDPOINT_LIST, AGREED = "wire.json", "store.json", "endpoint_list.json", "agreed.json"
+WIRE, STORE, ENDPOINT_LIST, SHARED = "wire.json", "store.json", "endpoint_list.json", "agreed.json"
 KEY = "00112233445566778899aabbccddeeff"
 RECEIVER, COUNTER = 0x0123456789ABCDEF, 70_001
 TOKENS = (0x1111111111111111, 0x2222222222222222, 0x3333333333333333, 0x7444444444444444)
@@ -41,16 +42,16 @@
 UNIONS = (membership.MESSAGES, endpoints.MESSAGES, leases.MESSAGES, request_counts.MESSAGES)
 MESSAGE_TYPES = tuple(message_type for union in UNIONS for message_type in union)
 
-LIVES = {"incarnation": (5 << membership.REFUTATION_BITS) + 2, "birth": 1_796_000_000_000_001}
+START = {"incarnation": (5 << membership.REFUTATION_BITS) + 2, "birth": 1_796_000_000_000_001}
 SUSPICION = {"state": membership.MemberState.SUSPECT, "reported_by": TOKENS[1]}
 MEMBER = membership.MemberRecord(
-    token=TOKENS[0], name="front-1", host="192.0.2.1", port=7401, **LIVES, **SUSPICION
+    token=TOKENS[0], name="front-1", host="192.0.2.1", port=7401, **START, **SUSPICION
 )
-OTHER_MEMBER = membership.MemberRecord(token=TOKENS[2], name="front-2", host="192.0.2.2", port=7402, **LIVES)
+OTHER_MEMBER = membership.MemberRecord(token=TOKENS[2], name="front-2", host="192.0.2.2", port=7402, **START)
 
 
 class CodedRecord(NamedTuple):
-    """A value of the endpoint list with its encoder and decoder; `packed_from` is where zlib data begins."""
+    """A value of the endpoint list with its encoder and decoder; zlib data begins at byte `packed_from`."""
 
     value: Any
     encode: Callable[[], bytes]
@@ -128,7 +129,7 @@
 
 
 def with_defaults(message: membership.Message) -> membership.Message:
-    """The message with the default of each field that has one."""
+    """Return the message with all optional fields set to their defaults."""
     fields = msgspec.structs.fields(message)
     return type(message)(**{field.name: getattr(message, field.name) for field in fields if field.required})
 
@@ -142,25 +143,25 @@
 
 
 def new_guard() -> Guard:
-    """A guard with the fixed key and counter that takes all messages, as a front has it."""
+    """Return a guard with a fixed key and counter that accepts all messages, like the guard of a front."""
     guard = Guard(parse_keys(KEY), MESSAGE_TYPES)
     guard.counter = COUNTER
     return guard
 
 
 def encoded(message: membership.Message) -> bytes:
-    """The bytes of a message alone, by the guard's own encoder."""
+    """Return the bytes of a message without a datagram, encoded by the guard's encoder."""
     return new_guard().encoder.encode(message)
 
 
 def shortened(message: membership.Message) -> bytes:
-    """The bytes of a message as a sender has them that knows none of its optional fields."""
+    """Return the bytes of a message from a sender whose version has none of the optional fields."""
     required = sum(field.required for field in msgspec.structs.fields(message))
     return msgspec.msgpack.encode(msgspec.msgpack.decode(encoded(message))[: required + 1])
 
 
 def sealed(message: membership.Message) -> bytes:
-    """The datagram of a message."""
+    """Return the sealed datagram of a message."""
     return new_guard().seal(MEMBER, RECEIVER, message)
 
 
@@ -168,15 +169,15 @@
 
 
 def endpoint(number: int) -> dict[str, Any]:
-    """One member of the list, as the list service words it."""
+    """Return one member of the list in the format of the discovery service."""
     host_port, up_since_ms = f"192.0.2.{number}:8080", 1_796_000_000_000 + number
-    told = {"id": f"cache-{number}", "host_port": host_port, "locality": "south", "flavor": "disk"}
-    return told | {"phase": "in_service", "up_since_ms": up_since_ms}
+    fields = {"id": f"cache-{number}", "host_port": host_port, "locality": "south", "flavor": "disk"}
+    return fields | {"phase": "in_service", "up_since_ms": up_since_ms}
 
 
-def event(**told: Any) -> event_coding.ServiceEvent:
-    """An event whose text is the plain JSON of its object."""
-    return event_coding.ServiceEvent(told, json.dumps(told))
+def event(**body: Any) -> event_coding.ServiceEvent:
+    """Return an event whose text is the JSON of its body."""
+    return event_coding.ServiceEvent(body, json.dumps(body))
 
 
 OBJECT_PURGE = event(seq=1001, invalidate={"object": "00000000deadbeef", "time": 1_796_000_000_123})
@@ -196,48 +197,54 @@
 
 
 def full_list() -> endpoint_list.EndpointList:
-    """A list with members and with purges of different ages."""
-    held, members = endpoint_list.EndpointList(), [endpoint(number) for number in (1, 2, 3)]
-    held.apply({"seq": 1000, "fleet": {"revision": 8, "complete": True, "members": members}})
-    held.apply(OBJECT_PURGE.body, now=2_000_000, age=1_000_000)
-    held.apply(BUCKET_PURGE.body, now=4_000_000, age=0)
-    held.revision = endpoints.Revision(generation=2, number=1002)
-    return held
-
-
-def list_state(held: endpoint_list.EndpointList) -> tuple[Any, ...]:
-    """All that makes up a list at `NOW`, to be compared."""
-    return held.revision, held.fleet_revision, held.members, held.digest, held.purges.retained(NOW)
+    """Return an endpoint list with members and with purges of different ages."""
+    current_list, members = endpoint_list.EndpointList(), [endpoint(number) for number in (1, 2, 3)]
+    current_list.apply({"seq": 1000, "fleet": {"revision": 8, "complete": True, "members": members}})
+    current_list.apply(OBJECT_PURGE.body, now=2_000_000, age=1_000_000)
+    current_list.apply(BUCKET_PURGE.body, now=4_000_000, age=0)
+    current_list.revision = endpoints.Revision(generation=2, number=1002)
+    return current_list
+
+
+def list_state(current_list: endpoint_list.EndpointList) -> tuple[Any, ...]:
+    """Return the whole state of a list at `NOW`, for comparison."""
+    return (
+        current_list.revision,
+        current_list.fleet_revision,
+        current_list.members,
+        current_list.digest,
+        current_list.purges.retained(NOW),
+    )
 
 
 def event_record(one: event_coding.ServiceEvent, packed_from: int | None = None) -> CodedRecord:
-    """One event's bytes."""
+    """Return the record of one event."""
     return CodedRecord(one, lambda: event_coding.encode_event(*one), event_coding.decode_event, packed_from)
 
 
-def list_record(held: endpoint_list.EndpointList) -> CodedRecord:
-    """A whole list, as it is saved and as it is sent in parts."""
+def list_record(current_list: endpoint_list.EndpointList) -> CodedRecord:
+    """Return the record of a whole list, in the format in which it is saved and sent in chunks."""
     return CodedRecord(
-        list_state(held),
-        lambda: held.pack(NOW),
+        list_state(current_list),
+        lambda: current_list.pack(NOW),
         lambda data: list_state(endpoint_list.unpack_list(data, LONGEST_LIST, NOW)),
         packed_from=len(endpoint_list.FORMAT_TAG),
     )
 
 
 def index_record(contents: pages.ListContents) -> CodedRecord:
-    """The index of a list's pages."""
-    told = pages.list_digests(contents)
-    return CodedRecord(told, lambda: page_coding.encode_index(told), page_coding.decode_index)
+    """Return the record of the index of a list's pages."""
+    digests = pages.list_digests(contents)
+    return CodedRecord(digests, lambda: page_coding.encode_index(digests), page_coding.decode_index)
 
 
 def page_record(number: int) -> CodedRecord:
-    """One page of `CONTENTS`."""
-    told = pages.list_digests(CONTENTS)
-    page = pages.spread_over_pages(CONTENTS, told.layout)[number]
+    """Return the record of one page of `CONTENTS`."""
+    digests = pages.list_digests(CONTENTS)
+    page = pages.spread_over_pages(CONTENTS, digests.layout)[number]
 
     def decode(data: bytes) -> pages.PageContents:
-        return page_coding.decode_page(data, number, told)
+        return page_coding.decode_page(data, number, digests)
 
     return CodedRecord(page, lambda: page_coding.encode_page(page), decode, packed_from=0)
 
@@ -263,40 +270,40 @@
 
 # The store
 STORE_LABELS = ("identity/token", "identity/life", "lease/epoch-ceiling", "endpoint-list/saved")
-LIFE, CEILING = 3, 70_002
+GENERATION, CEILING = 3, 70_002
 
 
 def store_rows(saved_list: bytes) -> dict[str, bytes]:
-    """The rows of a front's store after some starts, with these bytes of the saved list."""
+    """Return the rows of a front's store after GENERATION starts, with the given bytes of the saved list."""
     rows = {}
-    for _ in range(LIFE):
+    for _ in range(GENERATION):
         _, rows = next_identity(rows, lambda: TOKENS[3])
     return rows | epoch_ceiling_row(CEILING) | {SAVED_LIST_ROW: saved_list}
 
 
 def written_store(path: Path, rows: dict[str, bytes]) -> dict[str, Any]:
-    """Write rows by the program's store to a new file; give its schema and its raw columns."""
+    """Write rows to a new file with the program's store; return its schema and its raw columns."""
     with closing(Store(str(path))) as store:
         store.put(rows)
-    with closing(sqlite3.connect(path)) as base:
-        ((schema,),) = base.execute("SELECT sql FROM sqlite_master WHERE type = 'table'")
-        columns = base.execute("SELECT name, value, sum FROM state ORDER BY rowid").fetchall()
-    told = [
+    with closing(sqlite3.connect(path)) as database:
+        ((schema,),) = database.execute("SELECT sql FROM sqlite_master WHERE type = 'table'")
+        columns = database.execute("SELECT name, value, sum FROM state ORDER BY rowid").fetchall()
+    row_records = [
         {"label": label, "name": name, "value": value.hex(), "sum": total}
         for label, (name, value, total) in zip(STORE_LABELS, columns, strict=True)
     ]
-    return {"schema": schema, "rows": told}
+    return {"schema": schema, "rows": row_records}
 
 
-# Digests, which fronts compare, and codes, which messages hold as numbers
+# Digests that fronts compare, and enumeration values that messages contain
 
 
-def agreed_values() -> dict[str, Any]:
-    """What fronts work out alike from what they know, and the numbers of enumerations, by label."""
+def shared_values() -> dict[str, Any]:
+    """Return values that all fronts must compute alike, and the values of enumerations, by label."""
     view = ViewDigests()
-    for news in (MEMBER, OTHER_MEMBER):
-        view.toggle(news)
-    ring, states, reads = Ring.of(TOKENS), membership.MemberState, endpoints.SubscriptionMode
+    for member in (MEMBER, OTHER_MEMBER):
+        view.toggle(member)
+    ring, states, modes = Ring.of(TOKENS), membership.MemberState, endpoints.SubscriptionMode
     return {
         "membership/view": view.combined,
         "membership/view-buckets": view.buckets,
@@ -308,7 +315,7 @@
         "endpoint-list/page-index": PagedSnapshot(CONTENTS).id,
         "endpoint-list/scope": scopes.scope_digest(TOKENS[0], Scope("zone-1", "site-1")),
         "endpoint-list/relay-order": order_by_hash(TOKENS, "zone-1"),
-        "endpoint-list/subscriptions": [reads.TEXTS, reads.BATCHES, reads.HEARTBEATS],
+        "endpoint-list/subscriptions": [modes.TEXTS, modes.BATCHES, modes.HEARTBEATS],
         "probe/outcomes": [
             AttemptOutcome.SUCCEEDED,
             AttemptOutcome.TIMED_OUT,
@@ -327,5 +334,5 @@
 
 
 def recorded(name: str) -> Any:
-    """The contents of a data file."""
+    """Return the contents of a data file."""
     return json.loads((DATA / name).read_text(encoding="utf-8"))
--- a/tests/test_stored_bytes.py
+++ b/tests/test_stored_bytes.py
@@ -1,4 +1,4 @@
-"""What fronts send and store is byte by byte what the records in `tests/data` hold, and these are read."""
+"""Tests that fronts send, store and read exactly the bytes of the records in `tests/data`."""
 
 import sqlite3
 import zlib
@@ -20,12 +20,12 @@
 
 
 def wire_bytes(label: str, form: str) -> bytes:
-    """One form of a recorded message."""
+    """Return one recorded form of a message."""
     return bytes.fromhex(WIRE[label][form])
 
 
 def list_bytes(label: str, form: str = "encoded") -> bytes:
-    """One form of a recorded part of the endpoint list."""
+    """Return one recorded form of a part of the endpoint list."""
     return bytes.fromhex(ENDPOINT_LIST["records"][label][form])
 
 
@@ -36,7 +36,7 @@
 
 @pytest.mark.parametrize("message_type", records.MESSAGE_TYPES)
 def test_each_message_type_has_a_record_with_all_fields_set(message_type: type) -> None:
-    (message,) = [one for one in records.FULL_MESSAGES.values() if type(one) is message_type]
+    (message,) = [record for record in records.FULL_MESSAGES.values() if type(record) is message_type]
     for field in msgspec.structs.fields(message_type):
         assert field.required or getattr(message, field.name) != field.default
 
@@ -68,7 +68,7 @@
 
 @each_coded
 def test_a_part_of_the_endpoint_list_is_written(label: str) -> None:
-    """Another zlib may pack the same content to other bytes, so there the content is compared."""
+    """Compares the decompressed content with another zlib version, which may compress to other bytes."""
     record = records.CODED_RECORDS[label]
     data, packed_from = record.encode(), record.packed_from
     if packed_from is None or SAME_ZLIB:
@@ -79,18 +79,18 @@
 
 
 def test_a_store_is_read(tmp_path: Path) -> None:
-    told, path = records.recorded(records.STORE), tmp_path / "store.db"
-    rows = [(row["name"], bytes.fromhex(row["value"]), row["sum"]) for row in told["rows"]]
-    with closing(sqlite3.connect(path)) as base:
-        base.execute(told["schema"])
-        base.executemany("INSERT INTO state VALUES (?, ?, ?)", rows)
-        base.commit()
+    recorded, path = records.recorded(records.STORE), tmp_path / "store.db"
+    rows = [(row["name"], bytes.fromhex(row["value"]), row["sum"]) for row in recorded["rows"]]
+    with closing(sqlite3.connect(path)) as database:
+        database.execute(recorded["schema"])
+        database.executemany("INSERT INTO state VALUES (?, ?, ?)", rows)
+        database.commit()
     with closing(Store(str(path))) as store:
         assert store.found == GOOD
         found = store.all()
     assert found == records.store_rows(list_bytes(records.SAVED_LIST))
     identity, _ = next_identity(found, lambda: 0)
-    assert identity == (records.TOKENS[3], records.LIFE + 1, records.CEILING, True)
+    assert identity == (records.TOKENS[3], records.GENERATION + 1, records.CEILING, True)
 
 
 def test_a_store_is_written(tmp_path: Path) -> None:
@@ -99,4 +99,4 @@
 
 
 def test_digests_and_codes_are_the_recorded_ones() -> None:
-    assert records.agreed_values() == records.recorded(records.AGREED)
+    assert records.shared_values() == records.recorded(records.SHARED)
--- a/tests/write_byte_records.py
+++ b/tests/write_byte_records.py
@@ -1,6 +1,6 @@
-"""Write the byte records of `tests/data` anew from what the program codes: python -m tests.write_byte_records
+"""Rewrites the byte records of `tests/data` with the program's encoders: python -m tests.write_byte_records
 
-A record that changes means that fronts of two versions no longer read each other, or not their stores.
+A changed record means that fronts of two versions can no longer read each other's messages or stores.
 """
 
 import json
@@ -13,7 +13,7 @@
 
 
 def wire() -> dict[str, dict[str, str]]:
-    """The forms of all messages, by label."""
+    """Return the recorded forms of all messages, by label."""
     return {
         label: {
             "encoded": records.encoded(message).hex(),
@@ -25,7 +25,7 @@
 
 
 def endpoint_list() -> dict[str, Any]:
-    """The forms of the endpoint list with the zlib that packed them; `content` is what it packed."""
+    """Return the forms of the endpoint list and the zlib version; `content` is the uncompressed data."""
     forms = {}
     for label, record in records.CODED_RECORDS.items():
         data = record.encode()
@@ -36,18 +36,18 @@
 
 
 def store() -> dict[str, Any]:
-    """The schema and the rows of a store."""
+    """Return the schema and the rows of a store."""
     rows = records.store_rows(records.CODED_RECORDS[records.SAVED_LIST].encode())
     with tempfile.TemporaryDirectory() as directory:
         return records.written_store(Path(directory) / "store.db", rows)
 
 
 def main() -> None:
-    """Write all files."""
-    contents = (wire(), store(), endpoint_list(), records.agreed_values())
-    names = (records.WIRE, records.STORE, records.ENDPOINT_LIST, records.AGREED)
-    for name, told in zip(names, contents, strict=True):
-        (records.DATA / name).write_text(json.dumps(told, indent=1) + "\n", encoding="utf-8")
+    """Write all data files."""
+    contents = (wire(), store(), endpoint_list(), records.shared_values())
+    names = (records.WIRE, records.STORE, records.ENDPOINT_LIST, records.SHARED)
+    for name, recorded in zip(names, contents, strict=True):
+        (records.DATA / name).write_text(json.dumps(recorded, indent=1) + "\n", encoding="utf-8")
 
 
 if __name__ == "__main__":
