--- a/limepath/membership/digests.py
+++ b/limepath/membership/digests.py
@@ -9,12 +9,12 @@
 
 BUCKETS = 32  # ranges of tokens, each with a digest, so that only ranges that differ are pulled
 TOKEN_BITS = 63
-INCARNATION_SPREAD = 0x9E3779B97F4A7C15  # 2**64 over the golden ratio (Knuth, multiplicative hashing)
+INCARNATION_MULTIPLIER = 0x9E3779B97F4A7C15  # 2**64 over the golden ratio (Knuth, multiplicative hashing)
 
 
 def record_digest(record: MemberRecord) -> int:
     """Return the 64-bit hash of one member at one incarnation."""
-    return mix64(record.token ^ record.incarnation * INCARNATION_SPREAD & MASK_64)
+    return mix64(record.token ^ record.incarnation * INCARNATION_MULTIPLIER & MASK_64)
 
 
 def bucket_of(token: int) -> int:
--- a/limepath/membership/guard.py
+++ b/limepath/membership/guard.py
@@ -150,10 +150,10 @@
             self.received = (self.received << shift | 1) & (1 << REPLAY_WINDOW) - 1
             self.highest = counter
             return True
-        behind = self.highest - counter
-        if behind >= REPLAY_WINDOW or self.received >> behind & 1:
+        distance = self.highest - counter
+        if distance >= REPLAY_WINDOW or self.received >> distance & 1:
             return False
-        self.received |= 1 << behind
+        self.received |= 1 << distance
         return True
 
 
--- a/limepath/membership/interface.py
+++ b/limepath/membership/interface.py
@@ -14,7 +14,7 @@
 REFUTATION_BITS = 20
 """Number of low bits of an incarnation that count the refutations of one generation."""
 
-GENERATION_SPREAD = 0x9E3779B97F4A7C15  # 2**64 over the golden ratio (Knuth, multiplicative hashing)
+GENERATION_MULTIPLIER = 0x9E3779B97F4A7C15  # 2**64 over the golden ratio (Knuth, multiplicative hashing)
 
 OLDEST_VERSION = 1  # protocol versions
 NEWEST_VERSION = 3
@@ -64,7 +64,7 @@
         Each message carries the session token of its intended receiver, so that a message to an earlier
         generation has no effect.
         """
-        return mix64(self.token ^ self.generation * GENERATION_SPREAD & MASK_64) or 1
+        return mix64(self.token ^ self.generation * GENERATION_MULTIPLIER & MASK_64) or 1
 
     @property
     def is_live(self) -> bool:
--- a/limepath/membership/leave.py
+++ b/limepath/membership/leave.py
@@ -45,12 +45,12 @@
     def _run_round(self, rounds_left: int) -> None:
         if self.members.stopped:
             return
-        others = len(self.view.ring)
-        if not rounds_left or not others:
+        other_count = len(self.view.ring)
+        if not rounds_left or not other_count:
             self.members.stopped = True
             self.timers.emit(LeaveCompleted())
             return
-        self._notify(self.view.me, MIN_NOTIFIED + ceil(log2(others + 1)))
+        self._notify(self.view.me, MIN_NOTIFIED + ceil(log2(other_count + 1)))
         self.timers.schedule(self.timers.now + self.members.timeouts.direct, self._run_round, rounds_left - 1)
 
     def _notify(self, record: MemberRecord, count: int) -> None:
--- a/limepath/membership/suspicion.py
+++ b/limepath/membership/suspicion.py
@@ -69,15 +69,15 @@
         The timeout falls from its maximum to its minimum with the logarithm of the number of confirmations
         (Lifeguard, "Local Health Aware Suspicion").
         """
-        others = len(self.view.ring)
-        minimum = minimum_suspicion_timeout(self.timeouts, others + 1)
-        possible = min(MAX_CONFIRMATIONS, max(0, others - 1))
+        other_count = len(self.view.ring)
+        minimum = minimum_suspicion_timeout(self.timeouts, other_count + 1)
+        possible = min(MAX_CONFIRMATIONS, max(0, other_count - 1))
         confirmed = log(len(suspicion.reporters)) / log(possible + 1) if possible else 1.0
         maximum = MAX_SUSPICION_FACTOR * minimum
         timeout = int(max(minimum, maximum - (MAX_SUSPICION_FACTOR - 1) * minimum * confirmed))
         if self.view.me.token not in suspicion.reporters:
             # Members whose own probes failed probe once more and declare first: wait for that and its gossip.
-            timeout += 2 * self.timeouts.period + dissemination_time(self.timeouts, others + 1)
+            timeout += 2 * self.timeouts.period + dissemination_time(self.timeouts, other_count + 1)
         return suspicion.since + timeout
 
     def clear(self, token: int) -> None:
