--- a/limepath/duties/host.py
+++ b/limepath/duties/host.py
@@ -174,9 +174,9 @@
         self.submit(*self.probe_sharing.all_targets())
 
     def _log_start(self) -> None:
-        if self.store.found == DAMAGED:
+        if self.store.initial_state == DAMAGED:
             self.log.say("store-damaged", "joins as a new instance", put_aside=self.store.damaged_path)
-        elif self.store.found == NEW:
+        elif self.store.initial_state == NEW:
             self.log.say("store-new", "joins as a new instance", store=self.settings.store)
         host, port = self.settings.listen
         self.log.say(
--- a/limepath/store.py
+++ b/limepath/store.py
@@ -43,7 +43,7 @@
 
     Attributes:
         path: the file.
-        found: state of the file at the path when the store was opened: NEW (no file), GOOD or DAMAGED.
+        initial_state: state of the file when the store was opened: NEW (no file), GOOD or DAMAGED.
         damaged_path: path to which a damaged file was moved, or None.
         database: the connection to the file, which holds its exclusive lock.
     """
@@ -56,7 +56,7 @@
             StoreUnusableError: the file can be neither opened nor created.
         """
         self.path = path
-        self.found = NEW
+        self.initial_state = NEW
         self.damaged_path: str | None = None
         self.database: sqlite3.Connection | None = None
         os.makedirs(os.path.dirname(os.path.abspath(path)), exist_ok=True)
@@ -64,7 +64,7 @@
         try:
             self._open()
             if existed:
-                self.found = GOOD
+                self.initial_state = GOOD
                 self._verify()
         except (sqlite3.DatabaseError, StoreDamagedError) as error:
             if "locked" in str(error):
@@ -121,7 +121,7 @@
             self._open()
         except sqlite3.DatabaseError as error:
             raise StoreUnusableError(f"{self.path}: {error}") from None
-        self.found = DAMAGED
+        self.initial_state = DAMAGED
 
     def _close_damaged(self) -> None:
         try:
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -14,13 +14,13 @@
 def test_rows_survive_a_restart_and_a_second_process_cannot_open_the_store(tmp_path):
     path = str(tmp_path / "sub" / "s.db")
     store = Store(path)
-    assert store.found == NEW
+    assert store.initial_state == NEW
     store.put({"token": b"5", "life": b"1"})
     with pytest.raises(StoreLockedError):
         Store(path)
     store.close()
     reopened = Store(path)
-    assert reopened.found == GOOD and reopened.all() == {"token": b"5", "life": b"1"}
+    assert reopened.initial_state == GOOD and reopened.all() == {"token": b"5", "life": b"1"}
     reopened.close()
 
 
@@ -45,12 +45,14 @@
         database.commit()
         database.close()
     reopened = Store(str(path))
-    assert reopened.found == DAMAGED and reopened.all() == {} and os.path.exists(reopened.damaged_path)
+    assert (
+        reopened.initial_state == DAMAGED and reopened.all() == {} and os.path.exists(reopened.damaged_path)
+    )
     identity, _ = next_identity(reopened.all(), lambda: 77)
     assert identity.token == 77 and not identity.is_ceiling_known
     reopened.put(epoch_ceiling_row(3))
     reopened.close()
-    assert Store(str(path)).found == GOOD
+    assert Store(str(path)).initial_state == GOOD
 
 
 def test_a_store_that_cannot_be_created_is_an_error(tmp_path):
@@ -82,5 +84,5 @@
         process.stdout.close()
         store = Store(path)
         rows = store.all()
-        assert store.found == GOOD and len(set(rows.values())) == 1 and int(rows["a"]) >= acknowledged
+        assert store.initial_state == GOOD and len(set(rows.values())) == 1 and int(rows["a"]) >= acknowledged
         store.close()
--- a/tests/test_stored_bytes.py
+++ b/tests/test_stored_bytes.py
@@ -86,7 +86,7 @@
         database.executemany("INSERT INTO state VALUES (?, ?, ?)", rows)
         database.commit()
     with closing(Store(str(path))) as store:
-        assert store.found == GOOD
+        assert store.initial_state == GOOD
         found = store.all()
     assert found == records.store_rows(list_bytes(records.SAVED_LIST))
     identity, _ = next_identity(found, lambda: 0)
