--- a/limepath/membership/anti_entropy.py
+++ b/limepath/membership/anti_entropy.py
@@ -66,7 +66,7 @@
         self.members.send(sender, MemberPage(records, last=len(tokens) <= PAGE_RECORDS))
 
     def handle_page(self, sender: MemberRecord, message: MemberPage) -> None:
-        """Merge a page, and pull the next one while pages change the view."""
+        """Merge a page, and pull the next one while joining or while pages change the view."""
         digest_before = self.view.digests.combined
         live_before = len(self.view.ring)
         self._merge_without_gossip(message.records)
--- a/limepath/membership/gossip.py
+++ b/limepath/membership/gossip.py
@@ -47,7 +47,7 @@
             record, transmits_left = self._queue.pop(token)
             records.append(record)
             if transmits_left > 1:
-                self._queue[token] = Broadcast(record, transmits_left - 1)  # behind all others
+                self._queue[token] = Broadcast(record, transmits_left - 1)  # after all other records
         return tuple(records)
 
     def discard(self, token: int) -> None:
--- a/limepath/membership/host.py
+++ b/limepath/membership/host.py
@@ -20,7 +20,7 @@
 from limepath.membership.interface import MemberRecord, Message, MessageReceived, SendMessage
 
 REJECTION_INTERVAL = 50_000  # microseconds; rejected datagrams are counted per interval of this length
-MAX_REJECTED = 400  # rejected datagrams per interval, after which the socket is not read until it ends
+MAX_REJECTED = 400  # rejected datagrams per interval; then reading stops until the interval ends
 MAX_READ_BYTES = 2048  # per datagram; more than the guard accepts, so that it can detect an oversized one
 OTHERS_MODE_BITS = 0o077
 
@@ -30,7 +30,7 @@
 
 
 class StartError(Exception):
-    """The key file or the socket cannot be used; the text names which one."""
+    """An instance cannot start, because a file or socket cannot be used; the text names it."""
 
 
 class FileVersion(NamedTuple):
--- a/limepath/membership/identity.py
+++ b/limepath/membership/identity.py
@@ -1,7 +1,7 @@
 """The identity of an instance, read from its store: its token, its generation and its lease-epoch ceiling.
 
-Damaged or missing state is never guessed. The instance then gets a new token, and its voter does not know
-which epochs it has granted.
+Damaged or missing state is never guessed. The instance then gets a new token, and the epochs that its voter
+has granted are unknown.
 """
 
 from collections.abc import Callable, Mapping
--- a/tests/membership_group.py
+++ b/tests/membership_group.py
@@ -38,7 +38,7 @@
 
 
 def started_members(token: int = 1, others: Any = (2, 3, 4), **changes: Any) -> Members:
-    """Return a started instance that knows `others`; `changes` are passed to `record` for its own record."""
+    """Return a started instance with `others` as members; `changes` are passed to `record` for its own."""
     members = Members(record(token, **changes), (), TIMEOUTS, token)
     members.start(0)
     members.add_known_members([record(other) for other in others])
--- a/tests/test_datagram_guard.py
+++ b/tests/test_datagram_guard.py
@@ -91,7 +91,7 @@
     [
         pytest.param(with_flipped_bit, "forged", id="one bit inverted"),
         pytest.param(lambda datagram: datagram[:-1], "forged", id="truncated by one byte"),
-        pytest.param(lambda datagram: datagram[:9], "noise", id="truncated to the header"),
+        pytest.param(lambda datagram: datagram[:9], "noise", id="truncated after the header"),
         pytest.param(lambda datagram: b"x" * 1000, "noise", id="no header"),
         pytest.param(lambda datagram: b"x" * (MAX_DATAGRAM_BYTES + 1), "oversized", id="too long"),
         pytest.param(lambda datagram: b"LP" + bytes((0x21,)) + datagram[3:], "version", id="version"),
