--- a/limepath/duties/host.py
+++ b/limepath/duties/host.py
@@ -147,7 +147,7 @@
             settings.leasing,
             seed,
             self.identity.ceiling,
-            self.identity.sure,
+            self.identity.is_ceiling_known,
         )
 
     def _target_kinds(self, front: FrontSettings) -> list[set[int]]:
@@ -174,9 +174,9 @@
         self.submit(*self.probe_sharing.all_targets())
 
     def _log_start(self) -> None:
-        if self.store.found == DAMAGED:
-            self.log.say("store-damaged", "joins as a new instance", put_aside=self.store.aside)
-        elif self.store.found == NEW:
+        if self.store.initial_state == DAMAGED:
+            self.log.say("store-damaged", "joins as a new instance", put_aside=self.store.damaged_path)
+        elif self.store.initial_state == NEW:
             self.log.say("store-new", "joins as a new instance", store=self.settings.store)
         host, port = self.settings.listen
         self.log.say(
@@ -238,7 +238,7 @@
         other = command.other
         self.log.say(
             "gives-way",
-            command.why + "; this front shares nothing any more",
+            command.reason + "; this front shares nothing any more",
             name=other.name,
             other=f"{other.host}:{other.port}",
             life=other.generation,
@@ -275,7 +275,7 @@
         now = clock()
         if now - self.keys_read_at > self.settings.keys_reread:
             self.keys_read_at = now
-            self.line.reread()
+            self.line.reload_keys()
         if now - self.reported_at > REPORT_INTERVAL:
             self.reported_at = now
             self.line.report()
@@ -283,7 +283,7 @@
     def reload(self) -> None:
         """Reread the keys."""
         if not self.over:
-            self.line.reread()
+            self.line.reload_keys()
 
     def leave(self) -> None:
         """Begin to leave: hand over the duties and tell the other members."""
--- a/limepath/testbed/coldstart.py
+++ b/limepath/testbed/coldstart.py
@@ -26,7 +26,7 @@
 from limepath.discovery.bounds import bounds, tree_bounds
 from limepath.discovery.endpoint_list import EndpointList
 from limepath.discovery.simulate import most_in
-from limepath.membership.control import NoAnswerError, ask
+from limepath.membership.control import ControlSocketError, request_view
 from limepath.report_table import CheckResult, at_most, seconds
 from limepath.testbed.duties import SETTINGS
 from limepath.testbed.faults import Fault as Way
@@ -126,8 +126,8 @@
 
     def shown(self):
         try:
-            return ask(self.path("peers.sock"), "listing", 2)
-        except NoAnswerError:
+            return request_view(self.path("peers.sock"), "listing", 2)
+        except ControlSocketError:
             return None
 
     def said_at(self, event):
