--- a/limepath/discovery/component.py
+++ b/limepath/discovery/component.py
@@ -1,4 +1,4 @@
-"""What all parts of a front's discovery logic share."""
+"""Defines the base class of the components of the discovery logic."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class Component:
-    """One job of the engine that it belongs to, and through which it reaches the others."""
+    """A component of the engine; accesses the other components through it."""
 
     def __init__(self, engine: DiscoveryEngine):
         self.engine = engine
@@ -36,7 +36,7 @@
 
     @property
     def replica(self) -> ListReplica:
-        """The endpoint list as this front has it."""
+        """The replica of the endpoint list on this front."""
         return self.engine.replica
 
     @property
@@ -46,7 +46,7 @@
 
     @property
     def roles(self) -> RoleSelection:
-        """Whether this front relays, follows or calls for itself."""
+        """The role of this front: whether it relays, follows or calls the service for itself."""
         return self.engine.roles
 
     @property
@@ -56,35 +56,35 @@
 
     @property
     def intake(self) -> EventIntake:
-        """Heartbeats and events of other fronts."""
+        """The handling of heartbeats and events from other fronts."""
         return self.engine.intake
 
     @property
     def star_subscribers(self) -> StarSubscribers:
-        """Subscribers that stand in no tree."""
+        """The subscribers outside the trees."""
         return self.engine.star_subscribers
 
     @property
     def tree_subscribers(self) -> TreeSubscribers:
-        """Subscribers of this front's place in the trees."""
+        """The subscribers in the trees."""
         return self.engine.tree_subscribers
 
     @property
     def snapshot_transfer(self) -> SnapshotTransfer:
-        """Packed lists to and from other fronts."""
+        """The transfer of packed lists to and from other fronts."""
         return self.engine.snapshot_transfer
 
     @property
     def page_transfer(self) -> PageTransfer:
-        """Pages that differ, to and from other fronts."""
+        """The transfer of differing pages to and from other fronts."""
         return self.engine.page_transfer
 
     @property
     def scopes(self) -> ScopeDirectory:
-        """Zones and sites of the live fronts."""
+        """The zones and sites of the live fronts."""
         return self.engine.scopes
 
     @property
     def tree(self) -> TreeSubscriptions:
-        """This front's place in its zone's trees."""
+        """The position of this front in the trees of its zone."""
         return self.engine.tree
