--- a/limepath/discovery/engine.py
+++ b/limepath/discovery/engine.py
@@ -1,13 +1,13 @@
-"""The discovery logic of one front: where it gets the list, when it calls the service itself, what it relays.
+"""The discovery logic of one front: its sources of the list, its calls to the service, and what it forwards.
 
-The first `relays` fronts of a zone, by hash over the live view, hold a stream of the service. All others send
-each of them a Subscribe every heartbeat interval, which is answered by a Heartbeat (the relay's revision and
-when the service last confirmed it) and by the events that are missing; new events are also pushed at once.
-Ages add up on the way, so it does not matter who answers: a list is as old as the service's last confirmation
-behind it. A relay that is silent, whose stream stands still, or which contradicts others is passed over, and
-the next by hash acts in its stead. With a site in the settings, trees take the place of this star.
+The first `relays` fronts of a zone, by hash over the live view, hold a stream of the service. Every heartbeat
+interval, each other front sends them a Subscribe. A relay answers with a Heartbeat (its revision and the time
+since the service last confirmed it) and with the missing events; it also pushes new events at once. Each hop
+adds its delay to the age, so that the age of a list is always the time since the service confirmed it,
+whichever front answers. If a relay is silent, if its stream stalls or if it contradicts other relays, the
+next front by hash replaces it. If the settings name a site, trees replace this star topology.
 
-One component a job; see the package's docstring. Free of I/O.
+The package's docstring lists the components. Performs no I/O.
 """
 
 from collections.abc import Callable, Collection, Iterable
@@ -48,7 +48,7 @@
 from limepath.discovery.upstream import Upstream, UpstreamSource
 from limepath.timer_queue import TimerQueue
 
-MAX_START_DELAY_US = 100_000  # of the first round, drawn so that fronts that start together spread
+MAX_START_DELAY_US = 100_000  # random delay of the first round, spreads fronts that start together
 COUNTERS = (
     "calls",
     "pushed",
@@ -67,10 +67,10 @@
 
 
 class DiscoveryEngine:
-    """Events in, commands out; times are microseconds of one monotonic clock.
+    """Turns input events into output commands; times are microseconds of one monotonic clock.
 
-    `me` is this front's token, `live()` gives those of the other live fronts, `saved` is the packed list that
-    the store held, or None.
+    `me` is the token of this front, `live()` returns the tokens of the other live fronts, and `saved` is the
+    packed list from the store, or None.
     """
 
     def __init__(
@@ -127,14 +127,14 @@
         }
 
     def start(self, now: int) -> list[Any]:
-        """Schedule the first round; give the commands."""
+        """Schedule the first round and return the commands to execute."""
         self.timers.now = now
         delay = int(self.timers.random_fraction() * min(self.settings.beat, MAX_START_DELAY_US))
         self.timers.schedule(now + delay, self.roles.run_round)
         return self.timers.take_commands()
 
     def handle(self, now: int, events: Iterable[Any] = ()) -> list[Any]:
-        """Do what is due at `now`, handle the events, give the commands."""
+        """Run the timers due at `now`, handle the events, and return the commands to execute."""
         self.timers.run_due(now)
         for event in events:
             if isinstance(event, PeerMessage):
@@ -148,11 +148,11 @@
             handler(token, message)
 
     def next(self) -> int | None:
-        """When something is due next, or None."""
+        """Return the time of the next timer, or None."""
         return self.timers.next_due()
 
     def describe(self) -> dict[str, Any]:
-        """What `limepath discovery show` prints, as plain values."""
+        """Return the state that `limepath discovery show` prints, as plain values."""
         replica = self.replica
         event_subscribers = len(self.tree_subscribers.event_subscribers())
         star_subscribers = len(self.star_subscribers.subscribers)
