--- a/limepath/discovery/roles.py
+++ b/limepath/discovery/roles.py
@@ -1,6 +1,6 @@
-"""Whether a front relays, follows or calls the service for itself; decided every heartbeat interval.
+"""Decides every heartbeat interval whether a front relays, follows or calls the service for itself.
 
-Free of I/O.
+Performs no I/O.
 """
 
 from __future__ import annotations
@@ -18,25 +18,27 @@
 if TYPE_CHECKING:
     from limepath.discovery.engine import DiscoveryEngine
 
-STREAM_HOLD_TIMEOUTS = 2  # heartbeat timeouts for which a relay that is none any more keeps its stream
-RANKED_PER_QUERY = 4  # times the queries of a round: how far down the hash order scopes are asked for
+STREAM_HOLD_TIMEOUTS = 2  # heartbeat timeouts for which a former relay keeps its stream
+RANKED_PER_QUERY = 4  # fronts in hash order to consider per scope query of a round
 
 
 class RoleSelection(Component):
-    """The role of this front and the rounds in which it is decided."""
+    """Selects the role of this front in periodic rounds."""
 
     def __init__(self, engine: DiscoveryEngine):
         super().__init__(engine)
         self.budget = CallBudget(self.settings, self.timers.random_fraction)
         self.role: Role = Role.FOLLOWER
         self.stream_unneeded_since: int | None = None
-        self.unsupplied_since: int | None = None  # since when the list is stale and no source is at work
+        self.unsupplied_since: int | None = None  # since when the list is stale and no source is active
         self.next_round_at: int = 0
-        self.failing_since: int | None = None  # since when this front has been calling in vain
-        self.contradiction_seen: bool = False  # another's list contradicts ours, so the service is asked
+        self.failing_since: int | None = (
+            None  # since when this front's calls to the service have been failing
+        )
+        self.contradiction_seen: bool = False  # another list contradicts ours, so the service is called
 
     def run_round(self) -> None:
-        """Every heartbeat interval: whom to subscribe to, who is passed over, whether to call."""
+        """Select sources, renew the subscriptions to them, and decide whether to call the service."""
         now = self.timers.now
         live = set(self.live())
         self._retain_live(live, now)
@@ -52,7 +54,7 @@
         self.timers.schedule(self.next_round_at, self.run_round)
 
     def _retain_live(self, live: set[int], now: int) -> None:
-        """Forget fronts that are not live any more, and subscribers whose lease has expired."""
+        """Remove fronts that are no longer live, and subscribers whose lease has expired."""
         self.scopes.retain(live)
         for token in [token for token in self.upstream.sources if token not in live]:
             del self.upstream.sources[token]
@@ -60,7 +62,7 @@
         self.tree_subscribers.retain(live, now)
 
     def _renew_subscriptions(self, wanted: Mapping[int, SubscriptionMode]) -> None:
-        """Send each that is subscribed to our revision."""
+        """Send our revision to each front that this one subscribes to."""
         for token, mode in wanted.items():
             if token != self.me:
                 source = self.upstream.sources.setdefault(token, UpstreamSource())
@@ -70,7 +72,7 @@
             self.upstream.forget_others(wanted)
 
     def new_subscription(self, mode: SubscriptionMode, resend: bool = False) -> Subscribe:
-        """The message that renews a subscription from our revision on."""
+        """Return the message that renews a subscription from our revision on."""
         zone, revision = self.settings.zone, self.replica.list.revision
         if not self.tree.enabled:
             return Subscribe(zone, *revision)
@@ -80,7 +82,7 @@
     # The role
 
     def decide_role(self) -> None:
-        """Decide whether to hold a stream; all calls to the service go out here."""
+        """Decide whether to hold a stream, and open it; all calls to the service start here."""
         is_unsupplied = self.replica.is_stale() and not self.upstream.is_supplied()
         is_relay = self._is_relay(is_unsupplied)
         self._set_role(is_relay, is_unsupplied)
@@ -107,7 +109,7 @@
     def _set_role(self, is_relay: bool, is_unsupplied: bool) -> None:
         now = self.timers.now
         self.unsupplied_since = (self.unsupplied_since or now) if is_unsupplied else None
-        # The next by hash are to act first.
+        # Wait before calling, so that the next fronts by hash call first.
         calls_for_itself = self.contradiction_seen or (
             is_unsupplied and now - self.unsupplied_since >= RELAY_RETRY_SPAN_US
         )
@@ -117,7 +119,7 @@
             self.role = role
 
     def _release_stream(self) -> None:
-        """Close the stream of a front that follows, once others have supplied it for a while."""
+        """Close the stream of a follower once its sources have been active for long enough."""
         now = self.timers.now
         self.stream_unneeded_since = self.stream_unneeded_since or now
         self.budget.cancel()
@@ -129,11 +131,11 @@
             unneeded_for > STREAM_HOLD_TIMEOUTS * self.settings.heartbeat_timeout
             and self.upstream.is_supplied()
         ):
-            self.stream.close("relays tell")
+            self.stream.close("relays supply the list")
 
     def _relays_sharing_budget(self, is_relay: bool) -> int:
-        """How many relays of all zones share the budget; 0 where this front counts as none of them."""
-        # In a view so small all may take themselves for relays.
+        """Return how many relays of all zones share the budget, or 0 if this front may not count as one."""
+        # With a view of less than half of the fleet, too many fronts may consider themselves relays.
         is_plausible = 2 * (len(self.live()) + 1) >= self.settings.fronts
         if self.tree.enabled:
             is_plausible = is_plausible and self.scopes.is_settled()
