--- a/limepath/discovery/host.py
+++ b/limepath/discovery/host.py
@@ -1,7 +1,7 @@
-"""The discovery logic on a real front: sockets, store and timers; nothing is decided here.
+"""Connects the discovery logic of a front to sockets, store and timers; makes no decisions itself.
 
-`DiscoveryChangeLog` takes the place of the plain change log of a front that shares. The list comes from the
-service's stream or from other fronts, and `engine` decides from whom.
+`DiscoveryChangeLog` replaces the plain change log on fronts with sharing. The list comes from the service's
+stream or from other fronts, as `engine` decides.
 """
 
 from __future__ import annotations
@@ -48,16 +48,16 @@
     from limepath.duties.host import Cooperation
     from limepath.membership.interface import MemberRecord
 
-SAVED_LIST_ROW = "list"  # of the store
+SAVED_LIST_ROW = "list"  # key in the store
 NS_PER_US = 1000
 US_PER_MS = 1000
 US_PER_SECOND = 1e6
 MAX_REASON_LENGTH = 120  # characters of an error in a log line
-REQUEST_COUNTS_SEED = 0x7A11  # keeps the draws of the request counts apart from those of the front
+REQUEST_COUNTS_SEED = 0x7A11  # gives the request counts a random sequence that differs from the front's
 
 
 class DiscoveryChangeLog(EndpointWatch):
-    """The list of a front that shares; `cooperation` carries messages to others and keeps the store."""
+    """The change log of a front with sharing; `cooperation` sends messages to others and owns the store."""
 
     def __init__(
         self,
@@ -77,17 +77,17 @@
         saved = cooperation.store.all().get(SAVED_LIST_ROW)
         self.logic = DiscoveryEngine(members.me.token, discovery, seed, lambda: members.ring, saved)
         self.logic_host = LogicHost(reactor, clock, self.logic, self.execute, self.failed)
-        self.serial: int = 0  # of the current call
-        self.max_purge_age: int = -1  # of the event that is being applied, in microseconds; -1: not known
-        self.confirmed: Callable[[], None] | None = None  # called once the front may be ready
-        self.paced: Any = None  # the fleet-wide pace of connections, where it is set
-        self.request_counts: FrequencyExchange | None = None  # the exchange of request counts
+        self.serial: int = 0  # number of the current call
+        self.max_purge_age: int = -1  # of the event being applied, in microseconds; -1 if unknown
+        self.confirmed: Callable[[], None] | None = None  # called when the front may become ready
+        self.paced: Any = None  # limits the fleet's rate of new connections; None if no rate is set
+        self.request_counts: FrequencyExchange | None = None  # exchanges request counts with other fronts
 
     def load_known_events(self, known: dict[str, Any]) -> None:
-        """What the configuration holds is as old as its file; the service or a relay sends what counts."""
+        """Ignore the events of the configuration, which may be outdated; the service or a relay sends all."""
 
     def follow(self, host: str, port: int) -> None:
-        """The address of the service; the logic decides when to call."""
+        """Set the address of the service; the logic decides when to call it."""
         has_moved = hasattr(self, "host")
         self.host = host
         self.port = port
@@ -98,20 +98,20 @@
             self.request_counts.start()
 
     def submit(self, *events: Any) -> None:
-        """Hand events to the logic."""
+        """Pass events to the logic."""
         self.logic_host.submit(*events)
 
     def failed(self, error: Exception) -> None:
-        """Requests go on with the list as it is; the next round tries again."""
+        """Log an error of the logic; the front keeps its present list, and the next round retries."""
         self.log.fault("listing", error)
 
     def heard(self, sender: MemberRecord, message: msgspec.Struct) -> None:
-        """A message of another instance that is not of the duties."""
+        """Pass a discovery message of another instance to the logic; ignore other messages."""
         if isinstance(message, MESSAGES):
             self.submit(PeerMessage(sender.token, message))
 
     def execute(self, command: Any) -> None:
-        """Carry out one command of the logic."""
+        """Execute one command of the logic."""
         match command:
             case SendToMember():
                 self.cooperation.reach(command.token, command.message)
@@ -151,20 +151,20 @@
         number = command.event["seq"]
         try:
             self.apply_event(command.event)
-        except WatchError as error:  # its form was checked; what it names this front does not know
+        except WatchError as error:  # the event is well-formed but names something unknown to this front
             self.log.say("changelog", f"{error}; skipped", number=number)
         self.last = number
 
     def apply_update(self, fleet: dict[str, Any]) -> None:
-        """Apply members, and look again at the pace of connections."""
+        """Apply a list of members, then update the rate limit of new connections."""
         try:
             super().apply_update(fleet)
-        finally:  # some of it may have been unreadable
+        finally:  # after a WatchError too, because the readable members were applied
             if self.paced:
                 self.paced.update()
 
     def apply_purge(self, purge: dict[str, Any]) -> None:
-        """Apply a purge, which is no older than this front's list was up to date, whatever the clocks say."""
+        """Apply a purge with an age of at most `max_purge_age`, even if the service's clock is wrong."""
         if self.max_purge_age < 0:
             super().apply_purge(purge)
             return
@@ -192,7 +192,7 @@
             self.submit(StreamClosed(failure.getErrorMessage()[:MAX_REASON_LENGTH]))
 
     def _close_stream(self) -> None:
-        self.serial += 1  # what still comes of the former call is ignored
+        self.serial += 1  # ignores later events of the former call
         if self.coming:
             self.coming.cancel()
         if self.stream:
@@ -201,10 +201,10 @@
         self.coming = None
 
     def sweep(self) -> None:
-        """The logic itself detects silence."""
+        """Do nothing: the logic detects silent streams itself."""
 
     def describe(self) -> dict[str, Any]:
-        """What `limepath discovery show` prints."""
+        """Return the state that `limepath discovery show` prints."""
         self.logic.timers.now = clock()
         return self.logic.describe()
 
@@ -219,7 +219,7 @@
     cooperation: Cooperation,
     discovery: DiscoverySettings,
 ) -> DiscoveryChangeLog:
-    """The change log of a front that shares, which receives the messages of other instances."""
+    """Create the change log of a front with sharing, and register it for the messages of other instances."""
     zone = front.settings["areas"][front.settings["az"]]
     gone_ns = int(front.settings.get("family-info", {}).get("gone-everywhere", 0))
     discovery = discovery._replace(zone=zone, purge_lifetime=gone_ns // NS_PER_US or discovery.purge_lifetime)
@@ -233,7 +233,7 @@
     cooperation.event_listeners.append(changes.request_counts)
     if cooperation.settings.connections:
         from limepath.connection_pacing.host import (
-            PacedConnections,  # nothing of it is loaded where no pace is set
+            PacedConnections,  # imported only if a rate is set
         )
 
         members = cooperation.instance.members
