--- a/limepath/discovery/endpoint_list.py
+++ b/limepath/discovery/endpoint_list.py
@@ -1,7 +1,7 @@
-"""The endpoint list as a value: members, revision, and the purges that still matter.
+"""The endpoint list: its members, its revision and the purges that still apply to cached copies.
 
-Events are checked before they change it (`event_checks`); it is packed to be saved or sent. Purges are kept
-by time and bounded in bytes (`recent_purges`), never by a count. Free of I/O.
+`event_checks` validates events before they are applied. The list is packed to be saved or sent. Purges are
+kept for a period of time and within a limit in bytes (`recent_purges`), not up to a count. Performs no I/O.
 """
 
 import json
@@ -17,15 +17,15 @@
 from limepath.hashing import MASK_64
 
 FORMAT_TAG = b"LPL1"
-PURGE_RETENTION_US = 600_000_000  # for which a purge is kept, where the settings do not say
-MAX_PURGE_BYTES = 4_000_000  # of all purges, coded
-CHUNK_BYTES = 1000  # of a packed list in one datagram
+PURGE_RETENTION_US = 600_000_000  # default time for which a purge is kept
+MAX_PURGE_BYTES = 4_000_000  # encoded size of all purges
+CHUNK_BYTES = 1000  # of a packed list per datagram
 COMPRESSION_LEVEL = 6
 SNAPSHOT_DIGEST_BYTES = 16
 
 
 class EndpointList:
-    """Members by id and recent purges at one revision, which is (0, 0) until an event was applied.
+    """The members by id and the recent purges at one revision, which is (0, 0) before the first event.
 
     `purge_retention` is in microseconds.
     """
@@ -33,15 +33,15 @@
     def __init__(self, purge_retention: int = PURGE_RETENTION_US):
         self.revision = Revision()
         self.members: dict[str, dict[str, Any]] = {}
-        self.fleet_revision: int = 0  # the service's own, passed on to the front
-        self.digest: int = 0  # XOR of the members' digests
+        self.fleet_revision: int = 0  # the service's revision of the members, for the front
+        self.digest: int = 0  # XOR of the digests of all members
         self.purges = RecentPurges(purge_retention, 0, MAX_PURGE_BYTES)
 
     def apply(self, event: dict[str, Any], now: int = 0, age: int = 0) -> None:
-        """Apply the event that follows, at `now`; its form was checked.
+        """Apply the next event, which `parse_event` has validated, at time `now`.
 
-        A purge was accepted `age` ago by the first front that is known to have. Raise InvalidEventError for
-        a purge that is too long to be kept.
+        `age` is the time since a front first accepted the purge, as far as is known. Raise InvalidEventError
+        if the purge is too long to be kept.
         """
         if "fleet" in event:
             self._apply_fleet(event["fleet"])
@@ -71,7 +71,7 @@
         self.digest &= MASK_64
 
     def full_event(self) -> dict[str, Any]:
-        """The list as one event with all its members."""
+        """Return an event that holds all members of the list."""
         members = list(self.members.values())
         return {
             "seq": self.revision.number,
@@ -79,7 +79,7 @@
         }
 
     def pack(self, now: int = 0) -> bytes:
-        """Bytes to save or send at `now`; each purge with its age."""
+        """Return the list as bytes to be saved or sent, with the age of each purge at time `now`."""
         purges = self.purges.retained(now)
         packed = {
             "place": self.revision,
@@ -94,9 +94,10 @@
 def unpack_list(
     data: bytes, max_bytes: int, now: int = 0, purge_retention: int = PURGE_RETENTION_US
 ) -> EndpointList:
-    """The list of packed bytes at `now`, at most `max_bytes` unpacked; raise InvalidEventError.
+    """Return the list in packed bytes at time `now`, or raise InvalidEventError.
 
-    What an older program packed has no ages: its purges count as new.
+    The list may have at most `max_bytes` bytes uncompressed. Older program versions packed no ages; the
+    purges of such a list count as new.
     """
     try:
         packed = json.loads(_decompress(data, max_bytes))
@@ -109,7 +110,7 @@
         for event, age in zip(purges, ages, strict=True):
             unpacked.apply(parse_event(json.dumps(event)), now, max(0, int(age)))
         if min(generation, number) < 0 or type(generation) is not int or type(number) is not int:
-            raise InvalidEventError("no place")
+            raise InvalidEventError(f"revision {generation!r}, {number!r}: expected integers of 0 or more")
     except (ValueError, KeyError, TypeError, AttributeError) as error:
         raise InvalidEventError(f"damaged: {type(error).__name__}") from None
     unpacked.revision = Revision(generation, number)
@@ -117,7 +118,7 @@
 
 
 def _decompress(data: bytes, max_bytes: int) -> bytes:
-    """The JSON text in packed bytes; raise InvalidEventError. No more than `max_bytes` are unpacked."""
+    """Return the JSON text in packed bytes; raise InvalidEventError if it is over `max_bytes`, or damaged."""
     if data[: len(FORMAT_TAG)] != FORMAT_TAG:
         raise InvalidEventError("not a list of this program")
     decompressor = zlib.decompressobj()
@@ -133,10 +134,10 @@
 
 
 def count_chunks(data: bytes) -> int:
-    """How many datagrams carry packed bytes."""
+    """Return the number of datagrams that packed bytes take."""
     return max(1, -(-len(data) // CHUNK_BYTES))
 
 
 def snapshot_digest(data: bytes) -> bytes:
-    """The digest that goes with each chunk of packed bytes."""
+    """Return the digest of packed bytes, which is sent with each chunk."""
     return blake2b(data, digest_size=SNAPSHOT_DIGEST_BYTES).digest()
