--- a/limepath/discovery/interface.py
+++ b/limepath/discovery/interface.py
@@ -1,7 +1,8 @@
-"""The interface of the discovery logic: messages between fronts, events in and commands out.
+"""Defines the interface of the discovery logic: messages between fronts, input events and output commands.
 
-Times are whole microseconds of the instance's own monotonic clock, ages included; a purge's `time` is the
-service's Unix clock in milliseconds and is believed only as far as it fits what this front has seen itself.
+Times and ages are integers, in microseconds of the instance's own monotonic clock. A purge's `time` is in
+milliseconds of the service's Unix clock; it is trusted only within the limits that this front has observed
+on its own clock.
 
 The tag of a message and the order of its fields are the wire format; class and field names are not.
 """
@@ -15,9 +16,9 @@
 
 
 class Revision(NamedTuple):
-    """A version of the endpoint list: the number of its last event, and the generation of those numbers.
+    """A version of the endpoint list: the number of its last event, and the generation of the numbering.
 
-    A later generation follows when the service's own numbers ran backwards.
+    A new generation starts when the service's event numbers run backwards.
     """
 
     generation: int = 0
@@ -25,26 +26,26 @@
 
 
 class Role(StrEnum):
-    """How a front gets the list; the values stand in logs and reports."""
+    """How a front gets the list; the values appear in logs and reports."""
 
     FOLLOWER = "follows"
-    RELAY = "relays"  # one of its zone's first by hash: holds a stream, or tries to
-    STANDALONE = "alone"  # no relay that it knows is up to date: calls the service for itself
+    RELAY = "relays"  # among the first of its zone by hash: holds a stream or tries to open one
+    STANDALONE = "alone"  # calls the service for itself, because no known relay is up to date
 
 
 class SubscriptionMode(IntEnum):
-    """What a subscriber wants of a front beside heartbeats."""
+    """What a front sends to a subscriber in addition to heartbeats."""
 
-    TEXTS = 0  # Events, as an older program reads them
-    BATCHES = 1
-    HEARTBEATS = 2  # nothing
+    TEXTS = 0  # `Events` messages, which older program versions can read
+    BATCHES = 1  # `EventBatch` messages
+    HEARTBEATS = 2  # heartbeats only
 
 
 # Messages between fronts
 
 
 class ScopeAnnouncement(Message, tag="lw"):
-    """The zone and site of the sender; `wants_reply` asks for the receiver's."""
+    """Announces the zone and site of the sender; `wants_reply` requests those of the receiver."""
 
     zone: str
     wants_reply: bool = False
@@ -54,8 +55,8 @@
 class Subscribe(Message, tag="lf"):
     """Renews a subscription from the sender's revision on, and acknowledges all events up to it.
 
-    `resend`: what followed was lost and is to be sent at once. `stamp` is the sender's clock; answers echo
-    it, and so bound their own age.
+    `resend` requests the later events again, because they were lost. `stamp` is the time of the sender's
+    clock; replies echo it, which bounds their age.
     """
 
     zone: str
@@ -68,11 +69,12 @@
 
 
 class Heartbeat(Message, tag="lb"):
-    """The sender's revision, and how long ago the service itself last confirmed it.
+    """Reports the sender's revision, and how long ago the service itself last confirmed it.
 
-    `age` is -1 where the service never did, `failing_for` how long calls to it have failed. `refused`: the
-    sender has as many subscribers as it takes. `oldest_available` is the oldest event that it can still
-    send, -1 where an older program does not say. `stamp` is of the Subscribe that this answers, else 0.
+    `age` is -1 if the service never confirmed the revision. `failing_for` is how long calls to the service
+    have been failing. `refused` is set if the sender accepts no more subscribers. `oldest_available` is the
+    oldest event that the sender can still send, or -1 from an older program version. `stamp` is copied from
+    the Subscribe that this message answers, or 0.
     """
 
     zone: str
@@ -89,7 +91,7 @@
 
 
 class Events(Message, tag="le"):
-    """Events `first`, `first` + 1, ... as the service worded them; up to date as of `age` ago."""
+    """Carries events `first`, `first` + 1, ... in the service's JSON text; up to date as of `age` ago."""
 
     generation: int
     first: int
@@ -98,9 +100,10 @@
 
 
 class EventBatch(Message, tag="lt"):
-    """Events coded by `event_coding.encode_batches`; up to date as of `age` ago if it is the last.
+    """Carries events encoded by `event_coding.encode_batches`.
 
-    `stamp` is of the receiver's last Subscribe, which had arrived `since_subscribe` before this was sent.
+    Up to date as of `age` ago if this is the last batch; -1 otherwise. `stamp` is copied from the receiver's
+    last Subscribe, which arrived `since_subscribe` before this message was sent.
     """
 
     generation: int
@@ -112,9 +115,9 @@
 
 
 class ScopeQuery(Message, tag="ls"):
-    """Asks which fronts of a zone the receiver knows, with a token above `after`.
+    """Requests the fronts of a zone in the receiver's directory whose token is above `after`.
 
-    The answer is empty where the receiver's digest of the zone is the same.
+    The reply is empty if the receiver's digest of the zone equals `digest`.
     """
 
     zone: str
@@ -124,7 +127,7 @@
 
 
 class ScopeReport(Message, tag="lr"):
-    """Fronts of a zone in the order of their tokens: (token, index in `sites`); `last`: there are no more."""
+    """Lists fronts of a zone by ascending token as (token, index in `sites`); `last` ends the list."""
 
     zone: str
     sites: tuple[str, ...] = ()
@@ -133,7 +136,7 @@
 
 
 class PageChunkRequest(Message, tag="lc"):
-    """Asks for a chunk of a page of one snapshot, or, with number -1, of the newest."""
+    """Requests a chunk of a page of one snapshot, or of the newest snapshot if `number` is -1."""
 
     generation: int
     number: int
@@ -143,7 +146,7 @@
 
 
 class PageChunk(Message, tag="ld"):
-    """One chunk of a page; `count` is how many the page has, 0 where that snapshot was dropped."""
+    """Carries one chunk of a page; `count` is its number of chunks, or 0 if the snapshot was dropped."""
 
     generation: int
     number: int
@@ -155,7 +158,7 @@
 
 
 class SnapshotChunkRequest(Message, tag="lq"):
-    """Asks for a chunk of a packed list, or, with number -1, of the newest."""
+    """Requests a chunk of a packed list, or of the newest one if `number` is -1."""
 
     generation: int
     number: int
@@ -163,7 +166,10 @@
 
 
 class SnapshotChunk(Message, tag="lp"):
-    """One chunk of a packed list; `count` is 0 where that list was dropped, `digest` that of all chunks."""
+    """Carries one chunk of a packed list.
+
+    `count` is its number of chunks, or 0 if that list was dropped. `digest` covers all chunks.
+    """
 
     generation: int
     number: int
@@ -188,58 +194,58 @@
 )
 
 
-# Events in
+# Input events
 
 
 class PeerMessage(NamedTuple):
-    """A message of another front, named by its token, has arrived."""
+    """A message from another front, identified by its token, has arrived."""
 
     token: int
     message: msgspec.Struct
 
 
 class StreamOpened(NamedTuple):
-    """The service has accepted the call and begun its answer."""
+    """The service has accepted the call and started its response."""
 
 
 class StreamActive(NamedTuple):
-    """The stream is alive: a comment, or a part of an event."""
+    """The stream has received data other than a complete event: a comment or a part of an event."""
 
 
 class StreamEventReceived(NamedTuple):
-    """A watch event of the service; `number` is the stream's own id of it, used in logs only."""
+    """A watch event of the service has arrived; `number` is its id in the stream, for logs only."""
 
     text: str
     number: str = ""
 
 
 class StreamClosed(NamedTuple):
-    """The stream ended, or the call failed."""
+    """The stream has ended, or the call has failed."""
 
     reason: str
 
 
 class ServiceMoved(NamedTuple):
-    """The service has another address now."""
+    """The address of the service has changed."""
 
 
-# Commands out
+# Output commands
 
 
 class OpenStream(NamedTuple):
-    """Open a stream; `after` is the last event known, 0 to be sent all."""
+    """Open a stream that starts after event `after`; 0 requests all events."""
 
     after: int
 
 
 class CloseStream(NamedTuple):
-    """Close the stream, whatever it still brings."""
+    """Close the stream and ignore data that still arrives on it."""
 
     reason: str
 
 
 class SendToMember(NamedTuple):
-    """Send a message to the front of that token."""
+    """Send a message to the front with this token."""
 
     token: int
     message: msgspec.Struct
@@ -248,7 +254,7 @@
 class ApplyEvent(NamedTuple):
     """Apply this event to the front.
 
-    A purge in it is at most `max_purge_age` old, whatever the clocks say; -1: not known.
+    A purge in it is at most `max_purge_age` microseconds old, even if clocks disagree; -1 if unknown.
     """
 
     event: dict[str, Any]
@@ -262,18 +268,18 @@
 
 
 class ListConfirmed(NamedTuple):
-    """From now on the front may be ready: its list is the service's, as of `age` ago."""
+    """The service confirmed the list `age` ago for the first time, so that the front may become ready."""
 
     revision: Revision
     age: int
 
 
 class FrontReady(NamedTuple):
-    """The list was confirmed, and this front's turn among all that start has come."""
+    """The list is confirmed, and the delay that spreads the readiness of starting fronts has passed."""
 
 
 class ListFreshnessChanged(NamedTuple):
-    """Whether the list is stale: its last confirmation is older than the bound."""
+    """Report whether the list is stale, that is, its last confirmation is older than the limit."""
 
     stale: bool
 
