--- a/limepath/discovery/list_replica.py
+++ b/limepath/discovery/list_replica.py
@@ -1,6 +1,6 @@
-"""This front's replica of the endpoint list: when the service last confirmed it, what the front has of it.
+"""Maintains this front's replica of the endpoint list, its freshness, and its application to the front.
 
-A saved list is not applied before a relay or the service has confirmed its revision. Free of I/O.
+A saved list is applied only after a relay or the service has confirmed its revision. Performs no I/O.
 """
 
 from __future__ import annotations
@@ -26,33 +26,33 @@
 if TYPE_CHECKING:
     from limepath.discovery.engine import DiscoveryEngine
 
-SAVES_PER_WINDOW = 10  # of a list that changes all the time
-BATCH_HEAD_BYTES = 32  # of a batch beside its events, at the most
+SAVES_PER_WINDOW = 10  # maximum, for a front in trees
+BATCH_HEAD_BYTES = 32  # maximum size of a batch without its events
 SECOND = 1_000_000
 
 
 class ListReplica(Component):
-    """The list, the window of its last events, and how fresh both are."""
+    """Holds the list, the window of its last events, and the time of the service's last confirmation."""
 
     def __init__(self, engine: DiscoveryEngine):
         super().__init__(engine)
         self.list: EndpointList = self.new_list()
         self.window = EventWindow(self.settings.window, self.settings.window_bytes)
-        self.applied: bool = False  # the front has this list
-        self.confirmed_at: int | None = None  # when the service stood where this list stands
+        self.applied: bool = False  # this list was applied to the front
+        self.confirmed_at: int | None = None  # when the service last had the revision of this list
         self.save_scheduled: bool = False
-        self.stale_reported: bool = False  # the front was last notified that the list is stale
+        self.stale_reported: bool = False  # the last report to the front said that the list is stale
 
     def new_list(self) -> EndpointList:
-        """An empty list."""
+        """Return an empty list."""
         return EndpointList(self.settings.purge_lifetime + self.settings.window)
 
     # Storage
 
     def load(self, saved: bytes) -> None:
-        """Take a saved list up.
+        """Load a saved list without applying it to the front.
 
-        Relays are sent its revision, so that they send what is new; it is not applied to the front.
+        Subscriptions start from its revision, so that relays send only the later events.
         """
         try:
             self.list = self.unpack(saved)
@@ -61,16 +61,17 @@
             self.timers.emit(LogEvent("saved-list", {"flaw": f"{error}; begins without"}))
 
     def unpack(self, data: bytes) -> EndpointList:
-        """The list of packed bytes; raise InvalidEventError."""
+        """Return the list in packed bytes, or raise InvalidEventError."""
         retention = self.settings.purge_lifetime + self.settings.window
         return unpack_list(data, self.settings.max_snapshot_bytes, self.timers.now, retention)
 
     def schedule_save(self) -> None:
-        """Save the list some time from now, unless that is due already."""
+        """Schedule a save of the list, unless one is already scheduled."""
         if not self.save_scheduled:
             self.save_scheduled = True
             wait = self.settings.save_interval
-            if self.tree.enabled:  # events never cease; after a restart the window brings those since
+            # In trees events arrive continuously, and a restarted front gets the missing ones from a window.
+            if self.tree.enabled:
                 wait = max(wait, self.settings.window // SAVES_PER_WINDOW)
             self.timers.schedule(self.timers.now + wait, self._save)
 
@@ -81,21 +82,21 @@
     # Freshness
 
     def age(self) -> int | None:
-        """How long ago the service confirmed this list, in microseconds, or None."""
+        """Return the time since the service last confirmed this list, in microseconds, or None."""
         return None if self.confirmed_at is None else self.timers.now - self.confirmed_at
 
     def wire_age(self) -> int:
-        """The age as messages have it: -1 where the service never confirmed this list."""
+        """Return the age as sent in messages: -1 if the service never confirmed this list."""
         age = self.age()
         return -1 if age is None else age
 
     def is_stale(self) -> bool:
-        """Whether the last confirmation is older than the bound, or there was none."""
+        """Return whether the last confirmation is older than the limit, or there was none."""
         age = self.age()
         return age is None or age > self.freshness_limit()
 
     def freshness_limit(self) -> int:
-        """How old the last confirmation may be, in microseconds."""
+        """Return the maximum age of the last confirmation of an up-to-date list, in microseconds."""
         return bounds.freshness_limit(self.settings, self.tree.hops)
 
     def _check_freshness(self) -> None:
@@ -108,7 +109,7 @@
             self.timers.emit(ListFreshnessChanged(True))
 
     def confirm(self, at: int) -> None:
-        """The service stood at our revision at that time."""
+        """Record that the service had our revision at time `at`, and apply the list if it was not yet."""
         first = self.confirmed_at is None
         if first or at > self.confirmed_at:
             self.confirmed_at = at
@@ -125,7 +126,7 @@
             self._notify_subscribers()
 
     def _readiness_delay(self) -> int:
-        """A random part of the span in which all fronts become ready, at the rate of the settings."""
+        """Return a random delay within the time that all fronts take to become ready at the set rate."""
         if not self.settings.ready:
             return 0
         fronts = max(self.settings.fronts, len(self.live()) + 1)
@@ -134,7 +135,7 @@
     # Changes
 
     def replace(self, new: EndpointList) -> None:
-        """Put another list in the place of this one."""
+        """Replace the list with another one."""
         self.list = new
         self.applied = False
         self.window.restart(new.revision.number)
@@ -148,16 +149,16 @@
         self.tree_subscribers.send_heartbeats()
 
     def _apply_full(self) -> None:
-        """Apply the whole list to the front; how old its purges are only the clocks tell."""
+        """Apply the whole list to the front; the age of its purges depends on the service's clock alone."""
         self.applied = True
         self.timers.emit(ApplyEvent(self.list.full_event()))
         for event in self.list.purges.values():
             self.timers.emit(ApplyEvent(event))
 
     def append(self, event: dict[str, Any], text: str) -> None:
-        """Apply the next event and pass it on.
+        """Apply the next event and send it to the subscribers.
 
-        It did not exist yet when our list was last confirmed: so old it can be at most.
+        The event is at most as old as the last confirmation of our list, because it did not exist then.
         """
         max_purge_age = self.wire_age()
         self.list.apply(event, self.timers.now)
@@ -171,7 +172,10 @@
         self.schedule_save()
 
     def _add_to_window(self, event: dict[str, Any], text: str) -> None:
-        """Put an event into the window; one that fits no datagram is had with the whole list only."""
+        """Add an event to the window; if it does not fit a datagram, restart the window after it.
+
+        Subscribers then get that event only with the whole list.
+        """
         try:
             coded = encode_event(event, text)
         except CodingError:
@@ -182,11 +186,11 @@
             self.window.add(self.timers.now, event["seq"], coded, json_digest(event))
 
     def oldest_available(self) -> int:
-        """The number of the oldest event that can be sent to others."""
+        """Return the number of the oldest event that can be sent to other fronts."""
         oldest = self.window.oldest
         return self.list.revision.number + 1 if oldest is None else oldest
 
     def contradicts(self, event: dict[str, Any]) -> bool:
-        """Whether the window holds another event of that number."""
+        """Return whether the window holds a different event with the same number."""
         digest = self.window.digest(event["seq"])
         return digest is not None and digest != json_digest(event)
