--- a/limepath/discovery/event_window.py
+++ b/limepath/discovery/event_window.py
@@ -1,19 +1,20 @@
-"""The latest events, coded, for subscribers that are behind; older ones are compacted away.
+"""Keeps the latest events, encoded, for subscribers that are behind, and compacts older events away.
 
-`span` is the longest cut between fronts that is to be bridged without a snapshot. The window is sized by time
-and bounded in bytes of what `event_coding.encode_event` gave; it says where that bound made it drop events
-early. Times are whole microseconds and handed in. Free of I/O.
+`span` is the longest partition between fronts after which a subscriber can catch up without a snapshot. The
+window is limited by age and by the total size of its events as encoded by `event_coding.encode_event`; it
+reports whether the size limit evicted events before their time. Times are integers in microseconds, passed
+in by the caller. Performs no I/O.
 """
 
 from typing import NamedTuple
 
 
 class CompactedError(Exception):
-    """Events that are not in the window any more, or not yet."""
+    """Raised for events that are no longer in the window, or not yet."""
 
 
 class WindowEvent(NamedTuple):
-    """`accepted` is when this front accepted the event, `digest` its `event_checks.json_digest`."""
+    """An encoded event, the time when this front accepted it, and its `event_checks.json_digest`."""
 
     accepted: int
     encoded: bytes
@@ -21,32 +22,32 @@
 
 
 class EarlyEviction:
-    """Whether a bound in bytes evicted something before its time, which is `span` after it was accepted."""
+    """Records items that a size limit evicted early, that is, less than `span` after they were accepted."""
 
     def __init__(self, span: int):
         self.span = span
         self.count: int = 0  # of evictions
-        self.accepted: int | None = None  # when the youngest evicted one was accepted
+        self.accepted: int | None = None  # when the newest evicted item was accepted
 
     def record(self, accepted: int) -> None:
-        """Something accepted at that time was evicted."""
+        """Record the eviction of an item that was accepted at time `accepted`."""
         self.count += 1
         self.accepted = accepted if self.accepted is None else max(self.accepted, accepted)
 
     def is_current(self, now: int) -> bool:
-        """Whether something that was evicted would still be kept for its age."""
+        """Return whether an evicted item would still be kept if there were no size limit."""
         return self.accepted is not None and now - self.accepted <= self.span
 
 
 class EventWindow:
-    """The events that were accepted within the last `span`, at most `max_bytes` of them together."""
+    """Holds the events accepted within the last `span` microseconds, up to `max_bytes` in total."""
 
     def __init__(self, span: int, max_bytes: int):
         self.span = span
         self.max_bytes = max_bytes
-        self.events: dict[int, WindowEvent] = {}  # by number; numbers follow each other
-        self.oldest: int | None = None  # number of the oldest event here
-        self.newest: int | None = None  # stays known when that event is not here
+        self.events: dict[int, WindowEvent] = {}  # by number, without gaps
+        self.oldest: int | None = None  # number of the oldest event in the window
+        self.newest: int | None = None  # number of the last event, even if it has left the window
         self.bytes: int = 0
         self.evictions = EarlyEviction(span)
 
@@ -54,14 +55,14 @@
         return number in self.events
 
     def digest(self, number: int) -> int | None:
-        """The digest of an event that is in the window, else None."""
+        """Return the digest of an event, or None if it is not in the window."""
         event = self.events.get(number)
         return event.digest if event else None
 
     def restart(self, number: int) -> None:
-        """Begin anew behind this number.
+        """Drop all events and continue after this number.
 
-        Another list took the place of the one that the events led to, or an event has no coded form.
+        Called when another list replaces the current one, or when an event has no encoded form.
         """
         self.events = {}
         self.oldest = None
@@ -69,7 +70,7 @@
         self.bytes = 0
 
     def add(self, now: int, number: int, encoded: bytes, digest: int) -> None:
-        """Add the next event; raise ValueError where its number does not follow."""
+        """Add the next event; raise ValueError if its number does not follow the last one."""
         if self.newest is not None and number != self.newest + 1:
             raise ValueError(f"event {number} after {self.newest}")
         self.events[number] = WindowEvent(now, encoded, digest)
@@ -81,7 +82,7 @@
             self.evictions.record(self._drop_oldest().accepted)
 
     def expire(self, now: int) -> None:
-        """Drop what is older than the span."""
+        """Drop the events that are older than the span."""
         while self.events and now - self.events[self.oldest].accepted > self.span:
             self._drop_oldest()
 
@@ -92,16 +93,15 @@
         return event
 
     def covers(self, number: int) -> bool:
-        """Whether all events after this number are in the window, or there are none."""
+        """Return whether all events after this number are in the window, or there are none."""
         if self.newest is None or number > self.newest:
             return False
         return number == self.newest or self.oldest is not None and number >= self.oldest - 1
 
     def events_after(self, number: int, max_bytes: int | None = None) -> tuple[bytes, ...]:
-        """The coded events after this number in order.
+        """Return the encoded events after this number in order, up to `max_bytes` but at least one.
 
-        As many as have `max_bytes` together, but one at the least. Raise CompactedError where not all of
-        them are in the window.
+        Raise CompactedError if the window does not hold all events after this number.
         """
         if not self.covers(number):
             raise CompactedError(f"events after {number}: held from {self.oldest} to {self.newest}")
@@ -116,10 +116,10 @@
         return tuple(found)
 
     def is_cut_short(self, now: int) -> bool:
-        """Whether the bound in bytes evicted an event that the span would still keep."""
+        """Return whether the size limit evicted an event that is younger than the span."""
         return self.evictions.is_current(now)
 
 
 def bytes_needed(events_a_second: float, span: int, bytes_an_event: int) -> int:
-    """The bytes that events of so long a span take, to be compared with the bound of a window."""
+    """Return the total size of the events of a span, for comparison with a window's size limit."""
     return int(events_a_second * span / 1e6 * bytes_an_event)
