--- a/limepath/discovery/upstream.py
+++ b/limepath/discovery/upstream.py
@@ -1,6 +1,6 @@
-"""The fronts that this one subscribes to: their last heartbeats, their faults, which are selected.
+"""Tracks the fronts that this one subscribes to: their last heartbeats, their faults and the selection.
 
-Free of I/O.
+Performs no I/O.
 """
 
 from __future__ import annotations
@@ -20,46 +20,46 @@
 if TYPE_CHECKING:
     from limepath.discovery.engine import DiscoveryEngine
 
-BAD_PEER_US = 30_000_000  # for which one that sent invalid data or contradicted others is passed over
-SOURCE_RETENTION_US = 10_000_000  # for which one that is not asked any more counts as silent still
-RANKED_PER_RELAY = 8  # times the relays: how far down the hash order a relay is looked for
+BAD_PEER_US = 30_000_000  # for which a source that sent invalid or contradictory data is avoided
+SOURCE_RETENTION_US = 10_000_000  # for which the faults of a former source are remembered
+RANKED_PER_RELAY = 8  # fronts in hash order to consider per relay
 
 
 class SourceFault(StrEnum):
-    """Why a source is not relied on; the values stand in reports."""
+    """Why a source is avoided; the values appear in reports."""
 
     BAD = "bad"  # sent invalid data, or contradicted others
     SILENT = "silent"
-    FAILING = "in vain"  # answers, but calls the service in vain
-    REFUSED = "refused"  # has as many subscribers as it takes
+    FAILING = "in vain"  # answers, but its calls to the service fail
+    REFUSED = "refused"  # accepts no more subscribers
 
 
 class UpstreamSource:
-    """One front that this one subscribes to."""
+    """A front that this one subscribes to."""
 
     __slots__ = ("heartbeat", "heartbeat_at", "awaiting_since", "behind_since", "rejected_until")
 
     def __init__(self) -> None:
-        self.heartbeat: Heartbeat | None = None  # its last one
+        self.heartbeat: Heartbeat | None = None  # the last heartbeat
         self.heartbeat_at: int | None = None
-        self.awaiting_since: int | None = None  # since when a heartbeat is due from it
-        self.behind_since: int | None = None  # since when it calls itself up to date and is behind us
-        self.rejected_until: int = 0  # until when it is passed over
+        self.awaiting_since: int | None = None  # since when a heartbeat is due
+        self.behind_since: int | None = None  # since when it has claimed to be up to date but is behind us
+        self.rejected_until: int = 0  # until when the source is avoided
 
 
 class Upstream(Component):
-    """Selects the relays of the zone by hash, and others in the stead of faulty ones."""
+    """Selects the relays of the zone by hash, and replacements for faulty ones."""
 
     def __init__(self, engine: DiscoveryEngine):
         super().__init__(engine)
         self.salt: int = mix64(crc32(self.settings.zone.encode()))
         self.sources: dict[int, UpstreamSource] = {}  # by token
-        self.preferred: list[int] = []  # the first of the zone by hash
-        self.selected: list[int] = []  # those of them, or in their stead, that are relied on
-        self.is_helper: bool = False  # this front is to call beside relays that call in vain
+        self.preferred: list[int] = []  # the first fronts of the zone by hash
+        self.selected: list[int] = []  # the preferred fronts without faults, and replacements for the others
+        self.is_helper: bool = False  # this front calls the service too, because relays' calls fail
 
     def rank(self, count: int) -> list[int]:
-        """The first of this zone by hash, as far as zones are known; this front among them."""
+        """Return the first `count` fronts of this zone by hash; without trees, also fronts of unknown zones."""
         if self.tree.enabled:
             candidates = list(self.scopes.zone_members)
         else:
@@ -70,7 +70,7 @@
         return nsmallest(count, candidates, key=lambda token: mix64(token ^ self.salt))
 
     def subscriptions(self) -> dict[int, SubscriptionMode]:
-        """Whom to subscribe to in this round, by token, and what for."""
+        """Select the fronts to subscribe to in this round; return the mode of each by token."""
         if not self.tree.enabled:
             self._select()
             return dict.fromkeys([*self.selected, *self.preferred], SubscriptionMode.TEXTS)
@@ -87,9 +87,10 @@
         return wanted
 
     def _select(self) -> None:
-        """Select the first relays that are not passed over.
+        """Select the first fronts by hash that are neither silent nor bad.
 
-        Relays that call in vain get helpers beside them, `HELPERS_PER_RELAY` times the relays at most.
+        For each one whose calls to the service fail, select a helper as well, up to `HELPERS_PER_RELAY` times
+        the number of relays.
         """
         relays = self.settings.relays
         helpers = 0
@@ -111,7 +112,7 @@
             self.selected = [self.me]
 
     def forget_others(self, wanted: Collection[int]) -> None:
-        """Drop those that are not subscribed to any more, once their faults are of no use."""
+        """Remove former sources once their faults need no longer be remembered."""
         now = self.timers.now
         for token, source in list(self.sources.items()):
             last_asked = source.awaiting_since or source.heartbeat_at or 0
@@ -120,17 +121,17 @@
                 del self.sources[token]
 
     def is_failing(self) -> bool:
-        """Whether this front itself has been calling the service in vain for long."""
+        """Return whether this front's own calls to the service have been failing for too long."""
         since = self.roles.failing_since
         return since is not None and self.timers.now - since > RELAY_RETRY_SPAN_US
 
     def is_preferred_silent(self) -> bool:
-        """Whether a preferred relay has been silent for so long that it is not a few lost datagrams."""
+        """Return whether a preferred relay has been silent for longer than lost datagrams would explain."""
         silent = [self.sources[token].awaiting_since for token in self.preferred if token in self.sources]
         return any(since and self.timers.now - since > RELAY_RETRY_SPAN_US for since in silent)
 
     def fault_of(self, source: UpstreamSource | None) -> SourceFault | None:
-        """Why a source is not to be relied on, or None."""
+        """Return the fault for which a source is to be avoided, or None."""
         now = self.timers.now
         if source is None:
             return None
@@ -147,14 +148,14 @@
         return None
 
     def is_supplied(self) -> bool:
-        """Whether a selected source is at work: it is up to date, or calls for the whole zone."""
+        """Return whether a selected source is active: it is up to date, or calls the service for the zone."""
         return any(self._is_at_work(self.sources.get(token)) for token in self.selected)
 
     def _is_at_work(self, source: UpstreamSource | None) -> bool:
         now = self.timers.now
         if not source:
             return False
-        if not source.heartbeat:  # it was asked just now
+        if not source.heartbeat:  # subscribed to just now
             return (
                 bool(source.awaiting_since) and now - source.awaiting_since <= self.settings.heartbeat_timeout
             )
