--- a/limepath/discovery/stream_feed.py
+++ b/limepath/discovery/stream_feed.py
@@ -1,6 +1,6 @@
-"""What a front's stream of the list service reports to the discovery logic, and for which call.
+"""Connects a front's stream of the list service to the discovery logic.
 
-The stream itself is the front's (`front.event_stream.EventStream`).
+`front.event_stream.EventStream` implements the stream itself.
 """
 
 from __future__ import annotations
@@ -15,10 +15,10 @@
 
 
 class WatchStream(EventStream):
-    """A stream that reports when the service has accepted the call, and each sign of life after that."""
+    """A stream that also reports the acceptance of the call, and data other than complete events."""
 
     def dataReceived(self, data: bytes) -> None:
-        """Hand the bytes to the parser, then report what they were."""
+        """Pass the bytes to the parser, then report the acceptance of the call or the activity."""
         was_accepted = self.is_accepted
         events = self.watch.event_count
         super().dataReceived(data)
@@ -33,10 +33,9 @@
 
 
 class StreamFeed:
-    """What one stream knows of its change log, so that a former call's bytes reach nobody.
+    """Passes the events of one stream to its change log, and drops them once a later call has started.
 
-    `last`, `pauses`, `host`, `limits`, `log`, `stream` and the handlers are what an `EventStream` of the
-    front uses.
+    An `EventStream` uses `last`, `pauses`, `host`, `limits`, `log`, `stream` and the handlers.
     """
 
     def __init__(self, changes: DiscoveryChangeLog, serial: int, last: int):
@@ -56,25 +55,25 @@
 
     @stream.setter
     def stream(self, stream: EventStream | None) -> None:
-        """Set the stream, unless a later call has begun."""
+        """Set the stream, unless a later call has started."""
         if self.serial == self.changes.serial:
             self.changes.stream = stream
 
     def handle_answer(self, stream: EventStream) -> None:
-        """Nothing to let go of: there is one call at a time."""
+        """Do nothing: there is only one call at a time, so no other call must be closed."""
 
     def handle_event(self, number: str, text: str) -> None:
-        """A watch event has arrived."""
+        """Count a watch event and report it."""
         self.event_count += 1
         self.submit(StreamEventReceived(text, number))
 
     def submit(self, *events: Any) -> None:
-        """Hand events to the logic, unless a later call has begun."""
+        """Pass events to the logic, unless a later call has started."""
         if self.serial == self.changes.serial:
             self.changes.submit(*events)
 
     def handle_disconnect(self, stream: EventStream) -> None:
-        """The connection has ended."""
+        """Report the end of the connection."""
         if self.changes.stream is stream:
             self.changes.stream = None
         self.submit(StreamClosed("the stream ended"))
