--- a/limepath/discovery/tree.py
+++ b/limepath/discovery/tree.py
@@ -1,8 +1,8 @@
-"""Which fronts this one subscribes to in its zone's trees.
+"""Selects the fronts that this one subscribes to in the trees of its zone.
 
-The parent is asked for events, the backup for heartbeats. One that is silent, bad, slow, calls in vain or has
-as many subscribers as it takes is passed over, and its own parent asked in its stead. The roots and those
-that would be next watch each other as in the star. `topology` computes the trees. Free of I/O.
+The parent sends events, the backup sends heartbeats. If a parent is silent, bad or slow, if its calls to the
+service fail or if it accepts no more subscribers, its own parent replaces it. The roots and the standbys
+subscribe to the relays as without trees. `topology` computes the trees. Performs no I/O.
 """
 
 from __future__ import annotations
@@ -19,27 +19,27 @@
 if TYPE_CHECKING:
     from limepath.discovery.engine import DiscoveryEngine
 
-REFUSAL_US = 10_000_000  # until one that refused is asked again
-STANDBYS = 1 + bounds.HELPERS_PER_RELAY  # times the relays: those next by hash that watch the roots
+REFUSAL_US = 10_000_000  # until a front that refused a subscription is tried again
+STANDBYS = 1 + bounds.HELPERS_PER_RELAY  # per relay: the next fronts by hash, which subscribe to the roots
 
 
 class MissingEvent(NamedTuple):
-    """An event that another front was first heard to have at `since`, while this front lacks it."""
+    """An event that this front lacks, and the time since which another front is known to have it."""
 
     number: int
     since: int
 
 
 class TreeSubscriptions(Component):
-    """This front's position, its parent and its backup; not enabled without a site in the settings."""
+    """This front's position, parent and backup in the trees; disabled if the settings name no site."""
 
     def __init__(self, engine: DiscoveryEngine):
         super().__init__(engine)
         self.position: Position | None = None
-        self.scopes_version: int | None = None  # the version of the zone's view that `position` is of
-        self.hops: int = 0  # the most from a root to any front
+        self.scopes_version: int | None = None  # of the view that `position` was computed from
+        self.hops: int = 0  # maximum from a root to any front
         self.roots: list[int] = []
-        self.standbys: list[int] = []  # the fronts next by hash
+        self.standbys: list[int] = []  # the next fronts by hash
         self.parent: int | None = None
         self.backup: int | None = None
         self.refused_until: dict[int, int] = {}  # by token
@@ -47,11 +47,11 @@
 
     @property
     def enabled(self) -> bool:
-        """Whether this front has a site and so stands in trees."""
+        """Whether this front has a site and is therefore part of the trees."""
         return bool(self.settings.site)
 
     def update_position(self) -> None:
-        """Compute the position again if the view of the zone has changed."""
+        """Recompute the position if the view of the zone has changed."""
         if self.scopes_version == self.scopes.version:
             return
         self.scopes_version = self.scopes.version
@@ -65,11 +65,11 @@
         self.hops = longest_path(len(members), len(zone.sites), relays, fan_out)
 
     def watches_roots(self) -> bool:
-        """Whether this front is a root, or would be one of the next."""
+        """Return whether this front is a root or a standby."""
         return self.me in self.roots or self.me in self.standbys
 
     def subscriptions(self) -> dict[int, SubscriptionMode]:
-        """Whom to subscribe to in this round, by token, and what for."""
+        """Select the fronts to subscribe to in this round; return the mode of each by token."""
         self._choose_parent()
         wanted = {}
         if self.watches_roots():
@@ -79,7 +79,7 @@
         if self.backup is not None:
             wanted[self.backup] = SubscriptionMode.BATCHES if use_backup else SubscriptionMode.HEARTBEATS
         if not self.position.is_root:
-            for token in self.position.candidates[:1]:  # until it answers again
+            for token in self.position.candidates[:1]:  # detects when it answers again
                 wanted.setdefault(token, SubscriptionMode.HEARTBEATS)
             if self.parent is not None:
                 wanted[self.parent] = SubscriptionMode.HEARTBEATS if use_backup else SubscriptionMode.BATCHES
@@ -87,7 +87,7 @@
         return wanted
 
     def _choose_parent(self) -> None:
-        """Take the first candidate without a fault; else the first that is at work, though in vain."""
+        """Choose the first candidate without a fault, else the first whose calls to the service fail."""
         candidates = self.position.candidates
         if self.position.is_root:
             self.parent = None
@@ -113,36 +113,36 @@
         return self.upstream.fault_of(self.upstream.sources.get(token))
 
     def record_refusal(self, token: int) -> None:
-        """A front has as many subscribers as it takes."""
+        """Record that a front refused this one's subscription."""
         self.refused_until[token] = self.timers.now + REFUSAL_US
         self.counts["refused"] += 1
 
-    # Events that are late
+    # Late events
 
     def record_available(self, number: int) -> None:
-        """Another front has this event; this front is to have it within the bound."""
+        """Record that another front has this event, which must arrive here within the delivery time."""
         if self.missing is None or self.replica.list.revision.number >= self.missing.number:
             self.missing = MissingEvent(number, self.timers.now)
 
     def _is_event_late(self) -> bool:
-        """Whether the parent did not bring in time an event that another has."""
+        """Return whether the parent has not delivered in time an event that another front has."""
         if self.missing is None or self.replica.list.revision.number >= self.missing.number:
             return False
         late = self.timers.now - self.missing.since - bounds.delivery_time(self.settings, self.hops)
         source = self.upstream.sources.get(self.parent)
         if late <= 0 or source and source.heartbeat and source.heartbeat.number >= self.missing.number:
-            return False  # the parent has it, and sends as fast as its pace allows
+            return False  # the parent has it, and sends as fast as its rate limit allows
         if late > self.settings.heartbeat_timeout and self.parent is not None:
             self._reject_slow_parent()
         return True
 
     def _reject_slow_parent(self) -> None:
-        """Pass a parent over that answers and does not bring what another has."""
+        """Reject a parent that sends heartbeats but lacks an event that another front has."""
         if source := self.upstream.sources.get(self.parent):
             source.rejected_until = self.timers.now + bounds.SLOW_PARENT_US
         self.counts["slow"] += 1
         self.missing = None
 
     def delivery_time(self) -> int:
-        """The time in which an event comes down the trees, in microseconds; 0 in the star."""
+        """Return the time that an event takes through the trees, in microseconds; 0 without trees."""
         return bounds.delivery_time(self.settings, self.hops) if self.enabled else 0
