--- a/limepath/discovery/tree_subscribers.py
+++ b/limepath/discovery/tree_subscribers.py
@@ -1,8 +1,8 @@
-"""A tree's subscribers of this front: how many are accepted, what each has acknowledged, what is sent.
+"""Manages the subscribers of this front in the trees: admission, acknowledgements, and sending of events.
 
-Every tick of `gather` microseconds each is sent the events since, one datagram at least; those behind share a
-number of extra datagrams, so that a front sends no more than a set number whatever others lack. What was sent
-and is not acknowledged in time is sent again. Free of I/O.
+Every tick of `gather` microseconds, each subscriber with missing events is sent one datagram. Subscribers
+that are further behind share a limited number of extra datagrams, which bounds what a front sends per tick.
+Events that are not acknowledged in time are sent again. Performs no I/O.
 """
 
 from __future__ import annotations
@@ -31,34 +31,34 @@
 
 
 class SentBatch(NamedTuple):
-    """When a batch was sent and the number of its last event."""
+    """The time when a batch was sent, and the number of its last event."""
 
     at: int
     number: int
 
 
 class NextBatch(NamedTuple):
-    """The events of one datagram and the number of the last; no data where they were compacted away."""
+    """The events of one datagram and the number of the last; `data` is empty if they were compacted away."""
 
     data: bytes
     last: int
 
 
 class TreeSubscriber:
-    """What one subscriber wants and has."""
+    """The mode of one subscriber, and the events that were sent to it."""
 
     __slots__ = ("expires_at", "mode", "sent", "unacknowledged", "stamp", "stamp_at")
 
     def __init__(self) -> None:
         self.expires_at: int = 0
         self.mode: int = SubscriptionMode.HEARTBEATS
-        self.sent: int | None = None  # the last event sent, None where the next it needs was compacted away
+        self.sent: int | None = None  # the last event sent, None if the next one was compacted away
         self.unacknowledged: list[SentBatch] = []
         self.stamp: int = 0  # of its last Subscribe
-        self.stamp_at: int = 0  # when that came
+        self.stamp_at: int = 0  # when that Subscribe arrived
 
     def pop_overdue(self, now: int) -> int | None:
-        """The last event that must have been acknowledged by now, or None."""
+        """Return the last event whose acknowledgement is overdue, or None, and forget the overdue batches."""
         sent_before = now - ACKNOWLEDGEMENT_TIMEOUT_US
         overdue = [batch.number for batch in self.unacknowledged if batch.at <= sent_before]
         self.unacknowledged = [batch for batch in self.unacknowledged if batch.at > sent_before]
@@ -66,23 +66,23 @@
 
 
 class TreeSubscribers(Component):
-    """The subscribers by token, and what may still be sent in this tick."""
+    """Holds the subscribers by token, and the send budgets of the current tick."""
 
     def __init__(self, engine: DiscoveryEngine):
         super().__init__(engine)
         self.subscribers: dict[int, TreeSubscriber] = {}
         self.tick_scheduled: bool = False
-        self.extra_batches: int = EXTRA_BATCHES_PER_TICK  # that may still be sent in this tick
+        self.extra_batches: int = EXTRA_BATCHES_PER_TICK  # remaining in this tick
         self.tick_began_at: int = 0
-        self.chunks_sent: dict[int, int] = {}  # of lists in this tick, by token
-        self.chunk_requesters: int = 0  # fronts that asked for any in the tick before
+        self.chunks_sent: dict[int, int] = {}  # datagrams of lists sent in this tick, by token
+        self.chunk_requesters: int = 0  # fronts that requested chunks in the previous tick
 
     def event_subscribers(self) -> list[TreeSubscriber]:
-        """Those that are sent events."""
+        """Return the subscribers that are sent events."""
         return [one for one in self.subscribers.values() if one.mode == SubscriptionMode.BATCHES]
 
     def retain(self, live: set[int], now: int) -> None:
-        """Forget subscribers that are not live, or whose subscription has expired."""
+        """Remove subscribers that are not live, or whose subscription has expired."""
         self.subscribers = {
             token: subscriber
             for token, subscriber in self.subscribers.items()
@@ -92,7 +92,7 @@
     # Subscriptions
 
     def _accepts(self, token: int, mode: int) -> bool:
-        """Whether one more subscriber of its kind is accepted; one that is known stays."""
+        """Return whether to accept a subscription: a renewal, or one below the limit of its mode."""
         known = self.subscribers.get(token)
         if known and known.mode == mode:
             return True
@@ -102,7 +102,7 @@
         return len(self.subscribers) - event_subscribers < max_watchers(self.settings)
 
     def on_subscribe(self, token: int, message: Subscribe) -> None:
-        """Renew a subscription; answer with a heartbeat, and note what the subscriber has."""
+        """Renew or refuse a subscription, answer with a heartbeat, and record the subscriber's revision."""
         if not self._accepts(token, message.mode):
             self.counts["turned away"] += 1
             self.subscribers.pop(token, None)
@@ -129,7 +129,7 @@
         return msgspec.structs.replace(self.star_subscribers.heartbeat(), stamp=stamp, refused=refused)
 
     def _acknowledge(self, subscriber: TreeSubscriber, message: Subscribe) -> None:
-        """Send again from where the subscriber stands, if something that was sent did not arrive."""
+        """Rewind to the acknowledged event if a later one was lost; start there for a new subscription."""
         overdue = subscriber.pop_overdue(self.timers.now)
         is_lost = overdue is not None and message.number < overdue
         sent = subscriber.sent
@@ -146,13 +146,13 @@
     # Events
 
     def schedule_tick(self) -> None:
-        """Send events some time from now, unless that is due already."""
+        """Schedule a tick, unless one is already scheduled."""
         if not self.tick_scheduled and self.subscribers:
             self.tick_scheduled = True
             self.timers.schedule(self.timers.now + self.settings.gather, self._tick)
 
     def _tick(self) -> None:
-        """Send each subscriber the next datagram, and those behind more of them in turn."""
+        """Send each subscriber its next datagram, then extra datagrams in turn to those still behind."""
         self.tick_scheduled = False
         self._renew_budgets()
         number = self.replica.list.revision.number
@@ -175,14 +175,17 @@
             self.schedule_tick()
 
     def _send_next(self, token: int, subscriber: TreeSubscriber, prepared: dict[int, NextBatch]) -> bool:
-        """Send the next batch; return whether there was one. `prepared` are batches by the number before."""
+        """Send the next batch and return whether there was one.
+
+        `prepared` caches batches by the number of the last event before them.
+        """
         revision = self.replica.list.revision
         if subscriber.sent is None or subscriber.sent >= revision.number:
             return False
         if subscriber.sent not in prepared:
             prepared[subscriber.sent] = self._next_batch(subscriber.sent)
         batch = prepared[subscriber.sent]
-        if not batch.data:  # the subscriber will ask for the whole list
+        if not batch.data:  # the subscriber will request the whole list
             subscriber.sent = None
             return False
         now = self.timers.now
@@ -198,7 +201,7 @@
         return True
 
     def _next_batch(self, sent: int) -> NextBatch:
-        """The events after `sent` that go into one datagram."""
+        """Return the events after `sent` that fit one datagram."""
         try:
             coded = self.replica.window.events_after(sent, 2 * MAX_BATCH_BYTES)
         except CompactedError:
@@ -206,12 +209,12 @@
         data = encode_batches(coded)[0]
         return NextBatch(data, sent + count_events(data))
 
-    # The budget of lists
+    # Send budgets
 
     def may_send_chunk(self, token: int) -> bool:
-        """Whether one more datagram of a list may be sent to a front before the next tick.
+        """Return whether one more datagram of a list may be sent to a front in this tick, and count it.
 
-        Those that ask share a set number of datagrams.
+        The fronts that request chunks share a fixed number of datagrams per tick.
         """
         self._renew_budgets()
         sent = self.chunks_sent.setdefault(token, 0)
@@ -222,7 +225,7 @@
         return True
 
     def _renew_budgets(self) -> None:
-        """So many extra datagrams of events and so many of lists in each span of a tick."""
+        """Reset the budgets of extra event datagrams and of list datagrams once per tick."""
         if self.timers.now - self.tick_began_at >= self.settings.gather:
             self.tick_began_at = self.timers.now
             self.extra_batches = EXTRA_BATCHES_PER_TICK
