--- a/limepath/discovery/star_subscribers.py
+++ b/limepath/discovery/star_subscribers.py
@@ -1,6 +1,6 @@
-"""Subscribers of the star: our heartbeats to them, and the texts of the events that each lacks.
+"""Sends heartbeats and missing events, in text form, to the subscribers outside the trees.
 
-They are fronts without a site and fronts of older programs. Free of I/O.
+These are fronts without a site and fronts with older program versions. Performs no I/O.
 """
 
 from __future__ import annotations
@@ -15,21 +15,21 @@
 if TYPE_CHECKING:
     from limepath.discovery.engine import DiscoveryEngine
 
-MAX_EVENT_BYTES = 1000  # of events in one datagram
-MAX_EVENT_DATAGRAMS = 4  # in answer to one Subscribe
+MAX_EVENT_BYTES = 1000  # of events per datagram
+MAX_EVENT_DATAGRAMS = 4  # per answer to a Subscribe
 LEASE_HEARTBEATS = 4  # heartbeat intervals for which a subscription lasts
 
 
 class StarSubscribers(Component):
-    """Who subscribes to this front as in the star, and what is still to be pushed to them."""
+    """Holds the subscribers outside the trees, and the events to be pushed to them."""
 
     def __init__(self, engine: DiscoveryEngine):
         super().__init__(engine)
-        self.subscribers: dict[int, int] = {}  # when the subscription expires, by token
-        self.unsent: list[int] = []  # numbers of events that are to be pushed
+        self.subscribers: dict[int, int] = {}  # expiry time of the subscription, by token
+        self.unsent: list[int] = []  # numbers of the events to be pushed
 
     def retain(self, live: set[int], now: int) -> None:
-        """Forget subscribers that are not live, or whose subscription has expired."""
+        """Remove subscribers that are not live, or whose subscription has expired."""
         self.subscribers = {
             token: expires_at
             for token, expires_at in self.subscribers.items()
@@ -37,7 +37,7 @@
         }
 
     def heartbeat(self) -> Heartbeat:
-        """Our revision, and when the service last confirmed it."""
+        """Return a heartbeat with our revision and the time since the service last confirmed it."""
         current = self.replica.list
         return Heartbeat(
             self.settings.zone,
@@ -51,7 +51,7 @@
         )
 
     def _failing_for(self) -> int:
-        """How long this front, or the one that it has the list from, has been calling in vain."""
+        """Return how long the calls of this front, or else of its parent, have been failing, or 0."""
         since = self.roles.failing_since
         if since is not None and not (self.stream.caught_up and self.stream.is_open):
             return max(1, self.timers.now - since)
@@ -66,7 +66,7 @@
             self.timers.emit(SendToMember(token, self.heartbeat()))
 
     def push(self) -> None:
-        """Send the events that are new to each subscriber."""
+        """Send the new events to each subscriber, or a heartbeat if they cannot be sent as texts."""
         numbers = self.unsent
         self.unsent = []
         if not numbers or not self.subscribers:
@@ -78,9 +78,9 @@
                 self.timers.emit(SendToMember(token, message))
 
     def _events_from(self, first: int) -> list[Events]:
-        """The first messages with the events from this number on.
+        """Return the messages with the events from this number on, at most `MAX_EVENT_DATAGRAMS`.
 
-        None where an event was compacted away or does not fit a datagram.
+        Return no messages if an event was compacted away or does not fit a datagram.
         """
         try:
             coded = self.replica.window.events_after(first - 1, MAX_EVENT_DATAGRAMS * MAX_EVENT_BYTES)
@@ -108,7 +108,7 @@
         return Events(generation, first, tuple(texts), self.replica.wire_age())
 
     def on_subscribe(self, token: int, message: Subscribe) -> None:
-        """Renew a subscription; answer with a heartbeat and the events that are missing."""
+        """Renew a subscription; answer with a heartbeat and the missing events."""
         self.scopes.learn(token, message.zone, message.site)
         if self.tree.enabled and message.mode != SubscriptionMode.TEXTS:
             self.tree_subscribers.on_subscribe(token, message)
