--- a/limepath/discovery/event_intake.py
+++ b/limepath/discovery/event_intake.py
@@ -1,6 +1,6 @@
-"""Heartbeats and events of other fronts, checked against our list.
+"""Handles heartbeats and events from other fronts, and checks them against our list.
 
-Free of I/O.
+Performs no I/O.
 """
 
 from __future__ import annotations
@@ -24,30 +24,30 @@
 if TYPE_CHECKING:
     from limepath.discovery.engine import DiscoveryEngine
 
-ASSUMED_DELAY_US = 5_000  # added to an age for the way of a message, where no stamp measures it
-DEFAULT_HELD_EVENTS = 512  # that one has at the least who does not say how far its window reaches
-REORDERING_TIMEOUT_US = 50_000  # until a batch that another has overtaken counts as lost
-MAX_EARLY_BATCHES = 16  # kept meanwhile
-MAX_STAMP_AGE_US = 60_000_000  # for which an answer to a Subscribe counts as one
+ASSUMED_DELAY_US = 5_000  # added to an age for the transmission of a message without a stamp
+DEFAULT_HELD_EVENTS = 512  # minimum held by an older program, whose heartbeats do not report its window
+REORDERING_TIMEOUT_US = 50_000  # after which a missing batch counts as lost rather than reordered
+MAX_EARLY_BATCHES = 16  # kept until the missing batch arrives
+MAX_STAMP_AGE_US = 60_000_000  # maximum time between a Subscribe and an answer to it
 MAX_REASON_LENGTH = 120  # characters of an error in a log line
 
 
 class Lag(NamedTuple):
-    """A revision of our list, and since when another front is known to be ahead of it."""
+    """A revision of our list, and the time since which another front is known to be ahead of it."""
 
     revision: Revision
     since: int
 
 
 class EarlyBatch(NamedTuple):
-    """A batch that came before one that it follows, and its sender."""
+    """A batch that arrived before its predecessor, and its sender."""
 
     token: int
     message: EventBatch
 
 
 class EventIntake(Component):
-    """Takes in what other fronts send of the list, and passes over those that send invalid data."""
+    """Applies what other fronts send of the list, and avoids fronts that send invalid data."""
 
     def __init__(self, engine: DiscoveryEngine):
         super().__init__(engine)
@@ -58,7 +58,7 @@
     # Heartbeats
 
     def on_heartbeat(self, token: int, message: Heartbeat) -> None:
-        """Compare the revision of a source with ours."""
+        """Record the heartbeat of a source, and compare its revision with ours."""
         self.scopes.learn(token, message.zone, message.site)
         source = self.upstream.sources.get(token)
         if source is None:
@@ -79,7 +79,7 @@
             self._handle_source_behind(token, source, message)
 
     def _handle_source_ahead(self, token: int, source: UpstreamSource, message: Heartbeat) -> None:
-        """Wait for the events that it has; have its whole list if they can't bring us up to it."""
+        """Wait for the missing events, or fetch the source's list if they are unavailable or overdue."""
         source.behind_since = None
         events_suffice = self._has_missing_events(message)
         if events_suffice:
@@ -90,34 +90,36 @@
             self._fetch_list(token, message)
 
     def _handle_source_equal(self, token: int, source: UpstreamSource, message: Heartbeat) -> None:
-        """It confirms our list, unless it has another one."""
+        """Accept the heartbeat as a confirmation of our list, unless the source's list differs."""
         source.behind_since = None
         number = self.replica.list.revision.number
         if message.digest != self.replica.list.digest:
-            self._handle_contradiction(token, f"another list at {number}")
+            self._handle_contradiction(token, f"a different list at {number}")
         elif message.age >= 0 and number:
             self.replica.confirm(self._confirmed_at(message.age, message.stamp))
 
     def _handle_source_behind(self, token: int, source: UpstreamSource, message: Heartbeat) -> None:
-        """It is passed over if it calls itself up to date for long, and is not."""
+        """Reject a source that claims to be up to date but has been behind us for too long."""
         own_age = self.replica.age() or 0
         if self.tree.enabled and message.age + ASSUMED_DELAY_US >= own_age - self.tree.delivery_time():
-            source.behind_since = None  # it sent this before the last events came
+            source.behind_since = None  # sent before it received the last events
         elif 0 <= message.age < own_age and not self.replica.is_stale():
             source.behind_since = source.behind_since or self.timers.now
             if self.timers.now - source.behind_since > self.settings.heartbeat_timeout:
                 number = self.replica.list.revision.number
-                self._handle_contradiction(token, f"up to date at {message.number}, others are at {number}")
+                self._handle_contradiction(
+                    token, f"claims to be up to date at {message.number}, but others are at {number}"
+                )
 
     def _fetch_list(self, token: int, message: Heartbeat) -> None:
-        """Ask for the pages that differ, if the other can send those; else for its packed list."""
+        """Request the pages that differ if the source supports it, else its packed list."""
         if self.tree.enabled and message.site and self.replica.list.revision.number:
             self.page_transfer.start(token)
         else:
             self.snapshot_transfer.start(token, message.subscribers)
 
     def _has_missing_events(self, message: Heartbeat) -> bool:
-        """Whether the sender of a heartbeat holds all events that we lack."""
+        """Return whether the sender of a heartbeat holds all events that we lack."""
         revision = self.replica.list.revision
         if message.generation != revision.generation or not revision.number:
             return False
@@ -126,10 +128,10 @@
         return revision.number + 1 >= message.oldest_available
 
     def _confirmed_at(self, age: int, stamp: int, since_subscribe: int = 0) -> int:
-        """When the service confirmed what a message says.
+        """Return the earliest time at which the service can have confirmed the revision of a message.
 
-        That was `age` before the message was sent, which was `since_subscribe` after our Subscribe of that
-        stamp had arrived, so not before that.
+        The confirmation was `age` before the message was sent. The sender sent the message `since_subscribe`
+        after it had received our Subscribe, which we sent at `stamp`, so not before `stamp` plus that time.
         """
         now = self.timers.now
         if 0 < stamp and 0 <= now - stamp - since_subscribe < MAX_STAMP_AGE_US:
@@ -137,7 +139,7 @@
         return now - age - ASSUMED_DELAY_US
 
     def _lag_time(self) -> int:
-        """How long we have lacked what another has, in microseconds."""
+        """Return how long our list has been behind another front's, in microseconds."""
         revision = self.replica.list.revision
         if self.lag is None or self.lag.revision != revision:
             self.lag = Lag(revision, self.timers.now)
@@ -146,9 +148,9 @@
     # Faulty sources
 
     def _handle_contradiction(self, token: int, reason: str) -> None:
-        """Two lists that should agree do not.
+        """Reject a source whose list differs from ours where both should agree.
 
-        The source is passed over, and the service asked, for it may be our list that is wrong.
+        Also call the service for a replay, because our list may be the wrong one.
         """
         source = self.upstream.sources.get(token)
         if source:
@@ -161,7 +163,7 @@
         self.stream.replay_needed = not has_service_list
 
     def reject_invalid(self, token: int, reason: object) -> None:
-        """Pass a front over that sent what cannot be used, and log why."""
+        """Reject a front that sent invalid data, and log the reason."""
         if token in self.upstream.sources:
             self.upstream.sources[token].rejected_until = self.timers.now + BAD_PEER_US
         self.counts["nonsense"] += 1
@@ -171,19 +173,19 @@
     # Events
 
     def _follows_our_list(self, token: int, generation: int) -> bool:
-        """Whether events come from a source and belong to the list that we have."""
+        """Return whether events come from a source and belong to the generation of our list."""
         revision = self.replica.list.revision
         return token in self.upstream.sources and generation == revision.generation and revision.number > 0
 
     def on_events(self, token: int, message: Events) -> None:
-        """Take in events as texts, which relays send in the star."""
+        """Apply events in text form, which relays send to fronts outside the trees."""
         if not self._follows_our_list(token, message.generation):
             return
         for number, text in enumerate(message.texts, message.first):
             try:
                 event = parse_event(text)
                 if event["seq"] != number:
-                    raise InvalidEventError(f"event {event['seq']} told as {number}")
+                    raise InvalidEventError(f"event {event['seq']} sent as {number}")
             except InvalidEventError as error:
                 self.reject_invalid(token, error)
                 return
@@ -194,7 +196,7 @@
             self.replica.confirm(self.timers.now - message.age - ASSUMED_DELAY_US)
 
     def on_event_batch(self, token: int, message: EventBatch) -> None:
-        """Take in events of the parent, or of the backup that was asked for them."""
+        """Apply encoded events from the parent, or from the backup while the parent is late."""
         if not self._follows_our_list(token, message.generation):
             return
         try:
@@ -204,7 +206,7 @@
             return
         first = events[0].body["seq"]
         if first != message.first:
-            self.reject_invalid(token, f"events from {first} told as {message.first}")
+            self.reject_invalid(token, f"events from {first} sent as {message.first}")
             return
         self.tree.record_available(events[-1].body["seq"])
         if first > self.replica.list.revision.number + 1:
@@ -225,17 +227,17 @@
             self.on_event_batch(following.token, following.message)
 
     def _take(self, token: int, event: dict[str, Any], text: str) -> bool:
-        """Append the event that follows; return False where it contradicts one that we have."""
+        """Append an event if it is the next; return False if it contradicts one in the window."""
         number = event["seq"]
         if number == self.replica.list.revision.number + 1:
             self.replica.append(event, text)
         elif self.replica.contradicts(event):
-            self._handle_contradiction(token, f"another event {number}")
+            self._handle_contradiction(token, f"a different event {number}")
             return False
         return True
 
     def _store_early(self, token: int, message: EventBatch) -> None:
-        """Keep a batch that has overtaken another for a while; or that one was lost."""
+        """Keep a batch whose predecessor is missing, and request a resend if that does not arrive soon."""
         if len(self.early) < MAX_EARLY_BATCHES:
             self.early[message.first] = EarlyBatch(token, message)
         if not self.resend_scheduled:
@@ -244,7 +246,7 @@
             self.timers.schedule(due, self._request_resend, token)
 
     def _request_resend(self, token: int) -> None:
-        """Unless the batch that was overtaken has come, it was lost: ask for it."""
+        """Request the missing events again if kept batches still wait for them."""
         self.resend_scheduled = False
         number = self.replica.list.revision.number
         self.early = {first: batch for first, batch in self.early.items() if first > number + 1}
