--- a/limepath/discovery/service_stream.py
+++ b/limepath/discovery/service_stream.py
@@ -1,8 +1,8 @@
-"""The stream of the list service: calls, watch events, whether all was received, numbers that run backwards.
+"""Handles the stream of the list service: calls, watch events, catching up, and a restored service.
 
-A call asks for the events after our revision, the last of them once more: a service that was restored from an
-older state does not send it again. Otherwise the service replays all events from the start; the replay is
-gathered apart and takes the place of our list once it is complete. Free of I/O.
+A call requests the events from our last one on, including that one, because a service that was restored from
+an older state does not send it again. If this fails, the next call requests a replay of all events, which is
+collected separately and replaces our list once it is complete. Performs no I/O.
 """
 
 from __future__ import annotations
@@ -32,12 +32,12 @@
 if TYPE_CHECKING:
     from limepath.discovery.engine import DiscoveryEngine
 
-LIVE_SPAN_US = 1_000_000  # for which events come as they happen, until all was received
+LIVE_SPAN_US = 1_000_000  # of events sent as they happen, after which a stream counts as caught up
 MAX_REASON_LENGTH = 120  # characters of an error in a log line
 
 
 class StreamState(StrEnum):
-    """The values stand in reports."""
+    """The state of the stream; the values appear in reports."""
 
     CLOSED = "none"
     CALLING = "calling"
@@ -45,40 +45,40 @@
 
 
 class ReplayedEvent(NamedTuple):
-    """An event of a replay with its text as the service worded it."""
+    """An event of a replay, and its text as received from the service."""
 
     event: dict[str, Any]
     text: str
 
 
 class ServiceStream(Component):
-    """One stream at a time; what comes of an earlier one is known by its `serial` and ignored."""
+    """Manages one stream at a time; timers of earlier streams are recognized by `serial` and ignored."""
 
     def __init__(self, engine: DiscoveryEngine):
         super().__init__(engine)
         self.state: StreamState = StreamState.CLOSED
-        self.serial: int = 0  # grows with each call and its end
+        self.serial: int = 0  # incremented at the start and end of each call
         self.active_at: int = 0  # when anything was last received
         self.event_at: int = 0  # when an event was last received
-        self.caught_up: bool = False  # this stream has sent all that the service had
-        self.overlap_seen: bool = False  # it has sent our last event again, or the one after it
-        self.replay_needed: bool = True  # the next call asks for all
-        self.suspect_event: int | None = None  # checksum of an event that could not be read
+        self.caught_up: bool = False  # this stream has sent all events that the service had
+        self.overlap_seen: bool = False  # the stream has sent our last event again, or the one after it
+        self.replay_needed: bool = True  # the next call requests all events
+        self.suspect_event: int | None = None  # checksum of an event that could not be parsed
         self.times = EventTimes()
-        self.replay: EndpointList | None = None  # the list of the replayed events so far
-        self.replay_joins: bool = False  # the replay leads through our list
-        self.replay_differs: bool = False  # one of its events is not as we have it
-        self.replayed_after: list[ReplayedEvent] = []  # its events beyond our list
+        self.replay: EndpointList | None = None  # the list built from the replayed events so far
+        self.replay_joins: bool = False  # the replay matched our list at our revision
+        self.replay_differs: bool = False  # an event of the replay differs from the one in our window
+        self.replayed_after: list[ReplayedEvent] = []  # the events of the replay after our revision
 
     @property
     def is_open(self) -> bool:
-        """Whether a call is under way or a stream is up."""
+        """Whether a call is in progress or a stream is open."""
         return self.state != StreamState.CLOSED
 
     # The connection
 
     def open(self) -> None:
-        """Call the service now."""
+        """Call the service."""
         now = self.timers.now
         self.roles.budget.record_call()
         self.counts["calls"] += 1
@@ -94,8 +94,8 @@
         self.replay_joins = False
         self.replay_differs = False
         self.replayed_after = []
-        # Else from one that we hold: a service restored from an older state, which would send nothing until
-        # its numbers pass ours, does not send it again.
+        # Without a replay, request our last event again. A service restored from an older state does not
+        # send it, which reveals the restore; otherwise it would be silent until its numbers pass ours.
         self.timers.emit(OpenStream(0 if self.replay_needed else number - 1))
         self.times.clear()
         self.timers.schedule(now + self.settings.stream_timeout, self._check_silence, self.serial)
@@ -110,7 +110,7 @@
             self.timers.schedule(silent_at, self._check_silence, serial)
 
     def close(self, reason: str) -> None:
-        """Close the stream, or give the call up."""
+        """Close the stream, or cancel the call."""
         self.timers.emit(CloseStream(reason))
         self._record_end(reason)
 
@@ -118,7 +118,7 @@
         now = self.timers.now
         number = self.replica.list.revision.number
         self.timers.emit(LogEvent("list-stream", {"ended": reason, "after": number}))
-        # After a silence the service may have been restored meanwhile.
+        # The service may have been restored during a silence.
         self.replay_needed |= not self.caught_up or now - self.active_at >= self.settings.stream_timeout
         self.state = StreamState.CLOSED
         self.replay = None
@@ -128,30 +128,30 @@
             self.roles.decide_role()
 
     def on_opened(self, _event: StreamOpened) -> None:
-        """The service has accepted the call."""
+        """Record that the service has accepted the call."""
         self.state = StreamState.UP
         self.active_at = self.timers.now
         self.timers.schedule(self.timers.now + QUIET_SPAN_US, self._check_caught_up, self.serial)
 
     def on_active(self, _event: StreamActive) -> None:
-        """The stream is alive."""
+        """Record activity of the stream."""
         self.active_at = self.timers.now
         self._check_caught_up(self.serial)
 
     def on_closed(self, event: StreamClosed) -> None:
-        """The stream ended, or the call failed."""
+        """Record that the stream has ended or the call has failed."""
         if self.is_open:
             self._record_end(event.reason)
 
     def on_service_moved(self, _event: ServiceMoved) -> None:
-        """Open the stream anew; the numbers of the other address go on, as far as it says."""
+        """Close the stream, so that the next call goes to the new address and continues our numbering."""
         if self.is_open:
-            self.close("another address")
+            self.close("the address of the service has changed")
 
     # Events
 
     def on_event(self, received: StreamEventReceived) -> None:
-        """Take a watch event in; one that cannot be read twice is skipped."""
+        """Handle a watch event; one that is invalid twice in a row is skipped."""
         now = self.timers.now
         self.active_at = now
         self.event_at = now
@@ -174,9 +174,9 @@
             self.timers.schedule(now + QUIET_SPAN_US, self._check_caught_up, self.serial)
 
     def _skip_event(self, received: StreamEventReceived, error: InvalidEventError) -> bool:
-        """Skip an event that was as bad before; else have all sent once more, and return False."""
+        """Skip an invalid event and return True; at its first arrival request a replay and return False."""
         checksum = crc32(received.text.encode())
-        if self.suspect_event != checksum:  # it may have been damaged on the way
+        if self.suspect_event != checksum:  # it may have been damaged in transit
             self.suspect_event = checksum
             self.replay_needed = True
             self.close(f"event: {error}"[:MAX_REASON_LENGTH])
@@ -187,12 +187,12 @@
         return True
 
     def _add_to_replay(self, event: dict[str, Any], text: str) -> None:
-        """Apply an event of a replay: the first holds the whole list, no number is left out."""
+        """Apply an event of a replay, which must begin with the whole list and have no gaps."""
         replay = self.replay
         number = event["seq"]
         if not replay.revision.number and not replay.members:
             if not event.get("fleet", {}).get("complete"):
-                raise InvalidEventError("the first event holds no whole list")
+                raise InvalidEventError(f"event {number} begins the replay but is not a complete list")
         elif number <= replay.revision.number:
             return
         elif number != replay.revision.number + 1 and self.suspect_event is None:
@@ -206,7 +206,7 @@
             self.replay_joins = replay.digest == current.digest and not self.replay_differs
 
     def _continue_list(self, event: dict[str, Any], text: str) -> None:
-        """Apply the event that follows our list, or compare one that we have."""
+        """Apply the next event of our list, or compare an earlier event with ours."""
         number = event["seq"]
         known = self.replica.list.revision.number
         if number == known + 1:
@@ -218,14 +218,14 @@
         elif self.replica.window.digest(number) != json_digest(event):  # the numbers ran backwards
             self.replay_needed = True
             self.counts["contradictions"] += 1
-            self.close(f"event {number} is told anew, and otherwise")
+            self.close(f"event {number} was sent again with different content")
         elif number == known:
             self.overlap_seen = True
 
-    # Whether all was received
+    # Catching up
 
     def _check_caught_up(self, serial: int) -> None:
-        """Confirm the list once the stream has sent all that the service had."""
+        """Confirm the list if the stream has sent all events that the service had."""
         if serial != self.serial or self.state != StreamState.UP:
             return
         if self.replay is not None and not self.replay.revision.number:
@@ -239,7 +239,7 @@
             self._adopt_replay(replay)
         elif not (self.caught_up or self.overlap_seen):
             self.replay_needed = True
-            self.close(f"event {self.replica.list.revision.number} is not told again")
+            self.close(f"event {self.replica.list.revision.number} was not sent again")
             return
         self.caught_up = True
         self.replay_needed = False
@@ -248,9 +248,9 @@
         self.replica.confirm(self.timers.now)
 
     def _due_caught_up(self) -> int | None:
-        """When to look again, or None if all was received: no event came for a while.
+        """Return when to check again, or None if the stream was quiet for long enough or sends live events.
 
-        A longer while is needed before we believe that numbers ran backwards; it may be a slow replay.
+        A replay that ends below our revision must be quiet for longer, because it may only be slow.
         """
         now = self.timers.now
         behind = self.replay is not None and self.replay.revision.number < self.replica.list.revision.number
@@ -262,9 +262,9 @@
         return None
 
     def _adopt_replay(self, replay: EndpointList) -> None:
-        """Put the service's whole list in the place of ours.
+        """Replace our list with the service's.
 
-        Where its numbers are behind ours, they ran backwards: a new generation begins.
+        If the service's numbers are behind ours, they ran backwards, and a new generation starts.
         """
         new = replay.revision
         old = self.replica.list.revision
@@ -282,7 +282,7 @@
             self.replica.replace(replay)
 
     def _append_replayed(self) -> None:
-        """Append the replay's last events, which alone are new, to us and to our subscribers."""
+        """Append only the replayed events after our revision, and send them to our subscribers."""
         events = self.replayed_after
         self.replayed_after = []
         for event, text in events:
--- a/tests/test_service_stream.py
+++ b/tests/test_service_stream.py
@@ -54,7 +54,7 @@
     front.handle(StreamOpened())
     front.run(QUIET_SPAN_US)  # it is at 2 now, and tells nothing above 3
     front.handle(StreamActive())
-    assert "not told again" in front.emitted(CloseStream)[-1].reason
+    assert "not sent again" in front.emitted(CloseStream)[-1].reason
     while len(front.emitted(OpenStream)) < 3:
         front.run(100 * MS)
     assert front.emitted(OpenStream)[-1] == OpenStream(0)
