--- a/limepath/discovery/topology.py
+++ b/limepath/discovery/topology.py
@@ -1,14 +1,16 @@
-"""Which front subscribes to which: two trees over the live fronts of its zone, computed without an election.
+"""Computes two trees over the live fronts of a zone, in which each front subscribes to its parent.
 
-The first `relays` fronts of a zone by hash are the roots; they hold a stream of the list service. The fronts
-of a site form a tree below one of them, the site's head; the heads form a forest below the roots. Every front
-computes its own position from its live view, so that equal views give equal trees; a view that differs leads
-to a subscription that another front did not expect, which does no harm.
+No election is needed. The first `relays` fronts of a zone by hash are the roots; they hold a stream of the
+list service. The fronts of each site form a tree whose top is the site's head; the heads form a forest below
+the roots. Every front computes its own position from its live view. Equal views give equal trees; if views
+differ, a front may get a subscriber that its own view does not predict, which is harmless.
 
-The second tree orders the fronts of each site, and the sites, the other way round: who has children in one
-tree is a leaf of the other, as in SplitStream (Castro et al., SOSP 2003). It is asked for digests only.
+The second tree reverses the order of the sites and of the fronts of each site. A front with children in one
+tree is thus a leaf of the other, as in SplitStream (Castro et al., SOSP 2003). Fronts subscribe to their
+parents in the second tree for heartbeats only, as long as the first tree delivers.
 
-Free of I/O. Work is O(n log n) in the fronts of the zone; the caller keeps a position until its view changes.
+Performs no I/O. The computation is O(n log n) in the fronts of the zone; the caller caches a position until
+its view changes.
 """
 
 from collections.abc import Iterable, Mapping
@@ -18,21 +20,22 @@
 
 from limepath.hashing import mix64
 
-MIN_FAN_OUT = 2  # a chain has no bounded depth
+MIN_FAN_OUT = 2  # with a fan-out of 1, the tree is a chain and its depth is not bounded
 
 
 class Scope(NamedTuple):
-    """Where a front stands; `site` is empty for one that announces none, as older programs do."""
+    """The zone and site of a front; `site` is empty for older program versions, which announce none."""
 
     zone: str
     site: str
 
 
 class Position(NamedTuple):
-    """A front's position in its zone's trees.
+    """A front's position in the trees of its zone.
 
-    `candidates` are the fronts to subscribe to: its parent first, then the parent's ancestors, then the other
-    roots; `backups` the same of the second tree, without that parent. A root's are the other roots, if any.
+    `candidates` are the fronts to subscribe to: the parent, then the parent's ancestors, then the other
+    roots. `backups` are the same in the second tree, without the parent of the first tree. For a root, both
+    are the other roots, if any.
     """
 
     is_root: bool
@@ -41,52 +44,52 @@
 
 
 class SiteRank(NamedTuple):
-    """A front's position within its site: how many of the site's fronts come before it, in the first tree."""
+    """A front's site and its rank, the number of fronts of the site before it in the first tree."""
 
     site: str
     rank: int
 
 
 def name_salt(text: str) -> int:
-    """64 bits to hash tokens with, derived from a name."""
+    """Return a 64-bit salt for hashing tokens, derived from a name."""
     return mix64(crc32(text.encode()))
 
 
 def order_by_hash(tokens: Iterable[int], text: str) -> list[int]:
-    """The tokens in the order of their hash, salted by a text."""
+    """Return the tokens ordered by their hash, which is salted with a text."""
     salted = name_salt(text)
     return sorted(tokens, key=lambda token: mix64(token ^ salted))
 
 
 def parent_rank(rank: int, fan_out: int) -> int:
-    """The rank of a node's parent in a tree that is filled level by level; the top has rank 0."""
+    """Return the rank of a node's parent in a tree that is filled level by level from the top, rank 0."""
     return (rank - 1) // fan_out
 
 
 class Zone:
-    """Both trees of the zone of fronts in `scopes`; other zones' fronts are left out.
+    """Both trees of a zone, built from the fronts in `scopes`; fronts of other zones are ignored.
 
-    `relays` is how many roots there are, `fan_out` how many children a front has of its own site, and a
-    site's head of other sites beside.
+    `relays` is the number of roots. `fan_out` is the maximum number of children of a front in its own site;
+    a site's head may have as many children again that are heads of other sites.
     """
 
     def __init__(self, zone: str, scopes: Mapping[int, Scope], relays: int, fan_out: int):
         check_tree_settings(relays, fan_out)
         self.fan_out = fan_out
         members = [token for token, scope in scopes.items() if scope.zone == zone]
-        self.roots = order_by_hash(members, zone)[:relays]  # the hash of `Upstream.rank`
+        self.roots = order_by_hash(members, zone)[:relays]  # the same hash as in `Upstream.rank`
         roots = set(self.roots)
         by_site: dict[str, list[int]] = {}
         for token in members:
             if token not in roots and scopes[token].site:
                 by_site.setdefault(scopes[token].site, []).append(token)
-        # By the sites' hash and not by their heads': another head leaves a site where it is.
+        # Ordered by the hash of the site, not of its head, so that a site keeps its rank if its head changes.
         self.sites: list[str] = sorted(by_site, key=lambda site: (name_salt(f"{zone}\n{site}"), site))
         self.members = {site: order_by_hash(by_site[site], f"{zone}\n{site}") for site in self.sites}
 
     @cached_property
     def site_positions(self) -> dict[int, SiteRank]:
-        """Where each front below the roots stands, those without a site left out."""
+        """The site and rank of each front below the roots, except fronts without a site."""
         return {
             token: SiteRank(site, rank)
             for site, tokens in self.members.items()
@@ -95,11 +98,11 @@
 
     @cached_property
     def site_ranks(self) -> dict[str, int]:
-        """Where each site stands in the order of the sites."""
+        """The rank of each site in the first tree."""
         return {site: rank for rank, site in enumerate(self.sites)}
 
     def position(self, me: int) -> Position:
-        """The position of a front of this zone."""
+        """Return the position of a front of this zone."""
         if me in self.roots:
             others = tuple(token for token in self.roots if token != me)
             return Position(True, others, others)
@@ -113,7 +116,7 @@
         return Position(False, candidates, tuple(backups))
 
     def path(self, me: int, first_tree: bool) -> tuple[int, ...]:
-        """The ancestors of a front below the roots in one tree, its parent first, then the other roots."""
+        """Return a non-root front's ancestors in one tree, starting with its parent, then the other roots."""
         site_position = self.site_positions[me]
         tokens = self.ordered(self.members[site_position.site], first_tree)
         rank = self.tree_rank(site_position.rank, len(tokens), first_tree)
@@ -124,60 +127,61 @@
         return *ancestors, *self.path_of_site(site_position.site, first_tree)
 
     def path_of_site(self, site: str, first_tree: bool) -> tuple[int, ...]:
-        """The ancestors of a site's head: heads of other sites, then the roots."""
+        """Return the ancestors of a site's head: heads of other sites, then all roots."""
         sites = self.ordered(self.sites, first_tree)
         rank = self.tree_rank(self.site_ranks[site], len(sites), first_tree)
-        top = len(self.roots) * self.fan_out  # sites whose heads are children of roots
+        top = len(self.roots) * self.fan_out  # number of sites whose heads are children of roots
         heads = []
         while rank >= top:
             rank = (rank - top) // self.fan_out
             heads.append(self.ordered(self.members[sites[rank]], first_tree)[0])
-        start = self.site_ranks[sites[rank]] + (0 if first_tree else 1)  # another root in the second tree
+        start = self.site_ranks[sites[rank]] + (0 if first_tree else 1)  # a different root in the second tree
         return *heads, *self.roots_from(start)
 
     def roots_from(self, start: int) -> tuple[int, ...]:
-        """All roots, beginning with one of them."""
+        """Return all roots, rotated to begin at index `start`."""
         start %= len(self.roots)
         return *self.roots[start:], *self.roots[:start]
 
     def stands_apart(self, me: int) -> bool:
-        """Whether a front's only parent in both trees is the only root: it is alone at its site."""
+        """Return whether the first root is a front's parent in both trees: it is the only one of its site."""
         first, second = self.path(me, first_tree=True), self.path(me, first_tree=False)
         return first[0] == second[0] == self.roots[0]
 
     def neighbour(self, me: int) -> list[int]:
-        """The head of the next site, which has few children or none in the second tree; nobody if there is
-        one site only.
+        """Return the head of the next site, which has few or no children in the second tree.
+
+        The result is empty if there is only one site.
         """
         site = self.sites[(self.site_ranks[self.site_positions[me].site] + 1) % len(self.sites)]
         return [token for token in self.members[site][:1] if token != me]
 
     @staticmethod
     def ordered(items: list, first_tree: bool) -> list:
-        """The first tree\'s order, or the second\'s, which is its reverse."""
+        """Return the items in the order of the first tree, or in reverse for the second tree."""
         return items if first_tree else items[::-1]
 
     @staticmethod
     def tree_rank(rank: int, count: int, first_tree: bool) -> int:
-        """The rank of what stands at `rank` in the first tree."""
+        """Return the rank, in the given tree, of the item that has `rank` in the first tree."""
         return rank if first_tree else count - 1 - rank
 
 
 def check_tree_settings(relays: int, fan_out: int) -> None:
-    """Raise ValueError for a number of relays or a fan-out that makes no tree."""
+    """Raise ValueError if the number of relays or the fan-out is too small for a tree."""
     if relays < 1:
-        raise ValueError(f"{relays} relays: a zone needs one")
+        raise ValueError(f"relays: {relays} is too small; expected 1 or more")
     if fan_out < MIN_FAN_OUT:
-        raise ValueError(f"fan-out {fan_out}: {MIN_FAN_OUT} at the least")
+        raise ValueError(f"fan-out: {fan_out} is too small; expected {MIN_FAN_OUT} or more")
 
 
 def position(me: int, scopes: Mapping[int, Scope], relays: int, fan_out: int) -> Position:
-    """The position of `me` among the live fronts of its zone; `scopes` holds them, `me` among them."""
+    """Return the position of `me` in its zone; `scopes` holds the live fronts, including `me`."""
     return Zone(scopes[me].zone, scopes, relays, fan_out).position(me)
 
 
 def count_levels(count: int, top: int, fan_out: int) -> int:
-    """How many levels hold so many nodes, where the first has `top` and each further `fan_out` times more."""
+    """Return the number of levels of `count` nodes; the first holds `top`, each next `fan_out` times more."""
     deep = 0
     while count > 0:
         count -= top
@@ -187,16 +191,17 @@
 
 
 def longest_path(members: int, sites: int, relays: int, fan_out: int) -> int:
-    """The most hops from a root to a front, in a zone of so many live fronts at so many sites, however the
-    fronts are spread over the sites.
+    """Return the maximum number of hops from a root to a front, for any distribution of fronts over sites.
+
+    `members` is the number of live fronts of the zone, `sites` the number of its sites.
     """
     check_tree_settings(relays, fan_out)
     below = members - min(relays, members)
     if not below:
         return 0
-    deepest = 1  # those without a site
+    deepest = 1  # fronts without a site are children of roots
     for used in range(1, min(sites, below) + 1):
-        largest = below - (used - 1)  # a site, where each other has one front
+        largest = below - (used - 1)  # fronts of the largest site if each other site has one
         in_site = count_levels(largest - 1, fan_out, fan_out)
         deepest = max(deepest, count_levels(used, relays * fan_out, fan_out) + in_site)
     return deepest
