--- a/limepath/discovery/event_checks.py
+++ b/limepath/discovery/event_checks.py
@@ -1,7 +1,7 @@
-"""Events of the list service: their form, checked before anything of them is used, and their digests.
+"""Validates the events of the list service before they are applied, and computes their digests.
 
-An event is the service's JSON object: `seq` with `fleet` (members, `complete` for a whole list) or
-`invalidate`. Free of I/O.
+An event is a JSON object with `seq` and either `fleet` (`members`, and `complete` for a whole list) or
+`invalidate`. Performs no I/O.
 """
 
 import json
@@ -11,33 +11,33 @@
 PHASES = ("in_service", "terminating", "terminated")
 MAX_NAME_LENGTH = 64  # characters of a member's id
 PORT_END = 65_536
-NUMBER_END = 1 << 53  # numbers below are the same in every JSON reader
+NUMBER_END = 1 << 53  # smaller integers are exact in every JSON parser
 DIGEST_BYTES = 8
-QUOTED = 20  # characters of a bad value in an error's text
+QUOTED = 20  # maximum number of characters of an invalid value in an error message
 
 
 class InvalidEventError(Exception):
-    """An event or list that cannot be used; the text says why. Nothing of it was applied."""
+    """Raised for an invalid event or list, of which nothing was applied; the message states the reason."""
 
 
 def json_digest(value: Any) -> int:
-    """64 bits of one event or member, the same at every front."""
+    """Return a 64-bit digest of an event or member, which is the same on every front."""
     text = json.dumps(value, sort_keys=True)
     return int.from_bytes(blake2b(text.encode(), digest_size=DIGEST_BYTES).digest(), "big")
 
 
 def parse_event(text: str) -> dict[str, Any]:
-    """The event of a JSON text; raise InvalidEventError where its form is not that of the service."""
+    """Parse and validate an event; raise InvalidEventError if it is malformed."""
     try:
         event = json.loads(text)
     except (ValueError, RecursionError):
-        raise InvalidEventError("no JSON") from None
+        raise InvalidEventError("event is not valid JSON") from None
     if not isinstance(event, dict) or type(event.get("seq")) is not int or event["seq"] < 0:
-        raise InvalidEventError("no numbered event")
+        raise InvalidEventError("event without 'seq', an integer of 0 or more")
     if "fleet" in event:
         fleet = event["fleet"]
         if not isinstance(fleet, dict) or not isinstance(fleet.get("members"), list):
-            raise InvalidEventError("fleet without members")
+            raise InvalidEventError("'fleet' without a list of 'members'")
         for member in fleet["members"]:
             check_member(member)
     elif "invalidate" in event:
@@ -46,33 +46,37 @@
 
 
 def check_member(member: Any) -> None:
-    """Raise InvalidEventError for what is no member of a list."""
+    """Raise InvalidEventError if a member of a list is malformed."""
     if not isinstance(member, dict):
-        raise InvalidEventError("a member that is no object")
+        raise InvalidEventError("member is not a JSON object")
     name = member.get("id")
     if not isinstance(name, str) or not 0 < len(name) <= MAX_NAME_LENGTH:
-        raise InvalidEventError(f"member {str(name)[:QUOTED]!r}: no id")
+        raise InvalidEventError(
+            f"member {str(name)[:QUOTED]!r}: 'id' is not a string of 1 to {MAX_NAME_LENGTH} characters"
+        )
     host, _, port = str(member.get("host_port", "")).rpartition(":")
     if not host or not port.isdigit() or not 0 < int(port) < PORT_END:
-        raise InvalidEventError(f"member {name!r}: no address with a port")
+        raise InvalidEventError(f"member {name!r}: 'host_port' is not an address with a port")
     if member.get("phase") not in PHASES:
-        raise InvalidEventError(f"member {name!r}: phase {str(member.get('phase'))[:QUOTED]!r}")
+        raise InvalidEventError(f"member {name!r}: unknown phase {str(member.get('phase'))[:QUOTED]!r}")
     for key in ("locality", "flavor"):
         if not isinstance(member.get(key), str):
-            raise InvalidEventError(f"member {name!r}: no {key}")
+            raise InvalidEventError(f"member {name!r}: {key!r} is not a string")
     for key in ("up_since_ms", "cell", "size"):
         if not isinstance(member.get(key, 0), (int, float)) or not 0 <= member.get(key, 0) < NUMBER_END:
-            raise InvalidEventError(f"member {name!r}: {key}")
+            raise InvalidEventError(f"member {name!r}: {key!r} is not a number from 0 to 2**53 - 1")
 
 
 def check_purge(purge: Any) -> None:
-    """Raise InvalidEventError for what is no purge of an object or a bucket."""
+    """Raise InvalidEventError if a purge names no object or bucket, or has no time."""
     if not isinstance(purge, dict) or type(purge.get("time")) is not int:
-        raise InvalidEventError("purge without its time")
+        raise InvalidEventError("purge without 'time', an integer")
     if "object" in purge:
         try:
             int(purge["object"], 16)
         except (ValueError, TypeError):
-            raise InvalidEventError(f"purge of {str(purge['object'])[:QUOTED]!r}") from None
+            raise InvalidEventError(
+                f"purge: object {str(purge['object'])[:QUOTED]!r} is not a hexadecimal number"
+            ) from None
     elif type(purge.get("bucket")) is not int:
-        raise InvalidEventError("purge without object and bucket")
+        raise InvalidEventError("purge with neither 'object' nor 'bucket'")
--- a/tests/test_event_checks.py
+++ b/tests/test_event_checks.py
@@ -12,12 +12,18 @@
 @pytest.mark.parametrize(
     "text, reason",
     [
-        ("{", "no JSON"),
-        ("[]", "no numbered event"),
-        ('{"seq": "x"}', "no numbered event"),
-        ('{"seq": 2, "fleet": {"members": [{"id": ""}]}}', "member '': no id"),
-        ('{"seq": 2, "invalidate": {"time": 5}}', "purge without object and bucket"),
-        ('{"seq": 2, "invalidate": {"object": "xyz", "time": 5}}', "purge of 'xyz'"),
+        ("{", "event is not valid JSON"),
+        ("[]", "event without 'seq', an integer of 0 or more"),
+        ('{"seq": "x"}', "event without 'seq', an integer of 0 or more"),
+        (
+            '{"seq": 2, "fleet": {"members": [{"id": ""}]}}',
+            "member '': 'id' is not a string of 1 to 64 characters",
+        ),
+        ('{"seq": 2, "invalidate": {"time": 5}}', "purge with neither 'object' nor 'bucket'"),
+        (
+            '{"seq": 2, "invalidate": {"object": "xyz", "time": 5}}',
+            "purge: object 'xyz' is not a hexadecimal number",
+        ),
     ],
 )
 def test_an_event_of_another_form_is_refused_with_its_reason(text, reason):
