--- a/limepath/discovery/upstream.py
+++ b/limepath/discovery/upstream.py
@@ -59,7 +59,7 @@
         self.is_helper: bool = False  # this front calls the service too, because relays' calls fail
 
     def rank(self, count: int) -> list[int]:
-        """Return the first `count` fronts of this zone by hash; without trees, also fronts of unknown zones."""
+        """Return the first `count` fronts of this zone by hash; without trees, also those of unknown zone."""
         if self.tree.enabled:
             candidates = list(self.scopes.zone_members)
         else:
