--- a/limepath/discovery/event_intake.py
+++ b/limepath/discovery/event_intake.py
@@ -19,7 +19,7 @@
     SendToMember,
     SubscriptionMode,
 )
-from limepath.discovery.upstream import BAD_PEER_US, UpstreamSource
+from limepath.discovery.upstream import BAD_PEER_EXCLUSION_US, UpstreamSource
 
 if TYPE_CHECKING:
     from limepath.discovery.engine import DiscoveryEngine
@@ -154,7 +154,7 @@
         """
         source = self.upstream.sources.get(token)
         if source:
-            source.rejected_until = self.timers.now + BAD_PEER_US
+            source.rejected_until = self.timers.now + BAD_PEER_EXCLUSION_US
             source.behind_since = None
         self.counts["contradictions"] += 1
         self.timers.emit(LogEvent("list-contradiction", {"peer": f"{token:016x}", "why": reason}))
@@ -165,7 +165,7 @@
     def reject_invalid(self, token: int, reason: object) -> None:
         """Reject a front that sent invalid data, and log the reason."""
         if token in self.upstream.sources:
-            self.upstream.sources[token].rejected_until = self.timers.now + BAD_PEER_US
+            self.upstream.sources[token].rejected_until = self.timers.now + BAD_PEER_EXCLUSION_US
         self.counts["nonsense"] += 1
         fields = {"peer": f"{token:016x}", "why": str(reason)[:MAX_REASON_LENGTH]}
         self.timers.emit(LogEvent("list-nonsense", fields))
--- a/limepath/discovery/tree.py
+++ b/limepath/discovery/tree.py
@@ -139,7 +139,7 @@
     def _reject_slow_parent(self) -> None:
         """Reject a parent that sends heartbeats but lacks an event that another front has."""
         if source := self.upstream.sources.get(self.parent):
-            source.rejected_until = self.timers.now + bounds.SLOW_PARENT_US
+            source.rejected_until = self.timers.now + bounds.SLOW_PARENT_EXCLUSION_US
         self.counts["slow"] += 1
         self.missing = None
 
--- a/limepath/discovery/upstream.py
+++ b/limepath/discovery/upstream.py
@@ -20,7 +20,7 @@
 if TYPE_CHECKING:
     from limepath.discovery.engine import DiscoveryEngine
 
-BAD_PEER_US = 30_000_000  # for which a source that sent invalid or contradictory data is avoided
+BAD_PEER_EXCLUSION_US = 30_000_000  # for which a source that sent invalid or contradictory data is avoided
 SOURCE_RETENTION_US = 10_000_000  # for which the faults of a former source are remembered
 RANKED_PER_RELAY = 8  # fronts in hash order to consider per relay
 
--- a/tests/test_event_intake.py
+++ b/tests/test_event_intake.py
@@ -13,7 +13,7 @@
     Role,
     SubscriptionMode,
 )
-from limepath.discovery.upstream import BAD_PEER_US
+from limepath.discovery.upstream import BAD_PEER_EXCLUSION_US
 from tests.discovery_harness import (
     MS,
     SECOND,
@@ -51,7 +51,7 @@
     assert front.logic.upstream.fault_of(
         front.logic.upstream.sources[3]
     ) == "bad" and not front.logic.upstream.fault_of(front.logic.upstream.sources[2])
-    front.run(BAD_PEER_US)
+    front.run(BAD_PEER_EXCLUSION_US)
     assert front.logic.upstream.fault_of(front.logic.upstream.sources[3]) != "bad"
 
 
