--- a/limepath/discovery/bounds.py
+++ b/limepath/discovery/bounds.py
@@ -129,7 +129,7 @@
     max_bytes: int  # per second
     batches: float  # per second and child
 
-    def calm_bytes(self, rate: float) -> int:
+    def steady_state_bytes(self, rate: float) -> int:
         """Return how many bytes per second a front sends at most without failures.
 
         `rate` is the number of events per second.
--- a/limepath/discovery/simulate_tree.py
+++ b/limepath/discovery/simulate_tree.py
@@ -185,7 +185,7 @@
         at_most("the same, all, s", seconds(late[-1]), seconds(limit)),
         at_most("events that a front never had", missing, 0),
         CheckResult("bytes a second sent by a front, median", round(sent[len(sent) // 2])),
-        at_most("the same, the busiest", round(sent[-1]), bound.calm_bytes(plan.rate)),
+        at_most("the same, the busiest", round(sent[-1]), bound.steady_state_bytes(plan.rate)),
         CheckResult("datagrams a second sent by the busiest", round(datagrams, 1)),
         at_most("bytes sent by any front in one second", peak, bound.max_bytes),
         CheckResult("events that came twice, of all", doubled(world)),
--- a/limepath/scale/bounds.py
+++ b/limepath/scale/bounds.py
@@ -84,7 +84,7 @@
         + SLACK
         + SAMPLE,
         children=tree and tree.children,
-        list_bytes=tree and tree.calm_bytes(shape.rate),
+        list_bytes=tree and tree.steady_state_bytes(shape.rate),
         window=tree and peers.listing.window,
         budget=budget,
     )
