--- a/limepath/discovery/topology.py
+++ b/limepath/discovery/topology.py
@@ -111,8 +111,8 @@
             return Position(False, roots, roots[1:])
         candidates = self.path(me, first_tree=True)
         backups = [token for token in self.path(me, first_tree=False) if token != candidates[0]]
-        if len(self.roots) == 1 and self.stands_apart(me):
-            backups = self.neighbour(me)
+        if len(self.roots) == 1 and self.has_same_parent_in_both_trees(me):
+            backups = self.next_site_head(me)
         return Position(False, candidates, tuple(backups))
 
     def path(self, me: int, first_tree: bool) -> tuple[int, ...]:
@@ -143,12 +143,12 @@
         start %= len(self.roots)
         return *self.roots[start:], *self.roots[:start]
 
-    def stands_apart(self, me: int) -> bool:
+    def has_same_parent_in_both_trees(self, me: int) -> bool:
         """Return whether the first root is a front's parent in both trees: it is the only one of its site."""
         first, second = self.path(me, first_tree=True), self.path(me, first_tree=False)
         return first[0] == second[0] == self.roots[0]
 
-    def neighbour(self, me: int) -> list[int]:
+    def next_site_head(self, me: int) -> list[int]:
         """Return the head of the next site, which has few or no children in the second tree.
 
         The result is empty if there is only one site.
