--- a/limepath/discovery/roles.py
+++ b/limepath/discovery/roles.py
@@ -30,7 +30,7 @@
         self.budget = CallBudget(self.settings, self.timers.random_fraction)
         self.role: Role = Role.FOLLOWER
         self.stream_unneeded_since: int | None = None
-        self.unsupplied_since: int | None = None  # since when the list is stale and no source is active
+        self.source_lacking_since: int | None = None  # since when the list is stale and no source is active
         self.next_round_at: int = 0
         self.failing_since: int | None = (
             None  # since when this front's calls to the service have been failing
@@ -83,9 +83,9 @@
 
     def decide_role(self) -> None:
         """Decide whether to hold a stream, and open it; all calls to the service start here."""
-        is_unsupplied = self.replica.is_stale() and not self.upstream.is_supplied()
-        is_relay = self._is_relay(is_unsupplied)
-        self._set_role(is_relay, is_unsupplied)
+        lacks_active_source = self.replica.is_stale() and not self.upstream.has_active_source()
+        is_relay = self._is_relay(lacks_active_source)
+        self._set_role(is_relay, lacks_active_source)
         if self.role == Role.FOLLOWER:
             self._release_stream()
             return
@@ -99,19 +99,19 @@
         elif self.budget.due < self.next_round_at:
             self.timers.schedule(self.budget.due, self.decide_role)
 
-    def _is_relay(self, is_unsupplied: bool) -> bool:
+    def _is_relay(self, lacks_active_source: bool) -> bool:
         if self.me in self.upstream.preferred:
             return True
         if self.me not in self.upstream.selected:
             return False
-        return self.upstream.is_helper or is_unsupplied or self.upstream.is_preferred_silent()
+        return self.upstream.is_helper or lacks_active_source or self.upstream.is_preferred_silent()
 
-    def _set_role(self, is_relay: bool, is_unsupplied: bool) -> None:
+    def _set_role(self, is_relay: bool, lacks_active_source: bool) -> None:
         now = self.timers.now
-        self.unsupplied_since = (self.unsupplied_since or now) if is_unsupplied else None
+        self.source_lacking_since = (self.source_lacking_since or now) if lacks_active_source else None
         # Wait before calling, so that the next fronts by hash call first.
         calls_for_itself = self.contradiction_seen or (
-            is_unsupplied and now - self.unsupplied_since >= RELAY_RETRY_SPAN_US
+            lacks_active_source and now - self.source_lacking_since >= RELAY_RETRY_SPAN_US
         )
         role = Role.RELAY if is_relay else Role.STANDALONE if calls_for_itself else Role.FOLLOWER
         if role != self.role:
@@ -129,7 +129,7 @@
         unneeded_for = now - self.stream_unneeded_since
         if (
             unneeded_for > STREAM_HOLD_TIMEOUTS * self.settings.heartbeat_timeout
-            and self.upstream.is_supplied()
+            and self.upstream.has_active_source()
         ):
             self.stream.close("relays supply the list")
 
--- a/limepath/discovery/upstream.py
+++ b/limepath/discovery/upstream.py
@@ -147,11 +147,11 @@
                 return SourceFault.FAILING
         return None
 
-    def is_supplied(self) -> bool:
+    def has_active_source(self) -> bool:
         """Return whether a selected source is active: it is up to date, or calls the service for the zone."""
-        return any(self._is_at_work(self.sources.get(token)) for token in self.selected)
+        return any(self._is_active(self.sources.get(token)) for token in self.selected)
 
-    def _is_at_work(self, source: UpstreamSource | None) -> bool:
+    def _is_active(self, source: UpstreamSource | None) -> bool:
         now = self.timers.now
         if not source:
             return False
