--- a/limepath/discovery/event_intake.py
+++ b/limepath/discovery/event_intake.py
@@ -189,7 +189,7 @@
             except InvalidEventError as error:
                 self.reject_invalid(token, error)
                 return
-            if not self._take(token, event, text):
+            if not self._append_or_compare(token, event, text):
                 return
         last = message.first + len(message.texts) - 1
         if last == self.replica.list.revision.number and message.age >= 0:
@@ -212,13 +212,13 @@
         if first > self.replica.list.revision.number + 1:
             self._store_early(token, message)
             return
-        self._take_batch(token, message, events)
+        self._apply_batch(token, message, events)
 
-    def _take_batch(self, token: int, message: EventBatch, events: tuple[ServiceEvent, ...]) -> None:
+    def _apply_batch(self, token: int, message: EventBatch, events: tuple[ServiceEvent, ...]) -> None:
         number = self.replica.list.revision.number
         self.counts["doubled"] += sum(event.body["seq"] <= number for event in events)
         for event, text in events:
-            if not self._take(token, event, text):
+            if not self._append_or_compare(token, event, text):
                 return
         if events[-1].body["seq"] == self.replica.list.revision.number and message.age >= 0:
             self.replica.confirm(self._confirmed_at(message.age, message.stamp, message.since_subscribe))
@@ -226,7 +226,7 @@
         if (following := self.early.pop(next_number, None)) is not None:
             self.on_event_batch(following.token, following.message)
 
-    def _take(self, token: int, event: dict[str, Any], text: str) -> bool:
+    def _append_or_compare(self, token: int, event: dict[str, Any], text: str) -> bool:
         """Append an event if it is the next; return False if it contradicts one in the window."""
         number = event["seq"]
         if number == self.replica.list.revision.number + 1:
