--- a/limepath/discovery/bounds.py
+++ b/limepath/discovery/bounds.py
@@ -16,8 +16,10 @@
 SECOND = 1_000_000
 HEADER_BYTES = 190  # per datagram: sender, authentication, positions, digests; all but the events
 PURGE_EVENT_BYTES = 16  # maximum size of a purge in a batch
-CONTROL_PER_CHILD = 6  # heartbeats, subscriptions and scope messages per second to each child
-CONTROL_PER_FRONT = 40  # heartbeats, subscriptions and scope messages per second to all other fronts
+CONTROL_DATAGRAMS_PER_CHILD = 6  # heartbeats, subscriptions and scope messages per second to each child
+CONTROL_DATAGRAMS_PER_FRONT = (
+    40  # heartbeats, subscriptions and scope messages per second to all other fronts
+)
 REJOIN_US = 20_000_000  # to learn the scopes and receive the whole list in chunks
 MIN_BATCH_EVENT_BYTES = 900  # minimum size of the events in a full datagram
 SCOPE_BYTES_PER_SECOND = 12_000
@@ -135,7 +137,10 @@
         `rate` is the number of events per second.
         """
         events = self.children * (self.batches * HEADER_BYTES + rate * PURGE_EVENT_BYTES)
-        return int(events + (self.children * CONTROL_PER_CHILD + CONTROL_PER_FRONT) * HEADER_BYTES)
+        return int(
+            events
+            + (self.children * CONTROL_DATAGRAMS_PER_CHILD + CONTROL_DATAGRAMS_PER_FRONT) * HEADER_BYTES
+        )
 
     def recovery_time(self, rate: float, cut: int) -> int:
         """Return the time from the end of a partition until every front has its events, in microseconds.
--- a/limepath/discovery/list_replica.py
+++ b/limepath/discovery/list_replica.py
@@ -27,7 +27,7 @@
     from limepath.discovery.engine import DiscoveryEngine
 
 SAVES_PER_WINDOW = 10  # maximum, for a front in trees
-BATCH_HEAD_BYTES = 32  # maximum size of a batch without its events
+BATCH_HEADER_BYTES = 32  # maximum size of a batch without its events
 SECOND = 1_000_000
 
 
@@ -180,7 +180,7 @@
             coded = encode_event(event, text)
         except CodingError:
             coded = None
-        if coded is None or len(coded) > MAX_BATCH_BYTES - BATCH_HEAD_BYTES:
+        if coded is None or len(coded) > MAX_BATCH_BYTES - BATCH_HEADER_BYTES:
             self.window.restart(event["seq"])
         else:
             self.window.add(self.timers.now, event["seq"], coded, json_digest(event))
--- a/limepath/discovery/tree.py
+++ b/limepath/discovery/tree.py
@@ -19,8 +19,10 @@
 if TYPE_CHECKING:
     from limepath.discovery.engine import DiscoveryEngine
 
-REFUSAL_US = 10_000_000  # until a front that refused a subscription is tried again
-STANDBYS = 1 + bounds.HELPERS_PER_RELAY  # per relay: the next fronts by hash, which subscribe to the roots
+REFUSAL_BACKOFF_US = 10_000_000  # until a front that refused a subscription is tried again
+STANDBYS_PER_RELAY = (
+    1 + bounds.HELPERS_PER_RELAY
+)  # per relay: the next fronts by hash, which subscribe to the roots
 
 
 class MissingEvent(NamedTuple):
@@ -61,7 +63,7 @@
         self.position = zone.position(self.me)
         ranked = order_by_hash(members, self.settings.zone)
         self.roots = ranked[:relays]
-        self.standbys = ranked[relays : relays * (1 + STANDBYS)]
+        self.standbys = ranked[relays : relays * (1 + STANDBYS_PER_RELAY)]
         self.hops = longest_path(len(members), len(zone.sites), relays, fan_out)
 
     def watches_roots(self) -> bool:
@@ -114,7 +116,7 @@
 
     def record_refusal(self, token: int) -> None:
         """Record that a front refused this one's subscription."""
-        self.refused_until[token] = self.timers.now + REFUSAL_US
+        self.refused_until[token] = self.timers.now + REFUSAL_BACKOFF_US
         self.counts["refused"] += 1
 
     # Late events
