--- a/limepath/discovery/service_stream.py
+++ b/limepath/discovery/service_stream.py
@@ -66,7 +66,7 @@
         self.suspect_event: int | None = None  # checksum of an event that could not be parsed
         self.times = EventTimes()
         self.replay: EndpointList | None = None  # the list built from the replayed events so far
-        self.replay_joins: bool = False  # the replay matched our list at our revision
+        self.replay_matches: bool = False  # the replay matched our list at our revision
         self.replay_differs: bool = False  # an event of the replay differs from the one in our window
         self.replayed_after: list[ReplayedEvent] = []  # the events of the replay after our revision
 
@@ -91,7 +91,7 @@
         number = self.replica.list.revision.number
         self.replay_needed |= number not in self.replica.window
         self.replay = self.replica.new_list() if self.replay_needed else None
-        self.replay_joins = False
+        self.replay_matches = False
         self.replay_differs = False
         self.replayed_after = []
         # Without a replay, request our last event again. A service restored from an older state does not
@@ -200,10 +200,10 @@
         replay.apply(event, self.timers.now)
         current = self.replica.list
         self.replay_differs |= self.replica.contradicts(event)
-        if self.replay_joins and number > current.revision.number:
+        if self.replay_matches and number > current.revision.number:
             self.replayed_after.append(ReplayedEvent(event, text))
         elif number == current.revision.number and self.tree.enabled:
-            self.replay_joins = replay.digest == current.digest and not self.replay_differs
+            self.replay_matches = replay.digest == current.digest and not self.replay_differs
 
     def _continue_list(self, event: dict[str, Any], text: str) -> None:
         """Apply the next event of our list, or compare an earlier event with ours."""
@@ -230,7 +230,7 @@
             return
         if self.replay is not None and not self.replay.revision.number:
             return
-        if not self.caught_up and (due := self._due_caught_up()) is not None:
+        if not self.caught_up and (due := self._next_caught_up_check()) is not None:
             self.timers.schedule(due, self._check_caught_up, serial)
             return
         if self.replay is not None:
@@ -247,7 +247,7 @@
         self.roles.failing_since = None
         self.replica.confirm(self.timers.now)
 
-    def _due_caught_up(self) -> int | None:
+    def _next_caught_up_check(self) -> int | None:
         """Return when to check again, or None if the stream was quiet for long enough or sends live events.
 
         A replay that ends below our revision must be quiet for longer, because it may only be slow.
@@ -268,7 +268,7 @@
         """
         new = replay.revision
         old = self.replica.list.revision
-        if self.replay_joins and new.number >= old.number:
+        if self.replay_matches and new.number >= old.number:
             self._append_replayed()
             return
         generation = old.generation
