--- a/limepath/discovery/topology.py
+++ b/limepath/discovery/topology.py
@@ -182,12 +182,12 @@
 
 def count_levels(count: int, top: int, fan_out: int) -> int:
     """Return the number of levels of `count` nodes; the first holds `top`, each next `fan_out` times more."""
-    deep = 0
+    levels = 0
     while count > 0:
         count -= top
         top *= fan_out
-        deep += 1
-    return deep
+        levels += 1
+    return levels
 
 
 def longest_path(members: int, sites: int, relays: int, fan_out: int) -> int:
