--- a/limepath/discovery/host.py
+++ b/limepath/discovery/host.py
@@ -79,7 +79,7 @@
         self.logic_host = LogicHost(reactor, clock, self.logic, self.execute, self.failed)
         self.serial: int = 0  # number of the current call
         self.max_purge_age: int = -1  # of the event being applied, in microseconds; -1 if unknown
-        self.confirmed: Callable[[], None] | None = None  # called when the front may become ready
+        self.on_ready: Callable[[], None] | None = None  # called when the front may become ready
         self.paced: Any = None  # limits the fleet's rate of new connections; None if no rate is set
         self.request_counts: FrequencyExchange | None = None  # exchanges request counts with other fronts
 
@@ -127,8 +127,8 @@
             case ListConfirmed():
                 self._log_confirmed(command)
             case FrontReady():
-                if self.confirmed:
-                    self.confirmed()
+                if self.on_ready:
+                    self.on_ready()
             case ListFreshnessChanged():
                 self.decision_loop.gather(EndpointListFreshnessChanged(command.stale))
                 self.log.say("list-late" if command.stale else "list-in-time")
--- a/limepath/front/front_process.py
+++ b/limepath/front/front_process.py
@@ -120,7 +120,7 @@
             self.cooperation,
             shared.listing,
         )
-        watch.confirmed = self._list_confirmed
+        watch.on_ready = self._list_confirmed
         self.clients.is_waiting_for_list = True
         return watch
 
--- a/limepath/scale/hollow.py
+++ b/limepath/scale/hollow.py
@@ -60,7 +60,7 @@
             self.cooperation,
             shared.listing,
         )
-        self.changes.confirmed = lambda: self.turn.gather(ONE_GET)  # in service, and asked by clients
+        self.changes.on_ready = lambda: self.turn.gather(ONE_GET)  # in service, and asked by clients
         self.charge()
         self.count()
         self.cooperation.start()
