--- a/limepath/discovery/bounds.py
+++ b/limepath/discovery/bounds.py
@@ -16,10 +16,8 @@
 SECOND = 1_000_000
 HEADER_BYTES = 190  # per datagram: sender, authentication, positions, digests; all but the events
 PURGE_EVENT_BYTES = 16  # maximum size of a purge in a batch
-CONTROL_DATAGRAMS_PER_CHILD = 6  # heartbeats, subscriptions and scope messages per second to each child
-CONTROL_DATAGRAMS_PER_FRONT = (
-    40  # heartbeats, subscriptions and scope messages per second to all other fronts
-)
+CONTROL_DATAGRAMS_PER_CHILD = 6  # heartbeats, subscriptions and scope messages, per second
+CONTROL_DATAGRAMS_PER_FRONT = 40  # the same, per second to all fronts that are not children
 REJOIN_US = 20_000_000  # to learn the scopes and receive the whole list in chunks
 MIN_BATCH_EVENT_BYTES = 900  # minimum size of the events in a full datagram
 SCOPE_BYTES_PER_SECOND = 12_000
--- a/limepath/discovery/event_checks.py
+++ b/limepath/discovery/event_checks.py
@@ -11,9 +11,9 @@
 PHASES = ("in_service", "terminating", "terminated")
 MAX_NAME_LENGTH = 64  # characters of a member's id
 PORT_END = 65_536
-EXACT_INTEGER_END = 1 << 53  # smaller integers are exact in every JSON parser
+EXACT_INT_END = 1 << 53  # smaller integers are exact in every JSON parser
 DIGEST_BYTES = 8
-MAX_QUOTED_LENGTH = 20  # maximum number of characters of an invalid value in an error message
+MAX_QUOTE_LENGTH = 20  # maximum number of characters of an invalid value in an error message
 
 
 class InvalidEventError(Exception):
@@ -52,23 +52,21 @@
     name = member.get("id")
     if not isinstance(name, str) or not 0 < len(name) <= MAX_NAME_LENGTH:
         raise InvalidEventError(
-            f"member {str(name)[:MAX_QUOTED_LENGTH]!r}: 'id' is not a string of 1 to {MAX_NAME_LENGTH} characters"
+            f"member {str(name)[:MAX_QUOTE_LENGTH]!r}: "
+            f"'id' is not a string of 1 to {MAX_NAME_LENGTH} characters"
         )
     host, _, port = str(member.get("host_port", "")).rpartition(":")
     if not host or not port.isdigit() or not 0 < int(port) < PORT_END:
         raise InvalidEventError(f"member {name!r}: 'host_port' is not an address with a port")
     if member.get("phase") not in PHASES:
         raise InvalidEventError(
-            f"member {name!r}: unknown phase {str(member.get('phase'))[:MAX_QUOTED_LENGTH]!r}"
+            f"member {name!r}: unknown phase {str(member.get('phase'))[:MAX_QUOTE_LENGTH]!r}"
         )
     for key in ("locality", "flavor"):
         if not isinstance(member.get(key), str):
             raise InvalidEventError(f"member {name!r}: {key!r} is not a string")
     for key in ("up_since_ms", "cell", "size"):
-        if (
-            not isinstance(member.get(key, 0), (int, float))
-            or not 0 <= member.get(key, 0) < EXACT_INTEGER_END
-        ):
+        if not isinstance(member.get(key, 0), (int, float)) or not 0 <= member.get(key, 0) < EXACT_INT_END:
             raise InvalidEventError(f"member {name!r}: {key!r} is not a number from 0 to 2**53 - 1")
 
 
@@ -81,7 +79,7 @@
             int(purge["object"], 16)
         except (ValueError, TypeError):
             raise InvalidEventError(
-                f"purge: object {str(purge['object'])[:MAX_QUOTED_LENGTH]!r} is not a hexadecimal number"
+                f"purge: object {str(purge['object'])[:MAX_QUOTE_LENGTH]!r} is not a hexadecimal number"
             ) from None
     elif type(purge.get("bucket")) is not int:
         raise InvalidEventError("purge with neither 'object' nor 'bucket'")
--- a/limepath/discovery/tree.py
+++ b/limepath/discovery/tree.py
@@ -20,9 +20,7 @@
     from limepath.discovery.engine import DiscoveryEngine
 
 REFUSAL_BACKOFF_US = 10_000_000  # until a front that refused a subscription is tried again
-STANDBYS_PER_RELAY = (
-    1 + bounds.HELPERS_PER_RELAY
-)  # per relay: the next fronts by hash, which subscribe to the roots
+STANDBYS_PER_RELAY = 1 + bounds.HELPERS_PER_RELAY  # the next fronts by hash, which subscribe to the roots
 
 
 class MissingEvent(NamedTuple):
