--- a/tests/discovery_harness.py
+++ b/tests/discovery_harness.py
@@ -56,11 +56,11 @@
 class EngineHarness:
     """One front's logic, with `others` that live, by their tokens; `commands` keeps all that it emitted."""
 
-    def __init__(self, others=(), saved=None, terms=STAR_SETTINGS, me=1):
+    def __init__(self, others=(), saved=None, settings=STAR_SETTINGS, me=1):
         self.others = list(others)
         self.now = 0  # microseconds
         self.commands = []
-        self.logic = DiscoveryEngine(me, terms, 7, lambda: self.others, saved)
+        self.logic = DiscoveryEngine(me, settings, 7, lambda: self.others, saved)
         self.record(self.logic.start(0))
 
     def record(self, commands):
@@ -143,12 +143,12 @@
 class TreeHarness(EngineHarness):
     """A front below the roots of a zone of twelve fronts at one site, whose parent and backup are known."""
 
-    def __init__(self, saved=None, terms=TREE_SETTINGS, fronts=12):
+    def __init__(self, saved=None, settings=TREE_SETTINGS, fronts=12):
         tokens = range(1, fronts + 1)
-        zone = Zone("sur", dict.fromkeys(tokens, SCOPE), terms.relays, terms.fan_out)
+        zone = Zone("sur", dict.fromkeys(tokens, SCOPE), settings.relays, settings.fan_out)
         below = [token for token in tokens if token not in zone.roots]
         me = max(below, key=lambda token: len(zone.position(token).candidates))
-        super().__init__([token for token in tokens if token != me], saved, terms, me)
+        super().__init__([token for token in tokens if token != me], saved, settings, me)
         self.position = zone.position(me)
         self.parent, self.backup = self.position.candidates[0], self.position.backups[0]
         self.run(200 * MS)
--- a/tests/test_call_budget.py
+++ b/tests/test_call_budget.py
@@ -27,7 +27,7 @@
         and budget.count_sharing(3 * SECOND, 2) == 2
         and budget.count_sharing(3 * SECOND, 0) == 200
     )
-    lonely = EngineHarness([], terms=STAR_SETTINGS._replace(fronts=200)).run(120 * SECOND)
+    lonely = EngineHarness([], settings=STAR_SETTINGS._replace(fronts=200)).run(120 * SECOND)
     for _ in range(3):
         lonely.handle(StreamClosed("refused"))
         lonely.run(20 * SECOND)
@@ -35,8 +35,8 @@
 
 
 def test_fronts_that_learn_at_once_that_they_are_few_do_not_call_at_once():
-    terms = DiscoverySettings(fronts=1000, site="a")
-    budgets = [CallBudget(terms, lambda share=share: share / 40) for share in range(40)]
+    settings = DiscoverySettings(fronts=1000, site="a")
+    budgets = [CallBudget(settings, lambda share=share: share / 40) for share in range(40)]
     called, times = [], []
     for now in range(0, 12 * SECOND, 100 * MS):
         for budget in budgets:
--- a/tests/test_list_replica.py
+++ b/tests/test_list_replica.py
@@ -96,7 +96,7 @@
 
 
 def test_a_window_cut_short_by_its_bound_in_bytes_is_reported():
-    front = TreeHarness(list_at(3).pack(), terms=TREE_SETTINGS._replace(window_bytes=200))
+    front = TreeHarness(list_at(3).pack(), settings=TREE_SETTINGS._replace(window_bytes=200))
     front.receive(front.parent, batch(4, 20))
     assert not front.logic.describe()["window_cut_short"] and front.logic.describe()["reaches"] == 4
     front.receive(front.parent, batch(21, 90))
@@ -105,8 +105,8 @@
 
 
 def test_a_purge_is_kept_for_copy_lifetime_and_window_across_a_restart():
-    terms = TREE_SETTINGS._replace(window=20 * SECOND, purge_lifetime=7 * SECOND)
-    front = TreeHarness(list_at(3).pack(), terms=terms)
+    settings = TREE_SETTINGS._replace(window=20 * SECOND, purge_lifetime=7 * SECOND)
+    front = TreeHarness(list_at(3).pack(), settings=settings)
     count = 0
     for first in range(4, 5004, 50):  # more than any count that was kept before
         front.receive(front.parent, batch(first, first + 49))
@@ -114,8 +114,8 @@
         count += 50
     kept = front.logic.replica.list.purges
     assert len(kept) == 5000 + 2
-    front.run(terms.window + terms.purge_lifetime - 3 * SECOND)
-    again = TreeHarness(front.logic.replica.list.pack(front.now), terms=terms)
+    front.run(settings.window + settings.purge_lifetime - 3 * SECOND)
+    again = TreeHarness(front.logic.replica.list.pack(front.now), settings=settings)
     assert len(again.logic.replica.list.purges) == 5002  # a front that reads the whole list now has them too
     again.receive(again.parent, batch(5004, 5004))
     again.run(3 * SECOND)
--- a/tests/test_scopes.py
+++ b/tests/test_scopes.py
@@ -14,7 +14,7 @@
 def test_a_newcomer_is_asked_by_a_few_of_a_large_fleet():
     asked = 0
     for index in range(60):
-        front = EngineHarness(range(1000, 1600), terms=TREE_SETTINGS, me=index + 1)
+        front = EngineHarness(range(1000, 1600), settings=TREE_SETTINGS, me=index + 1)
         front.handle(
             *(PeerMessage(token, ScopeAnnouncement("norte", False, "b")) for token in range(1001, 1600))
         )
@@ -26,7 +26,7 @@
 
 
 def test_a_front_that_does_not_know_its_zone_yet_is_no_relay_to_the_call_budget():
-    front = EngineHarness(range(1000, 1300), terms=TREE_SETTINGS, me=1)
+    front = EngineHarness(range(1000, 1300), settings=TREE_SETTINGS, me=1)
     front.handle(
         *(PeerMessage(token, ScopeAnnouncement(f"z{token % 20}", False, "b")) for token in range(1000, 1040))
     )
@@ -43,11 +43,11 @@
 
 def test_the_fronts_of_a_zone_are_learnt_from_the_reports_of_one_that_knows_them():
     tokens = list(range(10**18, 10**18 + 300))
-    knowing = EngineHarness(tokens, terms=TREE_SETTINGS, me=7)
+    knowing = EngineHarness(tokens, settings=TREE_SETTINGS, me=7)
     knowing.handle(
         *(PeerMessage(token, ScopeAnnouncement("sur", False, f"s{token % 5}")) for token in tokens)
     )
-    learning = EngineHarness([7, *tokens], terms=TREE_SETTINGS, me=8)
+    learning = EngineHarness([7, *tokens], settings=TREE_SETTINGS, me=8)
     learning.handle(PeerMessage(7, ScopeAnnouncement("sur", False, "a")))
     learning.logic.scopes.send_query(7)
     asks = [order.message for order in learning.logic.timers.take_commands()]
--- a/tests/test_service_stream.py
+++ b/tests/test_service_stream.py
@@ -103,7 +103,7 @@
 
 
 def test_a_stream_catches_up_though_events_never_cease():
-    front = EngineHarness(terms=TREE_SETTINGS._replace(site="", fronts=1))
+    front = EngineHarness(settings=TREE_SETTINGS._replace(site="", fronts=1))
     front.open_stream(full_event_text())
     front.logic.stream.caught_up = False
     number, base = 1, 50_000
--- a/tests/test_snapshot_transfer.py
+++ b/tests/test_snapshot_transfer.py
@@ -25,7 +25,7 @@
 
 def fetched(served, longest=4_000_000, spoil=lambda chunk: chunk):
     """A newcomer gets a whole list from one that holds it; give the newcomer."""
-    newcomer = EngineHarness([2], terms=STAR_SETTINGS._replace(max_snapshot_bytes=longest)).run(SECOND)
+    newcomer = EngineHarness([2], settings=STAR_SETTINGS._replace(max_snapshot_bytes=longest)).run(SECOND)
     newcomer.handle(
         PeerMessage(2, Heartbeat("sur", *served.replica.list.revision, served.replica.list.digest, 10 * MS))
     )
--- a/tests/test_tree_subscribers.py
+++ b/tests/test_tree_subscribers.py
@@ -62,7 +62,7 @@
 
 
 def test_a_subscriber_behind_is_sent_no_more_than_a_set_number_in_a_tick():
-    front = TreeHarness(list_at(3).pack(), terms=TREE_SETTINGS._replace(window_bytes=10**6))
+    front = TreeHarness(list_at(3).pack(), settings=TREE_SETTINGS._replace(window_bytes=10**6))
     front.receive(front.parent, Heartbeat("sur", 0, 3, list_at(3).digest, 0, site="a", oldest_available=2))
     for first in range(4, 4004, 50):
         front.receive(front.parent, batch(first, first + 49))
