--- a/tests/discovery_harness.py
+++ b/tests/discovery_harness.py
@@ -1,4 +1,4 @@
-"""What the tests of limepath/discovery share: the logic of one front by itself, and events to feed it."""
+"""Shared helpers for tests of limepath/discovery: the logic of a single front, and events for it."""
 
 import json
 import subprocess
@@ -34,27 +34,30 @@
 
 
 def event_text(number, **fields):
-    """The JSON text of an event, a purge where nothing else is given."""
+    """Return the JSON text of an event, which is a purge if no fields are given."""
     return json.dumps({"seq": number} | (fields or {"invalidate": {"bucket": number, "time": 5}}))
 
 
 def full_event_text(number=1, caches=2):
-    """The JSON text of an event that holds the whole list."""
+    """Return the JSON text of an event that holds the whole list."""
     members = [member(f"s-{index}") for index in range(caches)]
     return event_text(number, fleet={"complete": True, "revision": 1, "members": members})
 
 
 def list_at(numbers=1, generation=0):
-    """A list after so many events."""
-    one = EndpointList()
+    """Return a list after events 1 to `numbers`."""
+    endpoint_list = EndpointList()
     for text in [full_event_text(), *map(event_text, range(2, numbers + 1))]:
-        one.apply(json.loads(text))
-    one.revision = Revision(generation, numbers)
-    return one
+        endpoint_list.apply(json.loads(text))
+    endpoint_list.revision = Revision(generation, numbers)
+    return endpoint_list
 
 
 class EngineHarness:
-    """One front's logic, with `others` that live, by their tokens; `commands` keeps all that it emitted."""
+    """Runs the logic of one front in virtual time.
+
+    `others` are the tokens of the other live fronts; `commands` collects all commands that it emitted.
+    """
 
     def __init__(self, others=(), saved=None, settings=STAR_SETTINGS, me=1):
         self.others = list(others)
@@ -75,22 +78,22 @@
         return self
 
     def handle(self, *events):
-        """Hand events to the logic; return the commands that it emits."""
+        """Pass events to the logic and return the commands that it emits."""
         before = len(self.commands)
         self.record(self.logic.handle(self.now, events))
         return self.commands[before:]
 
     def emitted(self, kind):
-        """All commands of a kind so far."""
+        """Return all commands of a type so far."""
         return commands_of(self.commands, kind)
 
     def sent(self, kind):
-        """All messages of a kind so far."""
+        """Return all messages of a type sent so far."""
         messages = [command.message for command in self.emitted(SendToMember)]
         return [message for message in messages if isinstance(message, kind)]
 
     def open_stream(self, *texts):
-        """Run until it calls; the service sends these events and shows that it is alive."""
+        """Run until the front calls; the service then sends these events and a comment."""
         while not self.emitted(OpenStream):
             self.run(100 * MS)
         self.handle(StreamOpened(), *(StreamEventReceived(text) for text in texts))
@@ -99,7 +102,7 @@
 
 
 def commands_of(commands, kind):
-    """Those of a kind."""
+    """Return the commands of a type."""
     return [command for command in commands if isinstance(command, kind)]
 
 
@@ -141,7 +144,7 @@
 
 
 class TreeHarness(EngineHarness):
-    """A front below the roots of a zone of twelve fronts at one site, whose parent and backup are known."""
+    """Runs a non-root front, with known parent and backup, of a zone with `fronts` fronts at one site."""
 
     def __init__(self, saved=None, settings=TREE_SETTINGS, fronts=12):
         tokens = range(1, fronts + 1)
@@ -156,18 +159,18 @@
         self.run(SECOND)
 
     def subscriptions_to(self, token):
-        """What this front last asked of another."""
-        asked = [order.message for order in self.emitted(SendToMember) if order.token == token]
-        return [message for message in asked if isinstance(message, Subscribe)]
+        """Return all Subscribe messages that this front has sent to another one."""
+        messages = [command.message for command in self.emitted(SendToMember) if command.token == token]
+        return [message for message in messages if isinstance(message, Subscribe)]
 
     def receive(self, token, message):
         return self.handle(PeerMessage(token, message))
 
     def keep_alive(self, span, *tokens, number=None, age=0):
-        """Let these tell where they stand every beat."""
+        """Receive a heartbeat from each of these fronts every heartbeat interval of the span."""
         for _ in range(span // self.logic.settings.beat):
             for token in tokens:
-                place, digest = self.logic.replica.list.revision, self.logic.replica.list.digest
-                at = place.number if number is None else number
+                revision, digest = self.logic.replica.list.revision, self.logic.replica.list.digest
+                at = revision.number if number is None else number
                 self.receive(token, Heartbeat("sur", 0, at, digest, age, site="a", oldest_available=2))
             self.run(self.logic.settings.beat)
--- a/tests/list_service.py
+++ b/tests/list_service.py
@@ -1,7 +1,7 @@
-"""The testbed's stand-in list service in a process of its own, one port per front.
+"""Runs the testbed's stand-in list service in a separate process, with one port per front.
 
-`python -m tests.list_service FRONTS` prints the ports as one JSON line, then takes one event a line on
-standard input and answers with its number. The end of its input ends it.
+`python -m tests.list_service FRONTS` prints the ports as one JSON line, then reads one event per line from
+standard input and answers each with its number. It exits at the end of its input.
 """
 
 import json
@@ -13,7 +13,7 @@
 
 from limepath.testbed.stand_ins import StandInListService
 
-COMMENT_INTERVAL = 0.2  # seconds in which the service shows that it is alive
+COMMENT_INTERVAL = 0.2  # seconds between two keep-alive comments of the service
 
 
 class EventInput(LineReceiver):
