--- a/tests/test_call_budget.py
+++ b/tests/test_call_budget.py
@@ -1,4 +1,4 @@
-"""Tests of limepath/discovery/call_budget.py: when a front may call the list service."""
+"""Tests of limepath/discovery/call_budget.py: the rate limit of calls to the list service."""
 
 import pytest
 
@@ -27,22 +27,22 @@
         and budget.count_sharing(3 * SECOND, 2) == 2
         and budget.count_sharing(3 * SECOND, 0) == 200
     )
-    lonely = EngineHarness([], settings=STAR_SETTINGS._replace(fronts=200)).run(120 * SECOND)
+    front = EngineHarness([], settings=STAR_SETTINGS._replace(fronts=200)).run(120 * SECOND)
     for _ in range(3):
-        lonely.handle(StreamClosed("refused"))
-        lonely.run(20 * SECOND)
-    assert len(lonely.emitted(OpenStream)) <= 180 // 12  # one of 200, not one of one
+        front.handle(StreamClosed("refused"))
+        front.run(20 * SECOND)
+    assert len(front.emitted(OpenStream)) <= 180 // 12  # the rate of one front out of 200
 
 
-def test_fronts_that_learn_at_once_that_they_are_few_do_not_call_at_once():
+def test_fronts_that_learn_at_once_of_a_smaller_share_count_do_not_call_at_once():
     settings = DiscoverySettings(fronts=1000, site="a")
     budgets = [CallBudget(settings, lambda share=share: share / 40) for share in range(40)]
     called, times = [], []
     for now in range(0, 12 * SECOND, 100 * MS):
         for budget in budgets:
             budget.update_view(now, 1000)
-            few = 40 if now >= 5 * SECOND else 0
-            if budget not in called and budget.may_call(now, few):
+            relays = 40 if now >= 5 * SECOND else 0
+            if budget not in called and budget.may_call(now, relays):
                 called.append(budget)
                 times.append(now)
     assert len([now for now in times if 5 * SECOND <= now < 6 * SECOND]) <= 10
