--- a/tests/test_discovery_bounds.py
+++ b/tests/test_discovery_bounds.py
@@ -10,12 +10,13 @@
 
 
 def test_the_bounds_follow_from_the_settings():
-    one = bounds(DiscoverySettings(fronts=10), 10)
+    base = bounds(DiscoverySettings(fronts=10), 10)
     assert bounds(
         DiscoverySettings(fronts=10, stream_timeout=5 * SECOND), 10
-    ).relays_lost > one.relays_lost and one.known_late == freshness_limit(DiscoverySettings())
+    ).relays_lost > base.relays_lost and base.known_late == freshness_limit(DiscoverySettings())
     assert (
-        bounds(DiscoverySettings(fronts=300), 300).alone > one.alone and one.calls <= DiscoverySettings().rate
+        bounds(DiscoverySettings(fronts=300), 300).alone > base.alone
+        and base.calls <= DiscoverySettings().rate
     )
 
 
@@ -34,11 +35,11 @@
 
 
 def test_the_bounds_of_a_tree_follow_from_the_settings_and_the_fleet():
-    one = tree_bounds(DiscoverySettings(), 100, 4, 16)
-    assert tree_bounds(DiscoverySettings(), 5200, 20, 240).event > one.event
-    assert tree_bounds(DiscoverySettings(gather=SECOND), 100, 4, 16).event > one.event
-    assert tree_bounds(DiscoverySettings(), 5200, 20, 240).children == one.children == 8
-    assert tree_bounds(DiscoverySettings(fan_out=8), 100, 4, 16).max_bytes > one.max_bytes
+    base = tree_bounds(DiscoverySettings(), 100, 4, 16)
+    assert tree_bounds(DiscoverySettings(), 5200, 20, 240).event > base.event
+    assert tree_bounds(DiscoverySettings(gather=SECOND), 100, 4, 16).event > base.event
+    assert tree_bounds(DiscoverySettings(), 5200, 20, 240).children == base.children == 8
+    assert tree_bounds(DiscoverySettings(fan_out=8), 100, 4, 16).max_bytes > base.max_bytes
 
 
 def test_the_bounds_of_the_tree_are_printed_with_a_site(tmp_path):
