--- a/tests/test_endpoint_list.py
+++ b/tests/test_endpoint_list.py
@@ -1,4 +1,4 @@
-"""Tests of limepath/discovery/endpoint_list.py: the list packed to be saved or sent, and back."""
+"""Tests of limepath/discovery/endpoint_list.py: packing and unpacking of the list."""
 
 import zlib
 
@@ -18,13 +18,13 @@
 
 @pytest.fixture
 def endpoint_list():
-    one = EndpointList()
-    one.apply(parse_event(FLEET_EVENT))
-    one.apply(parse_event(PURGE_EVENT))
-    return one
+    filled_list = EndpointList()
+    filled_list.apply(parse_event(FLEET_EVENT))
+    filled_list.apply(parse_event(PURGE_EVENT))
+    return filled_list
 
 
-def test_a_packed_list_comes_back_as_it_was(endpoint_list):
+def test_a_packed_list_is_unpacked_unchanged(endpoint_list):
     unpacked = unpack_list(endpoint_list.pack(), MAX_BYTES)
     assert unpacked.revision == Revision(0, 8)
     assert unpacked.digest == endpoint_list.digest
@@ -41,12 +41,12 @@
         (lambda packed: packed[:60] + b"x" + packed[60:], "cut or damaged"),
     ],
 )
-def test_damaged_bytes_are_refused_with_their_reason(endpoint_list, damage, reason):
+def test_damaged_bytes_are_rejected_with_the_reason(endpoint_list, damage, reason):
     with pytest.raises(InvalidEventError) as error:
         unpack_list(damage(endpoint_list.pack()), MAX_BYTES)
     assert str(error.value) == reason
 
 
-def test_no_more_than_the_bound_is_unpacked(endpoint_list):
+def test_a_list_over_the_size_limit_is_rejected(endpoint_list):
     with pytest.raises(InvalidEventError, match="^over 100 bytes$"):
         unpack_list(endpoint_list.pack(), 100)
