--- a/tests/test_event_checks.py
+++ b/tests/test_event_checks.py
@@ -1,4 +1,4 @@
-"""Tests of limepath/discovery/event_checks.py: the form of the list service's events."""
+"""Tests of limepath/discovery/event_checks.py: validation of the list service's events."""
 
 import pytest
 
@@ -26,7 +26,7 @@
         ),
     ],
 )
-def test_an_event_of_another_form_is_refused_with_its_reason(text, reason):
+def test_a_malformed_event_is_rejected_with_the_reason(text, reason):
     with pytest.raises(InvalidEventError) as error:
         parse_event(text)
     assert str(error.value) == reason
