--- a/tests/test_event_intake.py
+++ b/tests/test_event_intake.py
@@ -1,4 +1,4 @@
-"""Tests of limepath/discovery/event_intake.py: heartbeats and events of other fronts."""
+"""Tests of limepath/discovery/event_intake.py: heartbeats and events from other fronts."""
 
 import json
 
@@ -86,7 +86,7 @@
     "invalid",
     [
         EventBatch(0, 4, b"", 0),
-        EventBatch(0, 4, b"\x10abc", 0),  # a kind of a later program
+        EventBatch(0, 4, b"\x10abc", 0),  # an event kind of a later program version
         EventBatch(0, 5, batch(4, 5).data, 0),
         EventBatch(0, 4, batch(4, 5).data[:-3], 0),
     ],
@@ -116,7 +116,7 @@
     assert front.logic.replica.list.revision.number == 5
 
 
-def test_a_gap_is_asked_for_at_once_but_not_where_batches_were_reordered():
+def test_missing_events_are_requested_after_a_gap_but_not_after_reordering():
     front = TreeHarness(list_at(3).pack())
     front.receive(front.parent, batch(6, 7))
     front.receive(front.parent, batch(4, 5))
@@ -124,14 +124,14 @@
     front.commands.clear()
     front.receive(front.parent, batch(9, 9))
     front.run(60 * MS)
-    (ask,) = front.subscriptions_to(front.parent)[-1:]
-    assert ask.resend and ask.number == 7 and front.logic.counts["gaps"] == 1
+    (request,) = front.subscriptions_to(front.parent)[-1:]
+    assert request.resend and request.number == 7 and front.logic.counts["gaps"] == 1
 
 
-def test_a_delayed_heartbeat_does_not_make_a_list_younger():
+def test_a_delayed_heartbeat_does_not_reduce_the_age_of_the_list():
     front = TreeHarness(list_at(3).pack())
     stamp = front.subscriptions_to(front.parent)[-1].stamp
-    asked_at = front.now
+    subscribed_at = front.now
     front.run(3 * SECOND)
     front.receive(front.parent, Heartbeat("sur", 0, 3, list_at(3).digest, 0, site="a", stamp=stamp))
-    assert front.logic.replica.age() >= 3 * SECOND and stamp <= asked_at
+    assert front.logic.replica.age() >= 3 * SECOND and stamp <= subscribed_at
