--- a/tests/test_service_stream.py
+++ b/tests/test_service_stream.py
@@ -1,4 +1,4 @@
-"""Tests of limepath/discovery/service_stream.py: replays, gaps, a service that was restored."""
+"""Tests of limepath/discovery/service_stream.py: replays, gaps, and a restored service."""
 
 import json
 
@@ -36,10 +36,10 @@
     front.open_stream(full_event_text(1), event_text(2))
     assert front.emitted(OpenStream) == [OpenStream(0)] and front.emitted(ListConfirmed)[0].revision == (0, 2)
     front.run(2 * SECOND)
-    again = EngineHarness(saved=front.emitted(SaveSnapshot)[-1].data)
+    restarted = EngineHarness(saved=front.emitted(SaveSnapshot)[-1].data)
     assert (
-        again.logic.replica.list.revision == (0, 2)
-        and again.logic.replica.list.digest == front.logic.replica.list.digest
+        restarted.logic.replica.list.revision == (0, 2)
+        and restarted.logic.replica.list.digest == front.logic.replica.list.digest
     )
 
 
@@ -50,9 +50,9 @@
     front.handle(StreamClosed("the stream ended"))
     while len(front.emitted(OpenStream)) < 2:
         front.run(100 * MS)
-    assert front.emitted(OpenStream)[-1] == OpenStream(3)  # one before the last that it holds
+    assert front.emitted(OpenStream)[-1] == OpenStream(3)  # requests its last event again
     front.handle(StreamOpened())
-    front.run(QUIET_SPAN_US)  # it is at 2 now, and tells nothing above 3
+    front.run(QUIET_SPAN_US)  # the restored service is at event 2 and sends nothing
     front.handle(StreamActive())
     assert "not sent again" in front.emitted(CloseStream)[-1].reason
     while len(front.emitted(OpenStream)) < 3:
@@ -60,16 +60,16 @@
     assert front.emitted(OpenStream)[-1] == OpenStream(0)
     front.handle(StreamOpened(), StreamEventReceived(full_event_text(1)), StreamEventReceived(event_text(2)))
     front.run(QUIET_SPAN_US)
-    assert front.logic.replica.list.revision == (0, 4)  # it may be telling all slowly
+    assert front.logic.replica.list.revision == (0, 4)  # the replay may only be slow
     front.run(STAR_SETTINGS.stream_timeout - QUIET_SPAN_US - 1)
     front.handle(StreamActive())
     front.run(10)
     assert front.logic.replica.list.revision == (1, 2) and any(
-        said.event == "list-backwards" for said in front.emitted(LogEvent)
+        entry.event == "list-backwards" for entry in front.emitted(LogEvent)
     )
 
 
-def test_an_event_sent_again_with_another_content_is_no_duplicate():
+def test_an_event_sent_again_with_different_content_is_not_a_duplicate():
     front = EngineHarness()
     front.open_stream(full_event_text(1), event_text(2))
     front.handle(StreamEventReceived(event_text(3)))
@@ -97,20 +97,20 @@
         while front.logic.stream.state == StreamState.CLOSED:
             front.run(100 * MS)
     assert any(
-        said.event == "list-event" and "s-9" in said.fields["skipped"] for said in front.emitted(LogEvent)
+        entry.event == "list-event" and "s-9" in entry.fields["skipped"] for entry in front.emitted(LogEvent)
     )
     assert front.logic.replica.list.revision.number == 2
 
 
-def test_a_stream_catches_up_though_events_never_cease():
+def test_a_stream_catches_up_while_events_arrive_continuously():
     front = EngineHarness(settings=TREE_SETTINGS._replace(site="", fronts=1))
     front.open_stream(full_event_text())
     front.logic.stream.caught_up = False
     number, base = 1, 50_000
     for step in range(80):
         number += 1
-        told = {"seq": number, "invalidate": {"bucket": 1, "time": base + step * 28}}
-        front.handle(StreamEventReceived(json.dumps(told)))
+        event = {"seq": number, "invalidate": {"bucket": 1, "time": base + step * 28}}
+        front.handle(StreamEventReceived(json.dumps(event)))
         front.run(28 * MS)
     assert front.logic.stream.caught_up
 
@@ -129,14 +129,14 @@
     front.run(500 * MS)
     front.handle(StreamActive())
     purged = [
-        order.event["invalidate"]["bucket"]
-        for order in front.emitted(ApplyEvent)
-        if "invalidate" in order.event
+        command.event["invalidate"]["bucket"]
+        for command in front.emitted(ApplyEvent)
+        if "invalidate" in command.event
     ]
     assert {75, 76, 77} <= set(purged)
 
 
-def test_a_replay_that_leads_through_our_list_appends_its_last_events_only():
+def test_a_replay_that_matches_our_list_appends_only_the_later_events():
     front = TreeHarness(list_at(3).pack())
     front.logic.roles.contradiction_seen = True
     while front.logic.stream.state == StreamState.CLOSED:
@@ -148,4 +148,4 @@
     front.run(500 * MS)
     front.handle(StreamActive())
     assert front.logic.replica.list.revision == (0, 6) and front.logic.replica.window.oldest == 4
-    assert [order.event["seq"] for order in front.emitted(ApplyEvent)][-3:] == [4, 5, 6]
+    assert [command.event["seq"] for command in front.emitted(ApplyEvent)][-3:] == [4, 5, 6]
