--- a/tests/test_topology.py
+++ b/tests/test_topology.py
@@ -11,7 +11,7 @@
 from limepath.discovery.engine import DiscoveryEngine
 from limepath.discovery.topology import Scope, Zone, longest_path, position
 
-FRONTS, SITES = 260, 12  # of a zone: 5,200 fronts at 240 sites in 20 zones
+FRONTS, SITES = 260, 12  # per zone of the largest fleet: 5,200 fronts at 240 sites in 20 zones
 RELAYS, FAN_OUT = 2, 4
 
 tokens = st.integers(0, (1 << 64) - 1)
@@ -25,15 +25,15 @@
 
 
 def full_zone(seed=1, fronts=FRONTS, site_count=SITES):
-    chance = Random(seed)
-    return {chance.getrandbits(63): Scope("sur", f"site-{number % site_count}") for number in range(fronts)}
+    rng = Random(seed)
+    return {rng.getrandbits(63): Scope("sur", f"site-{number % site_count}") for number in range(fronts)}
 
 
-def lopsided_zone(seed, fronts, site_count):
-    """One front at each site, and all others at one of them."""
-    chance = Random(seed)
+def uneven_zone(seed, fronts, site_count):
+    """Return a zone with one front at each site, except that one site has all others."""
+    rng = Random(seed)
     return {
-        chance.getrandbits(63): Scope("sur", f"site-{max(0, number - fronts + site_count)}")
+        rng.getrandbits(63): Scope("sur", f"site-{max(0, number - fronts + site_count)}")
         for number in range(fronts)
     }
 
@@ -44,21 +44,21 @@
 
 
 def below_roots(all_positions, scopes):
-    """Fronts with a site that are no roots."""
+    """Return the positions of the fronts that have a site and are not roots."""
     return {token: at for token, at in all_positions.items() if not at.is_root and scopes[token].site}
 
 
-def hops(token, all_positions, way):
-    """How many steps lead to a root by each front's first choice."""
+def hops(token, all_positions, choices):
+    """Return the number of hops to a root if each front uses the first of its `choices`."""
     steps = 0
     while not all_positions[token].is_root:
-        token = way(all_positions[token])[0]
+        token = choices(all_positions[token])[0]
         steps += 1
-        assert steps <= len(all_positions), "a circle"
+        assert steps <= len(all_positions), "the parents form a cycle"
     return steps
 
 
-def first(at):
+def first_tree(at):
     return at.candidates
 
 
@@ -75,8 +75,8 @@
 def test_every_front_reaches_a_root_and_no_path_is_longer_than_computed(scopes, relays, fan_out):
     all_positions = positions(scopes, relays, fan_out)
     names = {scope.site for scope in scopes.values() if scope.site}
-    bound = longest_path(len(scopes), len(names), relays, fan_out)
-    assert max(hops(token, all_positions, first) for token in scopes) <= bound
+    limit = longest_path(len(scopes), len(names), relays, fan_out)
+    assert max(hops(token, all_positions, first_tree) for token in scopes) <= limit
     for token, at in all_positions.items():
         assert token not in at.candidates and token not in at.backups
         assert len(set(at.candidates)) == len(at.candidates) and len(set(at.backups)) == len(at.backups)
@@ -87,7 +87,7 @@
 
 @repeatable
 @given(views, relay_counts, fan_outs)
-def test_candidates_are_the_parent_its_parent_and_so_on_then_the_other_roots(scopes, relays, fan_out):
+def test_candidates_are_the_ancestors_then_the_other_roots(scopes, relays, fan_out):
     all_positions = positions(scopes, relays, fan_out)
     roots = {token for token, at in all_positions.items() if at.is_root}
     for at in below_roots(all_positions, scopes).values():
@@ -99,13 +99,13 @@
 
 @repeatable
 @given(views, relay_counts, fan_outs)
-def test_nobody_has_more_than_twice_the_fan_out_of_children_in_either_tree(scopes, relays, fan_out):
+def test_no_front_has_more_children_than_twice_the_fan_out_in_either_tree(scopes, relays, fan_out):
     all_positions = positions(scopes, relays, fan_out)
     below = below_roots(all_positions, scopes)
     children = Counter(at.candidates[0] for at in below.values())
-    askers = Counter(at.backups[0] for at in below.values() if at.backups)
+    second_children = Counter(at.backups[0] for at in below.values() if at.backups)
     assert max(children.values(), default=0) <= 2 * fan_out
-    assert max(askers.values(), default=0) <= 2 * fan_out
+    assert max(second_children.values(), default=0) <= 2 * fan_out
     for root in (token for token, at in all_positions.items() if at.is_root):
         assert children[root] <= fan_out
 
@@ -113,7 +113,7 @@
 @repeatable
 @given(views, relay_counts, fan_outs)
 @example({1: Scope("sur", "a"), 2: Scope("sur", "b"), 3: Scope("sur", "c")}, 1, 2)
-def test_the_backup_is_another_front_than_the_parent_wherever_there_is_one(scopes, relays, fan_out):
+def test_the_backup_differs_from_the_parent_if_there_are_other_fronts(scopes, relays, fan_out):
     all_positions = positions(scopes, relays, fan_out)
     below = below_roots(all_positions, scopes)
     roots = sum(at.is_root for at in all_positions.values())
@@ -143,46 +143,49 @@
 
 @repeatable
 @given(views, relay_counts, fan_outs, st.randoms())
-def test_equal_views_give_equal_trees_in_whatever_order_they_came(scopes, relays, fan_out, chance):
+def test_the_order_of_a_view_does_not_change_the_trees(scopes, relays, fan_out, rng):
     shuffled = list(scopes)
-    chance.shuffle(shuffled)
-    again = {token: scopes[token] for token in shuffled}
-    assert positions(scopes, relays, fan_out) == positions(again, relays, fan_out)
+    rng.shuffle(shuffled)
+    reordered = {token: scopes[token] for token in shuffled}
+    assert positions(scopes, relays, fan_out) == positions(reordered, relays, fan_out)
     me = shuffled[0]
-    assert position(me, again, relays, fan_out) == positions(scopes, relays, fan_out)[me]
+    assert position(me, reordered, relays, fan_out) == positions(scopes, relays, fan_out)[me]
 
 
 @repeatable
 @given(views, relay_counts)
-def test_roots_are_those_that_older_programs_follow(scopes, relays):
+def test_roots_are_the_relays_that_older_versions_subscribe_to(scopes, relays):
     all_positions = positions(scopes, relays)
     me = next(iter(scopes))
     older = DiscoveryEngine(
-        me, DiscoverySettings(zone="sur", relays=relays), 1, lambda: [one for one in scopes if one != me]
+        me,
+        DiscoverySettings(zone="sur", relays=relays),
+        1,
+        lambda: [token for token in scopes if token != me],
     )
     assert {token for token, at in all_positions.items() if at.is_root} == set(older.upstream.rank(relays))
 
 
 @repeatable
 @given(views, relay_counts)
-def test_a_front_without_a_site_follows_the_roots_and_nobody_follows_it(scopes, relays):
+def test_a_front_without_a_site_subscribes_to_the_roots_and_has_no_subscribers(scopes, relays):
     all_positions = positions(scopes, relays)
     roots = {token for token, at in all_positions.items() if at.is_root}
     for token, at in all_positions.items():
         if not at.is_root and not scopes[token].site:
             assert set(at.candidates) == roots
-            others = (one for other, one in all_positions.items() if other != token)
-            assert all(token not in one.candidates + one.backups for one in others)
+            others = (at_other for other, at_other in all_positions.items() if other != token)
+            assert all(token not in at_other.candidates + at_other.backups for at_other in others)
 
 
-def test_a_root_is_beside_the_other_roots():
+def test_the_candidates_of_a_root_are_the_other_roots():
     all_positions = positions(full_zone())
-    one, two = (token for token, at in all_positions.items() if at.is_root)
-    assert all_positions[one].candidates == all_positions[one].backups == (two,)
+    root, other = (token for token, at in all_positions.items() if at.is_root)
+    assert all_positions[root].candidates == all_positions[root].backups == (other,)
     assert position(7, {7: Scope("sur", "a")}, 2, 4) == (True, (), ())
 
 
-def test_fronts_of_another_zone_are_left_out():
+def test_fronts_of_another_zone_are_ignored():
     scopes = full_zone(fronts=30)
     elsewhere = {token ^ 1 << 63: Scope("norte", scope.site) for token, scope in scopes.items()}
     me = next(iter(scopes))
@@ -190,37 +193,35 @@
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_at_the_coming_size_five_hops_reach_all_and_no_front_has_children_in_both_trees(seed):
+def test_five_hops_reach_the_largest_fleet_and_no_front_has_children_in_both_trees(seed):
     scopes = full_zone(seed)
     all_positions = positions(scopes)
-    assert max(hops(token, all_positions, first) for token in scopes) == 5
-    assert longest_path(FRONTS, SITES, RELAYS, FAN_OUT) == 6  # the bound allows for one site with most fronts
+    assert max(hops(token, all_positions, first_tree) for token in scopes) == 5
+    assert longest_path(FRONTS, SITES, RELAYS, FAN_OUT) == 6  # reached if one site has most of the fronts
     below = below_roots(all_positions, scopes)
     inner = {at.candidates[0] for at in below.values()}
-    asked = {at.backups[0] for at in below.values()}
-    assert all(all_positions[token].is_root for token in inner & asked)
+    second_inner = {at.backups[0] for at in below.values()}
+    assert all(all_positions[token].is_root for token in inner & second_inner)
 
 
 @repeatable
 @given(st.integers(1, 150), st.integers(1, 30), relay_counts, fan_outs, st.integers(0, 1000), st.booleans())
-def test_the_computed_depth_holds_for_even_and_lopsided_zones(
-    fronts, site_count, relays, fan_out, seed, even
-):
-    scopes = (full_zone if even else lopsided_zone)(seed, fronts, site_count)
+def test_the_computed_depth_holds_for_even_and_uneven_zones(fronts, site_count, relays, fan_out, seed, even):
+    scopes = (full_zone if even else uneven_zone)(seed, fronts, site_count)
     all_positions = positions(scopes, relays, fan_out)
-    longest = max(hops(token, all_positions, first) for token in scopes)
+    longest = max(hops(token, all_positions, first_tree) for token in scopes)
     assert longest <= longest_path(fronts, min(site_count, fronts), relays, fan_out)
 
 
-def test_the_computed_depth_is_reached_by_a_lopsided_zone():
+def test_the_computed_depth_is_reached_by_an_uneven_zone():
     reached = set()
     for seed in range(20):
-        all_positions = positions(lopsided_zone(seed, FRONTS, SITES))
-        reached.add(max(hops(token, all_positions, first) for token in all_positions))
+        all_positions = positions(uneven_zone(seed, FRONTS, SITES))
+        reached.add(max(hops(token, all_positions, first_tree) for token in all_positions))
     assert max(reached) == longest_path(FRONTS, SITES, RELAYS, FAN_OUT)
 
 
-def test_one_that_leaves_changes_few_parents():
+def test_a_front_that_leaves_changes_few_parents():
     scopes = full_zone(3)
     before = positions(scopes)
     below = below_roots(before, scopes)
@@ -230,7 +231,9 @@
         rest = {token: scope for token, scope in scopes.items() if token != gone}
         changed = changed_parents(before, positions(rest))
         counts[gone] = len(changed)
-        if gone in below and below[gone].candidates[0] in below:  # no head that is a child of a root
+        if (
+            gone in below and below[gone].candidates[0] in below
+        ):  # not the head of a site whose parent is a root
             parent = below[gone].candidates[0]
             if scopes[parent].site == scopes[gone].site:
                 assert {scopes[token].site for token in changed} <= {scopes[gone].site}
@@ -243,7 +246,7 @@
 
 
 @pytest.mark.parametrize(("relays", "fan_out"), [(0, 4), (2, 1), (2, 0), (-1, 4)])
-def test_sizes_that_make_no_tree_are_refused(relays, fan_out):
+def test_too_few_relays_or_too_small_a_fan_out_are_rejected(relays, fan_out):
     with pytest.raises(ValueError):
         position(7, {7: Scope("sur", "a")}, relays, fan_out)
     with pytest.raises(ValueError):
