--- a/tests/test_tree_subscriptions.py
+++ b/tests/test_tree_subscriptions.py
@@ -1,4 +1,4 @@
-"""Tests of limepath/discovery/tree.py: which fronts one subscribes to."""
+"""Tests of limepath/discovery/tree.py: selection of the parent and the backup."""
 
 from limepath.discovery.interface import (
     Heartbeat,
@@ -7,7 +7,7 @@
 from tests.discovery_harness import MS, SECOND, TREE_SETTINGS, TreeHarness, list_at
 
 
-def test_a_front_asks_its_parent_for_events_and_its_backup_for_heartbeats():
+def test_a_front_subscribes_to_its_parent_for_events_and_its_backup_for_heartbeats():
     front = TreeHarness(list_at(3).pack())
     assert front.subscriptions_to(front.parent)[-1].mode == SubscriptionMode.BATCHES
     assert front.subscriptions_to(front.backup)[-1].mode == SubscriptionMode.HEARTBEATS
@@ -35,7 +35,7 @@
     assert front.subscriptions_to(front.parent)[-1].mode == SubscriptionMode.HEARTBEATS
 
 
-def test_the_backup_is_asked_for_events_that_the_parent_does_not_send():
+def test_events_that_the_parent_does_not_send_are_requested_from_the_backup():
     front = TreeHarness(list_at(3).pack())
     limit = (front.logic.tree.hops * (TREE_SETTINGS.gather + 100 * MS)) + 2 * TREE_SETTINGS.beat
     for _ in range(limit // TREE_SETTINGS.beat + 1):
@@ -44,4 +44,4 @@
         )
         front.receive(front.backup, Heartbeat("sur", 0, 9, 1, 50 * MS, site="a", oldest_available=2))
         front.run(TREE_SETTINGS.beat)
-    assert SubscriptionMode.BATCHES in [ask.mode for ask in front.subscriptions_to(front.backup)]
+    assert SubscriptionMode.BATCHES in [message.mode for message in front.subscriptions_to(front.backup)]
