--- a/limepath/discovery/roles.py
+++ b/limepath/discovery/roles.py
@@ -32,9 +32,7 @@
         self.stream_unneeded_since: int | None = None
         self.source_lacking_since: int | None = None  # since when the list is stale and no source is active
         self.next_round_at: int = 0
-        self.failing_since: int | None = (
-            None  # since when this front's calls to the service have been failing
-        )
+        self.failing_since: int | None = None  # since when this front's calls have been failing
         self.contradiction_seen: bool = False  # another list contradicts ours, so the service is called
 
     def run_round(self) -> None:
--- a/tests/test_event_window.py
+++ b/tests/test_event_window.py
@@ -38,10 +38,8 @@
     assert RATE * 300 <= len(window.events) <= RATE * 300 + 1
     assert window.bytes <= bytes_needed(RATE, SPAN, 20) + 20
     assert not window.is_cut_short(arrival_time(last)) and window.evictions.count == 0
-    behind = last - RATE * 300
-    assert (
-        len(numbers_after(window, behind)) == RATE * 300
-    )  # as missed by a front that is cut off for five minutes
+    behind = last - RATE * 300  # the last event of a front that has been cut off for five minutes
+    assert len(numbers_after(window, behind)) == RATE * 300
     assert window.oldest == behind or window.oldest == behind + 1
 
 
