--- a/limepath/discovery/host.py
+++ b/limepath/discovery/host.py
@@ -223,27 +223,27 @@
     zone = front.settings["areas"][front.settings["az"]]
     gone_ns = int(front.settings.get("family-info", {}).get("gone-everywhere", 0))
     discovery = discovery._replace(zone=zone, purge_lifetime=gone_ns // NS_PER_US or discovery.purge_lifetime)
-    changes = DiscoveryChangeLog(
+    change_log = DiscoveryChangeLog(
         reactor, event_loop, caches, limits, log, front.settings, front.seed, cooperation, discovery
     )
-    cooperation.message_handlers.append(changes)
-    changes.request_counts = FrequencyExchange(
+    cooperation.message_handlers.append(change_log)
+    change_log.request_counts = FrequencyExchange(
         reactor, event_loop, cooperation, front.seed ^ REQUEST_COUNTS_SEED
     )
-    cooperation.event_listeners.append(changes.request_counts)
+    cooperation.event_listeners.append(change_log.request_counts)
     if cooperation.settings.connections:
         from limepath.connection_pacing.host import (
             PacedConnections,  # imported only if a rate is set
         )
 
         members = cooperation.instance.members
-        changes.paced = PacedConnections(
+        change_log.paced = PacedConnections(
             reactor,
             event_loop,
             caches,
             float(cooperation.settings.connections),
             lambda: max(discovery.fronts, len(members.ring) + 1),
-            changes.logic.timers.random_fraction,
+            change_log.logic.timers.random_fraction,
         )
-    cooperation.views["listing"] = changes.describe
-    return changes
+    cooperation.views["listing"] = change_log.describe
+    return change_log
--- a/limepath/discovery/stream_feed.py
+++ b/limepath/discovery/stream_feed.py
@@ -38,26 +38,26 @@
     An `EventStream` uses `last`, `pauses`, `host`, `limits`, `log`, `stream` and the handlers.
     """
 
-    def __init__(self, changes: DiscoveryChangeLog, serial: int, last: int):
-        self.changes = changes
+    def __init__(self, change_log: DiscoveryChangeLog, serial: int, last: int):
+        self.change_log = change_log
         self.serial = serial
         self.last = last
         self.pauses = 0
         self.event_count: int = 0
-        self.host = changes.host
-        self.limits = changes.limits
-        self.log = changes.log
+        self.host = change_log.host
+        self.limits = change_log.limits
+        self.log = change_log.log
 
     @property
     def stream(self) -> EventStream | None:
         """The stream of the change log."""
-        return self.changes.stream
+        return self.change_log.stream
 
     @stream.setter
     def stream(self, stream: EventStream | None) -> None:
         """Set the stream, unless a later call has started."""
-        if self.serial == self.changes.serial:
-            self.changes.stream = stream
+        if self.serial == self.change_log.serial:
+            self.change_log.stream = stream
 
     def handle_answer(self, stream: EventStream) -> None:
         """Do nothing: there is only one call at a time, so no other call must be closed."""
@@ -69,11 +69,11 @@
 
     def submit(self, *events: Any) -> None:
         """Pass events to the logic, unless a later call has started."""
-        if self.serial == self.changes.serial:
-            self.changes.submit(*events)
+        if self.serial == self.change_log.serial:
+            self.change_log.submit(*events)
 
     def handle_disconnect(self, stream: EventStream) -> None:
         """Report the end of the connection."""
-        if self.changes.stream is stream:
-            self.changes.stream = None
+        if self.change_log.stream is stream:
+            self.change_log.stream = None
         self.submit(StreamClosed("the stream ended"))
