--- a/limepath/discovery/host.py
+++ b/limepath/discovery/host.py
@@ -80,7 +80,9 @@
         self.serial: int = 0  # number of the current call
         self.max_purge_age: int = -1  # of the event being applied, in microseconds; -1 if unknown
         self.on_ready: Callable[[], None] | None = None  # called when the front may become ready
-        self.paced: Any = None  # limits the fleet's rate of new connections; None if no rate is set
+        self.paced_connections: Any = (
+            None  # limits the fleet's rate of new connections; None if no rate is set
+        )
         self.request_counts: FrequencyExchange | None = None  # exchanges request counts with other fronts
 
     def load_known_events(self, known: dict[str, Any]) -> None:
@@ -160,8 +162,8 @@
         try:
             super().apply_update(fleet)
         finally:  # after a WatchError too, because the readable members were applied
-            if self.paced:
-                self.paced.update()
+            if self.paced_connections:
+                self.paced_connections.update()
 
     def apply_purge(self, purge: dict[str, Any]) -> None:
         """Apply a purge with an age of at most `max_purge_age`, even if the service's clock is wrong."""
@@ -237,7 +239,7 @@
         )
 
         members = cooperation.instance.members
-        change_log.paced = PacedConnections(
+        change_log.paced_connections = PacedConnections(
             reactor,
             event_loop,
             caches,
--- a/limepath/scale/hollow.py
+++ b/limepath/scale/hollow.py
@@ -83,8 +83,10 @@
         tallies.heard = account.charged(tallies.heard, Subsystem.COUNTS)
         carriers[ReportRequestCounts] = account.charged(carriers[ReportRequestCounts], Subsystem.COUNTS)
         self.sweep_sharing = account.charged(cooperation.sweep, Subsystem.MEMBERSHIP)
-        if changes.paced:
-            changes.paced.update = account.charged(changes.paced.update, Subsystem.LIMITS)
+        if changes.paced_connections:
+            changes.paced_connections.update = account.charged(
+                changes.paced_connections.update, Subsystem.LIMITS
+            )
 
     def count(self):
         """Count datagrams and events where they pass the front's socket and its list."""
