--- a/limepath/discovery/list_replica.py
+++ b/limepath/discovery/list_replica.py
@@ -109,7 +109,7 @@
             self.timers.emit(ListFreshnessChanged(True))
 
     def confirm(self, at: int) -> None:
-        """Record that the service had our revision at time `at`; apply the list if that is still to be done."""
+        """Record that the service had our revision at time `at`; apply the list at the first confirmation."""
         first = self.confirmed_at is None
         if first or at > self.confirmed_at:
             self.confirmed_at = at
