--- a/limepath/discovery/event_intake.py
+++ b/limepath/discovery/event_intake.py
@@ -150,7 +150,7 @@
     def _handle_contradiction(self, token: int, reason: str) -> None:
         """Reject a source whose list differs from ours where both should agree.
 
-        Also call the service for a replay, because our list may be the wrong one.
+        Unless a stream has confirmed our list, call the service for a replay, as our list may be wrong.
         """
         source = self.upstream.sources.get(token)
         if source:
--- a/limepath/discovery/host.py
+++ b/limepath/discovery/host.py
@@ -80,9 +80,7 @@
         self.serial: int = 0  # number of the current call
         self.max_purge_age: int = -1  # of the event being applied, in microseconds; -1 if unknown
         self.on_ready: Callable[[], None] | None = None  # called when the front may become ready
-        self.paced_connections: Any = (
-            None  # limits the fleet's rate of new connections; None if no rate is set
-        )
+        self.paced_connections: Any = None  # limits the rate of new connections; None without a limit
         self.request_counts: FrequencyExchange | None = None  # exchanges request counts with other fronts
 
     def load_known_events(self, known: dict[str, Any]) -> None:
