--- a/limepath/decisions/router.py
+++ b/limepath/decisions/router.py
@@ -1,8 +1,9 @@
-"""The way of a request: look it up in a cache, fill it, go past the caches, retry, give it up.
+"""Routes each request: cache lookup, fill, direct attempt at a parent, retry and rejection.
 
-The phases of a request are those of `request.Phase`. A lookup that misses becomes a fill through the same
-cache; a fill for which there is no source becomes a lookup again, for a stale copy; a lookup that no cache
-takes goes directly to a parent. What no server takes is answered at once, with a time to retry after.
+`request.Phase` lists the phases of a request. A lookup that misses becomes a fill through the same cache.
+A fill that no source accepts becomes a second lookup, which accepts a stale copy. A lookup that no cache
+accepts becomes a direct attempt at a parent. A request that no server accepts is answered immediately, with
+a time after which the client may retry.
 """
 
 from collections.abc import Sequence
@@ -33,16 +34,18 @@
     from limepath.decisions.guard import Guard
     from limepath.decisions.server import Server
 
-RETRY_AFTER_SHARE = 0.1  # of the longest wait, give or take half: a retry is in time; 0.75 is far worse
+RETRY_AFTER_FRACTION = (
+    0.1  # of `max_retry_after`, +/- 50 % jitter: retries still meet deadlines; 0.75 is far worse
+)
 
 
 class Router:
-    """Holds the open requests and takes each from step to step.
+    """Holds the open requests and advances each of them through its phases.
 
     Attributes:
-        guard: set by the engine, which makes both.
-        caches, parents, origin: the servers that are ready; origin is None where there is none.
-        open: the requests that are owed an answer, by id.
+        guard: checks the rules; assigned by the engine because the router and the guard refer to each other.
+        caches, parents, origin: the servers that are ready; origin is None if there is none.
+        open_requests: the requests without a final answer, by id.
     """
 
     guard: "Guard"
@@ -63,38 +66,38 @@
         self._sending_times = sending_times
         self._fetch_window = fetch_window
         self._active: dict[AttemptId, ActiveAttempt] = {}
-        self.open: dict[int, PendingRequest] = {}
+        self.open_requests: dict[int, PendingRequest] = {}
         self.caches: list[Server] = []
         self.parents: list[Server] = []
         self.origin: Server | None = None
 
     def set_servers(self, caches: list["Server"], parents: list["Server"], origin: "Server | None") -> None:
-        """The servers that are ready have changed."""
+        """Replace the servers that are ready."""
         self.caches = caches
         self.parents = parents
         self.origin = origin
 
-    # A request arrives, and is offered to one server after another.
+    # Arrival of a request and selection of its server.
 
     def handle_request_arrived(self, event: RequestArrived) -> None:
-        """Rank the object, order the servers for it and take the first step."""
+        """Rank the object, order the candidate servers and offer the request to the first of them."""
         service = self._services[event.service]
         sending_time = self._sending_times.count_arrival(event, service)
         request = PendingRequest(event, service, self._queue.now + event.time_left, sending_time)
-        self.open[event.id] = request
+        self.open_requests[event.id] = request
         object_part = request.object_part
         request.caches = rendezvous_order(object_part, self.caches)
-        if service.uncacheable:  # it passes through: straight, or by a cache with the origin as source
+        if service.uncacheable:  # pass-through: directly to the origin, or by a cache that uses it as source
             request.sources = [self.origin] if self.origin else []
             if self._permissions.direct:
                 request.caches = request.sources
         else:
             request.rank = self._frequency_table.count_request(object_part, request.size_kb)
             request.sources = rendezvous_order(object_part, self.parents)
-        self._step(request)
+        self._offer_to_next_server(request)
 
-    def _step(self, request: PendingRequest) -> None:
-        """Offer the request to the next server in hash order: a cache for a lookup, else a parent."""
+    def _offer_to_next_server(self, request: PendingRequest) -> None:
+        """Offer the request to the next server in hash order: a cache for a lookup, otherwise a source."""
         is_lookup = request.phase is Phase.LOOKUP
         if not (is_lookup or request.service.uncacheable or self._fetch_window.may_fill(request)):
             self._fall_back(request)
@@ -104,29 +107,33 @@
             if server not in excluded:
                 self._queue.put(server.handle_offer, request)
                 return
-        if request.phase is Phase.FILL and (origin := self._origin_for_fill(request)):
+        if request.phase is Phase.FILL and (origin := self._origin_as_source(request)):
             excluded.add(origin)
             self._queue.put(origin.handle_offer, request)
         else:
             self._fall_back(request)
 
-    def _origin_for_fill(self, request: PendingRequest) -> "Server | None":
-        """The origin, to fill in a parent's place: no parent is up, or none that is has room."""
+    def _origin_as_source(self, request: PendingRequest) -> "Server | None":
+        """Return the origin if it may serve as the source of a fill that no parent has accepted."""
         origin = self.origin
         if origin is None or origin in request.sources or origin in request.excluded:
             return None
         return origin if self._fetch_window.may_fetch() else None
 
     def _fall_back(self, request: PendingRequest) -> None:
-        """No fill is to be had: a stale copy will do. No cache has room: to a parent. Else give up."""
+        """Change the phase of a request that no remaining server accepts in its current one.
+
+        A fill becomes a lookup that accepts a stale copy. A lookup becomes a direct attempt at a parent.
+        Where the service or the deployment permits neither, the request ends.
+        """
         if request.phase is Phase.FILL and request.service.stale_grace and not request.accepts_stale:
             request.accepts_stale = True
             request.phase = Phase.LOOKUP
             request.excluded = set()
-            self._step(request)
+            self._offer_to_next_server(request)
         elif self._may_go_direct(request):
             request.phase = Phase.DIRECT
-            self._step(request)
+            self._offer_to_next_server(request)
         else:
             self._give_up(request)
 
@@ -136,22 +143,23 @@
         return self._permissions.direct and self.origin is not None
 
     def _give_up(self, request: PendingRequest) -> None:
-        """Answer at once, with a time to retry after where that is permitted."""
-        self.open.pop(request.id, None)
+        """End the request immediately, with a retry-after time if the deployment permits one."""
+        self.open_requests.pop(request.id, None)
         random_part = 0.5 + self._queue.random_fraction()
-        retry_after = int(self._permissions.max_retry_after * RETRY_AFTER_SHARE * random_part)
+        retry_after = int(self._permissions.max_retry_after * RETRY_AFTER_FRACTION * random_part)
         self._queue.put(self.guard.finish, request, retry_after)
 
-    # A server has answered an offer, or the guard an attempt.
+    # Replies of servers to offers, and of the guard to attempts.
 
     def handle_declined(self, request: PendingRequest, server: "Server") -> None:
-        """The server does not take the request now."""
+        """Exclude the server, which declined the request, and offer the request to the next one."""
         request.excluded.add(server)
-        self._step(request)
+        self._offer_to_next_server(request)
 
     def handle_accepted(self, request: PendingRequest, server: "Server", is_warming: bool) -> None:
-        """The server takes the request, as cache, as source or directly."""
-        # Where fetches do not come back, wherever above: beyond the window ask for held copies only.
+        """Proceed with a server that accepted the request as cache, as source or for a direct attempt."""
+        # Beyond the fetch window, request only copies that the server holds, because fetches from above it
+        # do not complete in time.
         request.cached_only = (
             request.phase is not Phase.LOOKUP
             and server is not self.origin
@@ -163,28 +171,28 @@
             self._forward_directly(request, server)
         else:
             request.cache = server
-            # At a warming cache a lookup would cost as much of its budget as a fill: fill at once.
+            # Skip the lookup at a warming cache: it would cost as much of the slow start budget as a fill.
             if is_warming or (request.service.uncacheable and server is not self.origin):
                 request.phase = Phase.FILL
-                self._queue.put(self._step, request)
+                self._queue.put(self._offer_to_next_server, request)
             else:
                 self._queue.put(self.guard.forward, request, server, server)
 
     def _forward_directly(self, request: PendingRequest, parent: "Server") -> None:
-        """Ask a parent past the caches, with the origin as its source unless a cached copy has to do."""
+        """Forward to a parent, bypassing the caches; its source is the origin unless `cached_only` is set."""
         source = parent if request.cached_only else self.origin
-        if source is None:  # the origin drains, or is gone, since the first direct attempt
+        if source is None:  # the origin has drained or was removed after the first direct attempt
             self._give_up(request)
         else:
             self._queue.put(self.guard.forward, request, parent, source)
 
     def handle_violation(self, request: PendingRequest, violation: Violation) -> None:
-        """The attempt would break a rule: exclude the server at which it would, or give up."""
+        """Exclude the server at which the attempt would break a rule, or end the request."""
         server = violation.server
         if request.phase is Phase.FILL and server is request.cache:
-            request.phase = Phase.LOOKUP  # a warming cache may have had enough, not the source
-        is_last_way = request.phase is Phase.DIRECT and server is self.origin
-        if violation.rule.ends_request or is_last_way:
+            request.phase = Phase.LOOKUP  # the slow start budget of the cache may be spent, not the source's
+        is_last_option = request.phase is Phase.DIRECT and server is self.origin
+        if violation.rule.ends_request or is_last_option:
             self._give_up(request)
         else:
             self.handle_declined(request, server)
@@ -192,17 +200,17 @@
     def handle_attempt_started(
         self, attempt: AttemptId, request: PendingRequest, server: "Server", source: "Server"
     ) -> None:
-        """The guard has commanded the attempt."""
+        """Record an attempt that the guard has commanded."""
         self._active[attempt] = ActiveAttempt(request, server, source)
-        for one in dict.fromkeys((server, source)):
-            self._queue.put(one.handle_attempt_started, attempt, request.sending_time)
+        for participant in dict.fromkeys((server, source)):
+            self._queue.put(participant.handle_attempt_started, attempt, request.sending_time)
         if source is not server or request.phase is Phase.DIRECT:
             self._fetch_window.add(attempt, request.cached_only)
 
-    # An attempt has ended.
+    # End of an attempt.
 
     def handle_attempt_ended(self, event: AttemptEnded) -> None:
-        """Tell the servers, learn from the outcome, and retry unless the request is answered."""
+        """Report the outcome to the servers and the fetch window; retry unless the request is answered."""
         attempt = AttemptId(event.request, event.attempt)
         if attempt not in self._active:
             return
@@ -221,7 +229,7 @@
         if event.answered:
             request.is_answered = True
         if request.is_answered:
-            self.open.pop(request.id, None)
+            self.open_requests.pop(request.id, None)
         else:
             self._retry(ended, result.outcome)
 
@@ -233,17 +241,18 @@
             self._queue.put(server.handle_attempt_ended, attempt, result.outcome, True, overload)
             return
         self._queue.put(server.handle_attempt_ended, attempt, result.outcome, True, None)
-        # A late fill shows overload of its source only once the source's own report has: the fault may lie
-        # above. A full source does where it was asked for a held copy.
+        # A late fill indicates overload of its source only if the source has reported overload itself,
+        # because the delay may arise upstream of the source. A FULL outcome indicates overload only if the
+        # source was asked for a copy that it holds.
         if result.outcome == AttemptOutcome.FULL:
-            counts = ended.request.cached_only
+            indicates_source_load = ended.request.cached_only
         else:
-            counts = source.limit.factor < 1
-        shown = overload if counts else None
-        self._queue.put(source.handle_attempt_ended, attempt, result.outcome, False, shown)
+            indicates_source_load = source.limit.factor < 1
+        source_overload = overload if indicates_source_load else None
+        self._queue.put(source.handle_attempt_ended, attempt, result.outcome, False, source_overload)
 
     def _retry(self, ended: ActiveAttempt, outcome: AttemptOutcome) -> None:
-        """Fill after a miss; else go on with the servers that the outcome does not speak against."""
+        """Fill after a missed lookup; after other outcomes, exclude the servers at fault and retry."""
         request = ended.request
         server = ended.server
         if outcome == AttemptOutcome.MISS and request.cached_only:
@@ -256,40 +265,42 @@
             if outcome not in CONNECTION_FAILURES:
                 request.excluded.update((server, ended.source))
             elif server.health.last_failure_at not in (None, self._queue.now):
-                request.excluded.add(server)  # a first failure may be the connection's; none is the source's
-        self._step(request)
+                # A first failure may affect the connection alone. Connection failures never concern the
+                # source.
+                request.excluded.add(server)
+        self._offer_to_next_server(request)
 
     def handle_server_failed(self, server: "Server") -> None:
-        """Cancel what is in flight at a failed server and may be repeated elsewhere."""
-        for request, asked, source in list(self._active.values()):
-            is_concerned = server in (asked, source) and not request.is_answered
-            if is_concerned and request.idempotency == Idempotency.IDEMPOTENT:
+        """Cancel the idempotent attempts in flight at a failed server, so that they can be retried."""
+        for request, target, source in list(self._active.values()):
+            is_affected = server in (target, source) and not request.is_answered
+            if is_affected and request.idempotency == Idempotency.IDEMPOTENT:
                 self._cancel(request)
 
     def _cancel(self, request: PendingRequest) -> None:
         if self._permissions.cancellation and request.active_attempt:
             self._queue.commands.append(CancelAttempt(*request.active_attempt))
 
-    # A request ends otherwise.
+    # Other ways in which a request ends.
 
     def handle_shutdown_started(self, event: ShutdownStarted) -> None:
-        """No open request has longer than the front."""
+        """Limit the deadline of each open request to the end of this front's shutdown period."""
         deadline = self._queue.now + event.time_left
-        for request in self.open.values():
+        for request in self.open_requests.values():
             request.deadline = min(request.deadline, deadline)
 
     def handle_response_started(self, event: ResponseStarted) -> None:
-        """The answer goes to the client: there is no other, and the attempt goes on."""
+        """Close the request, because its answer has begun to reach the client; the attempt continues."""
         self._close(event.request)
 
     def handle_client_disconnected(self, event: ClientDisconnected) -> None:
-        """Nobody waits for the answer: cancel the attempt where its effect does not matter."""
+        """Close the request, and cancel its attempt if the request is idempotent."""
         request = self._close(event.request)
         if request and request.idempotency == Idempotency.IDEMPOTENT:
             self._cancel(request)
 
     def _close(self, request_id: int) -> PendingRequest | None:
-        request = self.open.pop(request_id, None)
+        request = self.open_requests.pop(request_id, None)
         if request:
             request.is_answered = True
         return request
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -39,7 +39,8 @@
         if not front and not fleet.gets[order.request][1] and fleet.now > 5 * SECOND:
             door = fleet.fronts[0].router
             home.append(
-                order.endpoint == rendezvous_order(door.open[order.request].object_part, door.caches)[0].id
+                order.endpoint
+                == rendezvous_order(door.open_requests[order.request].object_part, door.caches)[0].id
             )
         forward(front, order)
 
--- a/tests/test_guard.py
+++ b/tests/test_guard.py
@@ -73,7 +73,7 @@
 def test_the_guard_alone_stops_what_a_rule_forbids():
     host = FakeHost(services=(service(), service(idempotency=Idempotency.NON_IDEMPOTENT)))
     (lookup,) = host.get(patience=SECOND)
-    request = host.front.router.open[lookup.request]
+    request = host.front.router.open_requests[lookup.request]
     assert not forward_past_router(host, request)  # one is in flight
     request.active_attempt = None
     assert forward_past_router(host, request)
@@ -82,11 +82,11 @@
     request.is_answered, host.front.queue.now = False, host.now + SECOND
     assert not forward_past_router(host, request)  # too late
     (lookup,) = forwards(host.get(ds=1))
-    request = host.front.router.open[lookup.request]
+    request = host.front.router.open_requests[lookup.request]
     request.active_attempt = None
     assert not forward_past_router(host, request)  # may have had its effect
     (lookup,) = forwards(host.get())
-    request = host.front.router.open[lookup.request]
+    request = host.front.router.open_requests[lookup.request]
     request.active_attempt = None
     host.roster(member(1, standing=EndpointState.DRAINING))
     assert not forward_past_router(host, request)
