--- a/limepath/decisions/guard.py
+++ b/limepath/decisions/guard.py
@@ -1,10 +1,13 @@
-"""The five rules, checked at every attempt and every final answer, and nowhere else.
+"""The five safety rules. This module checks them at every attempt and every final answer.
 
-1. One final answer, and no attempt after it or after the client's deadline.
-2. No effect twice: what is not idempotent is repeated only where the repeat is known to do no harm.
-3. No attempt to a server that drains or is gone, nor with it as source.
-4. No more to a warming server than its slow start budget (`slow_start`).
-5. No copy older than a purge (`purges`).
+No other module checks them.
+
+1. A request has one final answer, and no attempt begins after it or after the client's deadline.
+2. No effect happens twice: a request that is not idempotent is retried only if the retry has no further
+   effect.
+3. No attempt uses a draining or removed server, neither as cache nor as source.
+4. A warming server receives no more than its slow start budget (`slow_start`).
+5. No answer comes from a copy older than a purge (`purges`).
 """
 
 from collections.abc import Mapping
@@ -24,23 +27,24 @@
     from limepath.decisions.router import Router
     from limepath.decisions.server import Server
 
-NO_TIME_LIMIT = 0  # sending times are heavy-tailed: a limit by attempt would cut off good large transfers
+# Attempts have no time limit: sending times are heavy-tailed, so a limit would abort valid large transfers.
+NO_TIME_LIMIT = 0
 
 
 class Rule(Enum):
-    """What an attempt would break."""
+    """A rule that an attempt may break."""
 
     ONE_ANSWER = 1
-    NO_EFFECT_TWICE = 2
+    NO_REPEATED_EFFECT = 2
     DRAIN = 3
     SLOW_START = 4
     STALE_LIST = 5
-    """A drain or purge may not be known here."""
+    """The endpoint list is stale, so a drain or a purge may be missing from it."""
 
     @property
     def ends_request(self) -> bool:
-        """Whether no other server could take the request either."""
-        return self in (Rule.ONE_ANSWER, Rule.NO_EFFECT_TWICE)
+        """Whether the rule forbids the attempt at every other server too."""
+        return self in (Rule.ONE_ANSWER, Rule.NO_REPEATED_EFFECT)
 
 
 class Violation(NamedTuple):
@@ -51,7 +55,7 @@
 
 
 class Guard:
-    """Commands attempts and final answers, as far as the rules allow.
+    """Commands the attempts and final answers that the rules permit.
 
     Attributes:
         is_list_stale: whether drains and purges may be missing from the endpoint list.
@@ -75,41 +79,41 @@
         self.is_list_stale: bool = False
 
     def handle_freshness_changed(self, event: EndpointListFreshnessChanged) -> None:
-        """The endpoint list became stale, or is in time again."""
+        """Record whether the endpoint list is stale."""
         self.is_list_stale = event.is_stale
 
     def find_violation(self, request: PendingRequest, server: "Server", source: "Server") -> Violation | None:
-        """The first rule that an attempt at `server` with this source would break."""
+        """Return the first rule that an attempt at `server` with this source would break, or None."""
         now = self._queue.now
-        exhausted = request.attempts >= self._permissions.max_attempts
-        if request.is_answered or now >= request.deadline or exhausted:
+        attempts_exhausted = request.attempts >= self._permissions.max_attempts
+        if request.is_answered or now >= request.deadline or attempts_exhausted:
             return Violation(Rule.ONE_ANSWER, server)
         if request.active_attempt is not None and not self._permissions.hedging:
-            return Violation(Rule.NO_EFFECT_TWICE, server)
-        if not self._is_repeat_harmless(request, server):
-            return Violation(Rule.NO_EFFECT_TWICE, server)
-        for one in dict.fromkeys((server, source)):
-            if rule := self._rule_against(one, request):
-                return Violation(rule, one)
+            return Violation(Rule.NO_REPEATED_EFFECT, server)
+        if not self._is_retry_safe(request, server):
+            return Violation(Rule.NO_REPEATED_EFFECT, server)
+        for participant in dict.fromkeys((server, source)):
+            if rule := self._find_broken_rule(participant, request):
+                return Violation(rule, participant)
         return None
 
-    def _is_repeat_harmless(self, request: PendingRequest, server: "Server") -> bool:
-        executed = request.possible_execution
-        if executed is None or request.idempotency == Idempotency.IDEMPOTENT:
+    def _is_retry_safe(self, request: PendingRequest, server: "Server") -> bool:
+        execution = request.possible_execution
+        if execution is None or request.idempotency == Idempotency.IDEMPOTENT:
             return True
         if request.idempotency == Idempotency.NON_IDEMPOTENT:
             return False
         service = request.service
-        scope = service.key_scope  # how many parts of a location must agree
-        if _location(server)[:scope] != executed.location[:scope]:
+        scope = service.key_scope  # number of leading parts (zone, cell) that both locations must share
+        if _location(server)[:scope] != execution.location[:scope]:
             return False
-        return self._queue.now - executed.begun_at < service.retry_window
+        return self._queue.now - execution.begun_at < service.retry_window
 
-    def _rule_against(self, server: "Server", request: PendingRequest) -> Rule | None:
+    def _find_broken_rule(self, server: "Server", request: PendingRequest) -> Rule | None:
         if self.is_list_stale and server is not self._router.origin:
             return Rule.STALE_LIST
         listed = self._servers.get(server.id)
-        # The grace of a drain is not used: the endpoint list is late enough as it is.
+        # The grace period of a drain is not used, because the endpoint list itself arrives with a delay.
         if listed is None or listed.endpoint.state != EndpointState.READY:
             return Rule.DRAIN
         if not self._budgets.has_budget(listed, request.service_index):
@@ -117,7 +121,10 @@
         return None
 
     def forward(self, request: PendingRequest, server: "Server", source: "Server") -> None:
-        """Command an attempt, or tell the router which rule it would break, no fill if both are one."""
+        """Command an attempt, or report to the router which rule it would break.
+
+        The attempt is a fill unless `server` and `source` are the same.
+        """
         if violation := self.find_violation(request, server, source):
             self._queue.put(self._router.handle_violation, request, violation)
             return
@@ -145,22 +152,26 @@
         self._queue.put(self._router.handle_attempt_started, attempt, request, server, source)
 
     def _time_to_send(self, request: PendingRequest) -> int:
-        """How long a repeat by its idempotency key may wait to be sent, in microseconds; 0 without limit."""
-        executed = request.possible_execution
-        if executed is None or request.idempotency != Idempotency.KEYED:
+        """Return for how many microseconds a retry with an idempotency key may wait to be sent; 0: no limit."""
+        execution = request.possible_execution
+        if execution is None or request.idempotency != Idempotency.KEYED:
             return 0
-        return executed.begun_at + request.service.retry_window - self._queue.now
+        return execution.begun_at + request.service.retry_window - self._queue.now
 
     def finish(self, request: PendingRequest, retry_after: int) -> None:
-        """Command the one final answer: rejected where asking again does no harm, else failed."""
+        """Command the final answer: a rejection if the client may safely retry, otherwise a failure."""
         if request.is_answered:
             return
         request.is_answered = True
-        everywhere = request.idempotency == Idempotency.KEYED and request.service.key_scope == KeyScope.ALL
-        is_harmless = (
-            request.possible_execution is None or request.idempotency == Idempotency.IDEMPOTENT or everywhere
+        key_valid_everywhere = (
+            request.idempotency == Idempotency.KEYED and request.service.key_scope == KeyScope.ALL
+        )
+        is_retry_safe = (
+            request.possible_execution is None
+            or request.idempotency == Idempotency.IDEMPOTENT
+            or key_valid_everywhere
         )
-        if is_harmless:
+        if is_retry_safe:
             self._queue.commands.append(RejectRequest(request.id, retry_after))
         else:
             self._queue.commands.append(FailRequest(request.id))
