--- a/limepath/decisions/server.py
+++ b/limepath/decisions/server.py
@@ -1,7 +1,7 @@
-"""One cache, parent or the origin: what is in flight there, and whether it accepts an attempt.
+"""A cache, a parent or the origin: its attempts in flight and whether it accepts another.
 
-Its health and its concurrency limit are objects of their own; the budgets of warming servers stand in
-`slow_start`.
+`health` and `concurrency_limit` hold the rest of its state; `slow_start` holds the budgets of warming
+servers.
 """
 
 from typing import TYPE_CHECKING
@@ -20,20 +20,22 @@
 if TYPE_CHECKING:
     from limepath.decisions.router import Router
 
-OVERLOAD_UTILISATION = 0.95  # reported load above which a server counts as overloaded
+OVERLOAD_UTILISATION = 0.95  # reported utilisation (0 to 1) above which a server counts as overloaded
 
 
 class Server:
-    """One endpoint of the list, as this front uses it.
+    """The state that this front keeps for one endpoint of the list.
 
     Attributes:
-        endpoint: what the endpoint list told last.
-        is_upstream: whether it is a parent or the origin.
-        weight, hash_salt: for rendezvous hashing.
-        is_reachable: whether a connection is open or may be opened; fills reach a source without it.
-        active_attempts: the expected sending time of each attempt there, in microseconds.
-        slow_start_duration: microseconds; 0 where it is never cold.
-        warms_until: until when its copies are taken to be few, so that it is asked to fill at once.
+        endpoint: the latest entry of the endpoint list.
+        is_upstream: whether the server is a parent or the origin.
+        weight, hash_salt: inputs of rendezvous hashing.
+        is_reachable: whether this front has a connection to the server or may open one. A source of a fill
+            need not be reachable, because the cache connects to it.
+        active_attempts: the expected sending time of each active attempt, in microseconds.
+        slow_start_duration: microseconds; 0 if the server has no slow start.
+        warming_until: time until which the server is expected to hold few copies, so that requests skip the
+            lookup and begin with a fill; in microseconds.
     """
 
     def __init__(
@@ -58,7 +60,7 @@
         self.is_reachable: bool = True
         self.active_attempts: dict[AttemptId, int] = {}
         self.slow_start_duration = slow_start_duration
-        self.warms_until: int = 0
+        self.warming_until: int = 0
         self.health = Health(queue, permissions.probing)
         self.limit = ConcurrencyLimit(is_upstream)
         self._record_start()
@@ -66,12 +68,12 @@
     def update(
         self, endpoint: Endpoint, is_upstream: bool, fronts: int, base_concurrency: float, is_weighted: bool
     ) -> None:
-        """Take in what the endpoint list tells: the endpoint, and how many fronts share its capacity."""
+        """Apply an entry of the endpoint list and the number of fronts that share the server's capacity."""
         self.is_upstream = is_upstream
         has_started = endpoint.started_at > self.endpoint.started_at
         self.endpoint = endpoint
         if endpoint.started_at:
-            self.warms_until = max(self.warms_until, endpoint.started_at + self.slow_start_duration)
+            self.warming_until = max(self.warming_until, endpoint.started_at + self.slow_start_duration)
         if has_started:
             self._record_start()
         self.limit.fronts = fronts
@@ -85,11 +87,11 @@
 
     @property
     def is_warming(self) -> bool:
-        """Whether a lookup should name a source at once."""
-        return self._queue.now < self.warms_until
+        """Whether requests should skip the lookup at this server and begin with a fill."""
+        return self._queue.now < self.warming_until
 
     def handle_offer(self, request: PendingRequest) -> None:
-        """Accept the request, as cache or source, or decline it."""
+        """Accept or decline the request, and report the decision to the router."""
         if self._accepts(request):
             self._queue.put(self._router.handle_accepted, request, self, self.is_warming)
         else:
@@ -106,38 +108,39 @@
         return limit >= 1 or self._queue.random_fraction() <= limit
 
     def handle_attempt_started(self, attempt: AttemptId, sending_time: int) -> None:
-        """An attempt goes to this server, as cache or as source."""
+        """Record an attempt that uses this server as cache or as source."""
         if not self.active_attempts:
-            self.health.last_contact_at = self._queue.now  # it owed no answer until now
+            self.health.last_contact_at = self._queue.now  # no answer was due before this attempt
         self.active_attempts[attempt] = sending_time
 
     def handle_attempt_ended(
-        self, attempt: AttemptId, outcome: AttemptOutcome, was_asked: bool, is_overloaded: bool | None
+        self, attempt: AttemptId, outcome: AttemptOutcome, was_target: bool, is_overloaded: bool | None
     ) -> None:
-        """An attempt ended.
+        """Remove an attempt that has ended, and update the concurrency limit and the health.
 
         Args:
-            attempt: the attempt, forgotten here now.
-            outcome: how it ended.
-            was_asked: whether the front asked this server itself; else it was the source of a fill.
-            is_overloaded: what the end tells of its load; None where it tells nothing.
+            attempt: the attempt to remove.
+            outcome: how the attempt ended.
+            was_target: whether the front sent the attempt to this server; otherwise the server was the
+                source of a fill.
+            is_overloaded: whether the end indicates overload of this server; None if it indicates nothing.
         """
         self.active_attempts.pop(attempt, None)
         if is_overloaded is not None:
             self.limit.record_outcome(is_overloaded, len(self.active_attempts))
-        if was_asked:
-            self._judge_answer(outcome)
+        if was_target:
+            self._update_health_as_target(outcome)
         else:
-            self._judge_as_source(outcome)
+            self._update_health_as_source(outcome)
 
-    def _judge_answer(self, outcome: AttemptOutcome) -> None:
+    def _update_health_as_target(self, outcome: AttemptOutcome) -> None:
         if outcome in CONNECTION_FAILURES:
             self._record_failure(outcome)
         elif outcome in (AttemptOutcome.SUCCEEDED, AttemptOutcome.MISS, AttemptOutcome.FULL):
             self._record_contact(self._queue.now)
 
-    def _judge_as_source(self, outcome: AttemptOutcome) -> None:
-        if outcome == AttemptOutcome.FULL:  # down, overloaded, or its own fetches do not come back
+    def _update_health_as_source(self, outcome: AttemptOutcome) -> None:
+        if outcome == AttemptOutcome.FULL:  # it is down, overloaded, or its own fetches do not complete
             self.health.needs_probe = True
         if outcome == AttemptOutcome.TIMED_OUT:
             self._record_failure(outcome)
@@ -145,9 +148,9 @@
             self._record_contact(self._queue.now)
 
     def _record_contact(self, at: int) -> None:
-        was_long_silent = self.health.record_contact(at)
-        if was_long_silent and self.slow_start_duration:
-            self.warms_until = at + self.slow_start_duration
+        has_restarted = self.health.record_contact(at)
+        if has_restarted and self.slow_start_duration:
+            self.warming_until = at + self.slow_start_duration
             self._queue.put(self._budgets.record_start, self.id, at)
 
     def _record_failure(self, outcome: AttemptOutcome) -> None:
@@ -159,13 +162,13 @@
             self._queue.put(self._router.handle_server_failed, self)
 
     def is_check_due(self) -> bool:
-        """Whether the periodic health check has anything to look at here."""
+        """Whether the periodic health check applies to this server."""
         return bool(self.active_attempts or self.health.missed_probes or self.health.needs_probe)
 
     def handle_health_check(self) -> None:
-        """Send a probe where one is due; where there are none, take a long silence for a failure."""
+        """Send a probe if one is due; in deployments without probes, treat a long silence as a failure."""
         if not self._probing:
-            if self.active_attempts and self.health.is_silent_unprobed(self.active_attempts.values()):
+            if self.active_attempts and self.health.is_silent_without_probes(self.active_attempts.values()):
                 self._record_silence(AttemptOutcome.TIMED_OUT)
         elif self._is_probe_due():
             self._queue.commands.append(SendProbe(self.id, self.health.begin_probe()))
@@ -173,25 +176,26 @@
     def _is_probe_due(self) -> bool:
         if self.endpoint.state != EndpointState.READY:
             return False
-        return self.health.needs_check(self.active_attempts.values()) and self.health.is_probe_allowed()
+        return self.health.is_probe_needed(self.active_attempts.values()) and self.health.is_probe_allowed()
 
     def handle_probe_ended(self, event: ProbeEnded) -> None:
-        """Take in the result of a probe, of this front or of another that shares its results."""
+        """Apply the result of a probe by this front or by another front that shares its results."""
         probe_sent_at = self.health.end_probe()
-        learnt_at = self._queue.now - event.age
-        if event.age and learnt_at <= self.health.last_evidence_at:
-            return  # another front's, older than what this one has seen itself
+        observed_at = self._queue.now - event.age
+        if event.age and observed_at <= self.health.last_evidence_at:
+            return  # another front's result, older than this front's own observation
         if event.outcome == AttemptOutcome.SUCCEEDED:
             self.limit.record_outcome(
                 event.load.get("util", 0) > OVERLOAD_UTILISATION, len(self.active_attempts)
             )
-            self._record_contact(learnt_at)
-        elif event.outcome == AttemptOutcome.FULL:  # shows overload, neither life nor silence
+            self._record_contact(observed_at)
+        elif event.outcome == AttemptOutcome.FULL:  # indicates overload, but neither health nor a failure
             self.limit.record_outcome(True, len(self.active_attempts))
         elif probe_sent_at is None:
-            if event.age > 0:  # another front's failure may lie on its own way there: probe from here
+            # The other front's own path to the server may have failed, so this front probes the server too.
+            if event.age > 0:
                 self.health.needs_probe = True
-        elif self.health.last_contact_at <= (learnt_at if event.age else probe_sent_at):
+        elif self.health.last_contact_at <= (observed_at if event.age else probe_sent_at):
             if event.outcome in CONNECTION_FAILURES:
                 self._record_failure(event.outcome)
             else:
