--- a/limepath/decisions/guard.py
+++ b/limepath/decisions/guard.py
@@ -152,7 +152,7 @@
         self._queue.put(self._router.handle_attempt_started, attempt, request, server, source)
 
     def _time_to_send(self, request: PendingRequest) -> int:
-        """Return for how many microseconds a retry with an idempotency key may wait to be sent; 0: no limit."""
+        """Return how long a keyed retry may wait to be sent, in microseconds; 0 means without limit."""
         execution = request.possible_execution
         if execution is None or request.idempotency != Idempotency.KEYED:
             return 0
--- a/limepath/decisions/health.py
+++ b/limepath/decisions/health.py
@@ -32,7 +32,8 @@
         missed_probes: number of silences since the last answer.
         consecutive_failures: connections that broke since the last answer; those that broke at the same
             time count once.
-        suspected_since: when an answer was first due and missing; None if none is missing.
+        suspected_since: when an answer was first missing or a connection first could not be opened; None if
+            neither happened since the last answer.
         needs_probe: whether an attempt or a report called for a probe.
     """
 
