--- a/limepath/decisions/slow_start.py
+++ b/limepath/decisions/slow_start.py
@@ -1,8 +1,8 @@
-"""Slow start: what a server that has started may be sent while it warms up, and this front's share of that.
+"""Slow start: limits the work that this front sends to a recently started server.
 
-The settings tell the capacity of a server that has started, and what overloads it. All fronts together stay
-within that budget without hearing of each other: `share_of_budget` tells what one may send. The method and
-its measurements are in docs/design.md, "Cold members and the number of fronts".
+The settings define the capacity of such a server and the load that overloads it. Together all fronts stay
+within the budget that follows from them, without communication: `share_of_budget` returns the share of one
+front. docs/design.md, "Cold members and the number of fronts", has the method and its measurements.
 """
 
 from collections import deque
@@ -18,11 +18,10 @@
 if TYPE_CHECKING:
     from limepath.decisions.server import Server
 
-BUDGET_MARGIN = 0.8  # share of the budget that is spent, in the mean
-BUDGET_DEVIATIONS = 5  # standard deviations kept between what is spent and what overloads the server
-COSTLIER_CLASS_SHARE = (
-    0.75  # of a budget and of its variance that a costlier class may take before cheaper ones
-)
+BUDGET_MARGIN = 0.8  # mean fraction of the overload limit that all fronts may spend
+BUDGET_DEVIATIONS = 5  # standard deviations between the work spent and the work that overloads the server
+# Fraction of the budget and of its variance that a costlier class may use before cheaper classes.
+COSTLIER_CLASS_SHARE = 0.75
 
 
 class Charge(NamedTuple):
@@ -34,18 +33,18 @@
 
 
 class Warmup(NamedTuple):
-    """A server that warms up: when it started, and what this front has sent it since, oldest first."""
+    """A warming server: when it started, and the work that this front has sent since, oldest first."""
 
     started_at: int
     charges: deque[Charge]
 
 
 class SlowStartBudgets:
-    """The budgets of all servers that warm up.
+    """The budgets of all warming servers.
 
     Attributes:
-        settings: by whether the server is a parent.
-        warmups: by the server's id.
+        settings: slow start settings of caches (key False) and of parents (key True).
+        warmups: warming servers by id.
     """
 
     def __init__(
@@ -64,23 +63,23 @@
         self.warmups: dict[int, Warmup] = {}
 
     def record_start(self, server_id: int, at: int) -> None:
-        """A server started: its budget counts from now on, without what was sent before being forgotten."""
-        before = self.warmups.get(server_id, Warmup(at, deque()))
-        self.warmups[server_id] = before._replace(started_at=max(at, before.started_at))
+        """Begin the slow start of a server that started; the work already sent still counts."""
+        previous = self.warmups.get(server_id, Warmup(at, deque()))
+        self.warmups[server_id] = previous._replace(started_at=max(at, previous.started_at))
 
     def drop(self, server_id: int) -> None:
-        """The server is gone."""
+        """Remove a server that the endpoint list no longer contains."""
         self.warmups.pop(server_id, None)
 
     def charge(self, server_ids: Iterable[int], service_index: int) -> None:
-        """An attempt of this service goes to these servers."""
+        """Charge an attempt of a delivery service to the budgets of the servers that it uses."""
         for server_id in server_ids:
             if warmup := self.warmups.get(server_id):
                 work = self._sending_times.by_service[service_index]
                 warmup.charges.append(Charge(self._queue.now, work))
 
     def has_budget(self, server: "Server", service_index: int) -> bool:
-        """Whether this front may send the server one more attempt of this service (rule 4)."""
+        """Return whether this front may send the server another attempt of the service (rule 4)."""
         warmup = self.warmups.get(server.id)
         if warmup is None:
             return True
@@ -89,62 +88,75 @@
         if age > settings.duration:
             del self.warmups[server.id]
             return True
-        risen = max(0, age - settings.overload_window) / settings.duration
+        progress = max(0, age - settings.overload_window) / settings.duration
         limit = server.limit
-        capacity = limit.base_concurrency * (settings.initial_share + (1 - settings.initial_share) * risen)
+        capacity = limit.base_concurrency * (settings.initial_share + (1 - settings.initial_share) * progress)
         budget = BUDGET_MARGIN * settings.overload_factor * capacity * settings.overload_window
         charges = warmup.charges
         while charges and charges[0].at <= self._queue.now - settings.overload_window:
             charges.popleft()
-        # The place is for good: to draw it anew would be a second chance.
-        place = mix64(self._queue.seed ^ mix64(server.id)) / MASK_64 * limit.fronts
+        # The position depends only on the seed and the server, because a new draw would give the front
+        # another chance to exceed its share.
+        position = mix64(self._queue.seed ^ mix64(server.id)) / MASK_64 * limit.fronts
         spent = sum(charge.work for charge in charges)
-        share = self.share_of_budget(budget, limit.fronts, place)
+        share = self.share_of_budget(budget, limit.fronts, position)
         return share - spent >= self._sending_times.by_service[service_index]
 
-    def share_of_budget(self, budget: float, fronts: float, place: float) -> float:
-        """What the front at `place`, in [0, fronts), may send in one window of a budget that all share.
+    def share_of_budget(self, budget: float, fronts: float, position: float) -> float:
+        """Return the work that the front at `position` may send in one window of a shared budget.
 
-        As many attempts of the costliest class as all fronts can have; of the rest of `budget` those in the
-        first places one more, those after them one of a class at half of that or less, and so on. Places
-        are random, so how many fronts have one of the first is binomial (docs/design.md).
+        Each front may send as many whole attempts of the costliest class as the budget holds for all fronts.
+        Of the rest, the fronts at the first positions may send one more such attempt, those at the next
+        positions one attempt of a class that costs at most half as much, and so on. Positions are random, so
+        the number of fronts at the first ones has a binomial distribution (docs/design.md).
+
+        Args:
+            budget: work that all fronts may send to the server in one window, in microseconds.
+            fronts: number of fronts that share the budget.
+            position: position of this front, in [0, fronts).
         """
-        works = self._works()
-        costliest = works[-1]
+        class_works = self._class_works()
+        max_work = class_works[-1]
         mean = self._sending_times.mean
-        each = budget / fronts // costliest * costliest
-        # With few fronts an equal share takes a request of mean work: then it is no matter of chance.
-        equal = budget / fronts if budget >= fronts * mean else 0
-        left = budget - each * fronts
+        whole_share = budget / fronts // max_work * max_work
+        # With few fronts, an equal share suffices for a request of mean work and needs no random positions.
+        equal_share = budget / fronts if budget >= fronts * mean else 0
+        remaining = budget - whole_share * fronts
         limit = budget / BUDGET_MARGIN
         variance = ((limit - budget + 2 * sqrt(limit * mean) + 2 * mean) / BUDGET_DEVIATIONS) ** 2
-        last_work = 2 * costliest
-        while works and left < fronts * works[-1]:
-            work = works.pop()
-            if 2 * work > last_work:
+        previous_work = 2 * max_work
+        while class_works and remaining < fronts * class_works[-1]:
+            work = class_works.pop()
+            if 2 * work > previous_work:
                 continue
-            part = COSTLIER_CLASS_SHARE if works and 2 * works[0] <= work else 1
-            chosen = fronts_with_one_more(work, fronts, part * left, part * variance)
-            if place < chosen:
-                return max(equal, each + work)
-            variance = max(0, variance - chosen * (1 - chosen / fronts) * work**2)
-            left -= chosen * work
-            fronts -= chosen
-            place -= chosen
-            last_work = work
-        return max(equal, each + left / fronts)
-
-    def _works(self) -> list[int]:
-        """The services' sending times, rising; without those that go to the origin, which is never cold."""
+            class_share = COSTLIER_CLASS_SHARE if class_works and 2 * class_works[0] <= work else 1
+            selected = fronts_with_one_more(work, fronts, class_share * remaining, class_share * variance)
+            if position < selected:
+                return max(equal_share, whole_share + work)
+            variance = max(0, variance - selected * (1 - selected / fronts) * work**2)
+            remaining -= selected * work
+            fronts -= selected
+            position -= selected
+            previous_work = work
+        return max(equal_share, whole_share + remaining / fronts)
+
+    def _class_works(self) -> list[int]:
+        """Return the distinct sending times of the services in ascending order.
+
+        Services whose requests go directly to the origin are left out, because the origin has no slow start.
+        """
         sending_times = zip(self._sending_times.by_service, self._services, strict=True)
-        works = {
+        class_works = {
             max(1, work) for work, service in sending_times if not (self._direct and service.uncacheable)
         }
-        return sorted(works) or [1]
+        return sorted(class_works) or [1]
 
 
 def fronts_with_one_more(work: int, fronts: float, budget: float, variance: float) -> float:
-    """How many of `fronts` may send one more attempt of `work`, by the mean and the variance of their sum."""
-    within_variance = 1 - 4 * variance / work**2 / fronts
-    most = fronts / 2 * (1 - sqrt(within_variance)) if within_variance > 0 else fronts
-    return min(budget / work, most)
+    """Return how many of `fronts` may send another attempt of `work`.
+
+    Both the mean and the variance of the total limit the number.
+    """
+    discriminant = 1 - 4 * variance / work**2 / fronts
+    max_selected = fronts / 2 * (1 - sqrt(discriminant)) if discriminant > 0 else fronts
+    return min(budget / work, max_selected)
