--- a/limepath/decisions/endpoints.py
+++ b/limepath/decisions/endpoints.py
@@ -1,4 +1,4 @@
-"""The endpoint list as this front holds it: which caches, parents and origin it uses, each as a `Server`."""
+"""The endpoint list of this front: the caches, parents and origin that it uses, each as a `Server`."""
 
 from collections.abc import Mapping
 from typing import TYPE_CHECKING
@@ -20,14 +20,14 @@
 if TYPE_CHECKING:
     from limepath.decisions.router import Router
 
-UNKNOWN_CONCURRENCY = 5.0  # transfers at full rate that an endpoint of unknown capacity is taken for
+UNKNOWN_CONCURRENCY = 5.0  # transfers at full rate; assumed for an endpoint of unknown capacity
 
 
 class Endpoints:
-    """The servers by id. Caches in other zones are none of this front's business and not held.
+    """The servers that this front uses. Caches in other zones are left out.
 
     Attributes:
-        servers: those that are listed, and those no longer listed that still have attempts in flight.
+        servers: servers by id: those on the endpoint list, and removed ones that still have active attempts.
     """
 
     def __init__(
@@ -50,41 +50,44 @@
         self.servers = servers
 
     def handle_list_updated(self, event: EndpointListUpdated) -> None:
-        """Make, change and drop servers, and tell the router which are ready."""
+        """Create, update and remove servers, and pass the ready ones to the router."""
         if self._permissions.subscribe and event.kind in (UpdateKind.CACHED, UpdateKind.UNAVAILABLE):
             self._queue.commands.append(SetSubscription(True))
         if event.kind == UpdateKind.UNAVAILABLE:
             return
-        changed = self._changed_endpoints(event)
-        known = {ident: server.endpoint for ident, server in self.servers.items()} | changed
-        parents = sum(endpoint.kind == self._topology.parent_kind for endpoint in known.values())
-        for endpoint in changed.values():
-            self._update_server(endpoint, parents)
+        changes = self._find_changes(event)
+        endpoints = {server_id: server.endpoint for server_id, server in self.servers.items()} | changes
+        parent_count = sum(endpoint.kind == self._topology.parent_kind for endpoint in endpoints.values())
+        for endpoint in changes.values():
+            self._update_server(endpoint, parent_count)
         self._drop_removed()
-        self._publish_ready()
+        self._update_router()
 
-    def _changed_endpoints(self, event: EndpointListUpdated) -> dict[int, Endpoint]:
-        """The endpoints to take in, by id; those that a full list leaves out come first, as removed."""
-        changed: dict[int, Endpoint] = {}
+    def _find_changes(self, event: EndpointListUpdated) -> dict[int, Endpoint]:
+        """Return the changed endpoints by id.
+
+        For a full list, the present endpoints come first, marked as removed unless the list contains them.
+        """
+        changes: dict[int, Endpoint] = {}
         if event.kind != UpdateKind.DELTA:
-            for ident, server in self.servers.items():
-                changed[ident] = server.endpoint._replace(state=EndpointState.REMOVED)
+            for server_id, server in self.servers.items():
+                changes[server_id] = server.endpoint._replace(state=EndpointState.REMOVED)
         for endpoint in event.endpoints:
-            if endpoint.id in self.servers or self._is_wanted(endpoint):
-                changed[endpoint.id] = endpoint
-        return changed
+            if endpoint.id in self.servers or self._is_used(endpoint):
+                changes[endpoint.id] = endpoint
+        return changes
 
-    def _is_wanted(self, endpoint: Endpoint) -> bool:
+    def _is_used(self, endpoint: Endpoint) -> bool:
         if endpoint.state == EndpointState.REMOVED:
             return False
         return endpoint.zone == self._topology.zone or endpoint.kind in self._upstream_kinds
 
-    def _update_server(self, endpoint: Endpoint, parents: int) -> None:
+    def _update_server(self, endpoint: Endpoint, parent_count: int) -> None:
         is_upstream = endpoint.kind in self._upstream_kinds
         slow_start_duration = 0
         if endpoint.kind != self._topology.origin_kind:
             slow_start_duration = self._slow_starts[is_upstream].duration
-        if not slow_start_duration:  # the origin is never cold
+        if not slow_start_duration:  # always the case for the origin, which needs no slow start
             endpoint = endpoint._replace(started_at=0)
         if endpoint.id not in self.servers:
             self.servers[endpoint.id] = Server(
@@ -97,31 +100,34 @@
                 slow_start_duration,
             )
         fronts = self._topology.fronts if is_upstream else self._topology.fronts_in_zone
-        concurrency = self._base_concurrency(endpoint, is_upstream, parents)
+        concurrency = self._base_concurrency(endpoint, is_upstream, parent_count)
         self.servers[endpoint.id].update(endpoint, is_upstream, fronts, concurrency, self._topology.weighted)
 
-    def _base_concurrency(self, endpoint: Endpoint, is_upstream: bool, parents: int) -> float:
-        """Transfers at full rate; of unknown capacity, a parent has its part of what all links carry."""
+    def _base_concurrency(self, endpoint: Endpoint, is_upstream: bool, parent_count: int) -> float:
+        """Return how many transfers the endpoint can send at full rate.
+
+        Where the endpoint list has no capacities, a parent has an equal share of the rate of all links.
+        """
         topology = self._topology
         if topology.weighted:
             return endpoint.weight
         if is_upstream and topology.transfer_kb_s:
-            link_kb_s = sum(topology.link_kb_s) / (parents or 1)
+            link_kb_s = sum(topology.link_kb_s) / (parent_count or 1)
             if link_kb_s:
                 return link_kb_s / topology.transfer_kb_s
         return UNKNOWN_CONCURRENCY
 
     def _drop_removed(self) -> None:
         removed = [
-            ident
-            for ident, server in self.servers.items()
+            server_id
+            for server_id, server in self.servers.items()
             if server.endpoint.state == EndpointState.REMOVED and not server.active_attempts
         ]
-        for ident in removed:
-            del self.servers[ident]
-            self._budgets.drop(ident)
+        for server_id in removed:
+            del self.servers[server_id]
+            self._budgets.drop(server_id)
 
-    def _publish_ready(self) -> None:
+    def _update_router(self) -> None:
         topology = self._topology
         caches: list[Server] = []
         parents: list[Server] = []
@@ -139,17 +145,17 @@
         self._router.set_servers(caches, parents, origins[0] if origins else None)
 
     def handle_probe_ended(self, event: ProbeEnded) -> None:
-        """Hand the result of a health check to its server."""
+        """Pass the result of a health check to its server."""
         if server := self.servers.get(event.endpoint):
             server.handle_probe_ended(event)
 
     def handle_availability_changed(self, event: ConnectionAvailabilityChanged) -> None:
-        """Whether a server can be reached from here has changed."""
+        """Record whether a server is reachable from this front."""
         if server := self.servers.get(event.endpoint):
             server.is_reachable = event.available
 
     def check_health(self) -> None:
-        """Have each server checked that has an attempt in flight or is suspected."""
+        """Start a health check of each server that has an attempt in flight or may be down."""
         for server in self.servers.values():
             if server.is_check_due():
                 self._queue.put(server.handle_health_check)
