--- a/tests/test_frequency_exchange.py
+++ b/tests/test_frequency_exchange.py
@@ -48,7 +48,7 @@
             host.front.frequency_table.count_request((obj, 0), 0)
         ranks.append(host.front.frequency_table.count_request((2, 0), 0))
     assert ranks[0] == 3 > ranks[1]
-    assert len(new.front.frequency_table.waiting) < 10  # what was asked for has gone from the waiting ones
+    assert len(new.front.frequency_table.history) < 10  # requested objects have left the history
 
 
 def new_front(live=(2, 3)):
