--- a/limepath/decisions/attempt.py
+++ b/limepath/decisions/attempt.py
@@ -1,4 +1,4 @@
-"""Attempts of a request: their identity, what is known while they are active, and what their end says."""
+"""Attempts of a request: identity, state while active, and result."""
 
 from typing import TYPE_CHECKING, NamedTuple
 
@@ -10,7 +10,7 @@
 
 
 class AttemptId(NamedTuple):
-    """An attempt: the request and its number within the request, from 0."""
+    """Identifies an attempt by its request and by its number within the request, from 0."""
 
     request: int
     number: int
@@ -19,8 +19,8 @@
 class ActiveAttempt(NamedTuple):
     """An attempt that has not ended.
 
-    Without a fill `server`, which was asked, and `source` are the same. Of a direct attempt the server is a
-    parent.
+    `server` received the attempt. For a lookup `source` is the same server, for a fill another one. For a
+    direct attempt `server` is a parent.
     """
 
     request: "PendingRequest"
@@ -29,26 +29,26 @@
 
 
 class AttemptResult(NamedTuple):
-    """How an attempt ended, as the router judges it."""
+    """The result of an attempt, as the router evaluates it."""
 
     outcome: AttemptOutcome
     duration: int
     """Microseconds."""
     in_time: bool
-    """Whether it succeeded within its latency objective, stretched by its sending time."""
+    """Whether it succeeded within its latency objective, extended in proportion to its sending time."""
     is_overloaded: bool | None
-    """What it says of the load of the server that sent the answer; None where it says nothing."""
+    """Whether the server that sent the answer is overloaded; None if the result does not indicate it."""
 
 
-def judge_attempt(event: AttemptEnded, request: "PendingRequest") -> AttemptResult:
-    """What the end of an attempt says, in view of the time that its request had."""
+def evaluate_attempt(event: AttemptEnded, request: "PendingRequest") -> AttemptResult:
+    """Evaluate the end of an attempt, given the time that its request had."""
     service = request.service
     outcome = event.outcome
     if outcome == AttemptOutcome.TIMED_OUT and event.duration < service.latency_objective:
-        outcome = AttemptOutcome.CANCELLED  # the request's own time was short: no server is at fault
-    limit = service.latency_objective + service.objective_stretch * request.sending_time
+        outcome = AttemptOutcome.CANCELLED  # the client's deadline was too short; no server is at fault
+    objective = service.latency_objective + service.objective_stretch * request.sending_time
     succeeded = outcome == AttemptOutcome.SUCCEEDED
-    in_time = succeeded and event.duration < limit
+    in_time = succeeded and event.duration < objective
     is_overloaded = None
     if succeeded:
         is_overloaded = not in_time
--- a/limepath/decisions/guard.py
+++ b/limepath/decisions/guard.py
@@ -107,7 +107,7 @@
         scope = service.key_scope  # number of leading parts (zone, cell) that both locations must share
         if _location(server)[:scope] != execution.location[:scope]:
             return False
-        return self._queue.now - execution.begun_at < service.retry_window
+        return self._queue.now - execution.started_at < service.retry_window
 
     def _find_broken_rule(self, server: "Server", request: PendingRequest) -> Rule | None:
         if self.is_list_stale and server is not self._router.origin:
@@ -156,7 +156,7 @@
         execution = request.possible_execution
         if execution is None or request.idempotency != Idempotency.KEYED:
             return 0
-        return execution.begun_at + request.service.retry_window - self._queue.now
+        return execution.started_at + request.service.retry_window - self._queue.now
 
     def finish(self, request: PendingRequest, retry_after: int) -> None:
         """Command the final answer: a rejection if the client may safely retry, otherwise a failure."""
--- a/limepath/decisions/request.py
+++ b/limepath/decisions/request.py
@@ -1,4 +1,4 @@
-"""A request that is owed a final answer, and what is known of its attempts."""
+"""A request that has no final answer yet, and the state of its attempts."""
 
 from enum import Enum
 from typing import TYPE_CHECKING, NamedTuple
@@ -10,54 +10,55 @@
 if TYPE_CHECKING:
     from limepath.decisions.server import Server
 
-SMALL_SIZE_FACTOR = 1.5  # for requests of under half their latency objective in sending time
-LARGE_SIZE_FACTOR = 0.7  # for requests of known size over it: the few large ones cost the most of the link
+SMALL_SIZE_FACTOR = 1.5  # for sending times of less than half the latency objective
+# For known sizes with a sending time over the latency objective: a few large requests use most of the link.
+LARGE_SIZE_FACTOR = 0.7
 
 
 class Phase(Enum):
-    """What the next attempt of a request is for."""
+    """The purpose of a request's next attempt."""
 
     LOOKUP = 0
-    """Ask a cache for what it holds."""
+    """Request a copy that a cache holds."""
     FILL = 1
-    """Have the cache that was asked fetch the object from a source."""
+    """Have the cache of the last lookup get the object from a source."""
     DIRECT = 2
-    """Ask a parent past the caches."""
+    """Forward to a parent, bypassing the caches."""
 
 
 class PossibleExecution(NamedTuple):
-    """The first attempt that may have had its effect."""
+    """The first attempt that may have had an effect."""
 
-    begun_at: int
+    started_at: int
     """Microseconds."""
     number: int
     """Number of the attempt."""
     location: tuple[int, int]
-    """Zone and cell of the server."""
+    """Zone and cell of the server that received it."""
 
 
 class PendingRequest:
-    """One request, of any method, that is owed a final answer.
+    """One request, of any method, without a final answer.
 
     Attributes:
         service_index: index of the delivery service `service` in the settings.
-        deadline: when the client's time ends, in microseconds.
-        sending_time: how long a transfer is expected to take, in microseconds.
+        deadline: the client's deadline, in microseconds.
+        sending_time: expected time of a transfer, in microseconds.
         object_part: (object, part).
-        size_kb: 0 where it is not known.
-        idempotency: as the service says, but not idempotent where a keyed request came without a key.
-        size_factor: the part of a server's or link's limit that requests of this size may fill.
+        size_kb: size of the object; 0 if unknown.
+        idempotency: that of the service, except that a keyed request without a key is not idempotent.
+        size_factor: fraction of a server's or link's limit that requests of this size may use.
         rank: keep rank of a copy; 0 for none.
-        caches: for lookups, in the order in which they are asked.
-        sources: parents (or the origin) to fill from or to go to, in the order in which they are asked.
-        excluded: servers that are not offered it again.
-        cache: the cache that was asked last; a fill goes through it.
-        attempts: how many have begun.
-        active_attempt: the attempt that has not ended yet.
+        caches: caches for lookups, in the order of selection.
+        sources: parents (or the origin) for fills and direct attempts, in the order of selection.
+        excluded: servers that are not offered the request again.
+        cache: the cache that accepted the last lookup; a fill goes through it.
+        attempts: number of attempts that have begun.
+        active_attempt: the attempt that has not ended yet; None if all have.
         possible_execution: None while no attempt can have had an effect.
-        is_answered: whether the client has its final answer, or is gone.
-        accepts_stale: whether a copy within the service's grace will do.
-        cached_only: whether this attempt asks only for what the server holds.
+        is_answered: whether the client has its final answer or has disconnected.
+        accepts_stale: whether a copy within the service's `stale_grace` is acceptable.
+        cached_only: whether the attempt requests only a copy that the server holds.
     """
 
     __slots__ = (
@@ -114,7 +115,7 @@
 
 def _idempotency(event: RequestArrived, service: DeliveryService) -> Idempotency:
     if service.idempotency == Idempotency.KEYED and not event.has_key:
-        return Idempotency.NON_IDEMPOTENT  # without a key nobody can recognise a repeat
+        return Idempotency.NON_IDEMPOTENT  # without a key, no server can recognise a retry
     return service.idempotency
 
 
--- a/limepath/decisions/router.py
+++ b/limepath/decisions/router.py
@@ -9,7 +9,7 @@
 from collections.abc import Sequence
 from typing import TYPE_CHECKING
 
-from limepath.decisions.attempt import ActiveAttempt, AttemptId, AttemptResult, judge_attempt
+from limepath.decisions.attempt import ActiveAttempt, AttemptId, AttemptResult, evaluate_attempt
 from limepath.decisions.event_queue import EventQueue
 from limepath.decisions.fetch_window import FetchWindow
 from limepath.decisions.frequency_table import FrequencyTable
@@ -216,7 +216,7 @@
             return
         ended = self._active.pop(attempt)
         request = ended.request
-        result = judge_attempt(event, request)
+        result = evaluate_attempt(event, request)
         self._report_to_servers(attempt, ended, result)
         request.active_attempt = None
         self._fetch_window.handle_attempt_ended(attempt, ended, result)
