--- a/limepath/decisions/engine.py
+++ b/limepath/decisions/engine.py
@@ -1,6 +1,6 @@
-"""The engine of one front's decisions: events in, commands out.
+"""The decision engine of one front: takes events and returns commands.
 
-It wires the parts together and is the one place where an event is matched to its handler.
+The engine creates the components, connects them and dispatches each event to its handler.
 """
 
 from collections.abc import Callable, Iterable, Sequence
@@ -35,20 +35,20 @@
 )
 from limepath.interface.settings import DeliveryService, GracePeriods, Permissions, SlowStart, Topology
 
-HEALTH_CHECK_INTERVAL_US = 50_000  # between two looks at servers with attempts in flight or suspected
-WAKEUP_COOKIE = 0  # there is one wakeup at a time; a host hands its cookie back
+HEALTH_CHECK_INTERVAL_US = 50_000  # between checks of servers with attempts in flight or possible failures
+WAKEUP_COOKIE = 0  # constant, because at most one wakeup is scheduled; the host returns it in `TimerFired`
 
 
 class DecisionEngine:
-    """One front: all parts of its decisions. A host makes one and hands it all events.
+    """Makes all decisions of one front. A host creates one engine per front and passes it all events.
 
     Args:
-        seed: of the random numbers; fronts of a fleet have different ones.
-        services: the delivery services; requests name them by index.
-        footprint: where this front stands.
-        allowance: what the deployment permits.
-        cache_warmup: capacity of caches that have started.
-        parent_warmup: the same of parents.
+        seed: seed of the random numbers; must differ between the fronts of a deployment.
+        services: the delivery services; requests refer to them by index.
+        footprint: position of this front among zones, links and other fronts.
+        allowance: the permissions that the deployment grants.
+        cache_warmup: slow start settings of caches.
+        parent_warmup: slow start settings of parents.
         grace: periods of the rules.
     """
 
@@ -83,7 +83,7 @@
         )
         self._handlers = self._handlers_by_type()
         self._next_health_check = 0
-        self._wakeup_due: int | None = None
+        self._wakeup_at: int | None = None
 
     def _handlers_by_type(self) -> dict[type, Callable[[Any], None]]:
         return {
@@ -103,9 +103,9 @@
         }
 
     def handle(self, now: int, events: Iterable[Event]) -> list[Command]:
-        """Take in what the host heard until `now`; give the commands to carry out, in sequence.
+        """Process the events up to time `now`; return the commands for the host to carry out in order.
 
-        Events of other types are ignored. `now` is in microseconds and never less than before.
+        Events of unknown types are ignored. `now` is in microseconds and must not decrease between calls.
         """
         queue = self.queue
         queue.now = now
@@ -122,15 +122,15 @@
         return queue.commands
 
     def _handle_timer_fired(self, event: TimerFired) -> None:
-        self._wakeup_due = None
+        self._wakeup_at = None
 
     def _schedule_wakeup(self) -> None:
-        """Have the host wake the engine when something is due, unless it will sooner."""
+        """Schedule a wakeup at the next due time, unless an earlier wakeup is already scheduled."""
         due = self._next_health_check
         next_timer = self.queue.next_due()
         if next_timer is not None:
             due = min(due, next_timer)
-        if self._wakeup_due is None or due < self._wakeup_due:
-            self._wakeup_due = due
+        if self._wakeup_at is None or due < self._wakeup_at:
+            self._wakeup_at = due
             delay = max(1, due - self.queue.now)
             self.queue.commands.append(ScheduleWakeup(WAKEUP_COOKIE, delay))
--- a/limepath/decisions/event_queue.py
+++ b/limepath/decisions/event_queue.py
@@ -1,8 +1,8 @@
-"""The first-in-first-out queue of calls between the parts of a front's decisions, and their timers.
+"""First-in-first-out queue of calls between the components of the decision engine, and their timers.
 
-Calls are bound methods with their arguments. A part that asks something of another puts a call here in place
-of calling it, so that each handler runs to its end before the next begins. The queue also holds what all
-parts share within one call of the engine: the time, the commands so far and the random numbers.
+A call is a bound method with its arguments. A component does not call another one directly: it puts the call
+into this queue, so that each handler completes before the next one begins. The queue also holds the state
+that all components share: the current time, the commands emitted so far and the random numbers.
 """
 
 from collections import deque
@@ -16,7 +16,7 @@
 
 
 class Timer(NamedTuple):
-    """A call that is due at a time; those of one time run in the order in which they were put."""
+    """A call with a due time. Timers with the same due time run in the order of `serial`."""
 
     due: int
     serial: int
@@ -25,12 +25,12 @@
 
 
 class EventQueue:
-    """Calls that wait to run, timers by due time, and what is shared within one call of the engine.
+    """Pending calls, timers by due time, and the state that all components share.
 
     Attributes:
-        seed: of the random numbers.
-        now: the time of this call of the engine, in microseconds.
-        commands: what the host shall carry out, in sequence.
+        seed: seed of the random numbers.
+        now: time of the current call of `DecisionEngine.handle`, in microseconds.
+        commands: commands for the host to carry out, in order.
     """
 
     def __init__(self, seed: int) -> None:
@@ -43,16 +43,16 @@
         self._numbers_drawn = 0
 
     def put(self, handler: Callable[..., None], *arguments: Any) -> None:
-        """Have `handler` called with `arguments` after all calls that were put before."""
+        """Append a call of `handler` with `arguments` to the queue."""
         self._calls.append((handler, arguments))
 
     def put_at(self, due: int, handler: Callable[..., None], *arguments: Any) -> None:
-        """Put the call once the time is `due`."""
+        """Append the call to the queue once the time `due` has come."""
         self._timers_put += 1
         self._timers.add(Timer(due, self._timers_put, handler, arguments))
 
     def run(self) -> None:
-        """Put the calls of all timers that are due, then run calls until none waits."""
+        """Append the calls of all timers that are due, then run calls until the queue is empty."""
         while self._timers and self._timers[0].due <= self.now:
             timer = self._timers.pop(0)
             self.put(timer.handler, *timer.arguments)
@@ -61,10 +61,10 @@
             handler(*arguments)
 
     def next_due(self) -> int | None:
-        """When the next timer is due; None without timers."""
+        """Return the due time of the next timer, or None if there are no timers."""
         return self._timers[0].due if self._timers else None
 
     def random_fraction(self) -> float:
-        """A number in [0, 1) that depends on the seed and on how many were drawn before."""
+        """Return a number in [0, 1) that depends only on the seed and on the number of earlier draws."""
         self._numbers_drawn += 1
         return crc32(b"%d:%d" % (self.seed, self._numbers_drawn)) / 2**32
--- a/limepath/decisions/purges.py
+++ b/limepath/decisions/purges.py
@@ -1,17 +1,17 @@
-"""Purges that are in force, and the age of the oldest copy that will do."""
+"""The purges in force, and the maximum age of a copy that they allow."""
 
 from limepath.decisions.event_queue import EventQueue
 from limepath.decisions.request import PendingRequest
 from limepath.interface.events import PurgeAnnounced
 
-RETENTION_MARGIN_US = 1000  # that a purge is remembered after its copies are gone everywhere
-ROUNDING_MARGIN_US = 2  # taken off an age for rounding, here and at the host
+RETENTION_MARGIN_US = 1000  # how long a purge is retained after its copies are gone from all servers
+ROUNDING_MARGIN_US = 2  # subtracted from an age, because this module and the host round it
 
 PurgeScope = tuple[int | None, int]  # (object, 0) or (None, group)
 
 
 class Purges:
-    """The latest purge of each object and group, until its copies are gone everywhere (rule 5)."""
+    """The latest purge of each object and group, until its copies are gone from all servers (rule 5)."""
 
     def __init__(self, queue: EventQueue, purge_complete: int) -> None:
         self._queue = queue
@@ -19,7 +19,7 @@
         self._purged_at: dict[PurgeScope, int] = {}
 
     def handle_purge_announced(self, event: PurgeAnnounced) -> None:
-        """Remember the purge, unless a later one of the same scope is known."""
+        """Record the purge, unless a later purge of the same scope is known."""
         scope: PurgeScope = (event.object, 0) if event.object else (None, event.group)
         purged_at = self._queue.now - event.age
         if purged_at > self._purged_at.get(scope, purged_at - 1):
@@ -32,13 +32,13 @@
             del self._purged_at[scope]
 
     def oldest_copy_age(self, request: PendingRequest) -> int:
-        """The tighter of freshness and purges, in microseconds; 0 (any age) where neither limits it."""
+        """Return the maximum age of a copy, in microseconds; 0 if neither freshness nor purges limit it."""
         service = request.service
         limit = service.max_age
         if limit and request.accepts_stale:
             limit += service.stale_grace
         for scope in ((request.object_part[0], 0), (None, request.group)):
             if scope in self._purged_at:
-                since = max(1, self._queue.now - self._purged_at[scope] - ROUNDING_MARGIN_US)
-                limit = min(limit, since) if limit else since
+                purge_age = max(1, self._queue.now - self._purged_at[scope] - ROUNDING_MARGIN_US)
+                limit = min(limit, purge_age) if limit else purge_age
         return limit
--- a/limepath/decisions/rendezvous.py
+++ b/limepath/decisions/rendezvous.py
@@ -1,6 +1,6 @@
-"""Weighted rendezvous hashing: every front finds the same order of servers for an object.
+"""Weighted rendezvous hashing: every front computes the same order of servers for an object.
 
-A change of the endpoint list moves only the objects of the endpoint that changed.
+A change to the endpoint list moves only the objects of the endpoint that changed.
 
 Sources: D. Thaler, C. Ravishankar, "Using Name-Based Mappings to Increase Hit Rates", IEEE/ACM Transactions
 on Networking 6(1), 1998; the weights by the logarithm of the hash are those of C. Schindelhauer and
@@ -16,16 +16,17 @@
 if TYPE_CHECKING:
     from limepath.decisions.server import Server
 
-OBJECT_STRIDE = 64  # numbers between the hash inputs of neighbouring objects: parts of one object in between
+OBJECT_STRIDE = 64  # distance between the hash inputs of consecutive objects; leaves room for their parts
 
 
 def rendezvous_order(object_part: tuple[int, int], servers: Iterable["Server"]) -> list["Server"]:
-    """The servers by falling score for an object part (object, part), the same at every front."""
+    """Return the servers by descending score for an object part (object, part)."""
     object_number, part = object_part
-    key = mix64(object_number * OBJECT_STRIDE + part + 1)
+    object_hash = mix64(object_number * OBJECT_STRIDE + part + 1)
 
-    def negated_score(server: "Server") -> tuple[float, int]:
-        uniform = (mix64(key ^ server.hash_salt) + 1.5) / (MASK_64 + 2.0)  # in (0, 1), never an end
+    def sort_key(server: "Server") -> tuple[float, int]:
+        # In (0, 1), both ends excluded.
+        uniform = (mix64(object_hash ^ server.hash_salt) + 1.5) / (MASK_64 + 2.0)
         return server.weight / log(uniform), server.id
 
-    return sorted(servers, key=negated_score)
+    return sorted(servers, key=sort_key)
--- a/limepath/decisions/sending_times.py
+++ b/limepath/decisions/sending_times.py
@@ -1,19 +1,19 @@
-"""The mean time that a transfer of each delivery service takes, learnt from what this front has sent."""
+"""Moving averages of the time that a transfer takes, by delivery service."""
 
 from collections.abc import Sequence
 
 from limepath.interface.events import RequestArrived
 from limepath.interface.settings import DeliveryService
 
-WEIGHT_OF_LATEST = 32  # a mean moves by one part in so many of what the latest transfer differs from it
+AVERAGING_DIVISOR = 32  # each transfer moves the mean by this fraction (1/32) of its difference from the mean
 
 
 class SendingTimes:
-    """Mean sending times in microseconds; a service's begins at its latency objective.
+    """Mean sending times, in microseconds. The initial value is the service's latency objective.
 
     Attributes:
-        by_service: one for each delivery service, by its index.
-        mean: over all requests that may be answered by caches.
+        by_service: mean sending time of each delivery service, by its index.
+        mean: mean sending time of all requests that caches may answer.
     """
 
     def __init__(self, services: Sequence[DeliveryService], transfer_kb_s: float) -> None:
@@ -22,16 +22,16 @@
         self.mean: float = min(self.by_service, default=0)
 
     def count_arrival(self, event: RequestArrived, service: DeliveryService) -> int:
-        """Learn from a request that has arrived; give the time that its own transfer is expected to take."""
+        """Update the means with a request that arrived; return the expected sending time of its transfer."""
         mean = self.by_service[event.service]
         expected = mean
         if event.size_kb and self._transfer_kb_s:
             expected = int(event.size_kb / self._transfer_kb_s * 1_000_000)
-        self.by_service[event.service] += (expected - mean) // WEIGHT_OF_LATEST
+        self.by_service[event.service] += (expected - mean) // AVERAGING_DIVISOR
         if not service.uncacheable:
-            self.mean += (mean - self.mean) / WEIGHT_OF_LATEST
+            self.mean += (mean - self.mean) / AVERAGING_DIVISOR
         return expected
 
     def count_transfer(self, service_index: int, duration: int) -> None:
-        """Learn from a transfer that took `duration` microseconds."""
-        self.by_service[service_index] += (duration - self.by_service[service_index]) // WEIGHT_OF_LATEST
+        """Update the mean of the service with a transfer that took `duration` microseconds."""
+        self.by_service[service_index] += (duration - self.by_service[service_index]) // AVERAGING_DIVISOR
