--- a/limepath/interface/__init__.py
+++ b/limepath/interface/__init__.py
@@ -1,9 +1,9 @@
-"""The interface between the decisions of a front and the programs that host them.
+"""The interface between the decision engine of a front and its host program.
 
-`settings` holds what a host passes when it makes a `limepath.decisions` engine, `events` what it hands to
-`handle(now, events)`, and `commands` what it carries out afterwards, in their sequence. Read `events` first.
+`settings` defines the arguments of a `limepath.decisions` engine, `events` the input of `handle(now,
+events)`, and `commands` its results, which the host carries out in order. Read `events` first.
 
-Times are whole microseconds: `now` and `Endpoint.started_at` on the host's clock, all others spans. Caches,
-parents and the origin are known by a stable integer that is the same at every front. These types hold no
-state and do no I/O.
+All times are whole microseconds. `now` and `Endpoint.started_at` are times on the host's clock; all others
+are durations. Caches, parents and the origin have integer ids that are stable and the same at every front.
+The types hold no state and perform no I/O.
 """
--- a/limepath/interface/commands.py
+++ b/limepath/interface/commands.py
@@ -1,4 +1,4 @@
-"""Commands: what the decisions have a host do, each named in the imperative."""
+"""Commands that the decision engine returns for its host to carry out."""
 
 from typing import NamedTuple
 
@@ -6,9 +6,9 @@
 class ForwardRequest(NamedTuple):
     """Begin an attempt: forward a request to an endpoint.
 
-    `source` equal to `endpoint` asks for no fill. `max_age` 0 leaves the age of a copy to the delivery
-    service. `send_within` limits how long it may wait to be sent, wherever it waits; 0 leaves that to the
-    host.
+    The attempt is a fill unless `source` equals `endpoint`. With `max_age` 0 the delivery service determines
+    the maximum age of a copy. `send_within` limits how long the attempt may wait in queues before it is
+    sent; with 0 the host determines the limit.
     """
 
     request: int
@@ -20,20 +20,20 @@
     join_fill: bool = False
     cached_only: bool = False
     no_copy_above: bool = False
-    """Ask parents to keep no copy."""
+    """Whether parents should keep no copy."""
     revalidate: bool = False
     send_within: int = 0
 
 
 class RejectRequest(NamedTuple):
-    """Answer that the request had no effect and may be repeated after `retry_after` microseconds."""
+    """Answer that the request may safely be repeated after `retry_after` microseconds."""
 
     request: int
     retry_after: int
 
 
 class FailRequest(NamedTuple):
-    """Answer that the request failed; it may have had an effect."""
+    """Answer that the request failed and may have had an effect."""
 
     request: int
 
@@ -48,7 +48,8 @@
 class SendProbe(NamedTuple):
     """Check an endpoint's health.
 
-    Where fronts share results, one that another learnt within the last `max_age` microseconds will do.
+    If fronts share results, the result of another front replaces the probe if it is at most `max_age`
+    microseconds old.
     """
 
     endpoint: int
@@ -56,14 +57,14 @@
 
 
 class ScheduleWakeup(NamedTuple):
-    """Hand in `TimerFired` with the same cookie after `delay` microseconds."""
+    """Pass a `TimerFired` event with the same cookie to the engine after `delay` microseconds."""
 
     cookie: int
     delay: int
 
 
 class SetSubscription(NamedTuple):
-    """Subscribe to changes of the endpoint list, or end that."""
+    """Subscribe to changes of the endpoint list, or end the subscription."""
 
     enabled: bool
 
@@ -79,14 +80,14 @@
 
 
 class SendPeerMessage(NamedTuple):
-    """Send a message to another front's decisions; `peer` is -1 for all."""
+    """Send a message to the decision engine of another front, or of all fronts if `peer` is -1."""
 
     peer: int
     body: bytes
 
 
 class ReportRequestCounts(NamedTuple):
-    """Answer `RequestCountsWanted`: (object, part, count), the highest priority first."""
+    """Answer `RequestCountsWanted` with tuples of (object, part, count), in descending order of priority."""
 
     cookie: int
     counts: tuple[tuple[int, int, float], ...]
--- a/limepath/interface/events.py
+++ b/limepath/interface/events.py
@@ -1,4 +1,4 @@
-"""Events: what a host tells the decisions, each named for what happened."""
+"""Events that a host passes to the decision engine."""
 
 from enum import IntEnum
 from typing import NamedTuple
@@ -13,7 +13,7 @@
     MISS = 5
     FULL = 8
     SUPERSEDED = 9
-    """Cancelled by an endpoint update before it was sent."""
+    """Cancelled before it was sent, because the endpoint list changed."""
     RESET = 10
     FAILED = 13
     CONNECT_FAILED = 14
@@ -22,11 +22,11 @@
 NEVER_EXECUTED = frozenset(
     (AttemptOutcome.FULL, AttemptOutcome.CONNECT_FAILED, AttemptOutcome.SUPERSEDED, AttemptOutcome.MISS)
 )
-"""Outcomes that prove that the request had no effect."""
+"""Outcomes after which the request certainly had no effect."""
 
 
 class CacheStatus(IntEnum):
-    """What an attempt told of the copy or of why a fill ended; NONE where the deployment is silent."""
+    """Where the answer came from, or why a fill failed; NONE if the deployment does not report it."""
 
     NONE = 0
     HIT = 1
@@ -42,12 +42,12 @@
 
 
 class UpdateKind(IntEnum):
-    """What an endpoint update holds."""
+    """The kind of an endpoint list update."""
 
     DELTA = 0
     FULL = 1
     CACHED = 2
-    """All endpoints, from a list saved earlier."""
+    """All endpoints, from a list that was saved earlier."""
     UNAVAILABLE = 3
 
 
@@ -60,12 +60,12 @@
 
 
 class Endpoint(NamedTuple):
-    """A cache, a parent or the origin, as the endpoint list tells of it."""
+    """An entry of the endpoint list: a cache, a parent or the origin."""
 
     state: EndpointState
     id: int
     started_at: int
-    """On the host's clock, in microseconds; 0 where no start is known."""
+    """Time on the host's clock, in microseconds; 0 if unknown."""
     cell: int
     zone: int
     kind: int
@@ -74,7 +74,7 @@
 
 
 class EndpointListUpdated(NamedTuple):
-    """The endpoint list changed, or cannot be had."""
+    """The endpoint list changed or is unavailable."""
 
     kind: UpdateKind
     version: int
@@ -82,7 +82,7 @@
 
 
 class RequestArrived(NamedTuple):
-    """A client's request, of any method, is owed a final answer from now on."""
+    """A client's request, of any method, arrived; it needs exactly one final answer."""
 
     id: int
     service: int
@@ -92,30 +92,30 @@
     time_left: int
     """Microseconds until the client's deadline."""
     size_kb: float
-    """Size of the object; 0 where it is not known."""
+    """Size of the object; 0 if unknown."""
     group: int
     """Group of objects that are purged together."""
     part: int
     is_repeat: bool
     is_write: bool
     has_key: bool = True
-    """Whether it carries an idempotency key, where its delivery service is keyed."""
+    """Whether it has an idempotency key, if its delivery service is keyed."""
 
 
 class ClientDisconnected(NamedTuple):
-    """The client of a request has closed its connection or cancelled."""
+    """The client closed its connection or cancelled the request."""
 
     request: int
 
 
 class ShutdownStarted(NamedTuple):
-    """This front shuts down: no open request has more than `time_left` microseconds from now on."""
+    """This front shuts down; the remaining time of each open request is at most `time_left` microseconds."""
 
     time_left: int
 
 
 class PurgeAnnounced(NamedTuple):
-    """Copies older than `age` microseconds must not be served; `object` is 0 for a whole group."""
+    """Copies older than `age` microseconds must not be served; `object` is 0 for an entire group."""
 
     group: int
     age: int
@@ -123,7 +123,7 @@
 
 
 class AttemptEnded(NamedTuple):
-    """An attempt ended. Attempts of a request are numbered from 0."""
+    """An attempt ended. The attempts of a request are numbered from 0."""
 
     request: int
     attempt: int
@@ -131,15 +131,15 @@
     endpoint: int
     duration: int
     queued: int
-    """Part of `duration` that it waited at the endpoint."""
+    """Part of `duration` that the attempt spent in the endpoint's queue."""
     answered: bool
-    """Whether the client has its final answer, or is gone."""
+    """Whether the client has its final answer or has disconnected."""
     cache_status: CacheStatus
     load: dict[str, float]
 
 
 class ResponseStarted(NamedTuple):
-    """The answer to an attempt has begun to go to the client."""
+    """The host has begun to send the answer to the client."""
 
     request: int
     attempt: int
@@ -150,8 +150,9 @@
 class ProbeEnded(NamedTuple):
     """A health check ended.
 
-    `load` maps 'inflight', 'queue', 'util', 'latency_ms', 'qps', 'eps', 'x0', 'x1' as far as reported. `age`
-    is how long ago another front learnt the result; 0 where this front's own probe did.
+    `load` has those of the keys 'inflight', 'queue', 'util', 'latency_ms', 'qps', 'eps', 'x0' and 'x1' that
+    the endpoint reported. `age` is the time since another front received the result; 0 for this front's own
+    probe.
     """
 
     endpoint: int
@@ -162,9 +163,9 @@
 
 
 class ConnectionAvailabilityChanged(NamedTuple):
-    """Whether an endpoint can be reached now: a connection is open, or may be opened.
+    """An endpoint became reachable or unreachable.
 
-    It can until an event says otherwise.
+    `available` is true if a connection is open or may be opened; endpoints are available initially.
     """
 
     endpoint: int
@@ -172,24 +173,27 @@
 
 
 class EndpointListFreshnessChanged(NamedTuple):
-    """Whether drains and purges may be missing from the endpoint list. None are until an event says so."""
+    """The endpoint list became stale or fresh; it is fresh initially.
+
+    Drains and purges may be missing from a stale list.
+    """
 
     is_stale: bool
 
 
 class RequestCountsReceived(NamedTuple):
-    """Another front's request counts: (object, part, count).
+    """Another front's request counts arrived, as tuples of (object, part, count).
 
-    They weigh as this front's own requests, for objects that it has not counted itself.
+    For objects that this front has not counted itself, they have the weight of its own requests.
     """
 
     counts: tuple[tuple[int, int, float], ...]
 
 
 class RequestCountsWanted(NamedTuple):
-    """Another front asks for the upper part of the frequency table.
+    """Another front requests the `limit` entries of the frequency table with the highest priorities.
 
-    `ReportRequestCounts` answers with the same cookie.
+    The engine answers with `ReportRequestCounts` and the same cookie.
     """
 
     limit: int
@@ -197,13 +201,13 @@
 
 
 class TimerFired(NamedTuple):
-    """The time of a `ScheduleWakeup` has come."""
+    """The delay of a `ScheduleWakeup` command has passed."""
 
     cookie: int
 
 
 class PeerMessageReceived(NamedTuple):
-    """Another front's decisions sent a message."""
+    """The decision engine of another front sent a message."""
 
     sender: int
     body: bytes
--- a/limepath/interface/settings.py
+++ b/limepath/interface/settings.py
@@ -1,7 +1,7 @@
-"""Settings of the decisions: delivery services, topology, permissions and the periods of the rules.
+"""Settings of the decision engine: delivery services, topology, permissions and the periods of the rules.
 
-Made once at start from the deployment's settings by `limepath.configuration.decision_settings`. Times are
-whole microseconds, sizes kilobytes, rates kilobytes per second.
+`limepath.configuration.decision_settings` derives them from the deployment's settings at startup. Times are
+in whole microseconds, sizes in kilobytes, rates in kilobytes per second.
 """
 
 from enum import IntEnum
@@ -9,7 +9,7 @@
 
 
 class Idempotency(IntEnum):
-    """Whether the effect of a request may happen again."""
+    """Whether a request may be repeated without a further effect."""
 
     IDEMPOTENT = 0
     KEYED = 1
@@ -18,7 +18,7 @@
 
 
 class KeyScope(IntEnum):
-    """The caches that recognise a repeated idempotency key."""
+    """The set of caches that recognise a repeated idempotency key."""
 
     ALL = 0
     ZONE = 1
@@ -26,37 +26,37 @@
 
 
 class DeliveryService(NamedTuple):
-    """A class of requests and its terms."""
+    """The terms of service for one class of requests."""
 
     latency_objective: int
     objective_stretch: float
-    """An answer counts as in time up to the objective plus this many times its sending time."""
+    """An answer is in time if it takes at most the objective plus this multiple of its sending time."""
     deadline: int
-    """Longest time that a client of this class waits."""
+    """Maximum time that a client of this class waits for an answer."""
     priority_weight: float
     late_share: float
-    """Share of the weight that an answer past its objective still earns."""
+    """Fraction of the weight that an answer past its objective earns."""
     idempotency: Idempotency
     key_scope: KeyScope
     retry_window: int
-    """How long after the first attempt an idempotency key is recognised."""
+    """Time after the first attempt during which an idempotency key is recognised."""
     streamed: bool
     max_age: int
-    """Age up to which a copy is fresh; 0 where copies do not age."""
+    """Maximum age of a fresh copy; 0 if copies do not become stale."""
     stale_grace: int
-    """How much older a copy may be where nothing fresh is to be had."""
+    """Additional age that a copy may have if no fresh copy is available."""
     stale_share: float
     uncacheable: bool
     segmented: bool
 
 
 class Topology(NamedTuple):
-    """Where this front stands among zones, hubs, links and other fronts."""
+    """The position of this front among zones, hubs, links and other fronts."""
 
     zone: int
     hub_of: tuple[int, ...]
     link_kb_s: tuple[float, ...]
-    """Rate of each zone's link to its parents; 0 where it has no limit."""
+    """Rate of each zone's link to its parents; 0 if unlimited."""
     fronts_in_zone: int
     fronts: int
     parent_kind: int
@@ -64,38 +64,38 @@
     transfer_kb_s: float
     """Rate of one transfer."""
     weighted: bool
-    """Whether the endpoint list tells capacities."""
+    """Whether the endpoint list contains capacities."""
 
 
 class Permissions(NamedTuple):
-    """What the deployment permits."""
+    """The permissions and limits that the deployment sets."""
 
     max_attempts: int
     hedging: bool
-    """Whether a request may have several attempts in flight."""
+    """Whether a request may have more than one attempt in flight."""
     cancellation: bool
     probing: bool
     peer_messages: bool
     max_retry_after: int
     direct: bool
-    """Whether a request may go past the caches, straight to a parent or the origin."""
+    """Whether a request may bypass the caches and go directly to a parent or the origin."""
     join_fills: bool
-    """Whether a request may join a fill that is in flight for another."""
+    """Whether a request may join a fill that is in flight for another request."""
     lateral: str
     subscribe: bool
 
 
 class SlowStart(NamedTuple):
-    """Capacity of an endpoint that has started, and what overloads it."""
+    """The capacity of a recently started endpoint, and the load that overloads it."""
 
     initial_share: float
-    """Share of its capacity that it has at its start."""
+    """Fraction of its full capacity that the endpoint has when it starts."""
     duration: int
-    """Time from its start until it has all of it; 0 where nothing overloads it."""
+    """Time from the start until the endpoint has its full capacity; 0 if no load overloads it."""
     overload_factor: float
-    """It falls at this many times its capacity ..."""
+    """The endpoint is overloaded by this multiple of its capacity ..."""
     overload_window: int
-    """... for this long."""
+    """... if the load lasts this long."""
 
 
 class GracePeriods(NamedTuple):
@@ -105,5 +105,5 @@
     drain: int
     purge: int
     purge_complete: int
-    """Time after which a purged copy is gone from every endpoint."""
+    """Time after which no endpoint holds a purged copy."""
     subscribe_within: int
