--- a/limepath/hashing.py
+++ b/limepath/hashing.py
@@ -1,4 +1,4 @@
-"""Hash functions that all fronts compute alike, whatever machine they run on."""
+"""Hash functions with the same result at every front, on every platform."""
 
 MASK_64 = (1 << 64) - 1  # the largest unsigned 64-bit integer
 FIRST_MULTIPLIER = 0xFF51AFD7ED558CCD
@@ -6,9 +6,10 @@
 
 
 def mix64(value: int) -> int:
-    """Spread the bits of an unsigned 64-bit integer over all 64.
+    """Return an unsigned 64-bit integer whose bits each depend on all bits of `value`.
 
-    CRC-32 alone is linear and would order endpoints alike for related objects; this finaliser is not.
+    Rendezvous hashing needs a non-linear function: CRC-32 is linear and would order the endpoints in the
+    same way for related objects.
 
     Source: fmix64 of MurmurHash3 (A. Appleby, public domain).
     """
