--- a/limepath/simulator_host/__init__.py
+++ b/limepath/simulator_host/__init__.py
@@ -1,1 +1,1 @@
-"""The simulator's wire: frames, the dialect's names and codes, and a host for many fronts in one process."""
+"""The simulator's wire protocol: frames, records, and a host that runs many fronts in one process."""
--- a/limepath/simulator_host/__main__.py
+++ b/limepath/simulator_host/__main__.py
@@ -1,4 +1,4 @@
-"""Run the wire host on standard input and output."""
+"""Run the simulator host on standard input and output."""
 
 import sys
 
@@ -8,6 +8,6 @@
 if __name__ == "__main__":
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
-    except WireError as flaw:
-        print(f"limepath.simulator_host: {flaw}", file=sys.stderr)
+    except WireError as error:
+        print(f"limepath.simulator_host: {error}", file=sys.stderr)
         sys.exit(2)
--- a/limepath/simulator_host/frames.py
+++ b/limepath/simulator_host/frames.py
@@ -1,4 +1,4 @@
-"""Frames of the wire: reading a batch from a stream, walking its records, writing a reply."""
+"""Frames of the wire protocol: read a batch from a stream, decode its fields, write a reply."""
 
 import struct
 
@@ -7,19 +7,25 @@
 
 
 class WireError(Exception):
-    """Malformed input; its text says what and where."""
+    """The input is malformed; the message describes the error and its position."""
 
 
 def read_frame(stream):
-    """Give (sequence, clock in ns, records) of the next batch, or None at a clean end."""
-    head = stream.read(HEADER.size)
-    if not head:
+    """Return (sequence, clock in ns, records) of the next batch, or None at the end of the stream.
+
+    Raises:
+        WireError: the stream ends within a frame, or a length is invalid.
+    """
+    header = stream.read(HEADER.size)
+    if not header:
         return None
-    if len(head) < HEADER.size:
-        raise WireError(f"truncated frame: {len(head)} of {HEADER.size} header bytes")
-    sequence, length, clock = HEADER.unpack(head)
+    if len(header) < HEADER.size:
+        raise WireError(f"truncated frame: {len(header)} of {HEADER.size} header bytes")
+    sequence, length, clock = HEADER.unpack(header)
     if length < HEADER.size:
-        raise WireError(f"batch {sequence}: wrong length {length}, a header alone takes {HEADER.size}")
+        raise WireError(
+            f"batch {sequence}: wrong length {length}; expected at least {HEADER.size} (the header)"
+        )
     body = stream.read(length - HEADER.size)
     if len(body) < length - HEADER.size:
         raise WireError(f"batch {sequence}: truncated frame, {len(body) + HEADER.size} of {length} bytes")
@@ -33,26 +39,33 @@
 
 
 class Cursor:
-    """Takes fields one after another from the records of one batch."""
+    """Decodes the records of one batch field by field.
+
+    Attributes:
+        sequence: sequence number of the batch.
+        position: offset of the next field, in bytes from the end of the frame's header.
+    """
 
     def __init__(self, sequence, data):
-        self.sequence, self.data, self.at = sequence, data, 0
+        self.sequence, self.data, self.position = sequence, data, 0
 
     def __bool__(self):
-        return self.at < len(self.data)
+        return self.position < len(self.data)
 
     def take(self, layout):
-        end = self.at + layout.size
+        end = self.position + layout.size
         if end > len(self.data):
-            raise WireError(f"batch {self.sequence}: record cut short at byte {HEADER.size + self.at}")
-        values = layout.unpack_from(self.data, self.at)
-        self.at = end
+            raise WireError(f"batch {self.sequence}: record cut short at byte {HEADER.size + self.position}")
+        values = layout.unpack_from(self.data, self.position)
+        self.position = end
         return values
 
     def bytes(self, count):
-        end = self.at + count
+        end = self.position + count
         if end > len(self.data):
-            raise WireError(f"batch {self.sequence}: wrong length {count} at byte {HEADER.size + self.at}")
-        chunk = self.data[self.at : end]
-        self.at = end
+            raise WireError(
+                f"batch {self.sequence}: wrong length {count} at byte {HEADER.size + self.position}"
+            )
+        chunk = self.data[self.position : end]
+        self.position = end
         return chunk
--- a/limepath/simulator_host/host.py
+++ b/limepath/simulator_host/host.py
@@ -1,55 +1,55 @@
-"""Hosts many fronts in one process: batches in, each front's notes to it, its orders out."""
+"""Hosts many fronts in one process: passes the events of each batch to them and returns their commands."""
 
 import json
 
 from limepath.configuration import decision_settings
 from limepath.decisions.engine import DecisionEngine
-from limepath.simulator_host import dialect
+from limepath.simulator_host import codec
 from limepath.simulator_host.frames import Cursor, WireError, read_frame, write_frame
 
 
 class Host:
     def __init__(self):
         self.fronts = {}
-        self.fields = {}
+        self.load_fields = {}
 
-    def fields_of(self, instance):
-        return self.fields.get(instance, ())
+    def load_fields_of(self, instance):
+        return self.load_fields.get(instance, ())
 
-    def start(self, instance, seed, raw):
+    def start(self, instance, seed, settings_json):
         try:
-            settings = json.loads(raw)
+            settings = json.loads(settings_json)
             arguments = decision_settings.decision_arguments(settings)
-            self.fields[instance] = decision_settings.load_fields(settings)
-        except (ValueError, KeyError, TypeError, AttributeError, IndexError) as flaw:
-            raise WireError(f"settings of instance {instance}: {type(flaw).__name__}: {flaw}") from None
+            self.load_fields[instance] = decision_settings.load_fields(settings)
+        except (ValueError, KeyError, TypeError, AttributeError, IndexError) as error:
+            raise WireError(f"settings of instance {instance}: {type(error).__name__}: {error}") from None
         self.fronts[instance] = DecisionEngine(seed=seed, **arguments)
 
     def answer(self, sequence, clock, body):
-        """Give the records that answer one batch."""
+        """Return the records of the reply to one batch."""
         cursor = Cursor(sequence, body)
-        notes, faults = {}, []
+        events_by_instance, errors = {}, []
         while cursor:
-            instance, note = dialect.read_event(cursor, self.fields_of)
-            if note == dialect.STOP:
+            instance, event = codec.read_event(cursor, self.load_fields_of)
+            if event == codec.STOP:
                 self.fronts.pop(instance, None)
-                notes.pop(instance, None)
-            elif note[0] is dialect.START:
-                notes[instance] = []
-                self.start(instance, note[1], note[2])
+                events_by_instance.pop(instance, None)
+            elif event[0] is codec.START:
+                events_by_instance[instance] = []
+                self.start(instance, event[1], event[2])
             else:
-                notes.setdefault(instance, []).append(note)
+                events_by_instance.setdefault(instance, []).append(event)
         records = []
-        for instance, heard in notes.items():
+        for instance, events in events_by_instance.items():
             front = self.fronts.get(instance)
             if front is None:
                 continue
             try:
-                orders = front.handle(decision_settings.us(clock), heard)
-                records += [dialect.write_order(instance, order) for order in orders]
-            except Exception as flaw:  # the wire wants any fault of the decisions named, whatever it is
-                faults.append(dialect.write_fault(instance, f"{type(flaw).__name__}: {flaw}"))
-        return records + faults
+                commands = front.handle(decision_settings.us(clock), events)
+                records += [codec.write_command(instance, command) for command in commands]
+            except Exception as error:  # the protocol reports any exception of the decision engine
+                errors.append(codec.write_error(instance, f"{type(error).__name__}: {error}"))
+        return records + errors
 
 
 def serve(source, sink):
