--- a/limepath/decisions/endpoints.py
+++ b/limepath/decisions/endpoints.py
@@ -20,7 +20,7 @@
 if TYPE_CHECKING:
     from limepath.decisions.router import Router
 
-UNKNOWN_CONCURRENCY = 5.0  # transfers at full rate; assumed for an endpoint of unknown capacity
+DEFAULT_CONCURRENCY = 5.0  # transfers at full rate; assumed for an endpoint of unknown capacity
 
 
 class Endpoints:
@@ -115,7 +115,7 @@
             link_kb_s = sum(topology.link_kb_s) / (parent_count or 1)
             if link_kb_s:
                 return link_kb_s / topology.transfer_kb_s
-        return UNKNOWN_CONCURRENCY
+        return DEFAULT_CONCURRENCY
 
     def _drop_removed(self) -> None:
         removed = [
--- a/tests/test_cold_ramp.py
+++ b/tests/test_cold_ramp.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from limepath.decisions.endpoints import UNKNOWN_CONCURRENCY
+from limepath.decisions.endpoints import DEFAULT_CONCURRENCY
 from limepath.hashing import mix64
 from limepath.interface.commands import ForwardRequest
 from limepath.interface.settings import SlowStart
@@ -134,7 +134,7 @@
     processes, cold_for = 20, 1000 * SECOND * 1000  # it stays at its least capacity
     safety = SETTINGS["safety"] | {"cold": cold_for, "overload-factor": 6}
     settings = SETTINGS | {"replicas-of-me": processes, "safety": safety}
-    allowed = 6 * 0.2 * UNKNOWN_CONCURRENCY * 1.0 / 0.6  # N: multiple x share x lanes x window / mean work
+    allowed = 6 * 0.2 * DEFAULT_CONCURRENCY * 1.0 / 0.6  # N: multiple x share x lanes x window / mean work
     cache, parent, log = StandInCache("s-1", "box", "sur"), StandInCache("p-1", "parent", "hub"), listening()
     began = int(time.time() * 1000)
     members = [cache.entry(up_since_ms=began), parent.entry()]
