--- a/tests/cold_ramp.py
+++ b/tests/cold_ramp.py
@@ -25,7 +25,7 @@
     UpdateKind,
 )
 from limepath.interface.settings import GracePeriods, Permissions, SlowStart, Topology
-from tests.fake_host import ORIGIN, PARENT, SECOND, member, service
+from tests.fake_host import ORIGIN, PARENT, SECOND, make_endpoint, make_service
 
 COLD, WARM, COLD_PARENT, WARM_PARENT = 1, 2, 11, 12
 STEPS = 8  # moments in a window in which a front is offered requests
@@ -77,7 +77,7 @@
 def front_of(ramp, seed):
     return DecisionEngine(
         seed=seed,
-        services=tuple(service(latency_objective=work) for work in ramp.works),
+        services=tuple(make_service(latency_objective=work) for work in ramp.works),
         footprint=Topology(
             zone=0,
             hub_of=(0, 0),
@@ -105,12 +105,12 @@
         self.ids, self.sent = 0, []
 
     def told(self, now, started):
-        source = member(WARM_PARENT, PARENT, weight=100 * self.ramp.lanes)
-        members = [member(COLD, started=started, weight=self.ramp.lanes), source]
+        source = make_endpoint(WARM_PARENT, PARENT, weight=100 * self.ramp.lanes)
+        members = [make_endpoint(COLD, started_at=started, weight=self.ramp.lanes), source]
         if self.ramp.parent:
             members = [
-                member(WARM, weight=self.ramp.lanes),
-                member(COLD_PARENT, PARENT, started=started, weight=self.ramp.lanes),
+                make_endpoint(WARM, weight=self.ramp.lanes),
+                make_endpoint(COLD_PARENT, PARENT, started_at=started, weight=self.ramp.lanes),
             ]
         self.front.handle(now, (EndpointListUpdated(UpdateKind.FULL, 1, tuple(members)),))
 
--- a/tests/fake_host.py
+++ b/tests/fake_host.py
@@ -1,4 +1,4 @@
-"""A tiny fake host: builds one front, hands it notes at chosen times, keeps its orders."""
+"""A fake host: creates one decision engine, passes it events at chosen times and records its commands."""
 
 from limepath.decisions.engine import DecisionEngine
 from limepath.interface.commands import ForwardRequest, ScheduleWakeup, SendProbe
@@ -29,8 +29,8 @@
 CACHE, PARENT, ORIGIN = 0, 2, 3
 
 
-def service(**changes):
-    plain = DeliveryService(
+def make_service(**changes):
+    default = DeliveryService(
         latency_objective=600_000,
         objective_stretch=1.6,
         deadline=5 * SECOND,
@@ -46,36 +46,36 @@
         uncacheable=False,
         segmented=False,
     )
-    return plain._replace(**changes)
+    return default._replace(**changes)
 
 
-def member(cache, kind=CACHE, standing=EndpointState.READY, started=0, weight=6.0):
-    return Endpoint(standing, cache, started, 0, 0 if kind == CACHE else 1, kind, weight)
+def make_endpoint(endpoint_id, kind=CACHE, state=EndpointState.READY, started_at=0, weight=6.0):
+    return Endpoint(state, endpoint_id, started_at, 0, 0 if kind == CACHE else 1, kind, weight)
 
 
-FLEET = (
-    member(1),
-    member(2),
-    member(3),
-    member(11, PARENT, weight=30.0),
-    member(12, PARENT, weight=30.0),
-    member(21, ORIGIN, weight=20.0),
+ENDPOINTS = (
+    make_endpoint(1),
+    make_endpoint(2),
+    make_endpoint(3),
+    make_endpoint(11, PARENT, weight=30.0),
+    make_endpoint(12, PARENT, weight=30.0),
+    make_endpoint(21, ORIGIN, weight=20.0),
 )
 
 
 class FakeHost:
     def __init__(
         self,
-        services=(service(),),
-        fleet=FLEET,
+        services=(make_service(),),
+        endpoints=ENDPOINTS,
         seed=7,
         fronts=2,
-        nearby=1,
+        fronts_in_zone=1,
         weighted=True,
-        link=9000.0,
-        **allowed,
+        link_kb_s=9000.0,
+        **permitted,
     ):
-        allowance = Permissions(
+        permissions = Permissions(
             max_attempts=6,
             hedging=False,
             cancellation=True,
@@ -93,71 +93,79 @@
             footprint=Topology(
                 zone=0,
                 hub_of=(0, 0),
-                link_kb_s=(link, 0.0),
-                fronts_in_zone=nearby,
+                link_kb_s=(link_kb_s, 0.0),
+                fronts_in_zone=fronts_in_zone,
                 fronts=fronts,
                 parent_kind=PARENT,
                 origin_kind=ORIGIN,
                 transfer_kb_s=1000.0,
                 weighted=weighted,
             ),
-            allowance=allowance._replace(**allowed),
+            allowance=permissions._replace(**permitted),
             cache_warmup=SlowStart(0.2, 10 * SECOND, 2.0, SECOND),
             parent_warmup=SlowStart(0.1, 20 * SECOND, 2.0, SECOND),
             grace=GracePeriods(8000, SECOND, 300_000, 6 * SECOND, 10 * SECOND),
         )
-        self.now, self.wake, self.ids, self.told = 100 * SECOND, None, 0, []
-        self.hear(EndpointListUpdated(UpdateKind.CACHED, 1, fleet))
-
-    def hear(self, *notes):
-        """Hand notes over at the present time; give the orders but for wakes."""
-        orders = self.front.handle(self.now, notes)
-        for order in orders:
-            if isinstance(order, ScheduleWakeup):
-                due = self.now + order.delay
-                self.wake = due if self.wake is None else min(self.wake, due)
-        orders = [o for o in orders if not isinstance(o, ScheduleWakeup)]
-        self.told += orders
-        return orders
-
-    def wait(self, span):
-        """Let time pass, waking the front when it asked for that; give all orders of that time."""
-        end, orders = self.now + span, []
-        while self.wake is not None and self.wake <= end:
-            self.now, self.wake = self.wake, None
-            orders += self.hear(TimerFired(0))
-        self.now = end
-        return orders
-
-    def get(self, obj=5, ds=0, patience=5 * SECOND, size_kb=0.0, group=0, part=0):
-        self.ids += 1
-        return self.hear(RequestArrived(self.ids, ds, 0, obj, patience, size_kb, group, part, False, False))
-
-    def end(self, forward, verdict, number=0, closed=False, hint=CacheStatus.NONE, took=1000):
-        return self.hear(
-            AttemptEnded(forward.request, number, verdict, forward.endpoint, took, 0, closed, hint, {})
+        self.now, self.wakeup_at, self.requests, self.commands = 100 * SECOND, None, 0, []
+        self.handle(EndpointListUpdated(UpdateKind.CACHED, 1, endpoints))
+
+    def handle(self, *events):
+        """Pass events to the engine at the current time; return its commands except `ScheduleWakeup`."""
+        commands = self.front.handle(self.now, events)
+        for command in commands:
+            if isinstance(command, ScheduleWakeup):
+                wakeup_at = self.now + command.delay
+                self.wakeup_at = wakeup_at if self.wakeup_at is None else min(self.wakeup_at, wakeup_at)
+        commands = [item for item in commands if not isinstance(item, ScheduleWakeup)]
+        self.commands += commands
+        return commands
+
+    def wait(self, duration):
+        """Advance the time, with the scheduled wakeups; return all commands of the period."""
+        until, commands = self.now + duration, []
+        while self.wakeup_at is not None and self.wakeup_at <= until:
+            self.now, self.wakeup_at = self.wakeup_at, None
+            commands += self.handle(TimerFired(0))
+        self.now = until
+        return commands
+
+    def request(self, obj=5, service_index=0, time_left=5 * SECOND, size_kb=0.0, group=0, part=0):
+        self.requests += 1
+        return self.handle(
+            RequestArrived(
+                self.requests, service_index, 0, obj, time_left, size_kb, group, part, False, False
+            )
         )
 
-    def roster(self, *members, listing=UpdateKind.DELTA):
-        return self.hear(EndpointListUpdated(listing, 2, members))
+    def end_attempt(
+        self, forward, outcome, number=0, answered=False, cache_status=CacheStatus.NONE, duration=1000
+    ):
+        return self.handle(
+            AttemptEnded(
+                forward.request, number, outcome, forward.endpoint, duration, 0, answered, cache_status, {}
+            )
+        )
+
+    def update_endpoints(self, *endpoints, kind=UpdateKind.DELTA):
+        return self.handle(EndpointListUpdated(kind, 2, endpoints))
 
     def purge(self, obj=0, group=0, age=0):
-        return self.hear(PurgeAnnounced(group, age, obj))
+        return self.handle(PurgeAnnounced(group, age, obj))
 
-    def probe_report(self, cache, verdict=AttemptOutcome.SUCCEEDED, util=0.0):
-        return self.hear(ProbeEnded(cache, verdict, 1000, {"util": util}))
+    def end_probe(self, endpoint_id, outcome=AttemptOutcome.SUCCEEDED, util=0.0):
+        return self.handle(ProbeEnded(endpoint_id, outcome, 1000, {"util": util}))
 
 
 def forwards(commands):
-    """The attempts among `commands`."""
+    """Return the `ForwardRequest` commands among `commands`."""
     return [command for command in commands if isinstance(command, ForwardRequest)]
 
 
 def probed_endpoints(commands):
-    """The endpoints that `commands` have probed."""
+    """Return the endpoints that `commands` probe."""
     return [command.endpoint for command in commands if isinstance(command, SendProbe)]
 
 
 def kinds(commands):
-    """The names of the commands' types."""
+    """Return the type names of `commands`."""
     return [type(command).__name__ for command in commands]
--- a/tests/fleet_host.py
+++ b/tests/fleet_host.py
@@ -22,14 +22,14 @@
     UpdateKind,
 )
 from limepath.interface.settings import GracePeriods, Idempotency, Permissions, SlowStart, Topology
-from tests.fake_host import CACHE, ORIGIN, PARENT, SECOND, member, service
+from tests.fake_host import CACHE, ORIGIN, PARENT, SECOND, make_endpoint, make_service
 
 V = AttemptOutcome
 WAY = 5_000  # from a front to a member and back, microseconds
 SLOW_START = SlowStart(0.2, 10 * SECOND, 2.0, SECOND)
 ENDS = {RejectRequest: "rejected", FailRequest: "failed"}
-VIDEO = service(latency_objective=600_000)
-ENTREGA = service(
+VIDEO = make_service(latency_objective=600_000)
+ENTREGA = make_service(
     latency_objective=800_000, deadline=3 * SECOND, idempotency=Idempotency.NON_IDEMPOTENT, uncacheable=True
 )
 
@@ -77,11 +77,11 @@
             upper,
             services,
         )
-        fleet = [member(100 + i, weight=weight) for i in range(caches)]
+        fleet = [make_endpoint(100 + i, weight=weight) for i in range(caches)]
         fleet += [
-            member(11, PARENT, weight=30.0),
-            member(12, PARENT, weight=30.0),
-            member(21, ORIGIN, weight=20.0),
+            make_endpoint(11, PARENT, weight=30.0),
+            make_endpoint(12, PARENT, weight=30.0),
+            make_endpoint(21, ORIGIN, weight=20.0),
         ]
         self.members = {one.id: FleetMember(one, self.chance) for one in fleet}
         link = link or caches * weight * 1000.0
--- a/tests/test_cold_ramp.py
+++ b/tests/test_cold_ramp.py
@@ -12,7 +12,7 @@
 from limepath.interface.settings import SlowStart
 from limepath.testbed.process import free_ports
 from tests.cold_ramp import CASES, TWO, OfferedFront, Ramp, sent_in, spent_at_most, worst
-from tests.fake_host import SECOND, FakeHost, member, service
+from tests.fake_host import SECOND, FakeHost, make_endpoint, make_service
 from tests.stand_ins import (
     SETTINGS,
     StandInCache,
@@ -111,21 +111,21 @@
 
 
 def test_what_goes_straight_to_the_origin_takes_no_part_of_a_cold_budget():
-    passing = service(latency_objective=60 * SECOND, uncacheable=True)
+    passing = make_service(latency_objective=60 * SECOND, uncacheable=True)
     sent = []
-    for services in ((service(),), (service(), passing)):
-        host = FakeHost(services=services, fronts=40, nearby=20)
+    for services in ((make_service(),), (make_service(), passing)):
+        host = FakeHost(services=services, fronts=40, fronts_in_zone=20)
         host.front.sending_times.mean = 600_000
         sent.append(host.front.budgets.share_of_budget(10 * SECOND, 20, 1.0))
     assert sent[0] == sent[1] == 600_000
 
 
 def test_a_cold_budget_of_nothing_lets_nothing_pass():
-    host = FakeHost(fronts=40, nearby=20)
+    host = FakeHost(fronts=40, fronts_in_zone=20)
     warmup = SlowStart(0.0, 10 * SECOND, 2.0, SECOND)
     host.front.budgets.settings = {False: warmup, True: warmup}
-    host.roster(member(1, started=host.now))
-    orders = [order for obj in range(40) for order in host.get(obj)]
+    host.update_endpoints(make_endpoint(1, started_at=host.now))
+    orders = [order for obj in range(40) for order in host.request(obj)]
     assert not any(order.endpoint == 1 for order in orders if isinstance(order, ForwardRequest))
 
 
--- a/tests/test_connection_pacing.py
+++ b/tests/test_connection_pacing.py
@@ -64,31 +64,31 @@
 
 def test_a_request_goes_to_no_unavailable_cache_and_is_rejected_at_once_where_none_is_available():
     host = FakeHost()
-    home = forwards(host.hear(get(1)))[0].endpoint
-    host.hear(ConnectionAvailabilityChanged(home, False))
-    other = forwards(host.hear(get(2)))[0].endpoint
+    home = forwards(host.handle(get(1)))[0].endpoint
+    host.handle(ConnectionAvailabilityChanged(home, False))
+    other = forwards(host.handle(get(2)))[0].endpoint
     assert other != home
-    host.hear(ConnectionAvailabilityChanged(home, True))
-    assert forwards(host.hear(get(3)))[0].endpoint == home
+    host.handle(ConnectionAvailabilityChanged(home, True))
+    assert forwards(host.handle(get(3)))[0].endpoint == home
     host = FakeHost()
-    host.hear(
+    host.handle(
         *(ConnectionAvailabilityChanged(cache.id, False) for cache in host.front.endpoints.servers.values())
     )
-    told = host.hear(get(4))
+    told = host.handle(get(4))
     assert [type(order) for order in told] == [RejectRequest] and told[0].retry_after > 0
 
 
 def test_a_parent_unavailable_from_here_is_a_fill_source_all_the_same():
     host = FakeHost()
-    host.hear(
+    host.handle(
         *(
             ConnectionAvailabilityChanged(cache.id, False)
             for cache in host.front.endpoints.servers.values()
             if cache.is_upstream
         )
     )
-    first = forwards(host.hear(get(1)))[0]
-    told = host.hear(
+    first = forwards(host.handle(get(1)))[0]
+    told = host.handle(
         AttemptEnded(1, 0, AttemptOutcome.MISS, first.endpoint, 1000, 0, False, CacheStatus.NONE, {})
     )
     assert host.front.endpoints.servers[forwards(told)[0].source].endpoint.kind == PARENT
--- a/tests/test_endpoints.py
+++ b/tests/test_endpoints.py
@@ -1,19 +1,19 @@
 """Tests of the endpoint list as the decisions hold it."""
 
 from limepath.interface.commands import ForwardRequest, RejectRequest
-from tests.fake_host import FLEET, FakeHost, member
+from tests.fake_host import ENDPOINTS, FakeHost, make_endpoint
 
 
 def test_every_endpoint_list_ends_in_answers_and_caches_in_other_zones_are_not_used():
-    for fleet in ((), FLEET[5:], FLEET[3:], FLEET[:3], (member(4)._replace(zone=1),)):
-        assert [type(command) for command in FakeHost(fleet=fleet).get()] in (
+    for endpoints in ((), ENDPOINTS[5:], ENDPOINTS[3:], ENDPOINTS[:3], (make_endpoint(4)._replace(zone=1),)):
+        assert [type(command) for command in FakeHost(endpoints=endpoints).request()] in (
             [ForwardRequest],
             [RejectRequest],
         )
-    host = FakeHost(fleet=(*FLEET, member(4)._replace(zone=1)))
+    host = FakeHost(endpoints=(*ENDPOINTS, make_endpoint(4)._replace(zone=1)))
     assert 4 not in host.front.endpoints.servers
-    host.roster(member(1)._replace(zone=1))
-    assert all(host.get(obj)[0].endpoint != 1 for obj in range(20))
+    host.update_endpoints(make_endpoint(1)._replace(zone=1))
+    assert all(host.request(obj)[0].endpoint != 1 for obj in range(20))
 
 
 def test_a_parent_of_unknown_capacity_has_its_part_of_all_links():
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -44,7 +44,7 @@
     class Unknown:
         pass
 
-    assert FakeHost().hear(Unknown()) == []
+    assert FakeHost().handle(Unknown()) == []
 
 
 def test_there_is_one_wakeup_at_a_time_and_the_next_once_it_has_come():
--- a/tests/test_frequency_exchange.py
+++ b/tests/test_frequency_exchange.py
@@ -34,14 +34,14 @@
     for obj in range(1, 40):
         for _ in range(20 if obj < 4 else 1):
             ident += 1
-            old.hear(get(ident, obj))
-    counts = old.hear(RequestCountsWanted(10, 5))[-1]
+            old.handle(get(ident, obj))
+    counts = old.handle(RequestCountsWanted(10, 5))[-1]
     assert (
         counts.cookie == 5
         and {obj for obj, _, _ in counts.counts[:3]} == {1, 2, 3}
         and counts.counts[0][2] == 20
     )
-    new.hear(RequestCountsReceived(counts.counts))
+    new.handle(RequestCountsReceived(counts.counts))
     ranks = []
     for host in (new, blank):
         for obj in range(50, 110):
--- a/tests/test_guard.py
+++ b/tests/test_guard.py
@@ -3,7 +3,7 @@
 from limepath.interface.commands import FailRequest, RejectRequest
 from limepath.interface.events import AttemptOutcome, ClientDisconnected, EndpointState, RequestArrived
 from limepath.interface.settings import Idempotency, KeyScope
-from tests.fake_host import PARENT, SECOND, FakeHost, forwards, kinds, member, service
+from tests.fake_host import PARENT, SECOND, FakeHost, forwards, kinds, make_endpoint, make_service
 
 
 def forward_past_router(host, request, cache=1):
@@ -16,63 +16,65 @@
 
 def test_one_final_answer_and_nothing_after_it():
     host = FakeHost()
-    (lookup,) = host.get()
-    host.hear(ClientDisconnected(lookup.request))
-    assert not forwards(host.end(lookup, AttemptOutcome.CANCELLED))
+    (lookup,) = host.request()
+    host.handle(ClientDisconnected(lookup.request))
+    assert not forwards(host.end_attempt(lookup, AttemptOutcome.CANCELLED))
     assert not forwards(host.wait(6 * SECOND))
-    assert not any(isinstance(command, (RejectRequest, FailRequest)) for command in host.told)
+    assert not any(isinstance(command, (RejectRequest, FailRequest)) for command in host.commands)
 
 
 def test_a_non_idempotent_request_that_may_have_had_its_effect_fails():
-    host = FakeHost(services=(service(idempotency=Idempotency.NON_IDEMPOTENT, uncacheable=True),))
-    (only,) = host.get()
+    host = FakeHost(services=(make_service(idempotency=Idempotency.NON_IDEMPOTENT, uncacheable=True),))
+    (only,) = host.request()
     assert only.endpoint == 21
     assert only.keep_rank == 0
-    assert kinds(host.end(only, AttemptOutcome.RESET)) == ["FailRequest"]
-    host = FakeHost(services=(service(idempotency=Idempotency.NON_IDEMPOTENT, uncacheable=True),))
-    (second,) = host.get()
-    assert kinds(host.end(second, AttemptOutcome.FULL)) == ["RejectRequest"]
+    assert kinds(host.end_attempt(only, AttemptOutcome.RESET)) == ["FailRequest"]
+    host = FakeHost(services=(make_service(idempotency=Idempotency.NON_IDEMPOTENT, uncacheable=True),))
+    (second,) = host.request()
+    assert kinds(host.end_attempt(second, AttemptOutcome.FULL)) == ["RejectRequest"]
 
 
 def test_a_draining_endpoint_receives_no_new_attempt_and_is_no_source():
     host = FakeHost()
-    host.roster(
-        member(1, standing=EndpointState.DRAINING), member(11, PARENT, standing=EndpointState.REMOVED)
+    host.update_endpoints(
+        make_endpoint(1, state=EndpointState.DRAINING), make_endpoint(11, PARENT, state=EndpointState.REMOVED)
     )
     for obj in range(60):
-        (lookup,) = host.get(obj)
-        (fill,) = host.end(lookup, AttemptOutcome.MISS)
-        host.end(fill, AttemptOutcome.SUCCEEDED, 1, closed=True)
+        (lookup,) = host.request(obj)
+        (fill,) = host.end_attempt(lookup, AttemptOutcome.MISS)
+        host.end_attempt(fill, AttemptOutcome.SUCCEEDED, 1, answered=True)
         assert 1 not in (lookup.endpoint, fill.endpoint)
         assert fill.source == 12
 
 
 def test_a_keyed_request_is_retried_only_within_its_scope_and_window():
-    keyed_service = service(idempotency=Idempotency.KEYED, key_scope=KeyScope.CELL, retry_window=SECOND // 10)
+    keyed_service = make_service(
+        idempotency=Idempotency.KEYED, key_scope=KeyScope.CELL, retry_window=SECOND // 10
+    )
     host = FakeHost(services=(keyed_service,))
-    (lookup,) = host.get()
-    assert forwards(host.end(lookup, AttemptOutcome.FAILED))
-    (lookup,) = host.get()
+    (lookup,) = host.request()
+    assert forwards(host.end_attempt(lookup, AttemptOutcome.FAILED))
+    (lookup,) = host.request()
     host.wait(SECOND // 5)
-    assert kinds(host.end(lookup, AttemptOutcome.FAILED)) == ["FailRequest"]
-    fleet = tuple(m._replace(cell=m.id) for m in (member(1), member(2), member(3)))
-    host = FakeHost(services=(keyed_service,), fleet=fleet)
-    (lookup,) = host.get()
-    assert kinds(host.end(lookup, AttemptOutcome.FAILED)) == ["FailRequest"]
-    (lookup,) = host.get()
-    assert forwards(host.end(lookup, AttemptOutcome.FULL))
+    assert kinds(host.end_attempt(lookup, AttemptOutcome.FAILED)) == ["FailRequest"]
+    endpoints = tuple(m._replace(cell=m.id) for m in (make_endpoint(1), make_endpoint(2), make_endpoint(3)))
+    host = FakeHost(services=(keyed_service,), endpoints=endpoints)
+    (lookup,) = host.request()
+    assert kinds(host.end_attempt(lookup, AttemptOutcome.FAILED)) == ["FailRequest"]
+    (lookup,) = host.request()
+    assert forwards(host.end_attempt(lookup, AttemptOutcome.FULL))
 
 
 def test_no_attempt_beside_one_in_flight_and_none_after_the_deadline():
     host = FakeHost()
-    (lookup,) = host.get(patience=SECOND)
+    (lookup,) = host.request(time_left=SECOND)
     assert not forwards(host.wait(SECOND * 2))
-    assert kinds(host.end(lookup, AttemptOutcome.TIMED_OUT)) == ["RejectRequest"]
+    assert kinds(host.end_attempt(lookup, AttemptOutcome.TIMED_OUT)) == ["RejectRequest"]
 
 
 def test_the_guard_alone_stops_what_a_rule_forbids():
-    host = FakeHost(services=(service(), service(idempotency=Idempotency.NON_IDEMPOTENT)))
-    (lookup,) = host.get(patience=SECOND)
+    host = FakeHost(services=(make_service(), make_service(idempotency=Idempotency.NON_IDEMPOTENT)))
+    (lookup,) = host.request(time_left=SECOND)
     request = host.front.router.open_requests[lookup.request]
     assert not forward_past_router(host, request)  # one is in flight
     request.active_attempt = None
@@ -81,14 +83,14 @@
     assert not forward_past_router(host, request)  # answered
     request.is_answered, host.front.queue.now = False, host.now + SECOND
     assert not forward_past_router(host, request)  # too late
-    (lookup,) = forwards(host.get(ds=1))
+    (lookup,) = forwards(host.request(service_index=1))
     request = host.front.router.open_requests[lookup.request]
     request.active_attempt = None
     assert not forward_past_router(host, request)  # may have had its effect
-    (lookup,) = forwards(host.get())
+    (lookup,) = forwards(host.request())
     request = host.front.router.open_requests[lookup.request]
     request.active_attempt = None
-    host.roster(member(1, standing=EndpointState.DRAINING))
+    host.update_endpoints(make_endpoint(1, state=EndpointState.DRAINING))
     assert not forward_past_router(host, request)
     assert forward_past_router(host, request, 2)
     host.front.queue.commands = []
@@ -98,10 +100,10 @@
 
 
 def test_a_keyed_service_does_not_retry_a_request_without_its_key():
-    keyed_service = service(idempotency=Idempotency.KEYED, retry_window=60 * SECOND)
+    keyed_service = make_service(idempotency=Idempotency.KEYED, retry_window=60 * SECOND)
     for keyed in (False, True):
         host = FakeHost(services=(keyed_service,))
-        (lookup,) = host.hear(RequestArrived(1, 0, 0, 5, 5 * SECOND, 0.0, 0, 0, False, False, keyed))
-        commands = host.end(lookup, AttemptOutcome.RESET)
+        (lookup,) = host.handle(RequestArrived(1, 0, 0, 5, 5 * SECOND, 0.0, 0, 0, False, False, keyed))
+        commands = host.end_attempt(lookup, AttemptOutcome.RESET)
         assert kinds(commands) == (["ForwardRequest"] if keyed else ["FailRequest"])
         assert not keyed or 0 < commands[0].send_within <= 60 * SECOND
--- a/tests/test_shared_results.py
+++ b/tests/test_shared_results.py
@@ -69,26 +69,28 @@
 
 def test_a_shared_result_newer_than_the_missed_probe_ends_the_suspicion_and_an_older_one_does_not():
     host = FakeHost()
-    (forward,) = [o for o in host.get() if isinstance(o, ForwardRequest)]
+    (forward,) = [o for o in host.request() if isinstance(o, ForwardRequest)]
     asked = [o for o in host.wait(2 * SECOND) if isinstance(o, SendProbe)]
     assert asked[0].endpoint == forward.endpoint and 1_200_000 < asked[0].max_age <= 1_300_000
-    host.probe_report(forward.endpoint, AttemptOutcome.TIMED_OUT)
+    host.end_probe(forward.endpoint, AttemptOutcome.TIMED_OUT)
     cache = host.front.endpoints.servers[forward.endpoint]
     assert cache.health.missed_probes == 1
-    host.hear(ProbeEnded(forward.endpoint, AttemptOutcome.SUCCEEDED, 900, {}, 500_000))  # learnt before that
+    host.handle(
+        ProbeEnded(forward.endpoint, AttemptOutcome.SUCCEEDED, 900, {}, 500_000)
+    )  # learnt before that
     assert cache.health.missed_probes == 1
     host.wait(SECOND // 5)
-    host.hear(ProbeEnded(forward.endpoint, AttemptOutcome.SUCCEEDED, 900, {}, 100_000))
+    host.handle(ProbeEnded(forward.endpoint, AttemptOutcome.SUCCEEDED, 900, {}, 100_000))
     assert cache.health.missed_probes == 0 and cache.health.last_contact_at == host.now - 100_000
 
 
 def test_another_s_failure_makes_the_module_probe_and_counts_as_its_answer():
     host = FakeHost()
     host.wait(SECOND)
-    host.hear(ProbeEnded(1, AttemptOutcome.TIMED_OUT, 900, {}, 1000))
+    host.handle(ProbeEnded(1, AttemptOutcome.TIMED_OUT, 900, {}, 1000))
     cache = host.front.endpoints.servers[1]
     assert cache.health.missed_probes == 0 and cache.health.needs_probe
     asked = [o for o in host.wait(SECOND // 5) if isinstance(o, SendProbe)]
     assert [o.endpoint for o in asked] == [1]
-    host.hear(ProbeEnded(1, AttemptOutcome.TIMED_OUT, 900, {}, 1000))  # the shared answer that serves
+    host.handle(ProbeEnded(1, AttemptOutcome.TIMED_OUT, 900, {}, 1000))  # the shared answer that serves
     assert cache.health.missed_probes == 1
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -93,7 +93,7 @@
     """Take in a list of which every other member is in this phase, then a second one without those."""
     told = front_settings(configuration("127.0.0.1:9"), {})
     log = Log("n1", told.limits.log_lines, told.limits.log_span, "person")
-    decision_loop = DecisionLoop(Clock(), FakeHost(fleet=()).front, told.limits, log)
+    decision_loop = DecisionLoop(Clock(), FakeHost(endpoints=()).front, told.limits, log)
     servers = Servers(decision_loop.reactor, decision_loop, None, told.limits, log, b"INFO")
     changes = EndpointWatch(decision_loop.reactor, decision_loop, servers, told.limits, log, SETTINGS, 1)
     lines = [line(number, phase if number % 2 else "in_service") for number in range(members)]
