--- a/tests/test_concurrency_limit.py
+++ b/tests/test_concurrency_limit.py
@@ -1,15 +1,17 @@
-"""Tests of how many attempts a server may hold."""
+"""Tests of the concurrency limit of a server."""
 
 from limepath.interface.events import AttemptOutcome, ProbeEnded
 from limepath.interface.settings import Idempotency
 from tests.fake_host import ENDPOINTS, SECOND, FakeHost, forwards, make_service
 
 
-def test_a_parent_that_reports_overload_receives_less_until_it_reports_none():
-    def taken(loads):
-        host = FakeHost(endpoints=tuple(m._replace(weight=40.0) for m in ENDPOINTS[:3]) + ENDPOINTS[4:])
+def test_a_parent_that_reports_overload_receives_fewer_fills_until_it_recovers():
+    def count_fills(utilisations):
+        host = FakeHost(
+            endpoints=tuple(endpoint._replace(weight=40.0) for endpoint in ENDPOINTS[:3]) + ENDPOINTS[4:]
+        )
         host.front.fetch_window.max_fills = host.front.fetch_window.size = 100
-        for util in loads:
+        for util in utilisations:
             host.end_probe(12, util=util)
         return sum(
             command.source == 12
@@ -17,18 +19,18 @@
             for command in forwards(host.end_attempt(host.request(obj)[0], AttemptOutcome.MISS))
         )
 
-    assert taken([1.0] * 9) < taken([]) / 2
-    assert taken([1.0] * 9 + [0.5] * 40) == taken([])
+    assert count_fills([1.0] * 9) < count_fills([]) / 2
+    assert count_fills([1.0] * 9 + [0.5] * 40) == count_fills([])
 
 
 def test_late_answers_lower_the_limit_of_a_cache_and_answers_in_time_restore_it():
     host = FakeHost(endpoints=ENDPOINTS[:1] + ENDPOINTS[3:])
-    eased = host.front.endpoints.servers[1]
+    cache = host.front.endpoints.servers[1]
     for duration in (4 * SECOND,) * 6 + (1000,) * 60:
         for forward in forwards(host.request()):
             host.end_attempt(forward, AttemptOutcome.SUCCEEDED, answered=True, duration=duration)
-        assert eased.limit.factor < 1 or duration == 1000
-    assert eased.limit.factor == 1
+        assert cache.limit.factor < 1 or duration == 1000
+    assert cache.limit.factor == 1
 
 
 def test_a_write_is_not_rejected_where_the_limit_of_the_origin_is_lowered_for_fills():
@@ -40,7 +42,7 @@
     assert forwards(host.request())
 
 
-def test_a_cache_that_rejects_probes_is_used_by_chance_once_its_limit_is_under_one():
+def test_a_cache_whose_limit_is_under_one_accepts_requests_at_random():
     host, lookups = FakeHost(endpoints=ENDPOINTS[:1] + ENDPOINTS[3:]), 0
     host.handle(*[ProbeEnded(1, AttemptOutcome.FULL, 1000, {})] * 12)
     assert host.front.endpoints.servers[1].limit.factor < 0.1
@@ -51,13 +53,13 @@
     assert 0 < lookups < 20
 
 
-def test_late_fills_lower_the_limit_of_a_parent_only_once_its_own_report_has():
+def test_late_fills_lower_the_limit_of_a_parent_only_after_it_reports_overload():
     host = FakeHost(endpoints=ENDPOINTS[:3] + ENDPOINTS[4:])
-    parent, eases = host.front.endpoints.servers[12], []
+    parent, factors = host.front.endpoints.servers[12], []
     for obj in range(2):
         (fill,) = host.end_attempt(host.request(obj)[0], AttemptOutcome.MISS)
         host.end_attempt(fill, AttemptOutcome.SUCCEEDED, 1, answered=True, duration=4 * SECOND)
-        eases.append(parent.limit.factor)
+        factors.append(parent.limit.factor)
         host.end_probe(12, util=1.0)
-    assert eases[0] == 1
-    assert eases[1] < 0.6
+    assert factors[0] == 1
+    assert factors[1] < 0.6
--- a/tests/test_endpoints.py
+++ b/tests/test_endpoints.py
@@ -1,10 +1,10 @@
-"""Tests of the endpoint list as the decisions hold it."""
+"""Tests of the endpoint list in the decision engine."""
 
 from limepath.interface.commands import ForwardRequest, RejectRequest
 from tests.fake_host import ENDPOINTS, FakeHost, make_endpoint
 
 
-def test_every_endpoint_list_ends_in_answers_and_caches_in_other_zones_are_not_used():
+def test_every_endpoint_list_leads_to_answers_and_caches_in_other_zones_are_not_used():
     for endpoints in ((), ENDPOINTS[5:], ENDPOINTS[3:], ENDPOINTS[:3], (make_endpoint(4)._replace(zone=1),)):
         assert [type(command) for command in FakeHost(endpoints=endpoints).request()] in (
             [ForwardRequest],
@@ -16,6 +16,6 @@
     assert all(host.request(obj)[0].endpoint != 1 for obj in range(20))
 
 
-def test_a_parent_of_unknown_capacity_has_its_part_of_all_links():
+def test_a_parent_of_unknown_capacity_has_an_equal_share_of_all_links():
     host = FakeHost(weighted=False)
     assert [host.front.endpoints.servers[ident].limit.base_concurrency for ident in (11, 12)] == [4.5, 4.5]
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -1,4 +1,4 @@
-"""Tests of the engine of the decisions: events, wakeups, and what its package imports."""
+"""Tests of the decision engine: events, wakeups, and the imports of its package."""
 
 import ast
 import sys
@@ -25,7 +25,7 @@
     return modules
 
 
-def test_the_decisions_import_only_the_interface_hashing_and_little_of_the_library():
+def test_the_decisions_import_only_the_interface_hashing_and_few_library_modules():
     for path in PACKAGE.glob("*.py"):
         for module in imported_modules(path):
             if module.startswith(OWN_PACKAGES):
@@ -34,7 +34,7 @@
             assert module not in SLOW_TO_IMPORT, (path, module)
 
 
-def test_the_deployment_names_each_module_of_the_decisions():
+def test_the_deployment_lists_each_module_of_the_decisions():
     deployment = tomllib.loads(Path("deploy/balancer.toml").read_text(encoding="utf-8"))
     modules = {str(path) for path in PACKAGE.glob("*.py")}
     assert set(deployment["policy"]) == modules | {"limepath/hashing.py"}
@@ -47,7 +47,7 @@
     assert FakeHost().handle(Unknown()) == []
 
 
-def test_there_is_one_wakeup_at_a_time_and_the_next_once_it_has_come():
+def test_the_next_wakeup_is_scheduled_only_after_the_previous_one_has_fired():
     host = FakeHost()
     engine = host.front
     assert not any(isinstance(command, ScheduleWakeup) for command in engine.handle(host.now + 1, ()))
--- a/tests/test_fetch_window.py
+++ b/tests/test_fetch_window.py
@@ -1,4 +1,4 @@
-"""Tests of the limit on fills and of the window of fetches."""
+"""Tests of the limit on fills and of the fetch window."""
 
 from limepath.interface.commands import ForwardRequest
 from limepath.interface.events import AttemptOutcome, ClientDisconnected
@@ -6,19 +6,19 @@
 
 
 def run_fetch(host, obj, outcome, duration=1000):
-    """Look an object up, miss, fetch it and end the fetch."""
-    filled = forwards(host.end_attempt(host.request(obj)[0], AttemptOutcome.MISS))[0]
+    """Request an object, end its lookup with a miss and end the fetch that follows."""
+    fetch = forwards(host.end_attempt(host.request(obj)[0], AttemptOutcome.MISS))[0]
     host.wait(1000)
-    host.end_attempt(filled, outcome, 1, answered=True, duration=duration)
+    host.end_attempt(fetch, outcome, 1, answered=True, duration=duration)
 
 
 def with_open_window(host):
-    """The host with its window as after a while of fetches in time."""
+    """Return the host with its window at the maximum, as after many fetches in time."""
     host.front.fetch_window.size = host.front.fetch_window.max_fills
     return host
 
 
-def test_where_fetches_do_not_come_back_parents_are_asked_for_cached_copies_only():
+def test_while_fetches_time_out_parents_may_serve_only_cached_copies():
     host = FakeHost()
     for obj in range(40):
         (lookup,) = host.request(obj)
@@ -35,12 +35,12 @@
     (fetch,) = host.end_attempt(lookup, AttemptOutcome.MISS)
     assert not fetch.cached_only
     (lookup,) = host.request(91)
-    (held,) = host.end_attempt(lookup, AttemptOutcome.MISS)
-    assert held.cached_only
-    assert kinds(host.end_attempt(held, AttemptOutcome.MISS, 1)) == ["RejectRequest"]
+    (cached_only_fill,) = host.end_attempt(lookup, AttemptOutcome.MISS)
+    assert cached_only_fill.cached_only
+    assert kinds(host.end_attempt(cached_only_fill, AttemptOutcome.MISS, 1)) == ["RejectRequest"]
     host.end_attempt(fetch, AttemptOutcome.SUCCEEDED, 1, answered=True)
-    for turn in range(40):
-        (lookup,) = host.request(100 + turn)
+    for index in range(40):
+        (lookup,) = host.request(100 + index)
         (fetch,) = host.end_attempt(lookup, AttemptOutcome.MISS)
         host.end_attempt(fetch, AttemptOutcome.SUCCEEDED, 1, answered=True)
     (lookup,) = host.request(199)
@@ -49,7 +49,7 @@
     assert not host.end_attempt(lookup, AttemptOutcome.MISS)[0].cached_only
 
 
-def test_lost_fetches_close_the_window_to_its_least_size_and_time_opens_it():
+def test_lost_fetches_narrow_the_window_to_its_minimum_and_time_widens_it():
     host = with_open_window(FakeHost(fronts=200))
     window = host.front.fetch_window
     for obj in range(40):
@@ -59,28 +59,27 @@
     host.wait(5000 * SECOND)
     assert window.may_fetch()
     assert window.size == 1
-    assert FakeHost(
-        fronts=400, fronts_in_zone=200
-    ).front.fetch_window.may_fetch()  # its share of the link is under one fill
+    # A front may fetch even if its share of the link is less than one fill.
+    assert FakeHost(fronts=400, fronts_in_zone=200).front.fetch_window.may_fetch()
 
 
-def test_a_parent_that_fails_while_others_fetch_in_time_does_not_close_the_window():
-    host, errs, held = with_open_window(FakeHost()), 0, []
+def test_a_parent_that_fails_while_others_fetch_in_time_does_not_narrow_the_window():
+    host, failures, cached_only = with_open_window(FakeHost()), 0, []
     run_fetch(host, 40, AttemptOutcome.SUCCEEDED)
-    for obj in range(40):  # each ends through the other parent, or stays out
+    for obj in range(40):  # each fetch ends at the other parent or stays in flight
         fetch, number = forwards(host.end_attempt(host.request(obj)[0], AttemptOutcome.MISS))[0], 1
         if fetch.source == 11:
             second_lookup = forwards(host.end_attempt(fetch, AttemptOutcome.FAILED, 1, duration=7000))[0]
-            fetch, number, errs = (
+            fetch, number, failures = (
                 forwards(host.end_attempt(second_lookup, AttemptOutcome.MISS, 2))[0],
                 3,
-                errs + 1,
+                failures + 1,
             )
-        held.append(fetch.cached_only)
+        cached_only.append(fetch.cached_only)
         if obj >= 15:
             host.end_attempt(fetch, AttemptOutcome.SUCCEEDED, number, answered=True)
-    assert errs > 10
-    assert not any(held)
+    assert failures > 10
+    assert not any(cached_only)
 
 
 def test_a_time_out_before_the_latency_objective_counts_against_no_server():
@@ -96,11 +95,12 @@
     }
 
 
-def test_one_fetch_lost_among_others_in_time_leaves_the_window_open_and_a_wide_one_grows_in_proportion():
+def test_one_lost_fetch_among_others_in_time_hardly_narrows_the_window_and_a_wide_window_grows_faster():
     host = with_open_window(FakeHost())
     run_fetch(host, 1, AttemptOutcome.SUCCEEDED)
     run_fetch(host, 2, AttemptOutcome.TIMED_OUT, duration=SECOND)
-    assert host.front.fetch_window.size > 0.8 * host.front.fetch_window.max_fills  # was a tenth once
+    # The window must not fall to a tenth, as it does after a loss without other fetches in time.
+    assert host.front.fetch_window.size > 0.8 * host.front.fetch_window.max_fills
     windows = []
     for link_kb_s in (9000.0, 90_000.0):
         host = with_open_window(FakeHost(link_kb_s=link_kb_s))
@@ -114,7 +114,7 @@
     assert windows[1] > 90
 
 
-def test_a_fetch_lost_through_an_overloaded_cache_leaves_the_window_open():
+def test_a_fetch_lost_at_an_overloaded_cache_does_not_narrow_the_window():
     host = FakeHost(endpoints=ENDPOINTS[:1] + ENDPOINTS[3:])
     for obj in range(3):
         host.end_attempt(host.request(obj)[0], AttemptOutcome.SUCCEEDED, answered=True, duration=4 * SECOND)
@@ -124,8 +124,8 @@
     assert host.front.fetch_window.size == window
 
 
-def test_on_a_full_link_small_requests_go_first_and_large_ones_last():
-    def filled(size_kb):
+def test_a_full_link_accepts_more_small_requests_than_large_ones():
+    def count_fills(size_kb):
         host = with_open_window(
             FakeHost(services=(make_service(), make_service(latency_objective=SECOND // 10)))
         )
@@ -136,10 +136,10 @@
             if isinstance(lookup, ForwardRequest)
         )
 
-    assert filled(700.0) < filled(500.0) < filled(100.0)
+    assert count_fills(700.0) < count_fills(500.0) < count_fills(100.0)
 
 
-def test_a_front_that_starts_fetches_one_at_a_time_and_more_as_they_come_in_time():
+def test_a_front_starts_with_one_fetch_and_adds_more_as_they_complete_in_time():
     host = FakeHost()
     first, second = (
         forwards(host.end_attempt(host.request(obj)[0], AttemptOutcome.MISS))[0] for obj in (1, 2)
--- a/tests/test_guard.py
+++ b/tests/test_guard.py
@@ -1,4 +1,4 @@
-"""Tests of the rules on answers, repeated effects and drains."""
+"""Tests of the safety rules on final answers, repeated effects and drains."""
 
 from limepath.interface.commands import FailRequest, RejectRequest
 from limepath.interface.events import AttemptOutcome, ClientDisconnected, EndpointState, RequestArrived
@@ -7,14 +7,14 @@
 
 
 def forward_past_router(host, request, cache=1):
-    """Ask the guard for an attempt that the router would not ask for; give what it lets through."""
+    """Request an attempt from the guard that the router would not request; return what it forwards."""
     front = host.front
     front.queue.commands = []
     front.guard.forward(request, front.endpoints.servers[cache], front.endpoints.servers[cache])
     return forwards(front.queue.commands)
 
 
-def test_one_final_answer_and_nothing_after_it():
+def test_a_request_has_one_final_answer_and_no_attempt_after_it():
     host = FakeHost()
     (lookup,) = host.request()
     host.handle(ClientDisconnected(lookup.request))
@@ -25,16 +25,16 @@
 
 def test_a_non_idempotent_request_that_may_have_had_its_effect_fails():
     host = FakeHost(services=(make_service(idempotency=Idempotency.NON_IDEMPOTENT, uncacheable=True),))
-    (only,) = host.request()
-    assert only.endpoint == 21
-    assert only.keep_rank == 0
-    assert kinds(host.end_attempt(only, AttemptOutcome.RESET)) == ["FailRequest"]
+    (write,) = host.request()
+    assert write.endpoint == 21
+    assert write.keep_rank == 0
+    assert kinds(host.end_attempt(write, AttemptOutcome.RESET)) == ["FailRequest"]
     host = FakeHost(services=(make_service(idempotency=Idempotency.NON_IDEMPOTENT, uncacheable=True),))
-    (second,) = host.request()
-    assert kinds(host.end_attempt(second, AttemptOutcome.FULL)) == ["RejectRequest"]
+    (other_write,) = host.request()
+    assert kinds(host.end_attempt(other_write, AttemptOutcome.FULL)) == ["RejectRequest"]
 
 
-def test_a_draining_endpoint_receives_no_new_attempt_and_is_no_source():
+def test_a_draining_endpoint_receives_no_new_attempt_and_is_not_used_as_source():
     host = FakeHost()
     host.update_endpoints(
         make_endpoint(1, state=EndpointState.DRAINING), make_endpoint(11, PARENT, state=EndpointState.REMOVED)
@@ -57,7 +57,10 @@
     (lookup,) = host.request()
     host.wait(SECOND // 5)
     assert kinds(host.end_attempt(lookup, AttemptOutcome.FAILED)) == ["FailRequest"]
-    endpoints = tuple(m._replace(cell=m.id) for m in (make_endpoint(1), make_endpoint(2), make_endpoint(3)))
+    endpoints = tuple(
+        endpoint._replace(cell=endpoint.id)
+        for endpoint in (make_endpoint(1), make_endpoint(2), make_endpoint(3))
+    )
     host = FakeHost(services=(keyed_service,), endpoints=endpoints)
     (lookup,) = host.request()
     assert kinds(host.end_attempt(lookup, AttemptOutcome.FAILED)) == ["FailRequest"]
@@ -65,28 +68,28 @@
     assert forwards(host.end_attempt(lookup, AttemptOutcome.FULL))
 
 
-def test_no_attempt_beside_one_in_flight_and_none_after_the_deadline():
+def test_there_is_no_attempt_beside_one_in_flight_and_none_after_the_deadline():
     host = FakeHost()
     (lookup,) = host.request(time_left=SECOND)
     assert not forwards(host.wait(SECOND * 2))
     assert kinds(host.end_attempt(lookup, AttemptOutcome.TIMED_OUT)) == ["RejectRequest"]
 
 
-def test_the_guard_alone_stops_what_a_rule_forbids():
+def test_the_guard_alone_prevents_what_a_rule_forbids():
     host = FakeHost(services=(make_service(), make_service(idempotency=Idempotency.NON_IDEMPOTENT)))
     (lookup,) = host.request(time_left=SECOND)
     request = host.front.router.open_requests[lookup.request]
-    assert not forward_past_router(host, request)  # one is in flight
+    assert not forward_past_router(host, request)  # another attempt is in flight
     request.active_attempt = None
     assert forward_past_router(host, request)
     request.active_attempt, request.is_answered = None, True
-    assert not forward_past_router(host, request)  # answered
+    assert not forward_past_router(host, request)  # the request is answered
     request.is_answered, host.front.queue.now = False, host.now + SECOND
-    assert not forward_past_router(host, request)  # too late
+    assert not forward_past_router(host, request)  # the deadline has passed
     (lookup,) = forwards(host.request(service_index=1))
     request = host.front.router.open_requests[lookup.request]
     request.active_attempt = None
-    assert not forward_past_router(host, request)  # may have had its effect
+    assert not forward_past_router(host, request)  # the first attempt may have had its effect
     (lookup,) = forwards(host.request())
     request = host.front.router.open_requests[lookup.request]
     request.active_attempt = None
@@ -101,9 +104,9 @@
 
 def test_a_keyed_service_does_not_retry_a_request_without_its_key():
     keyed_service = make_service(idempotency=Idempotency.KEYED, retry_window=60 * SECOND)
-    for keyed in (False, True):
+    for has_key in (False, True):
         host = FakeHost(services=(keyed_service,))
-        (lookup,) = host.handle(RequestArrived(1, 0, 0, 5, 5 * SECOND, 0.0, 0, 0, False, False, keyed))
+        (lookup,) = host.handle(RequestArrived(1, 0, 0, 5, 5 * SECOND, 0.0, 0, 0, False, False, has_key))
         commands = host.end_attempt(lookup, AttemptOutcome.RESET)
-        assert kinds(commands) == (["ForwardRequest"] if keyed else ["FailRequest"])
-        assert not keyed or 0 < commands[0].send_within <= 60 * SECOND
+        assert kinds(commands) == (["ForwardRequest"] if has_key else ["FailRequest"])
+        assert not has_key or 0 < commands[0].send_within <= 60 * SECOND
--- a/tests/test_purges.py
+++ b/tests/test_purges.py
@@ -1,9 +1,9 @@
-"""Tests of purges: the oldest copy that will do."""
+"""Tests of purges: the maximum age of a copy."""
 
 from tests.fake_host import SECOND, FakeHost
 
 
-def test_no_copy_older_than_a_purge_will_do():
+def test_copies_older_than_a_purge_are_not_accepted():
     host = FakeHost()
     host.purge(obj=5, age=200_000)
     assert 0 < host.request(5)[0].max_age <= 200_000
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -1,4 +1,4 @@
-"""Tests of the way of a request: lookup, fill, stale copy, direct attempt, retry."""
+"""Tests of the phases of a request: lookup, fill, stale copy, direct attempt, retry."""
 
 from limepath.interface.commands import ForwardRequest, RejectRequest
 from limepath.interface.events import AttemptOutcome, EndpointState
@@ -15,7 +15,7 @@
 )
 
 
-def test_a_miss_is_filled_from_the_parent_that_rendezvous_hashing_names():
+def test_a_miss_is_filled_from_a_parent():
     host = FakeHost()
     (lookup,) = host.request()
     assert lookup.source == lookup.endpoint
@@ -43,31 +43,33 @@
     assert {type(command) for _ in range(40) for command in host.request()} == {ForwardRequest, RejectRequest}
 
 
-def test_a_full_link_takes_no_more_fills_and_a_stale_copy_will_do():
+def test_a_full_link_accepts_no_more_fills_and_stale_copies_are_used():
     host = FakeHost(services=(make_service(max_age=8 * SECOND, stale_grace=30 * SECOND), make_service()))
     for obj in range(60):
         (lookup,) = host.request(obj, service_index=1)
-        last = host.end_attempt(lookup, AttemptOutcome.MISS)
-    assert kinds(last) == ["RejectRequest"]
+        commands = host.end_attempt(lookup, AttemptOutcome.MISS)
+    assert kinds(commands) == ["RejectRequest"]
     (lookup,) = host.request(70)
-    (aged,) = host.end_attempt(lookup, AttemptOutcome.MISS)
-    assert aged.source == aged.endpoint
+    (stale_lookup,) = host.end_attempt(lookup, AttemptOutcome.MISS)
+    assert stale_lookup.source == stale_lookup.endpoint
     assert lookup.max_age == 8 * SECOND
-    assert aged.max_age == 38 * SECOND
-    assert kinds(host.end_attempt(aged, AttemptOutcome.MISS, 1)) == ["RejectRequest"]
+    assert stale_lookup.max_age == 38 * SECOND
+    assert kinds(host.end_attempt(stale_lookup, AttemptOutcome.MISS, 1)) == ["RejectRequest"]
 
 
-def test_with_no_cache_left_requests_go_directly_to_a_parent_until_the_link_is_full():
+def test_without_caches_requests_go_directly_to_a_parent_until_the_link_is_full():
     host = FakeHost()
     host.update_endpoints(*(make_endpoint(cache, state=EndpointState.REMOVED) for cache in (1, 2, 3)))
-    straight = host.request()[0]
-    assert straight.endpoint in (11, 12)
-    assert straight.source == 21
+    direct = host.request()[0]
+    assert direct.endpoint in (11, 12)
+    assert direct.source == 21
     assert any(kinds(host.request(obj)) == ["RejectRequest"] for obj in range(60))
 
 
 def test_the_origin_fills_once_the_only_parent_is_full():
-    host = FakeHost(endpoints=tuple(m._replace(weight=40.0) for m in ENDPOINTS[:3]) + ENDPOINTS[4:])
+    host = FakeHost(
+        endpoints=tuple(endpoint._replace(weight=40.0) for endpoint in ENDPOINTS[:3]) + ENDPOINTS[4:]
+    )
     host.front.fetch_window.max_fills = host.front.fetch_window.size = 100
     sources = [
         host.end_attempt(forwards(host.request(obj))[0], AttemptOutcome.MISS)[0].source for obj in range(50)
@@ -81,7 +83,8 @@
     (lookup,) = host.request()
     (fill,) = host.end_attempt(lookup, AttemptOutcome.MISS)
     host.wait(1000)
-    (lookup,) = host.end_attempt(fill, AttemptOutcome.RESET, 1)  # the first break is the connection's
+    # The first failure is attributed to the connection.
+    (lookup,) = host.end_attempt(fill, AttemptOutcome.RESET, 1)
     assert lookup.endpoint == fill.endpoint
     host.wait(1000)
     (lookup,) = host.end_attempt(lookup, AttemptOutcome.RESET, 2)
@@ -92,8 +95,8 @@
 def test_a_superseded_attempt_excludes_no_server():
     host = FakeHost()
     (lookup,) = host.request()
-    (again,) = forwards(host.end_attempt(lookup, AttemptOutcome.SUPERSEDED))
-    assert again.endpoint == lookup.endpoint
+    (retry,) = forwards(host.end_attempt(lookup, AttemptOutcome.SUPERSEDED))
+    assert retry.endpoint == lookup.endpoint
 
 
 def test_a_direct_attempt_is_not_retried_where_the_origin_has_begun_to_drain():
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -1,4 +1,4 @@
-"""Tests of slow start, of one front and of a few; `test_cold_ramp` has those of many."""
+"""Tests of slow start at one front and at a few fronts; `test_cold_ramp` tests many fronts."""
 
 from limepath.hashing import mix64
 from limepath.interface.events import AttemptOutcome, EndpointState
@@ -24,14 +24,14 @@
         sent += any(command.endpoint == 1 for command in forwards(commands))
         for forward in forwards(commands):
             host.end_attempt(forward, AttemptOutcome.SUCCEEDED, answered=True, duration=600_000)
-    assert 0 < sent <= 3  # 0.8 of 2 x 0.2 x 6 lanes for 1 s, at 0.6 s each
+    assert 0 < sent <= 3  # 0.8 x (2 x 0.2 x 6) transfers during 1 s, 0.6 s each
 
 
 def test_a_request_whose_parents_have_no_budget_left_is_rejected_once():
     host = FakeHost()
     host.update_endpoints(*(make_endpoint(cache, state=EndpointState.REMOVED) for cache in (1, 2, 3)))
     host.update_endpoints(
-        *(make_endpoint(ident, PARENT, started_at=host.now, weight=1.0) for ident in (11, 12))
+        *(make_endpoint(parent, PARENT, started_at=host.now, weight=1.0) for parent in (11, 12))
     )
     assert kinds(host.request()) == ["RejectRequest"]
 
@@ -49,28 +49,28 @@
     assert not host.front.budgets.warmups
 
 
-def test_an_origin_that_was_silent_has_no_slow_start():
+def test_an_origin_has_no_slow_start_after_a_silence():
     host = FakeHost(services=(make_service(uncacheable=True),))
-    (straight,) = host.request()
+    (direct,) = host.request()
     for _ in range(8):
         host.wait(SECOND // 2)
-        host.end_probe(straight.endpoint, AttemptOutcome.TIMED_OUT)
+        host.end_probe(direct.endpoint, AttemptOutcome.TIMED_OUT)
     assert kinds(host.request())[-1] == "RejectRequest"
     host.wait(SECOND // 2)
-    host.end_probe(straight.endpoint)
+    host.end_probe(direct.endpoint)
     assert all(forwards(host.request(obj)) for obj in range(8))
 
 
 def test_a_cache_without_budget_is_excluded_and_the_sources_of_its_fill_are_not():
     host = FakeHost()
     host.update_endpoints(make_endpoint(1, started_at=host.now))
-    firsts = [host.request(obj)[0] for obj in range(30)]
-    assert 0 < sum(first.endpoint == 1 for first in firsts) <= 3
-    assert all(forwards(firsts))
+    attempts = [host.request(obj)[0] for obj in range(30)]
+    assert 0 < sum(attempt.endpoint == 1 for attempt in attempts) <= 3
+    assert all(forwards(attempts))
 
 
 def test_many_fronts_spend_a_budget_together_and_stay_within_it():
-    def sent(seed):
+    def send_times(seed):
         host = FakeHost(seed=mix64(seed), fronts=40, fronts_in_zone=20, endpoints=ENDPOINTS[1:])
         host.update_endpoints(make_endpoint(1, started_at=host.now))
         times = []
@@ -81,10 +81,11 @@
                 host.end_attempt(forward, AttemptOutcome.SUCCEEDED, answered=True, duration=600_000)
         return times
 
-    told = sorted(time for seed in range(20) for time in sent(seed))
-    able = [6 * (0.2 + 0.8 * (time - 100 * SECOND) / (10 * SECOND)) for time in told]
-    assert len(told) > 20  # at 0.6 s each, under 2 x what it can do, in every window of a second
+    sent_at = sorted(time for seed in range(20) for time in send_times(seed))
+    capacities = [6 * (0.2 + 0.8 * (time - 100 * SECOND) / (10 * SECOND)) for time in sent_at]
+    assert len(sent_at) > 20
+    # With 0.6 s per transfer, every window of 1 s has at most twice the work that the capacity allows.
     assert all(
-        0.6 * sum(then - SECOND < t <= then for t in told) <= 2 * can
-        for then, can in zip(told, able, strict=True)
+        0.6 * sum(end - SECOND < moment <= end for moment in sent_at) <= 2 * capacity
+        for end, capacity in zip(sent_at, capacities, strict=True)
     )
--- a/tests/test_stale_list.py
+++ b/tests/test_stale_list.py
@@ -1,4 +1,4 @@
-"""Tests of what a front does while its endpoint list is stale."""
+"""Tests of a front whose endpoint list is stale."""
 
 from limepath.interface.commands import ForwardRequest
 from limepath.interface.events import AttemptOutcome, EndpointListFreshnessChanged
@@ -7,19 +7,25 @@
 
 def test_a_front_with_a_stale_list_forwards_nothing_to_a_cache():
     host = FakeHost()
-    (look,) = host.request(5)
-    assert look.endpoint != 21
-    host.end_attempt(look, AttemptOutcome.SUCCEEDED, answered=True)
+    (lookup,) = host.request(5)
+    assert lookup.endpoint != 21
+    host.end_attempt(lookup, AttemptOutcome.SUCCEEDED, answered=True)
     host.handle(EndpointListFreshnessChanged(True))
-    asked = [order for obj in range(50) for order in host.request(obj) if isinstance(order, ForwardRequest)]
-    assert {order.endpoint for order in asked} <= {21} and {order.source for order in asked} <= {21}
+    attempts = [
+        attempt for obj in range(50) for attempt in host.request(obj) if isinstance(attempt, ForwardRequest)
+    ]
+    assert {attempt.endpoint for attempt in attempts} <= {21} and {
+        attempt.source for attempt in attempts
+    } <= {21}
     host.handle(EndpointListFreshnessChanged(False))
     assert host.request(99)[0].endpoint != 21
 
 
-def test_a_fill_that_is_due_while_the_list_is_stale_is_not_sent():
+def test_no_fill_is_sent_while_the_list_is_stale():
     host = FakeHost()
-    (look,) = host.request(5)
+    (lookup,) = host.request(5)
     host.handle(EndpointListFreshnessChanged(True))
-    later = host.end_attempt(look, AttemptOutcome.MISS)
-    assert not [order for order in later if isinstance(order, ForwardRequest) and order.endpoint != 21]
+    commands = host.end_attempt(lookup, AttemptOutcome.MISS)
+    assert not [
+        attempt for attempt in commands if isinstance(attempt, ForwardRequest) and attempt.endpoint != 21
+    ]
--- a/tests/test_timer_queue.py
+++ b/tests/test_timer_queue.py
@@ -1,4 +1,4 @@
-"""Timers run in order of their time; what is drawn depends on the seed alone."""
+"""Tests of the timer queue: order of callbacks, seeded random numbers, pending commands."""
 
 import pytest
 
@@ -6,25 +6,25 @@
 from limepath.timer_queue import TimerQueue
 
 
-def test_mix64_is_a_function_that_maps_different_numbers_apart():
+def test_mix64_is_deterministic_and_maps_different_numbers_to_different_values():
     assert mix64(1) == mix64(1) != mix64(2)
 
 
-def test_what_is_due_runs_in_order_of_its_time_and_then_as_scheduled():
-    timers, run = TimerQueue(seed=1), []
-    timers.schedule(20, run.append, "later")
-    timers.schedule(10, run.append, "first")
-    timers.schedule(10, run.append, "second")
-    timers.schedule(30, run.append, "not yet")
+def test_due_callbacks_run_by_time_and_then_in_scheduling_order():
+    timers, called = TimerQueue(seed=1), []
+    timers.schedule(20, called.append, "later")
+    timers.schedule(10, called.append, "first")
+    timers.schedule(10, called.append, "second")
+    timers.schedule(30, called.append, "not yet")
     timers.run_due(20)
-    assert run == ["first", "second", "later"] and timers.next_due() == 30
+    assert called == ["first", "second", "later"] and timers.next_due() == 30
 
 
 @pytest.mark.parametrize("count", [2, 9, 50])
-def test_a_sample_has_distinct_items_and_the_same_for_the_same_seed(count):
-    drawn = TimerQueue(seed=5).sample(range(10), count)
-    assert len(set(drawn)) == len(drawn) == min(count, 10)
-    assert drawn == TimerQueue(seed=5).sample(range(10), count)
+def test_a_sample_has_distinct_items_that_depend_only_on_the_seed(count):
+    sample = TimerQueue(seed=5).sample(range(10), count)
+    assert len(set(sample)) == len(sample) == min(count, 10)
+    assert sample == TimerQueue(seed=5).sample(range(10), count)
 
 
 def test_commands_are_taken_once():
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""Stories of the wire host: whole replies to whole batches, one plain line for the rest."""
+"""Tests of the simulator host: replies to batches, and error messages for malformed input."""
 
 import io
 import json
@@ -31,57 +31,64 @@
     return struct.pack(">IIQ", 7, 16 + len(body), clock) + body
 
 
-def up(settings=SETTINGS):
-    raw = settings if isinstance(settings, bytes) else json.dumps(settings).encode()
-    entry = struct.pack(">B6sQHBHf", 1, CACHE, 0, 0, 0, 0, 1.0)
-    return struct.pack(">BIQI", 110, 3, 5, len(raw)) + raw + struct.pack(">BIBII", 40, 3, 2, 1, 1) + entry
+def start_and_list(settings=SETTINGS):
+    encoded = settings if isinstance(settings, bytes) else json.dumps(settings).encode()
+    endpoint = struct.pack(">B6sQHBHf", 1, CACHE, 0, 0, 0, 0, 1.0)
+    return (
+        struct.pack(">BIQI", 110, 3, 5, len(encoded))
+        + encoded
+        + struct.pack(">BIBII", 40, 3, 2, 1, 1)
+        + endpoint
+    )
 
 
-def arrival(obj=9):
+def request(obj=9):
     return struct.pack(">BIIBIQQfffB", 100, 3, 77, 0, 0, obj, 5_000_000_000, 0, 1, 0, 0)
 
 
-def played(*frames):
-    sink = io.BytesIO()
-    serve(io.BytesIO(b"".join(frames)), sink)
-    return sink.getvalue()
+def reply_to(*frames):
+    output = io.BytesIO()
+    serve(io.BytesIO(b"".join(frames)), output)
+    return output.getvalue()
 
 
-def flaw(*frames):
+def error_of(*frames):
     try:
-        played(*frames)
+        reply_to(*frames)
     except WireError as error:
         return str(error)
     return ""
 
 
-def test_an_empty_batch_gets_an_empty_reply_and_the_end_is_clean():
-    assert played(batch()) == struct.pack(">III", 7, 0, 12) and played() == b""
+def test_an_empty_batch_has_an_empty_reply_and_an_empty_stream_none():
+    assert reply_to(batch()) == struct.pack(">III", 7, 0, 12) and reply_to() == b""
 
 
-def test_an_arrival_becomes_a_look_with_an_age_rounded_down():
-    reply = played(batch(up()), batch(arrival()))
-    look = reply[reply.index(struct.pack(">BII", 60, 3, 77)) :][:39]
-    assert look[9:15] == CACHE == look[23:29] and struct.unpack(">Q", look[30:38]) == (8_000_000_000,)
+def test_a_request_becomes_a_lookup_with_a_max_age_rounded_down():
+    reply = reply_to(batch(start_and_list()), batch(request()))
+    lookup = reply[reply.index(struct.pack(">BII", 60, 3, 77)) :][:39]
+    assert lookup[9:15] == CACHE == lookup[23:29] and struct.unpack(">Q", lookup[30:38]) == (8_000_000_000,)
 
 
-def test_a_stop_forgets_and_a_start_in_the_same_batch_begins_anew():
+def test_a_stop_discards_the_front_and_a_start_in_the_same_batch_creates_a_new_one():
     stop = struct.pack(">BI", 70, 3)
-    reply = played(batch(up()), batch(arrival(), stop, up()))
+    reply = reply_to(batch(start_and_list()), batch(request(), stop, start_and_list()))
     assert struct.pack(">BII", 60, 3, 77) not in reply
-    assert played(batch(up()), batch(stop))[-8:] == struct.pack(">II", 0, 12)
+    assert reply_to(batch(start_and_list()), batch(stop))[-8:] == struct.pack(">II", 0, 12)
 
 
-def test_malformed_input_is_named_in_one_line():
-    assert "truncated" in flaw(b"\0" * 5) and "truncated" in flaw(batch(up())[:-1])
-    assert "wrong length" in flaw(struct.pack(">IIQ", 1, 3, 0))
-    assert "unknown event code 255 at byte 16" in flaw(batch(b"\xff"))
-    assert "cut short" in flaw(batch(b"\x14\0"))
-    assert "settings of instance 3" in flaw(batch(up(b"no json"))) and "'safety'" in flaw(batch(up({})))
-    assert "unknown outcome code 99" in flaw(batch(struct.pack(">BI6sHQB", 60, 3, CACHE, 99, 0, 0)))
+def test_an_error_message_describes_malformed_input():
+    assert "truncated" in error_of(b"\0" * 5) and "truncated" in error_of(batch(start_and_list())[:-1])
+    assert "wrong length" in error_of(struct.pack(">IIQ", 1, 3, 0))
+    assert "unknown event code 255 at byte 16" in error_of(batch(b"\xff"))
+    assert "cut short" in error_of(batch(b"\x14\0"))
+    assert "settings of instance 3" in error_of(batch(start_and_list(b"no json"))) and "'safety'" in error_of(
+        batch(start_and_list({}))
+    )
+    assert "unknown outcome code 99" in error_of(batch(struct.pack(">BI6sHQB", 60, 3, CACHE, 99, 0, 0)))
 
 
-def test_an_exception_in_the_decisions_becomes_a_fault_of_that_instance():
-    bad = SETTINGS | {"classes": []}
-    reply = played(batch(up(bad)), batch(arrival()))
+def test_an_exception_in_the_decisions_becomes_an_error_record_of_that_instance():
+    invalid = SETTINGS | {"classes": []}
+    reply = reply_to(batch(start_and_list(invalid)), batch(request()))
     assert struct.pack(">BI", 10, 3) in reply and b"IndexError" in reply
