--- a/tests/decision_trace.py
+++ b/tests/decision_trace.py
@@ -1,13 +1,14 @@
-"""A seeded trace of decisions: one digest, the same for as long as the decisions are the same.
+"""Computes a digest of the decisions on seeded random events. It changes only if a decision changes.
 
     python -m tests.decision_trace --seed 3         one line: seed, commands, digest
     python -m tests.decision_trace --seeds 10       seeds 0 to 9
     python -m tests.decision_trace --check          compares all seeds of tests/data/decision_trace.json
 
-Twenty thousand random events go into one front: requests, outcomes of the attempts that it made, cancels,
-streams that began, probe reports, endpoint updates, purges, capacity changes, a late endpoint list, request
-counts of other fronts, a shutdown near the end. The digest covers kind and values of each command, kinds by
-their place in `COMMANDS` and enum members by number, so that renaming them changes nothing.
+One decision engine processes 20,000 random events: requests, ends of its attempts, client disconnects,
+started responses, probe results, endpoint list updates, purges, availability changes, stale endpoint lists,
+request counts of other fronts, and a shutdown near the end. The digest covers the type and the values of
+each command. Types count by their index in `COMMANDS` and enum members by number, so that renaming them does
+not change the digest.
 """
 
 import argparse
@@ -75,14 +76,14 @@
 )
 
 
-class World:
-    """One front and what a host would know of it: requests that are open, attempts and probes under way."""
+class TraceHost:
+    """One decision engine and the state of its host: open requests, active attempts and probes."""
 
     def __init__(self, seed: int):
         self.random = random.Random(f"decision trace {seed}")
         self.now = 100 * SECOND
-        self.services = tuple(self.service(number) for number in range(4))
-        self.front = self.make_front(seed)
+        self.services = tuple(self.random_service(number) for number in range(4))
+        self.engine = self.make_engine(seed)
         self.digest = hashlib.sha256()
         self.commands = 0
         self.requests = 0
@@ -92,88 +93,88 @@
         self.endpoints: dict[int, Endpoint] = {}
         self.version = 1
 
-    def service(self, number: int) -> DeliveryService:
-        """A delivery service of random terms; the last one passes through uncached."""
-        draw = self.random
+    def random_service(self, number: int) -> DeliveryService:
+        """Return a delivery service with random settings; service 3 is uncacheable."""
+        rng = self.random
         return DeliveryService(
-            latency_objective=draw.choice((300_000, 600_000)),
-            objective_stretch=draw.choice((0.0, 1.6)),
-            deadline=draw.choice((2, 5)) * SECOND,
+            latency_objective=rng.choice((300_000, 600_000)),
+            objective_stretch=rng.choice((0.0, 1.6)),
+            deadline=rng.choice((2, 5)) * SECOND,
             priority_weight=1.0,
             late_share=0.2,
-            idempotency=Idempotency(draw.randrange(3)) if number else Idempotency.IDEMPOTENT,
-            key_scope=KeyScope(draw.randrange(3)),
-            retry_window=draw.choice((SECOND // 2, 2 * SECOND)),
+            idempotency=Idempotency(rng.randrange(3)) if number else Idempotency.IDEMPOTENT,
+            key_scope=KeyScope(rng.randrange(3)),
+            retry_window=rng.choice((SECOND // 2, 2 * SECOND)),
             streamed=False,
-            max_age=draw.choice((0, 8 * SECOND)),
-            stale_grace=draw.choice((0, 30 * SECOND)),
+            max_age=rng.choice((0, 8 * SECOND)),
+            stale_grace=rng.choice((0, 30 * SECOND)),
             stale_share=0.5,
             uncacheable=number == 3,
             segmented=False,
         )
 
-    def make_front(self, seed: int) -> DecisionEngine:
-        """A front with random permissions among a handful of others."""
-        draw = self.random
+    def make_engine(self, seed: int) -> DecisionEngine:
+        """Return the engine of a front with random permissions and a random number of other fronts."""
+        rng = self.random
         return DecisionEngine(
             seed=seed * 7919 + 17,
             services=self.services,
             footprint=Topology(
                 zone=0,
                 hub_of=(0, 0),
-                link_kb_s=(draw.choice((9000.0, 40000.0)), 0.0),
-                fronts_in_zone=draw.choice((1, 3, 40)),
-                fronts=draw.choice((60, 200)),
+                link_kb_s=(rng.choice((9000.0, 40000.0)), 0.0),
+                fronts_in_zone=rng.choice((1, 3, 40)),
+                fronts=rng.choice((60, 200)),
                 parent_kind=PARENT,
                 origin_kind=ORIGIN,
                 transfer_kb_s=1000.0,
-                weighted=draw.random() < 0.5,
+                weighted=rng.random() < 0.5,
             ),
             allowance=Permissions(
-                max_attempts=draw.choice((3, 6)),
-                hedging=draw.random() < 0.2,
-                cancellation=draw.random() < 0.8,
-                probing=draw.random() < 0.7,
+                max_attempts=rng.choice((3, 6)),
+                hedging=rng.random() < 0.2,
+                cancellation=rng.random() < 0.8,
+                probing=rng.random() < 0.7,
                 peer_messages=False,
                 max_retry_after=SECOND,
-                direct=draw.random() < 0.7,
-                join_fills=draw.random() < 0.5,
+                direct=rng.random() < 0.7,
+                join_fills=rng.random() < 0.5,
                 lateral="none",
-                subscribe=draw.random() < 0.5,
+                subscribe=rng.random() < 0.5,
             ),
             cache_warmup=SlowStart(0.2, 10 * SECOND, 2.0, SECOND),
             parent_warmup=SlowStart(0.1, 20 * SECOND, 2.0, SECOND),
             grace=GracePeriods(8000, SECOND, 300_000, 6 * SECOND, 10 * SECOND),
         )
 
-    def play(self, events: int) -> None:
-        """Hand over the first endpoint list, then random events in batches of one to four."""
-        self.feed([self.full_list()])
-        kinds = list(WEIGHTS)
-        weights = list(WEIGHTS.values())
-        played = 1
-        while played < events:
+    def run(self, events: int) -> None:
+        """Pass a full endpoint list to the engine, then random events in batches of one to four."""
+        self.handle([self.list_replaced()])
+        kinds = list(EVENT_WEIGHTS)
+        weights = list(EVENT_WEIGHTS.values())
+        events_passed = 1
+        while events_passed < events:
             self.now += self.random.choice((40, 400, 2_000, 15_000)) + self.random.randrange(100)
             if self.random.random() < 0.002:
                 self.now += self.random.randrange(4 * SECOND)
             batch = []
             for kind in self.random.choices(kinds, weights, k=self.random.randint(1, 4)):
-                if kind is World.shut_down and played < events - 400:
+                if kind is TraceHost.shutdown_started and events_passed < events - 400:
                     continue
                 if event := kind(self):
                     batch.append(event)
-            self.feed(batch)
-            played += len(batch)
+            self.handle(batch)
+            events_passed += len(batch)
 
-    def feed(self, batch: list[Any]) -> None:
-        """Hand a batch over, take the commands into the digest and keep what later events refer to."""
-        for command in self.front.handle(self.now, batch):
+    def handle(self, batch: list[Any]) -> None:
+        """Pass a batch to the engine, add its commands to the digest and apply them to the host's state."""
+        for command in self.engine.handle(self.now, batch):
             kind = COMMANDS.index(type(command))
-            self.digest.update(repr((kind, values(command))).encode())
+            self.digest.update(repr((kind, without_names(command))).encode())
             self.commands += 1
-            self.carry_out(command)
+            self.apply_command(command)
 
-    def carry_out(self, command: Any) -> None:
+    def apply_command(self, command: Any) -> None:
         if isinstance(command, ForwardRequest):
             number = self.open.get(command.request, -1) + 1
             self.open[command.request] = number
@@ -183,181 +184,183 @@
         elif isinstance(command, SendProbe):
             self.probes.append(command.endpoint)
 
-    # What may happen next; None where nothing like it can.
+    # Generators of random events; they return None if no such event is possible now.
 
-    def request(self) -> RequestArrived:
+    def request_arrived(self) -> RequestArrived:
         self.requests += 1
-        draw = self.random
+        rng = self.random
         self.open[self.requests] = -1
-        obj = int(draw.paretovariate(0.7)) % 5000
+        obj = int(rng.paretovariate(0.7)) % 5000
         return RequestArrived(
             self.requests,
-            draw.choices((0, 1, 2, 3), (6, 2, 1, 2))[0],
+            rng.choices((0, 1, 2, 3), (6, 2, 1, 2))[0],
             0,
             obj,
-            draw.choice((200_000, 2 * SECOND, 5 * SECOND)),
-            draw.choice((0.0, 20.0, 300.0, 900.0)),
+            rng.choice((200_000, 2 * SECOND, 5 * SECOND)),
+            rng.choice((0.0, 20.0, 300.0, 900.0)),
             obj % 40,
-            draw.choice((0, 0, 0, 1)),
+            rng.choice((0, 0, 0, 1)),
             False,
             False,
-            draw.random() < 0.8,
+            rng.random() < 0.8,
         )
 
-    def outcome(self) -> AttemptEnded | None:
+    def attempt_ended(self) -> AttemptEnded | None:
         if not self.attempts:
             return None
-        draw = self.random
-        request, number = draw.choice(sorted(self.attempts))
+        rng = self.random
+        request, number = rng.choice(sorted(self.attempts))
         cache = self.attempts.pop((request, number))
-        verdict = draw.choices(
-            (AttemptOutcome.SUCCEEDED, AttemptOutcome.MISS, *OTHER_VERDICTS),
-            (60, 40, *[3] * len(OTHER_VERDICTS)),
+        outcome = rng.choices(
+            (AttemptOutcome.SUCCEEDED, AttemptOutcome.MISS, *OTHER_OUTCOMES),
+            (60, 40, *[3] * len(OTHER_OUTCOMES)),
         )[0]
-        closed = verdict == AttemptOutcome.SUCCEEDED
-        if closed:
+        answered = outcome == AttemptOutcome.SUCCEEDED
+        if answered:
             self.open.pop(request, None)
-        took = int(draw.expovariate(1 / 250_000))
-        return AttemptEnded(request, number, verdict, cache, took, 0, closed, CacheStatus.NONE, {})
+        duration = int(rng.expovariate(1 / 250_000))
+        return AttemptEnded(request, number, outcome, cache, duration, 0, answered, CacheStatus.NONE, {})
 
-    def streaming(self) -> ResponseStarted | None:
+    def response_started(self) -> ResponseStarted | None:
         if not self.attempts:
             return None
         request, number = self.random.choice(sorted(self.attempts))
         return ResponseStarted(request, number, self.attempts[request, number], 1000)
 
-    def cancel(self) -> ClientDisconnected | None:
+    def client_disconnected(self) -> ClientDisconnected | None:
         if not self.open:
             return None
         request = self.random.choice(sorted(self.open))
         del self.open[request]
         return ClientDisconnected(request)
 
-    def probe_report(self) -> ProbeEnded | None:
-        draw = self.random
-        verdict = draw.choice((AttemptOutcome.SUCCEEDED, *OTHER_VERDICTS))
-        load = {"util": draw.choice((0.2, 0.97, 1.0))} if draw.random() < 0.7 else {}
-        if self.probes and draw.random() < 0.8:
-            return ProbeEnded(self.probes.pop(0), verdict, 1000, load)
-        return ProbeEnded(draw.choice(sorted(self.endpoints)), verdict, 1000, load, draw.randrange(SECOND))
+    def probe_ended(self) -> ProbeEnded | None:
+        rng = self.random
+        outcome = rng.choice((AttemptOutcome.SUCCEEDED, *OTHER_OUTCOMES))
+        load = {"util": rng.choice((0.2, 0.97, 1.0))} if rng.random() < 0.7 else {}
+        if self.probes and rng.random() < 0.8:
+            return ProbeEnded(self.probes.pop(0), outcome, 1000, load)
+        return ProbeEnded(rng.choice(sorted(self.endpoints)), outcome, 1000, load, rng.randrange(SECOND))
 
-    def full_list(self) -> EndpointListUpdated:
+    def list_replaced(self) -> EndpointListUpdated:
         caches = self.random.sample(range(1, 11), 7)
-        members = [self.member(ident, CACHE, 6.0, EndpointState.READY) for ident in caches]
-        members += [self.member(ident, PARENT, 30.0, EndpointState.READY) for ident in (11, 12, 13)]
-        members.append(self.member(21, ORIGIN, 20.0, EndpointState.READY))
-        self.endpoints = {member.id: member for member in members}
+        entries = [self.make_endpoint(endpoint_id, CACHE, 6.0, EndpointState.READY) for endpoint_id in caches]
+        entries += [
+            self.make_endpoint(endpoint_id, PARENT, 30.0, EndpointState.READY) for endpoint_id in (11, 12, 13)
+        ]
+        entries.append(self.make_endpoint(21, ORIGIN, 20.0, EndpointState.READY))
+        self.endpoints = {entry.id: entry for entry in entries}
         self.version += 1
-        listing = self.random.choice((UpdateKind.FULL, UpdateKind.CACHED))
-        return EndpointListUpdated(listing, self.version, tuple(members))
+        update_kind = self.random.choice((UpdateKind.FULL, UpdateKind.CACHED))
+        return EndpointListUpdated(update_kind, self.version, tuple(entries))
 
-    def update(self) -> EndpointListUpdated:
-        draw = self.random
+    def endpoint_changed(self) -> EndpointListUpdated:
+        rng = self.random
         self.version += 1
-        if draw.random() < 0.1:
+        if rng.random() < 0.1:
             return EndpointListUpdated(UpdateKind.UNAVAILABLE, self.version, ())
-        ident = draw.choice((*range(1, 11), 11, 12, 13, 21))
-        kind = CACHE if ident < 11 else PARENT if ident < 21 else ORIGIN
-        standing = draw.choices(
+        endpoint_id = rng.choice((*range(1, 11), 11, 12, 13, 21))
+        kind = CACHE if endpoint_id < 11 else PARENT if endpoint_id < 21 else ORIGIN
+        new_state = rng.choices(
             (EndpointState.READY, EndpointState.DRAINING, EndpointState.REMOVED), (6, 1, 1)
         )[0]
         if kind == ORIGIN:
-            standing = EndpointState.READY
-        started = self.now if draw.random() < 0.4 else 0
-        changed = self.member(ident, kind, draw.choice((0.5, 6.0, 30.0)), standing, started)
-        self.endpoints[ident] = changed
+            new_state = EndpointState.READY
+        started_at = self.now if rng.random() < 0.4 else 0
+        changed = self.make_endpoint(endpoint_id, kind, rng.choice((0.5, 6.0, 30.0)), new_state, started_at)
+        self.endpoints[endpoint_id] = changed
         return EndpointListUpdated(UpdateKind.DELTA, self.version, (changed,))
 
-    def member(
-        self, ident: int, kind: int, weight: float, standing: EndpointState, started: int = 0
+    def make_endpoint(
+        self, endpoint_id: int, kind: int, weight: float, state: EndpointState, started_at: int = 0
     ) -> Endpoint:
-        zone = 0 if kind == CACHE and ident != 10 else 1
-        return Endpoint(standing, ident, started, ident % 2, zone, kind, weight)
+        zone = 0 if kind == CACHE and endpoint_id != 10 else 1
+        return Endpoint(state, endpoint_id, started_at, endpoint_id % 2, zone, kind, weight)
 
-    def purge(self) -> PurgeAnnounced:
-        draw = self.random
-        obj = draw.randrange(40) if draw.random() < 0.5 else 0
-        return PurgeAnnounced(draw.randrange(40), draw.randrange(300_000), obj)
+    def purge_announced(self) -> PurgeAnnounced:
+        rng = self.random
+        obj = rng.randrange(40) if rng.random() < 0.5 else 0
+        return PurgeAnnounced(rng.randrange(40), rng.randrange(300_000), obj)
 
-    def capacity(self) -> ConnectionAvailabilityChanged:
+    def availability_changed(self) -> ConnectionAvailabilityChanged:
         return ConnectionAvailabilityChanged(
             self.random.choice(sorted(self.endpoints)), self.random.random() < 0.7
         )
 
-    def stale_list(self) -> EndpointListFreshnessChanged:
+    def freshness_changed(self) -> EndpointListFreshnessChanged:
         return EndpointListFreshnessChanged(self.random.random() < 0.2)
 
-    def counts_of_others(self) -> RequestCountsReceived:
-        draw = self.random
+    def counts_received(self) -> RequestCountsReceived:
+        rng = self.random
         return RequestCountsReceived(
-            tuple((draw.randrange(9000), 0, draw.randrange(1, 9) / 2) for _ in range(20))
+            tuple((rng.randrange(9000), 0, rng.randrange(1, 9) / 2) for _ in range(20))
         )
 
-    def counts_asked(self) -> RequestCountsWanted:
+    def counts_wanted(self) -> RequestCountsWanted:
         return RequestCountsWanted(self.random.randrange(1, 40), self.random.randrange(100))
 
-    def due(self) -> TimerFired:
+    def timer_fired(self) -> TimerFired:
         return TimerFired(0)
 
-    def shut_down(self) -> ShutdownStarted:
+    def shutdown_started(self) -> ShutdownStarted:
         return ShutdownStarted(self.random.randrange(SECOND // 2, 2 * SECOND))
 
 
-OTHER_VERDICTS = tuple(
-    verdict for verdict in AttemptOutcome if verdict not in (AttemptOutcome.SUCCEEDED, AttemptOutcome.MISS)
+OTHER_OUTCOMES = tuple(
+    outcome for outcome in AttemptOutcome if outcome not in (AttemptOutcome.SUCCEEDED, AttemptOutcome.MISS)
 )
-WEIGHTS = {
-    World.request: 100,
-    World.outcome: 120,
-    World.streaming: 3,
-    World.cancel: 3,
-    World.probe_report: 10,
-    World.full_list: 0.2,
-    World.update: 4,
-    World.purge: 2,
-    World.capacity: 5,
-    World.stale_list: 0.5,
-    World.counts_of_others: 0.3,
-    World.counts_asked: 0.3,
-    World.due: 20,
-    World.shut_down: 0.2,
+EVENT_WEIGHTS = {
+    TraceHost.request_arrived: 100,
+    TraceHost.attempt_ended: 120,
+    TraceHost.response_started: 3,
+    TraceHost.client_disconnected: 3,
+    TraceHost.probe_ended: 10,
+    TraceHost.list_replaced: 0.2,
+    TraceHost.endpoint_changed: 4,
+    TraceHost.purge_announced: 2,
+    TraceHost.availability_changed: 5,
+    TraceHost.freshness_changed: 0.5,
+    TraceHost.counts_received: 0.3,
+    TraceHost.counts_wanted: 0.3,
+    TraceHost.timer_fired: 20,
+    TraceHost.shutdown_started: 0.2,
 }
 
 
-def values(value: Any) -> Any:
-    """A command's values without names: enum members as numbers, records as tuples."""
+def without_names(value: Any) -> Any:
+    """Return a command's values without names: enum members as numbers, records as tuples."""
     if isinstance(value, bool):
         return int(value)
     if isinstance(value, int):
         return int(value)
     if isinstance(value, tuple):
-        return tuple(values(part) for part in value)
+        return tuple(without_names(part) for part in value)
     return value
 
 
 def trace(seed: int, events: int = EVENTS) -> dict[str, Any]:
-    """The number of commands that `events` random events give, and the digest of all of them."""
-    world = World(seed)
-    world.play(events)
-    return {"commands": world.commands, "digest": world.digest.hexdigest()}
+    """Return the number and the digest of the commands that the engine returns for `events` random events."""
+    host = TraceHost(seed)
+    host.run(events)
+    return {"commands": host.commands, "digest": host.digest.hexdigest()}
 
 
 def main() -> int:
-    parser = argparse.ArgumentParser(description="Digest of the decisions on seeded events.")
+    parser = argparse.ArgumentParser(description="Compute a digest of the decisions on seeded events.")
     parser.add_argument("--seed", type=int)
     parser.add_argument("--seeds", type=int, default=10)
     parser.add_argument(
-        "--check", action="store_true", help="compare with the record; status 1 if one differs"
+        "--check", action="store_true", help="compare with the record; exit with status 1 if a digest differs"
     )
-    chosen = parser.parse_args()
-    seeds = range(chosen.seeds) if chosen.seed is None else (chosen.seed,)
+    arguments = parser.parse_args()
+    seeds = range(arguments.seeds) if arguments.seed is None else (arguments.seed,)
     traces = {str(seed): trace(seed) for seed in seeds}
-    if not chosen.check:
+    if not arguments.check:
         print(json.dumps(traces, indent=1))
         return 0
     record = json.loads(RECORD.read_text(encoding="utf-8"))
-    different = [seed for seed, traced in traces.items() if record.get(seed) != traced]
-    print("the same" if not different else f"different: seeds {', '.join(different)}")
+    different = [seed for seed, digest in traces.items() if record.get(seed) != digest]
+    print("all digests match" if not different else f"digests differ for seeds {', '.join(different)}")
     return 1 if different else 0
 
 
