--- a/limepath/decisions/endpoints.py
+++ b/limepath/decisions/endpoints.py
@@ -66,7 +66,7 @@
     def _find_changes(self, event: EndpointListUpdated) -> dict[int, Endpoint]:
         """Return the changed endpoints by id.
 
-        For a full list, the present endpoints come first, marked as removed unless the list contains them.
+        A full list removes the endpoints that it does not contain; they come first in the result.
         """
         changes: dict[int, Endpoint] = {}
         if event.kind != UpdateKind.DELTA:
--- a/limepath/decisions/router.py
+++ b/limepath/decisions/router.py
@@ -34,9 +34,9 @@
     from limepath.decisions.guard import Guard
     from limepath.decisions.server import Server
 
-RETRY_AFTER_FRACTION = (
-    0.1  # of `max_retry_after`, +/- 50 % jitter: retries still meet deadlines; 0.75 is far worse
-)
+# Mean fraction of `max_retry_after`, with jitter of +/- 50 %: retries this early still meet their deadlines;
+# 0.75 performs far worse.
+RETRY_AFTER_FRACTION = 0.1
 
 
 class Router:
@@ -82,7 +82,7 @@
     def handle_request_arrived(self, event: RequestArrived) -> None:
         """Rank the object, order the candidate servers and offer the request to the first of them."""
         service = self._services[event.service]
-        sending_time = self._sending_times.count_arrival(event, service)
+        sending_time = self._sending_times.record_arrival(event, service)
         request = PendingRequest(event, service, self._queue.now + event.time_left, sending_time)
         self.open_requests[event.id] = request
         object_part = request.object_part
@@ -145,8 +145,8 @@
     def _give_up(self, request: PendingRequest) -> None:
         """End the request immediately, with a retry-after time if the deployment permits one."""
         self.open_requests.pop(request.id, None)
-        random_part = 0.5 + self._queue.random_fraction()
-        retry_after = int(self._permissions.max_retry_after * RETRY_AFTER_FRACTION * random_part)
+        jitter = 0.5 + self._queue.random_fraction()
+        retry_after = int(self._permissions.max_retry_after * RETRY_AFTER_FRACTION * jitter)
         self._queue.put(self.guard.finish, request, retry_after)
 
     # Replies of servers to offers, and of the guard to attempts.
@@ -158,8 +158,8 @@
 
     def handle_accepted(self, request: PendingRequest, server: "Server", is_warming: bool) -> None:
         """Proceed with a server that accepted the request as cache, as source or for a direct attempt."""
-        # Beyond the fetch window, request only copies that the server holds, because fetches from above it
-        # do not complete in time.
+        # If the fetch window is full, request only a copy that the server holds: fetches from further
+        # upstream do not complete in time, wherever the cause is.
         request.cached_only = (
             request.phase is not Phase.LOOKUP
             and server is not self.origin
@@ -190,7 +190,9 @@
         """Exclude the server at which the attempt would break a rule, or end the request."""
         server = violation.server
         if request.phase is Phase.FILL and server is request.cache:
-            request.phase = Phase.LOOKUP  # the slow start budget of the cache may be spent, not the source's
+            request.phase = (
+                Phase.LOOKUP
+            )  # the cache's slow start budget may be spent; do not exclude the source
         is_last_option = request.phase is Phase.DIRECT and server is self.origin
         if violation.rule.ends_request or is_last_option:
             self._give_up(request)
@@ -222,9 +224,9 @@
         self._fetch_window.handle_attempt_ended(attempt, ended, result)
         is_hit = result.outcome == AttemptOutcome.SUCCEEDED and ended.source is ended.server
         if is_hit and not request.size_kb:
-            self._sending_times.count_transfer(request.service_index, result.duration)
-        executed = request.possible_execution
-        if result.outcome in NEVER_EXECUTED and executed and executed.number == event.attempt:
+            self._sending_times.record_transfer(request.service_index, result.duration)
+        execution = request.possible_execution
+        if result.outcome in NEVER_EXECUTED and execution and execution.number == event.attempt:
             request.possible_execution = None
         if event.answered:
             request.is_answered = True
@@ -265,8 +267,8 @@
             if outcome not in CONNECTION_FAILURES:
                 request.excluded.update((server, ended.source))
             elif server.health.last_failure_at not in (None, self._queue.now):
-                # A first failure may affect the connection alone. Connection failures never concern the
-                # source.
+                # A first failure may affect the connection alone. Connection failures are never attributed
+                # to the source.
                 request.excluded.add(server)
         self._offer_to_next_server(request)
 
--- a/limepath/decisions/sending_times.py
+++ b/limepath/decisions/sending_times.py
@@ -21,7 +21,7 @@
         self.by_service: list[int] = [service.latency_objective for service in services]
         self.mean: float = min(self.by_service, default=0)
 
-    def count_arrival(self, event: RequestArrived, service: DeliveryService) -> int:
+    def record_arrival(self, event: RequestArrived, service: DeliveryService) -> int:
         """Update the means with a request that arrived; return the expected sending time of its transfer."""
         mean = self.by_service[event.service]
         expected = mean
@@ -32,6 +32,6 @@
             self.mean += (mean - self.mean) / AVERAGING_DIVISOR
         return expected
 
-    def count_transfer(self, service_index: int, duration: int) -> None:
+    def record_transfer(self, service_index: int, duration: int) -> None:
         """Update the mean of the service with a transfer that took `duration` microseconds."""
         self.by_service[service_index] += (duration - self.by_service[service_index]) // AVERAGING_DIVISOR
--- a/tests/decision_trace.py
+++ b/tests/decision_trace.py
@@ -88,7 +88,7 @@
         self.commands = 0
         self.requests = 0
         self.open: dict[int, int] = {}  # request id to number of its latest attempt
-        self.attempts: dict[tuple[int, int], int] = {}  # (request, attempt) to the cache asked
+        self.attempts: dict[tuple[int, int], int] = {}  # (request, attempt) to the endpoint
         self.probes: list[int] = []
         self.endpoints: dict[int, Endpoint] = {}
         self.version = 1
