--- a/tests/test_cold_ramp.py
+++ b/tests/test_cold_ramp.py
@@ -6,13 +6,13 @@
 
 import pytest
 
-from limepath.decisions.endpoints import UNKNOWN_CONCURRENCY
+from limepath.decisions.endpoints import DEFAULT_CONCURRENCY
 from limepath.hashing import mix64
 from limepath.interface.commands import ForwardRequest
 from limepath.interface.settings import SlowStart
 from limepath.testbed.process import free_ports
 from tests.cold_ramp import CASES, TWO, OfferedFront, Ramp, sent_in, spent_at_most, worst
-from tests.fake_host import SECOND, FakeHost, member, service
+from tests.fake_host import SECOND, FakeHost, make_endpoint, make_service
 from tests.stand_ins import (
     SETTINGS,
     StandInCache,
@@ -111,21 +111,21 @@
 
 
 def test_what_goes_straight_to_the_origin_takes_no_part_of_a_cold_budget():
-    passing = service(latency_objective=60 * SECOND, uncacheable=True)
+    passing = make_service(latency_objective=60 * SECOND, uncacheable=True)
     sent = []
-    for services in ((service(),), (service(), passing)):
-        host = FakeHost(services=services, fronts=40, nearby=20)
+    for services in ((make_service(),), (make_service(), passing)):
+        host = FakeHost(services=services, fronts=40, fronts_in_zone=20)
         host.front.sending_times.mean = 600_000
         sent.append(host.front.budgets.share_of_budget(10 * SECOND, 20, 1.0))
     assert sent[0] == sent[1] == 600_000
 
 
 def test_a_cold_budget_of_nothing_lets_nothing_pass():
-    host = FakeHost(fronts=40, nearby=20)
+    host = FakeHost(fronts=40, fronts_in_zone=20)
     warmup = SlowStart(0.0, 10 * SECOND, 2.0, SECOND)
     host.front.budgets.settings = {False: warmup, True: warmup}
-    host.roster(member(1, started=host.now))
-    orders = [order for obj in range(40) for order in host.get(obj)]
+    host.update_endpoints(make_endpoint(1, started_at=host.now))
+    orders = [order for obj in range(40) for order in host.request(obj)]
     assert not any(order.endpoint == 1 for order in orders if isinstance(order, ForwardRequest))
 
 
@@ -134,7 +134,7 @@
     processes, cold_for = 20, 1000 * SECOND * 1000  # it stays at its least capacity
     safety = SETTINGS["safety"] | {"cold": cold_for, "overload-factor": 6}
     settings = SETTINGS | {"replicas-of-me": processes, "safety": safety}
-    allowed = 6 * 0.2 * UNKNOWN_CONCURRENCY * 1.0 / 0.6  # N: multiple x share x lanes x window / mean work
+    allowed = 6 * 0.2 * DEFAULT_CONCURRENCY * 1.0 / 0.6  # N: multiple x share x lanes x window / mean work
     cache, parent, log = StandInCache("s-1", "box", "sur"), StandInCache("p-1", "parent", "hub"), listening()
     began = int(time.time() * 1000)
     members = [cache.entry(up_since_ms=began), parent.entry()]
--- a/tests/test_frequency_exchange.py
+++ b/tests/test_frequency_exchange.py
@@ -34,21 +34,21 @@
     for obj in range(1, 40):
         for _ in range(20 if obj < 4 else 1):
             ident += 1
-            old.hear(get(ident, obj))
-    counts = old.hear(RequestCountsWanted(10, 5))[-1]
+            old.handle(get(ident, obj))
+    counts = old.handle(RequestCountsWanted(10, 5))[-1]
     assert (
         counts.cookie == 5
         and {obj for obj, _, _ in counts.counts[:3]} == {1, 2, 3}
         and counts.counts[0][2] == 20
     )
-    new.hear(RequestCountsReceived(counts.counts))
+    new.handle(RequestCountsReceived(counts.counts))
     ranks = []
     for host in (new, blank):
         for obj in range(50, 110):
             host.front.frequency_table.count_request((obj, 0), 0)
         ranks.append(host.front.frequency_table.count_request((2, 0), 0))
     assert ranks[0] == 3 > ranks[1]
-    assert len(new.front.frequency_table.waiting) < 10  # what was asked for has gone from the waiting ones
+    assert len(new.front.frequency_table.history) < 10  # requested objects have left the history
 
 
 def new_front(live=(2, 3)):
