--- a/limepath/discovery/host.py
+++ b/limepath/discovery/host.py
@@ -131,12 +131,12 @@
                     self.confirmed()
             case ListFreshnessChanged():
                 self.decision_loop.gather(EndpointListFreshnessChanged(command.stale))
-                self.log.say("list-late" if command.stale else "list-in-time")
+                self.log.info("list-late" if command.stale else "list-in-time")
             case LogEvent():
-                self.log.say(command.event, **command.fields)
+                self.log.info(command.event, **command.fields)
 
     def _log_confirmed(self, command: ListConfirmed) -> None:
-        self.log.say(
+        self.log.info(
             "list-confirmed",
             number=command.revision.number,
             generation=command.revision.generation,
@@ -152,7 +152,7 @@
         try:
             self.apply_event(command.event)
         except WatchError as error:  # its form was checked; what it names this front does not know
-            self.log.say("changelog", f"{error}; skipped", number=number)
+            self.log.info("changelog", f"{error}; skipped", number=number)
         self.last = number
 
     def apply_update(self, fleet: dict[str, Any]) -> None:
--- a/limepath/duties/host.py
+++ b/limepath/duties/host.py
@@ -166,7 +166,7 @@
             if self.settings.control:
                 self.control = control.listen(self.reactor, self.settings.control, self.views)
         except Exception as error:  # the front goes on alone; whoever reads the log mends the file
-            self.log.say("sharing-off", str(error), file=self.settings.file)
+            self.log.info("sharing-off", str(error), file=self.settings.file)
             self.stop()
             return
         self._log_start()
@@ -175,11 +175,11 @@
 
     def _log_start(self) -> None:
         if self.store.initial_state == DAMAGED:
-            self.log.say("store-damaged", "joins as a new instance", put_aside=self.store.damaged_path)
+            self.log.info("store-damaged", "joins as a new instance", put_aside=self.store.damaged_path)
         elif self.store.initial_state == NEW:
-            self.log.say("store-new", "joins as a new instance", store=self.settings.store)
+            self.log.info("store-new", "joins as a new instance", store=self.settings.store)
         host, port = self.settings.listen
-        self.log.say(
+        self.log.info(
             "sharing",
             name=self.settings.name,
             listening=f"{host}:{port}",
@@ -225,7 +225,7 @@
         elif isinstance(command, PersistEpochCeiling):
             self.writes.put(epoch_ceiling_row(command.ceiling))
         elif isinstance(command, LogEvent):
-            self.log.say(command.event, **command.fields)
+            self.log.info(command.event, **command.fields)
         elif isinstance(command, MessageRelayed):
             for handler in self.message_handlers:
                 handler.heard(command.sender, command.message)
@@ -236,7 +236,7 @@
 
     def _yield_identity(self, command: YieldIdentity) -> None:
         other = command.other
-        self.log.say(
+        self.log.info(
             "gives-way",
             command.reason + "; this front shares nothing any more",
             name=other.name,
--- a/limepath/front/client_connection.py
+++ b/limepath/front/client_connection.py
@@ -101,7 +101,7 @@
             self.transport.pauseProducing()
 
     def _reject(self, error: RequestError) -> None:
-        self.clients.log.say("client", str(error), status=error.status)
+        self.clients.log.info("client", str(error), status=error.status)
         if self.request is not None:
             self.clients.client_disconnected(self.request)
         self.is_persistent = False
--- a/limepath/front/client_disconnects.py
+++ b/limepath/front/client_disconnects.py
@@ -82,6 +82,6 @@
     def _log_late_attempt(self, number: int, delay: int, begun: bool) -> None:
         if delay > TOLERANCE:
             attempt = "further" if number else "first"
-            self.log.say(
+            self.log.info(
                 "client-gone", attempt=attempt, late_ms=delay // 1000, begun="yes" if begun else "no"
             )
--- a/limepath/front/client_limit.py
+++ b/limepath/front/client_limit.py
@@ -91,7 +91,7 @@
         if excess <= 0:
             return
         idle = [one for one in self.clients.connections if one.request is None and one not in self.closing]
-        self.clients.log.say("descriptors", clients=len(self.clients.connections), idle=len(idle))
+        self.clients.log.info("descriptors", clients=len(self.clients.connections), idle=len(idle))
         for number, candidate in enumerate(self._first_to_close(idle, excess + limit // SPARE_SHARE)):
             if number >= excess and (candidate.rank >= CloseRank.NEW or candidate.has_unread_bytes):
                 continue
@@ -117,5 +117,5 @@
         """Answers that clients do not take must not fill the memory: the longest blocked is closed."""
         blocked = [one for one in self.clients.connections if one.output_blocked]
         if len(blocked) > self.clients.limits.undrained_connections:
-            self.clients.log.say("memory", "clients do not take their answers", clients=len(blocked))
+            self.clients.log.info("memory", "clients do not take their answers", clients=len(blocked))
             min(blocked, key=lambda one: one.last_activity_at).close(abort=True)
--- a/limepath/front/clients.py
+++ b/limepath/front/clients.py
@@ -83,7 +83,7 @@
         if request.transaction_id in self.transaction_ids:  # caches could not tell the two apart
             raise RequestError(409, "an id that is open")
         if len(self.requests) >= self.limits.open_requests:
-            self.log.say("open", "one more shed", gets=len(self.requests))
+            self.log.info("open", "one more shed", gets=len(self.requests))
             connection.send_response(503, retry_after_field(self.limits.overload_retry_after))
             return
         self.requests[request.id] = request
@@ -107,7 +107,7 @@
 
     def _fail_unanswered(self, request: ClientRequest) -> None:
         request.timer = None
-        self.log.say("backstop", "a GET had no answer in time; errored", ds=request.service)
+        self.log.info("backstop", "a GET had no answer in time; errored", ds=request.service)
         self.decision_loop.gather(ClientDisconnected(request.id))
         self._answer(request, 504)
 
@@ -180,7 +180,7 @@
         have all of theirs.
         """
         if len(self.connections) >= self.limits.client_connections:
-            self.log.say("descriptors-by-use", **descriptor_use(self, self.servers, self.limits)._asdict())
+            self.log.info("descriptors-by-use", **descriptor_use(self, self.servers, self.limits)._asdict())
         now = clock()
         for connection in list(self.connections):
             if connection.request is None and now - connection.last_activity_at > self._timeout_of(
--- a/limepath/front/decision_loop.py
+++ b/limepath/front/decision_loop.py
@@ -62,7 +62,7 @@
             ScheduleWakeup: self._schedule_wakeup,
             SetSubscription: self._ignore,
             QueryEndpointList: self._ignore,
-            WriteLog: lambda command: log.say("module", command.text),
+            WriteLog: lambda command: log.info("module", command.text),
         }
 
     def connect(self, clients: Clients, servers: Servers) -> None:
@@ -155,4 +155,4 @@
         """The endpoint list is watched always."""
 
     def _log_unknown(self, command: tuple) -> None:
-        self.log.say("order", "no way to carry it out here", order=type(command).__name__)
+        self.log.info("order", "no way to carry it out here", order=type(command).__name__)
--- a/limepath/front/endpoint_watch.py
+++ b/limepath/front/endpoint_watch.py
@@ -104,7 +104,7 @@
             if self.suspect_event != number:
                 self.suspect_event = number
                 raise WatchError(f"event {number}: {error}") from None
-            self.log.say("changelog", f"{error}; skipped", number=number)
+            self.log.info("changelog", f"{error}; skipped", number=number)
             self.last = max(self.last, int(number) if number.isdigit() else 0)
 
     def apply_event(self, event: dict) -> None:
@@ -245,7 +245,7 @@
 
     def _call_again(self, reason: str) -> None:
         """Call again after a backoff that doubles, give or take half."""
-        self.log.say("changelog", f"{reason}; calls again", after=self.last)
+        self.log.info("changelog", f"{reason}; calls again", after=self.last)
         backoff = self.limits.feed_pause << min(MAX_DOUBLINGS, self.pauses)
         pause = min(self.limits.feed_longest_pause, backoff)
         self.pauses += 1
@@ -260,7 +260,7 @@
         stream = self.stream
         if stream is None or clock() - stream.last_read_at <= self.limits.feed_silence:
             return
-        self.log.say("changelog", "silent")
+        self.log.info("changelog", "silent")
         if stream.is_accepted:
             stream.transport.abortConnection()
             return
--- a/limepath/front/event_stream.py
+++ b/limepath/front/event_stream.py
@@ -57,7 +57,7 @@
             if self.is_accepted:
                 self._read_events(data)
         except WatchError as error:
-            self.watch.log.say("changelog", f"{error}; called anew")
+            self.watch.log.info("changelog", f"{error}; called anew")
             self.transport.abortConnection()
 
     def _read_head(self, data: bytes) -> bytes:
--- a/limepath/front/front_process.py
+++ b/limepath/front/front_process.py
@@ -140,13 +140,13 @@
         self.watch.follow(*self.settings.changelog)
         gc.freeze()
         if self.clients.is_waiting_for_list:
-            self.log.say("waits-for-list", listening=self._listen_address())
+            self.log.info("waits-for-list", listening=self._listen_address())
         else:
             self._list_confirmed()
 
     def _list_confirmed(self) -> None:
         self.clients.is_waiting_for_list = False
-        self.log.say("ready", members=len(self.watch.entries), listening=self._listen_address())
+        self.log.info("ready", members=len(self.watch.entries), listening=self._listen_address())
 
     def _listen_address(self) -> str:
         host, port = self.settings.listen
@@ -170,11 +170,11 @@
         try:
             (host, port), differing = platform.read_again(os.environ, self.settings)
         except platform.ConfigurationError as error:
-            self.log.say("reload", f"{error}; the running values stay")
+            self.log.info("reload", f"{error}; the running values stay")
             return
         for key in differing:
-            self.log.say("reload", "differs; it changes at a restart only", key=key)
-        self.log.say("reload", "follows the change log", address=f"{host}:{port}", after=self.watch.last)
+            self.log.info("reload", "differs; it changes at a restart only", key=key)
+        self.log.info("reload", "follows the change log", address=f"{host}:{port}", after=self.watch.last)
         self.watch.follow(host, port)
         if self.cooperation:
             self.cooperation.reload()
--- a/limepath/front/graceful_shutdown.py
+++ b/limepath/front/graceful_shutdown.py
@@ -46,7 +46,7 @@
         if self.is_started:
             return
         self.state = ShutdownState.DRAINING
-        self.clients.log.say("leaving", gets=len(self.clients.requests))
+        self.clients.log.info("leaving", gets=len(self.clients.requests))
         self._shorten_deadlines()
         self.clients.reactor.callLater(self.clients.limits.drain_period / MICROSECONDS, self._stop_accepting)
 
--- a/limepath/front/server_connection.py
+++ b/limepath/front/server_connection.py
@@ -189,7 +189,7 @@
             while self.state is not ConnectionState.CLOSING and (answer := self._next_answer()):
                 self._handle_answer(answer)
         except ParseError as error:
-            self.endpoint.log.say("cache", f"{error}; connection closed", cache=self.endpoint.name)
+            self.endpoint.log.info("cache", f"{error}; connection closed", cache=self.endpoint.name)
             self.close(abort=True)
 
     def _next_answer(self) -> Answer | None:
--- a/limepath/front/server_endpoint.py
+++ b/limepath/front/server_endpoint.py
@@ -152,7 +152,7 @@
         connecting = self._open(ServerConnection(self))
         connecting.addCallbacks(self.connected, self._connect_failed)
         connecting.addErrback(
-            lambda failure: self.log.say("fault", failure.getErrorMessage(), where="connecting")
+            lambda failure: self.log.info("fault", failure.getErrorMessage(), where="connecting")
         )
 
     def _open(self, connection: ServerConnection) -> Deferred:
--- a/limepath/front/servers.py
+++ b/limepath/front/servers.py
@@ -104,7 +104,7 @@
     def drain_longest_idle(self) -> None:
         """At the limit, close the connection that has been idle for longest."""
         if self.connection_count >= self.limits.all_cache_connections:
-            self.log.say("descriptors", caches=self.connection_count)
+            self.log.info("descriptors", caches=self.connection_count)
             min(self.idle_connections(), key=lambda one: one.last_read_at).drain()
 
     # Endpoint list and purges
@@ -272,5 +272,5 @@
             connection.drain()
         elif is_mid_answer and quiet_for > self.limits.stall:
             name = connection.endpoint.name
-            self.log.say("cache", "an answer stands still; connection closed", cache=name)
+            self.log.info("cache", "an answer stands still; connection closed", cache=name)
             connection.close(abort=True)
--- a/limepath/log.py
+++ b/limepath/log.py
@@ -100,7 +100,7 @@
         self._counts: dict[str, EventCount] = {}  # by event
         self._logger = make_logger(form, name)
 
-    def say(self, event: str, text: str | None = None, /, **fields: Any) -> None:
+    def info(self, event: str, text: str | None = None, /, **fields: Any) -> None:
         """Write the event with its fields; `text` is a sentence where one is needed, the field `said`."""
         if text is not None:
             fields["said"] = text
@@ -126,7 +126,7 @@
         """Write a `fault` event: the error's text and type, and the function and line that raised it."""
         frames = traceback.extract_tb(error.__traceback__)
         raised_at = {"function": frames[-1].name, "line": frames[-1].lineno} if frames else {}
-        self.say("fault", str(error), where=where, kind=type(error).__name__, **raised_at)
+        self.info("fault", str(error), where=where, kind=type(error).__name__, **raised_at)
 
     def _write(self, event: str, fields: dict[str, Any]) -> None:
         printable = {name: plain(value) for name, value in fields.items()}
--- a/limepath/membership/host.py
+++ b/limepath/membership/host.py
@@ -130,7 +130,7 @@
             self.sent += 1
         except (OSError, MessageLengthError, ValueError) as error:
             self.guard.counts[UNSENT] += 1
-            self.log.say("peers-unsent", str(error), to=f"{command.host}:{command.port}")
+            self.log.info("peers-unsent", str(error), to=f"{command.host}:{command.port}")
 
     def reload_keys(self) -> None:
         """Load the keys if the key file has changed; keep the old keys if the file cannot be used."""
@@ -139,11 +139,11 @@
                 return
             keys, self.key_file_version = read_keys(self.key_path)
         except (OSError, StartError) as error:
-            self.log.say("peers-keys", f"{error}; the old keys stay")
+            self.log.info("peers-keys", f"{error}; the old keys stay")
             return
         if keys != self.guard.keys:
             self.guard.keys = keys
-            self.log.say("peers-keys", "keys reloaded", keys=len(keys), seals=keys[0].name.hex())
+            self.log.info("peers-keys", "keys reloaded", keys=len(keys), seals=keys[0].name.hex())
 
     def report(self) -> None:
         """Log one line with the counts of datagrams rejected or not sent since the last report."""
@@ -155,7 +155,7 @@
         }
         self.reported_counts = Counter(counts)
         if increases:
-            self.log.say("peers-dropped", **increases)
+            self.log.info("peers-dropped", **increases)
 
     def _count_rejected(self) -> None:
         """Count a rejected datagram, and stop reading for the rest of the interval beyond the maximum.
--- a/limepath/scale/quiet_log.py
+++ b/limepath/scale/quiet_log.py
@@ -34,7 +34,7 @@
     def __init__(self, name, file):
         self.name, self.file, self.said = name, file, {}
 
-    def say(self, event, said=None, **fields):
+    def info(self, event, said=None, **fields):
         self.said[event] = self.said.get(event, 0) + 1
         if self.file.file:
             told = {"time": datetime.now(UTC).isoformat(), "instance": self.name, "event": event}
@@ -48,7 +48,7 @@
             self.fault(event.get("log_namespace", "twisted"), failure.value)
 
     def fault(self, where, flaw):
-        self.say("fault", str(flaw), where=where, kind=type(flaw).__name__)
+        self.info("fault", str(flaw), where=where, kind=type(flaw).__name__)
         self.file.fault(flaw)
 
     def take(self):
--- a/limepath/store.py
+++ b/limepath/store.py
@@ -184,9 +184,9 @@
             self.store.put(self.rows)
         except sqlite3.Error as error:
             self.failing = True
-            self.log.say("store-fails", str(error), rows=",".join(self.rows))
+            self.log.info("store-fails", str(error), rows=",".join(self.rows))
             return
         if self.failing:
-            self.log.say("store-written", rows=",".join(self.rows))
+            self.log.info("store-written", rows=",".join(self.rows))
         self.rows = {}
         self.failing = False
--- a/limepath/tls/host.py
+++ b/limepath/tls/host.py
@@ -228,7 +228,7 @@
         self.build()
         for trust in opening.trusts:
             if not trust.verify:
-                log.say(
+                log.info(
                     "tls-unverified",
                     "whoever answers is believed",
                     trust=trust.title,
@@ -270,7 +270,7 @@
         try:
             keys = key_set(self.opening, unix_clock())
         except BadMaterial as error:
-            self.log.say("tls-keys", f"{error}; the old set stays")
+            self.log.info("tls-keys", f"{error}; the old set stays")
             return False
         trust = [
             (one.roots, tuple(x.fingerprint(x.signature_hash_algorithm) for x in one.lists))
@@ -291,7 +291,7 @@
         self.build()
         self.sessions.swap(self.trust, self.client)
         self.counts["swaps"] += 1
-        self.log.say("tls-keys", "swapped", trust=self.trust, key=self.client)
+        self.log.info("tls-keys", "swapped", trust=self.trust, key=self.client)
         if other_trust:  # what is out finishes; nothing new goes where the old trust led
             for shaking in list(self.open):
                 shaking.inner.retire()
@@ -311,7 +311,7 @@
         for what, until in ends.items():
             if mark := announced(until, wall, self.said.get(what)):
                 self.said[what] = mark
-                self.log.say("tls-ends", what=what, left=mark)
+                self.log.info("tls-ends", what=what, left=mark)
 
     # Connections
 
@@ -338,7 +338,7 @@
                 shaking = self.wanted.pop(order.id)
                 self.reactor.callLater(0, shaking.done.errback, HandshakeFailed(None, order.why))
             elif isinstance(order, Told):
-                self.log.say(
+                self.log.info(
                     "tls-server",
                     order.what,
                     server=self.names.get(order.server, order.server),
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -616,10 +616,10 @@
     with contextlib.redirect_stderr(said):
         log.interval = 60
         for number in range(5):
-            log.say("cache", f"line {number}")
-        log.say("client", "another kind")
+            log.info("cache", f"line {number}")
+        log.info("client", "another kind")
         log.interval = 0
-        log.say("cache", "line 5")
+        log.info("cache", "line 5")
     lines = [line.partition("instance=")[2] for line in said.getvalue().splitlines()]
     assert lines == [
         'n1 event=cache said="line 0"',
