--- a/limepath/front/client_request.py
+++ b/limepath/front/client_request.py
@@ -1,4 +1,4 @@
-"""Requests of clients: what a head asks for, checked, and the state of the request until it is done with."""
+"""Client requests: validation of a parsed head, and the state of the request until it is released."""
 
 from __future__ import annotations
 
@@ -25,23 +25,23 @@
 
 
 class RequestTarget(NamedTuple):
-    """The parts of a request's target, `/invoke/SERVICE/OBJECT?QUERY`."""
+    """The parts of a request target, `/invoke/SERVICE/OBJECT?QUERY`."""
 
     service: bytes
     object_id: bytes
-    query: bytes | None  # None where the target has none
+    query: bytes | None  # None if the target has no query
 
 
 class RequestState(Enum):
-    """Whether a request is owed its final answer."""
+    """State of a client request."""
 
-    OPEN = 0
+    OPEN = 0  # not answered yet
     ANSWERED = 1
-    ABANDONED = 2  # its client has disconnected: no answer is owed
+    ABANDONED = 2  # the client disconnected before the answer
 
 
 class ClientRequest:
-    """One request as its client worded it, and what has become of it."""
+    """One client request: its fields as the client sent them, its attempts and its state."""
 
     __slots__ = (
         "id",
@@ -73,36 +73,39 @@
         deadline: int,
     ):
         self.id = event.id
-        self.connection: ClientConnection | None = connection  # None once the request is not open any more
+        self.connection: ClientConnection | None = connection  # None once the request is no longer open
         self.transaction_id = fields[b"x-txn"]
         self.idempotency_key = _idempotency_key(fields)
         self.service = target.service
         self.object_id = target.object_id
-        self.block = block  # as the client wrote it; None for the whole object
-        self.cached_tag = _cached_tag(fields)  # of the client's copy, empty if it has none
+        self.block = block  # as the client sent it; None for the whole object
+        self.cached_tag = _cached_tag(fields)  # entity tag of the client's copy; empty if the client has none
         self.body = body
-        self.event = event  # what the decisions are told
-        self.deadline = deadline  # on the front's clock
+        self.event = event  # the event for the decision engine
+        self.deadline = deadline  # microseconds on the monotonic clock
         self.attempt_count = 0
-        self.attempt_start_times: list[int] = []  # when each was handed to the system
-        self.attempts: dict[int, Attempt] = {}  # those that are out, by number
+        self.attempt_start_times: list[int] = []  # when each attempt was written to its socket
+        self.attempts: dict[int, Attempt] = {}  # attempts in flight, by number
         self.state = RequestState.OPEN
-        self.timer = None  # runs out at the deadline, then at the backstop behind it
+        self.timer = None  # fires at the deadline, then again after `Limits.backstop`
 
     @property
     def is_open(self) -> bool:
-        """Whether the final answer is owed."""
+        """Whether the request still needs its final answer."""
         return self.state is RequestState.OPEN
 
     def end(self, state: RequestState) -> ClientConnection | None:
-        """Close the request, here and nowhere else; gives the connection that it came on."""
+        """End the request with this state; return the connection that it arrived on.
+
+        No other code sets the state.
+        """
         connection = self.connection
         self.state = state
         self.connection = None
         return connection
 
     def shorten_deadline(self, deadline: int) -> None:
-        """Set an earlier deadline than the client's."""
+        """Replace the client's deadline by an earlier one."""
         self.deadline = deadline
         self.event = self.event._replace(time_left=max(1, deadline - clock()))
 
@@ -115,21 +118,25 @@
     services: dict[bytes, tuple[int, bool, int]],
     arrived_at: int,
 ) -> ClientRequest:
-    """Make a request out of a head and a body; raises RequestError for what cannot be accepted.
+    """Build a request from a head and a body.
+
+    `services` maps the name of each delivery service to its number, whether it accepts writes, and its
+    maximum time to live in microseconds. `arrived_at` is when the last byte arrived, in microseconds on the
+    monotonic clock.
 
-    `services` has for each service its number, whether it takes writes, and its longest time to live in
-    microseconds; `arrived_at` is when the last byte came, on the front's clock.
+    Raises:
+        RequestError: the request is invalid.
     """
     target = _parse_target(head.target, services)
     service_number, is_write, longest = services[target.service]
     if head.method != (b"PUT" if is_write else b"GET"):
-        raise RequestError(405, "not this method here")
+        raise RequestError(405, "method not allowed for this service")
     block = _block_of(target)
     _check_ids(head.fields.get(b"x-txn", b""), target.object_id)
     time_to_live = parse_integer(head.fields.get(b"x-ttl-ms", b""), longest // 1000, "X-Ttl-Ms") * 1000
     if not time_to_live:
-        raise RequestError(400, "X-Ttl-Ms")
-    deadline = arrived_at + time_to_live  # the client's time runs from its last byte
+        raise RequestError(400, "X-Ttl-Ms: 0 is not allowed; expected 1 or more")
+    deadline = arrived_at + time_to_live  # the client counts from the request's last byte
     time_left = max(1, deadline - clock())
     event = RequestArrived(
         id=request_id,
@@ -151,12 +158,12 @@
     path, mark, query = _origin_form(target).partition(b"?")
     service, slash, object_id = path[len(PATH_PREFIX) :].partition(b"/")
     if not path.startswith(PATH_PREFIX) or not slash or service not in services:
-        raise RequestError(404, "no such target")
+        raise RequestError(404, "unknown target")
     return RequestTarget(service, object_id, query if mark else None)
 
 
 def _origin_form(target: bytes) -> bytes:
-    """The target without scheme and authority (RFC 9112, 3.2)."""
+    """Return the target without scheme and authority (RFC 9112, 3.2)."""
     if target.startswith(b"http://"):
         return b"/" + target[len(b"http://") :].partition(b"/")[2]
     return target
@@ -164,23 +171,26 @@
 
 def _check_ids(transaction_id: bytes, object_id: bytes) -> None:
     if len(transaction_id) != TRANSACTION_ID_LENGTH or not HEX_DIGITS.issuperset(transaction_id.lower()):
-        raise RequestError(400, "X-Txn")
+        raise RequestError(400, f"X-Txn: expected {TRANSACTION_ID_LENGTH} hexadecimal digits")
     if not object_id or len(object_id) > MAX_OBJECT_ID_LENGTH or not HEX_DIGITS.issuperset(object_id.lower()):
-        raise RequestError(404, "no such object")
+        raise RequestError(404, f"object: expected 1 to {MAX_OBJECT_ID_LENGTH} hexadecimal digits")
 
 
 def _block_of(target: RequestTarget) -> bytes | None:
-    """The block that `block=NUMBER` names, as the client wrote it; None for the whole object."""
+    """Return NUMBER of a query `block=NUMBER` as the client sent it; None for the whole object."""
     if target.query is None:
         return None
     name, _, block = target.query.partition(b"=")
     if name != b"block":
-        raise RequestError(400, "query")
+        raise RequestError(400, "query: expected block=NUMBER")
     return block
 
 
 def _cached_tag(fields: dict[bytes, bytes]) -> bytes:
-    """The tag in If-None-Match; empty for one that could not be ours: a complete answer serves as well."""
+    """Return the tag in If-None-Match, or an empty one if this front cannot have issued it.
+
+    A complete answer is correct in that case, too.
+    """
     quoted = fields.get(b"if-none-match", b"")
     if quoted[:1] == quoted[-1:] == b'"' and quoted[1:-1].isalnum() and len(quoted) < MAX_TAG_LENGTH:
         return quoted.strip(b'"')
@@ -188,8 +198,13 @@
 
 
 def _idempotency_key(fields: dict[bytes, bytes]) -> bytes:
-    """The key goes on to servers unchanged, so it may hold no byte that ends the field there."""
+    """Return the idempotency key.
+
+    Servers receive the key unchanged, so it must not contain a byte that ends the field there.
+    """
     key = fields.get(b"x-txn-key", b"")
     if len(key) > MAX_IDEMPOTENCY_KEY_LENGTH or not IDEMPOTENCY_KEY_CHARACTERS.issuperset(key):
-        raise RequestError(400, "X-Txn-Key")
+        raise RequestError(
+            400, f"X-Txn-Key: expected up to {MAX_IDEMPOTENCY_KEY_LENGTH} letters, digits or -_.:"
+        )
     return key
--- a/limepath/front/decision_loop.py
+++ b/limepath/front/decision_loop.py
@@ -1,7 +1,8 @@
-"""Between sockets and decisions: the events of one event loop iteration, one `handle`, then the commands.
+"""The link between sockets and decisions: one call of the decision engine per event loop iteration.
 
-Read this first. Everything that sockets bring is gathered here as events until the iteration has read all
-that was ready; then the decisions have them together, and what they command is carried out in its order.
+Start reading here. Protocols queue what their sockets received as events. Once the iteration has read all
+ready sockets, one call of `handle` gets all queued events, and the commands that it returns are executed in
+order.
 """
 
 from __future__ import annotations
@@ -41,24 +42,26 @@
 
 
 class DecisionLoop:
-    """Gathers events, hands them to the decisions, and carries out commands."""
+    """Queues events, passes them to the decision engine, and executes the commands that it returns."""
 
-    clients: Clients  # both set by `connect`
-    servers: Servers
+    clients: Clients  # set by `connect`
+    servers: Servers  # set by `connect`
 
     def __init__(self, reactor, decisions, limits: Limits, log: Log):
         self.reactor = reactor
-        self.decisions = decisions  # its `handle(now, events)` gives commands
+        self.decisions = decisions  # the decision engine; `handle(now, events)` returns commands
         self.limits = limits
         self.log = log
         self.events: list = []
         self.is_scheduled = False
-        self.scheduled_at = 0  # when the first of these events came, on the front's clock
-        self.has_polled_again = False  # late, and sockets have been polled once more for that
-        self.decided_at = 0
-        self.redelivered: set = set()  # watch events that were handed over again after a fault
-        self.listener: Callable[[Sequence], object] | None = None  # has all events too, where fronts share
-        self.command_handlers: dict[type, Callable] = {  # how commands are carried out, by their type
+        self.scheduled_at = 0  # time of the first queued event, microseconds on the monotonic clock
+        self.has_polled_again = False  # whether a late run was already deferred by one more poll
+        self.decided_at = 0  # time of the last call of `handle`
+        self.redelivered: set = set()  # watch events that were queued again after an exception
+        self.listener: Callable[[Sequence], object] | None = (
+            None  # also called with all events, if fronts cooperate
+        )
+        self.command_handlers: dict[type, Callable] = {  # by type of command
             ScheduleWakeup: self._schedule_wakeup,
             SetSubscription: self._ignore,
             QueryEndpointList: self._ignore,
@@ -66,7 +69,7 @@
         }
 
     def connect(self, clients: Clients, servers: Servers) -> None:
-        """Set the parts that carry out commands."""
+        """Set the parts of the front that execute commands."""
         self.clients = clients
         self.servers = servers
         clients.servers = servers
@@ -80,7 +83,7 @@
         }
 
     def gather(self, *events: tuple) -> None:
-        """Keep events until all that this event loop iteration has ready is read."""
+        """Queue events until this event loop iteration has read all ready sockets."""
         self.events += events
         if self.listener:
             self.listener(events)
@@ -90,10 +93,10 @@
             self.reactor.callLater(0, self.run)
 
     def run(self) -> None:
-        """Decide by all that has come.
+        """Pass all queued events to the decision engine and execute its commands.
 
-        Where that is late, as the process stood still or an iteration was long, drains and purges may lie
-        unread by now: sockets are polled once more first.
+        If the run is late, because the process was stopped or an iteration took long, drains and purges may
+        have arrived in the meantime, so sockets are polled once more first.
         """
         is_late = clock() - self.scheduled_at > self.limits.late_pass
         if is_late and not self.has_polled_again:
@@ -105,9 +108,7 @@
         self.decided_at = clock()
         try:
             commands = self.decisions.handle(self.decided_at, events)
-        except (
-            Exception
-        ) as error:  # whatever it is, the requests concerned are answered and the front goes on
+        except Exception as error:  # the affected requests fail, and the front continues
             self.log.fault("handle", error)
             self._recover(events)
             return
@@ -116,8 +117,10 @@
         self.clients.forget_released()
 
     def _take_events(self) -> list:
-        """All events, watch events first: what one iteration brought has no order in time, and endpoint list
-        and purges come before what is decided by them.
+        """Empty the queue and return its events, watch events first.
+
+        The events of one iteration have no order in time, and changes of the endpoint list and purges must
+        precede the requests that depend on them.
         """
         events = sorted(self.events, key=lambda event: not isinstance(event, WATCH_EVENTS))
         self.events = []
@@ -125,8 +128,9 @@
         return events
 
     def _recover(self, events: list) -> None:
-        """After a fault of the decisions: fail the requests concerned, and hand watch events over once more,
-        as drains and purges must not be lost; having them twice is harmless.
+        """Fail the affected requests after an exception in the decision engine, and queue watch events again.
+
+        Drains and purges must not be lost, and processing them twice is harmless.
         """
         for event in events:
             if isinstance(event, RequestArrived):
@@ -142,7 +146,7 @@
     def _carry_out(self, command: tuple) -> None:
         try:
             self.command_handlers.get(type(command), self._log_unknown)(command)
-        except Exception as error:  # the other commands are carried out all the same
+        except Exception as error:  # the other commands are still executed
             self.log.fault(type(command).__name__, error)
 
     def _forward_request(self, command: ForwardRequest) -> None:
@@ -152,7 +156,7 @@
         self.reactor.callLater(command.delay / MICROSECONDS, self.gather, TimerFired(command.cookie))
 
     def _ignore(self, command: SetSubscription | QueryEndpointList) -> None:
-        """The endpoint list is watched always."""
+        """Do nothing, because a front always watches the endpoint list."""
 
     def _log_unknown(self, command: tuple) -> None:
-        self.log.info("order", "no way to carry it out here", order=type(command).__name__)
+        self.log.info("order", "command is not supported by this front", order=type(command).__name__)
