--- a/limepath/cli/run.py
+++ b/limepath/cli/run.py
@@ -5,7 +5,7 @@
 
 import click
 
-from limepath.log import FORMS
+from limepath.log import LOG_FORMATS
 
 
 @click.command("run", short_help="Run one front.")
@@ -27,7 +27,10 @@
     help="A TLS file (deploy/tls.ini): verified TLS to servers. Default: LIMEPATH_TLS.",
 )
 @click.option(
-    "--log", "form", type=click.Choice(FORMS), help="Form of log lines; by default as the peers file says."
+    "--log",
+    "form",
+    type=click.Choice(LOG_FORMATS),
+    help="Form of log lines; by default as the peers file says.",
 )
 def command(config: str | None, peers: str | None, tls: str | None, form: str | None) -> None:
     """Run one front until SIGTERM. SIGHUP reads the configuration and keys again."""
--- a/limepath/configuration/peers_file.py
+++ b/limepath/configuration/peers_file.py
@@ -16,7 +16,7 @@
     LeaseSettings,
     MembershipTimeouts,
 )
-from limepath.log import FORMS
+from limepath.log import LOG_FORMATS
 
 MODES = {"at-least-once": DutyMode.AT_LEAST_ONCE, "one-owner": DutyMode.ONE_OWNER}
 KINDS = ("caches", "parents", "origin")
@@ -32,7 +32,7 @@
     "instance": Section(
         {"name": Key(ini.parse_name), "store": Key(ini.parse_path), "control": Key(ini.parse_path, "")}, True
     ),
-    "log": Section({"form": Key(ini.choice_parser(*FORMS), FORMS[0])}),
+    "log": Section({"form": Key(ini.choice_parser(*LOG_FORMATS), LOG_FORMATS[0])}),
     "peers": Section(
         {
             "listen": Key(ini.parse_address),
@@ -100,7 +100,7 @@
         name: this instance.
         store: the path of its store.
         control: the path of its control socket, or "".
-        form: the form of the log, one of `limepath.log.FORMS`.
+        form: the form of the log, one of `limepath.log.LOG_FORMATS`.
         listen: where datagrams are received.
         advertise: where other instances send them.
         seeds: addresses of instances that are asked for members at first.
--- a/limepath/front/start.py
+++ b/limepath/front/start.py
@@ -1,4 +1,4 @@
-"""Start one front: `ROUTER_CONFIG` names its configuration; other files name what it shares, and its TLS."""
+"""Starts one front from the configuration that `ROUTER_CONFIG` names and optional peers and TLS files."""
 
 from __future__ import annotations
 
@@ -18,13 +18,16 @@
     from twisted.python.failure import Failure
 
 DEFAULT_LOG_FORMAT = "person"
-BAD_CONFIGURATION = 2  # exit status
+EXIT_BAD_CONFIGURATION = 2  # exit status
 
 
 def main(peers: str | None = None, log_format: str | None = None, tls: str | None = None) -> int:
-    """Run until told to end; give the exit status.
+    """Run a front until it is shut down by a signal; return the exit status.
 
-    `peers` and `tls` name files, `log_format` is one of `limepath.log.FORMS`; the peers file's by default.
+    Args:
+        peers: path of the peers file.
+        log_format: one of `limepath.log.LOG_FORMATS`; by default that of the peers file.
+        tls: path of the TLS file.
     """
     errors = []
 
@@ -38,15 +41,15 @@
         _create(peers, log_format, tls).listen().addErrback(listen_failed)
     except (platform.ConfigurationError, SettingError) as error:
         _print_error(error)
-        return BAD_CONFIGURATION
+        return EXIT_BAD_CONFIGURATION
     reactor.run(installSignalHandlers=False)
     for error in errors:
         _print_error(error)
-    return BAD_CONFIGURATION if errors else 0
+    return EXIT_BAD_CONFIGURATION if errors else 0
 
 
 def _create(peers: str | None, log_format: str | None, tls: str | None) -> FrontProcess:
-    """Read the files and put the front together; what is not named is not loaded."""
+    """Read the configuration files and create the front; code for optional files is imported only if used."""
     tls_settings = shared = None
     if tls:
         from limepath.configuration import tls_file
--- a/limepath/log.py
+++ b/limepath/log.py
@@ -1,6 +1,6 @@
-"""The log: structured lines on standard error; of each event so many in an interval, the rest are counted.
+"""The log: structured lines on standard error, with a limit on the lines of one event per interval.
 
-A line has `time`, `instance`, `event` and the event's own fields, as key=value for a person or as JSON.
+A line has the fields `time`, `instance` and `event`, and those of the event, as key=value pairs or as JSON.
 """
 
 import os
@@ -14,17 +14,17 @@
 
 import structlog
 
-FORMS = ("person", "json")
+LOG_FORMATS = ("person", "json")
 FIRST_FIELDS = ("time", "instance", "event")
-MAX_LINE_LENGTH = 4000  # bytes; a pipe that can be written takes 4,096 at the least (pipe(7))
+MAX_LINE_LENGTH = 4000  # characters; a pipe that is writable accepts at least 4,096 bytes (pipe(7))
 MICROSECONDS_PER_SECOND = 1e6
 
 
 class StandardErrorLogger:
-    """What structlog writes lines to; a log that nobody reads does not block the program."""
+    """Writes the lines of structlog to standard error, without blocking if nobody reads it."""
 
     def msg(self, line: str) -> None:
-        """Write the line, or drop it where standard error is a full pipe: a write would wait for a reader."""
+        """Write the line, or drop it if standard error is a full pipe, where a write would block."""
         if not is_full_pipe(sys.stderr):
             try:
                 print(line[:MAX_LINE_LENGTH], file=sys.stderr, flush=True)
@@ -33,7 +33,7 @@
 
 
 def is_full_pipe(stream: TextIO) -> bool:
-    """Return whether this stream is a pipe that takes no line now."""
+    """Return whether this stream is a pipe without room for a line."""
     try:
         descriptor = stream.fileno()
         if not stat.S_ISFIFO(os.fstat(descriptor).st_mode):
@@ -41,19 +41,19 @@
         poll = select.poll()
         poll.register(descriptor, select.POLLOUT)
         return not poll.poll(0)
-    except (OSError, ValueError):  # no file behind it
+    except (OSError, ValueError):  # the stream has no descriptor
         return False
 
 
-def make_logger(form: str, instance: str) -> structlog.BoundLoggerBase:
-    """Return the structlog logger of an instance that writes lines of this form.
+def make_logger(log_format: str, instance: str) -> structlog.BoundLoggerBase:
+    """Return a structlog logger that writes lines of this format, with the name of the instance.
 
     Raises:
-        ValueError: `form` is none of FORMS.
+        ValueError: `log_format` is not one of LOG_FORMATS.
     """
-    if form not in FORMS:
-        raise ValueError(f"log form {form!r}: one of {', '.join(FORMS)} is expected")
-    if form == "json":
+    if log_format not in LOG_FORMATS:
+        raise ValueError(f"log format: {log_format!r} is unknown; expected one of {', '.join(LOG_FORMATS)}")
+    if log_format == "json":
         renderer = structlog.processors.JSONRenderer()
     else:
         renderer = structlog.processors.LogfmtRenderer(key_order=FIRST_FIELDS, drop_missing=True)
@@ -66,7 +66,7 @@
 
 
 class EventCount(NamedTuple):
-    """Lines of one event: `written` and `left_out` since `since`, in seconds of the log's clock."""
+    """Numbers of lines of one event that were written and left out since `since` (seconds)."""
 
     since: float
     written: int = 0
@@ -74,34 +74,34 @@
 
 
 class Log:
-    """Writes events of one instance, with a limit on how many lines of one event stand in an interval.
+    """Writes the log of one instance, with a limit on the lines of one event per interval.
 
-    Further ones are counted, and their number (`left_out`) is written before the event's next line.
+    Lines over the limit are counted, and their number (`left_out`) is written before the event's next line.
 
     Attributes:
-        name: the instance, in every line.
-        lines: lines of one event that are written in an interval.
-        interval: its length in seconds.
+        name: name of the instance, written in every line.
+        max_lines: maximum number of lines of one event in an interval.
+        interval: length of an interval in seconds.
         clock: returns monotonic seconds.
     """
 
     def __init__(
         self,
         name: str,
-        lines: int,
+        max_lines: int,
         interval_us: float,
-        form: str = "person",
+        log_format: str = "person",
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
         self.name = name
-        self.lines = lines
+        self.max_lines = max_lines
         self.interval = interval_us / MICROSECONDS_PER_SECOND
         self.clock = clock
         self._counts: dict[str, EventCount] = {}  # by event
-        self._logger = make_logger(form, name)
+        self._logger = make_logger(log_format, name)
 
     def info(self, event: str, text: str | None = None, /, **fields: Any) -> None:
-        """Write the event with its fields; `text` is a sentence where one is needed, the field `said`."""
+        """Write a line for the event with its fields; `text` is a message, written as the field `said`."""
         if text is not None:
             fields["said"] = text
         now = self.clock()
@@ -110,7 +110,7 @@
             if count.left_out:
                 self._write(event, {"left_out": count.left_out})
             count = EventCount(now)
-        if count.written < self.lines:
+        if count.written < self.max_lines:
             self._write(event, fields)
             count = count._replace(written=count.written + 1)
         else:
@@ -118,25 +118,25 @@
         self._counts[event] = count
 
     def observe(self, event: dict[str, Any]) -> None:
-        """Log what Twisted caught: an exception in one connection or timer, which it has ended."""
+        """Log an exception that Twisted caught in a protocol or timer; ignore its other log events."""
         if failure := event.get("log_failure"):
             self.fault(event.get("log_namespace", "twisted"), failure.value)
 
     def fault(self, where: str, error: BaseException) -> None:
-        """Write a `fault` event: the error's text and type, and the function and line that raised it."""
+        """Write a `fault` event: text and type of an exception, and the function and line that raised it."""
         frames = traceback.extract_tb(error.__traceback__)
         raised_at = {"function": frames[-1].name, "line": frames[-1].lineno} if frames else {}
         self.info("fault", str(error), where=where, kind=type(error).__name__, **raised_at)
 
     def _write(self, event: str, fields: dict[str, Any]) -> None:
-        printable = {name: plain(value) for name, value in fields.items()}
+        printable = {name: log_value(value) for name, value in fields.items()}
         self._logger._proxy_to_logger("msg", event, **printable)
 
 
-def plain(value: Any) -> int | float | str | None:
-    r"""Return what a line can hold of a value: a number, None, or text without line breaks.
+def log_value(value: Any) -> int | float | str | None:
+    r"""Convert a value for a line of the log: to a number, None, or text without line breaks.
 
-    >>> plain(b"a\xff"), plain("a\nb"), plain(7)
+    >>> log_value(b"a\xff"), log_value("a\nb"), log_value(7)
     ('a\\xff', 'a\\nb', 7)
     """
     if isinstance(value, (int, float)) or value is None:
--- a/limepath/scale/quiet_log.py
+++ b/limepath/scale/quiet_log.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from limepath.log import plain
+from limepath.log import log_value
 
 FAULTS_SHOWN = 20  # of one process, on its standard error
 
@@ -40,7 +40,7 @@
             told = {"time": datetime.now(UTC).isoformat(), "instance": self.name, "event": event}
             if said is not None:
                 fields["said"] = said
-            self.file.write(told | {name: plain(value) for name, value in fields.items()})
+            self.file.write(told | {name: log_value(value) for name, value in fields.items()})
 
     def observe(self, event):
         """Take what Twisted caught in a connection or timer."""
