--- a/limepath/front/front_process.py
+++ b/limepath/front/front_process.py
@@ -1,4 +1,4 @@
-"""The parts of one front put together, and what the process does at signals and at regular intervals."""
+"""Creates and connects the parts of a front, and handles signals and periodic work of the process."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
     from limepath.configuration.peers_file import PeersSettings
     from limepath.configuration.tls_file import TlsSettings
 
-# Twisted takes its timers from the wall clock, which may be stepped; deadlines are spans of real time.
+# Twisted's timers follow the wall clock, which may be stepped; deadlines need the monotonic clock.
 reactor.seconds = time.monotonic
 
 MICROSECONDS = 1e6
@@ -41,7 +41,7 @@
 
 
 def on_signals(numbers: Iterable[int], handler: Callable[[], None]) -> None:
-    """Call `handler` at these signals from now on, and for those that came during the start."""
+    """Call `handler` at each of these signals, and once if one of them arrived during the start."""
     for number in numbers:
         signal.signal(number, lambda *_: reactor.callFromThread(handler))
     if not early_signals.received.isdisjoint(numbers):
@@ -49,7 +49,7 @@
 
 
 class FrontProcess:
-    """Owns the parts of one front. Nothing of TLS or of sharing is loaded where the front has none."""
+    """Owns the parts of a front. Code for TLS and for cooperation is imported only if they are configured."""
 
     def __init__(
         self,
@@ -58,9 +58,16 @@
         log_format: str = "person",
         tls: TlsSettings | None = None,
     ):
-        """Put the parts together; `shared` is what fronts have in common, `tls` its TLS to servers.
+        """Create the parts and connect them.
 
-        Raises SettingError or ConfigurationError, which name the key, for settings that cannot be used.
+        Args:
+            settings: the configuration of this front.
+            shared: the peers file, for a front that cooperates with others.
+            log_format: one of `limepath.log.LOG_FORMATS`.
+            tls: the TLS file, for a front that connects to servers by TLS.
+
+        Raises:
+            SettingError, ConfigurationError: a setting is invalid; the message names its key.
         """
         self.settings = settings
         limits = settings.limits
@@ -125,7 +132,7 @@
         return watch
 
     def listen(self) -> Deferred:
-        """Begin to serve; the Deferred fires once clients can connect."""
+        """Start to listen for clients; return a Deferred that fires once they can connect."""
         host, port = self.settings.listen
         endpoint = TCP4ServerEndpoint(reactor, port, self.settings.limits.backlog, host)
         return self.clients.listen(endpoint).addCallback(self._listening)
@@ -153,17 +160,19 @@
         return f"{host}:{port}"
 
     def _sweep(self) -> None:
-        """Judge what is idle or silent by what has been read.
+        """Let each part close idle connections and check its timeouts.
 
-        What came while this process stood still, or was late, is read first, in the iteration that the caller
-        leaves to it.
+        The caller runs this one iteration after its timer, so that data which arrived while the process was
+        stopped or late is read first.
         """
         if self.servers.secured:
             self.servers.secured.announce()
         for part in filter(None, (self.clients, self.servers, self.watch, self.cooperation)):
             try:
                 part.sweep()
-            except Exception as error:  # the other parts are swept, and this one the next time
+            except (
+                Exception
+            ) as error:  # the other parts are still swept, and this one is tried again next time
                 self.log.fault("sweep", error)
 
     def _reload(self) -> None:
@@ -173,8 +182,13 @@
             self.log.info("reload", f"{error}; the running values stay")
             return
         for key in differing:
-            self.log.info("reload", "differs; it changes at a restart only", key=key)
-        self.log.info("reload", "follows the change log", address=f"{host}:{port}", after=self.watch.last)
+            self.log.info("reload", "value differs; it takes effect at a restart only", key=key)
+        self.log.info(
+            "reload",
+            "following the change log at this address",
+            address=f"{host}:{port}",
+            after=self.watch.last,
+        )
         self.watch.follow(host, port)
         if self.cooperation:
             self.cooperation.reload()
@@ -188,7 +202,7 @@
 
 
 def trusts_by_kind(settings: platform.FrontSettings, tls: TlsSettings) -> dict:
-    """By what servers are trusted, for each kind that TLS is for; all but the upper two are caches."""
+    """Return the trust settings by kind of server; all kinds but the parents and the origin are caches."""
     footprint = settings.arguments["footprint"]
     upper_kinds = {"parents": footprint.parent_kind, "origin": footprint.origin_kind}
     cache_kinds = set(range(len(settings.settings["models"]))) - set(upper_kinds.values())
--- a/limepath/scale/hollow.py
+++ b/limepath/scale/hollow.py
@@ -159,7 +159,7 @@
         except platform.ConfigurationError as flaw:
             raise NotDone(f"{self.config.name}: {flaw}; the running values stay") from None
         for key in differing:
-            self.log.info("reload", "differs; it changes at a restart only", key=key)
+            self.log.info("reload", "value differs; it takes effect at a restart only", key=key)
         self.changes.follow(host, port)
         self.cooperation.reload()
 
