--- a/limepath/__init__.py
+++ b/limepath/__init__.py
@@ -1,1 +1,1 @@
-"""limepath: an open-source front for caches of large objects behind thin links."""
+"""limepath: a caching reverse proxy for large objects behind links of low bandwidth."""
--- a/limepath/__main__.py
+++ b/limepath/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m limepath` runs one front, as the platform starts it; with words behind it, the command line."""
+"""`python -m limepath` runs one front, as the platform does; with arguments it is the command line."""
 
 import sys
 
--- a/limepath/front/__init__.py
+++ b/limepath/front/__init__.py
@@ -1,12 +1,13 @@
-"""One real front on sockets (Twisted): it parses, sends and reports, and decides nothing.
+"""The network code of a front (Twisted). All decisions are made by the decision engine, not here.
 
-Read `decision_loop.py` first: everything meets there. The way of an event: a protocol (`client_connection`,
-`server_connection`, `event_stream`) parses what its socket brought; its owner (`Clients`, `Servers`,
-`EndpointWatch`) turns that into an event of `limepath.interface.events`; the `DecisionLoop` hands all events
-of one event loop iteration to the decisions, and carries out the commands that they give back in their order.
+Start reading at `decision_loop.py`, which connects all parts. The path of an event: a protocol
+(`client_connection`, `server_connection`, `event_stream`) parses the data that its socket received; the owner
+of the protocol (`Clients`, `Servers`, `EndpointWatch`) turns it into an event of `limepath.interface.events`;
+the `DecisionLoop` passes all events of one event loop iteration to the decision engine, and executes the
+commands that it returns in order.
 
-State, and who owns it: client connections and open requests, `Clients`; endpoints, connections to them and
-attempts that are out, `Servers`; the endpoint list as received, `EndpointWatch`; what other machines' clocks
-say, `ReferenceClock`. Nothing of it outlives the process. `front_process.py` puts the
-parts together, `start.py` runs it.
+Ownership of state: `Clients` owns client connections and open requests; `Servers` owns endpoints, connections
+to them and attempts in flight; `EndpointWatch` owns the endpoint list as received; `ReferenceClock` owns the
+estimate of other machines' clocks. No state outlives the process. `front_process.py` creates the parts,
+`start.py` runs the process.
 """
--- a/limepath/front/chunked_coding.py
+++ b/limepath/front/chunked_coding.py
@@ -1,4 +1,4 @@
-"""The chunked transfer coding of HTTP (RFC 9112, 7.1), undone as bytes come."""
+"""An incremental decoder for the chunked transfer coding of HTTP (RFC 9112, 7.1)."""
 
 from limepath.front.watch_error import WatchError
 
@@ -6,14 +6,18 @@
 
 
 class ChunkedDecoder:
-    """Decodes a body that may be split anywhere."""
+    """Decodes a body that arrives in arbitrary pieces."""
 
     def __init__(self):
         self.buffer = b""
-        self.chunk_left = 0  # bytes of the current chunk that are to come, with the line end behind it
+        self.chunk_left = 0  # bytes of the current chunk still to come, including its line end
 
     def feed(self, data: bytes) -> bytes:
-        """Give the bytes of the body in `data`; raises WatchError for a chunk without a size."""
+        """Decode `data`; return the bytes of the body in it.
+
+        Raises:
+            WatchError: a chunk has no valid size.
+        """
         self.buffer += data
         body = []
         while self.buffer:
@@ -32,20 +36,20 @@
         return piece
 
     def _start_chunk(self) -> bool:
-        """Read the line with a chunk's size; gives whether it was complete."""
+        """Parse the line with a chunk's size; return whether it was complete."""
         line, end, rest = self.buffer.partition(LINE_END)
         if not end:
             return False
         try:
             self.chunk_left = int(line.split(b";")[0], 16) + len(LINE_END)
         except ValueError:
-            raise WatchError("malformed chunk") from None
+            raise WatchError("malformed chunk size") from None
         self.buffer = rest
         return True
 
 
 def transfer_codings(head: bytes) -> list[bytes]:
-    """The codings in a head's Transfer-Encoding fields, in lower case."""
+    """Return the codings in the Transfer-Encoding fields of a head, in lower case."""
     fields = [line.lower().partition(b":") for line in head.split(LINE_END)[1:]]
     values = [value for name, _, value in fields if name == b"transfer-encoding"]
     return [word.strip() for value in values for word in value.split(b",")]
--- a/limepath/front/client_connection.py
+++ b/limepath/front/client_connection.py
@@ -1,4 +1,4 @@
-"""One client connection: a request in, its answer out, and how the connection ends."""
+"""The server side of HTTP/1.1 on one client connection: requests, answers and the closing sequence."""
 
 from __future__ import annotations
 
@@ -25,33 +25,35 @@
 
 
 class ConnectionState(Enum):
-    """State of a client connection (docs/front.md tells what is owed in each)."""
+    """State of a client connection; docs/front.md lists what the front may do in each."""
 
-    IDLE = 0  # new, or kept alive after an answer
-    READING = 1  # a part of a request has come
-    AWAITING_ANSWER = 2  # a request is owed its answer
-    LINGERING = 3  # nothing more is accepted: buffered output goes out, then the FIN; input is discarded
-    HALF_CLOSED = 4  # the FIN has gone out; input is discarded until the client closes too
+    IDLE = 0  # new, or kept open after an answer
+    READING = 1  # a part of a request has arrived
+    AWAITING_ANSWER = 2  # a request is open
+    LINGERING = 3  # buffered output is being sent, followed by the FIN; input is discarded
+    HALF_CLOSED = 4  # the FIN was sent; input is discarded until the client closes, too
     CLOSED = 5
 
 
 @implementer(IPushProducer, IHalfCloseableProtocol)
 class ClientConnection(Protocol):
-    """One client connection, with one request at a time."""
+    """A client connection, which handles one request at a time."""
 
     def __init__(self, clients: Clients):
         self.clients = clients
         self.state = ConnectionState.IDLE
-        self.buffer = bytearray()  # input that is not parsed yet
-        self.head: RequestHead | None = None  # parsed, its body is not complete
-        self.request: ClientRequest | None = None  # the one that is owed its answer
-        self.is_persistent = True  # whether the connection stays after the next answer
-        self.has_requested = False  # whether a complete request has come on it
-        self.output_blocked = False  # the client does not take its answer
-        self.discarded_bytes = 0  # read since the lingering close began
-        self.close_deferred = False  # the last sweep found unread bytes on it, and let it be once
+        self.buffer = bytearray()  # unparsed input
+        self.head: RequestHead | None = None  # the parsed head of a request whose body is incomplete
+        self.request: ClientRequest | None = None  # the open request
+        self.is_persistent = True  # whether the connection stays open after the next answer
+        self.has_requested = False  # whether a complete request has arrived
+        self.output_blocked = False  # whether the send buffer is full because the client does not read
+        self.discarded_bytes = 0  # since the lingering close began
+        self.close_deferred = False  # whether a sweep has spared the connection because of unread bytes
         self.last_activity_at = clock()
-        self.accept_delay = clients.read_delay()  # microseconds; its first request may have come along
+        self.accept_delay = (
+            clients.read_delay()
+        )  # microseconds; the first request may be as old as the connection
 
     def connectionMade(self):
         self.transport.setTcpNoDelay(True)
@@ -78,18 +80,20 @@
         self.output_blocked = False
 
     def dataReceived(self, data):
-        if self.is_closing:  # its client sends it again, or it is what follows a rejected request
+        if self.is_closing:  # the client retries a request, or this follows a rejected request
             self._discard(data)
             return
-        if self.output_blocked:  # read in the iteration in which output got blocked: a disconnect goes unseen
+        if self.output_blocked:
+            # Input was read in the same iteration in which output got blocked. While reading is paused, a
+            # disconnect would go unnoticed, so the request starts only after output is unblocked.
             self.buffer += data
             return
         if not self.buffer and self.has_requested:
             self.last_activity_at = clock()
         self.buffer += data
         try:
-            if self.request is not None:  # a longer body than was announced, or another request
-                raise RequestError(400, "bytes behind an open GET")
+            if self.request is not None:  # the body exceeds its Content-Length, or requests are pipelined
+                raise RequestError(400, "unexpected bytes after an open request")
             self.state = ConnectionState.READING
             self._parse_buffer()
         except RequestError as error:
@@ -125,7 +129,7 @@
                 self.transport.write(CONTINUE)
             return
         if len(self.buffer) > request_size:
-            raise RequestError(400, "pipelined bytes")
+            raise RequestError(400, "unexpected bytes after the end of the request")
         body = bytes(self.buffer[head.length :])
         self.buffer = bytearray()
         self.head = None
@@ -143,9 +147,10 @@
             self.clients.accept_request(self, head, body, self._last_byte_at())
 
     def _last_byte_at(self) -> int:
-        """When the last byte came: as the system tells, or by the time between two polls.
+        """Return when the last byte arrived, by TCP_INFO or else by the time between two polls.
 
-        The clock is read first: a standstill behind it makes this earlier, not later.
+        The clock is read first, so that the result is too early, not too late, if the process is stopped
+        in this function.
         """
         now = clock()
         delay = max(self.clients.read_delay(), self.accept_delay)
@@ -153,7 +158,7 @@
         return now - (since_last_data(self.transport.socket) or delay)
 
     def send_response(self, status: int, fields: bytes = b"", body: bytes = b"") -> None:
-        """Write one complete answer, head and body in one gathered write."""
+        """Write a complete answer, with head and body in one gathered write."""
         self.request = None
         self.last_activity_at = clock()
         self.state = ConnectionState.IDLE
@@ -167,19 +172,20 @@
 
     @property
     def is_closing(self) -> bool:
-        """Whether this side has begun to close: nothing more is accepted."""
+        """Whether the front has begun to close the connection and discards its input."""
         return self.state in (ConnectionState.LINGERING, ConnectionState.HALF_CLOSED)
 
     @property
     def is_between_requests(self) -> bool:
-        """Whether no request is open and none is complete yet."""
+        """Whether no complete request is waiting for its answer."""
         return self.state in (ConnectionState.IDLE, ConnectionState.READING)
 
     def close_gracefully(self) -> None:
-        """Begin a lingering close: buffered output, then the FIN; input is discarded for a while.
+        """Begin a lingering close: send buffered output and the FIN, and discard input for a limited time.
 
-        A close on unread bytes would reset the connection and take the answer along. What was not read before
-        is not accepted: its client sends it again. It costs the descriptor for that time.
+        Closing a socket with unread bytes would reset the connection, and the client could lose the answer. A
+        request that was not read before is not accepted; the client retries it. The descriptor stays in use
+        until the close is complete.
         """
         if self.is_closing or self.state is ConnectionState.CLOSED:
             return
@@ -189,13 +195,13 @@
         self.last_activity_at = clock()
         self.discarded_bytes = 0
         self.buffer = bytearray()
-        self.transport.unregisterProducer()  # one that stays registered would keep the connection
+        self.transport.unregisterProducer()  # a registered producer would keep the connection open
         self._end_output(at_once)
 
     def close(self, abort: bool) -> None:
-        """Close now: once buffered output has gone out, or with `abort` at once.
+        """Close the connection, with `abort` immediately, else once buffered output was sent.
 
-        For a connection on which nothing is owed, or not taken for too long.
+        For connections without an open request, and for those whose client has not read for too long.
         """
         if self.state is ConnectionState.CLOSED:
             return
@@ -208,7 +214,7 @@
         self.transport.abortConnection() if abort else self.transport.loseConnection()
 
     def _can_end_at_once(self) -> bool:
-        """Whether no request is open, and the system has taken all that was written."""
+        """Whether no request is open and the kernel has accepted all output."""
         transport = self.transport
         if (
             self.request is not None
@@ -219,41 +225,43 @@
         return not (transport.dataBuffer or transport._tempDataBuffer)
 
     def _end_output(self, at_once: bool) -> None:
-        """Send the FIN behind buffered output.
+        """Send the FIN after buffered output.
 
-        At once, and not an iteration later, where a request that came meanwhile would be lost.
+        With `at_once` it is sent now instead of in the next iteration, because a request that arrives in
+        between would be lost.
         """
         self.transport.loseWriteConnection()
         if at_once:
             self.transport.doWrite()
 
     def has_unread_bytes(self) -> bool:
-        """Whether something has come that is not read yet: a request, or the client's FIN."""
+        """Whether the socket has unread bytes or an unread FIN."""
         poller = select.poll()
         poller.register(self.transport.fileno(), select.POLLIN)
         return bool(poller.poll(0))
 
     def writeConnectionLost(self):
-        """All output has gone out, and the FIN behind it: now the client has a while to close."""
+        """Wait for the client to close, after all output and the FIN were sent."""
         self.last_activity_at = clock()
         self.state = ConnectionState.HALF_CLOSED
         self.output_blocked = False
         self.transport.resumeProducing()
 
     def is_disconnected(self) -> bool:
-        """Whether the client's FIN or reset has come, read or not."""
+        """Whether the client's FIN or reset has arrived, even if it is still unread."""
         return has_ended(self.transport.socket)
 
     def disconnected_before_attempt(self) -> None:
-        """The client has gone before its next attempt began: its request ends as if the FIN were read."""
+        """Abandon the open request, whose client disconnected before the next attempt, and close."""
         since_disconnect = since_last_packet(self.transport.socket)
         self.clients.disconnects.attempt_prevented(self.request.attempt_count - 1, since_disconnect)
         self._abandon_request()
         self.close(abort=True)
 
     def readConnectionLost(self):
-        """The client has closed, or half closed, which looks alike. With a request open it has disconnected;
-        otherwise it may still take buffered output.
+        """Handle the client's FIN. A close cannot be distinguished from a half-close.
+
+        If a request is open, the client counts as disconnected. Otherwise it may still read buffered output.
         """
         if self.request is None:
             self.close(abort=False)
--- a/limepath/front/client_limit.py
+++ b/limepath/front/client_limit.py
@@ -1,4 +1,4 @@
-"""The limit on client connections: which are closed where too many are open, or take no answers."""
+"""The limit on client connections: chooses which to close if too many are open or blocked on output."""
 
 from __future__ import annotations
 
@@ -13,32 +13,33 @@
 if TYPE_CHECKING:
     from limepath.front.clients import Clients
 
-SPARE_SHARE = 64  # one in so many of the limit is closed beyond need: a look at all connections costs much
+# Up to 1/64 of the limit is closed beyond the excess, because scanning all connections is expensive.
+HEADROOM_DIVISOR = 64
 
 
 class CloseRank(IntEnum):
-    """Which connections are closed first."""
+    """Order in which connections are closed, lowest first."""
 
-    ENDED = 0  # they have this side's FIN
-    SILENT = 1  # they never sent a request
-    PARTIAL_REQUEST = 2  # for a while: a flood of slow senders must not keep all others out
-    IDLE = 3
-    NEW = 4  # just connected, or in the middle of sending
-    TAKING_ANSWER = 5
+    ENDED = 0  # the front has sent its FIN
+    SILENT = 1  # the client has never sent a request
+    PARTIAL_REQUEST = 2  # and not NEW; before IDLE, so that slow senders cannot lock out other clients
+    IDLE = 3  # between requests
+    NEW = 4  # connected recently, or sending a request
+    TAKING_ANSWER = 5  # the last answer is still being sent
 
 
 class CloseCandidate(NamedTuple):
-    """A connection that may be closed; the smallest in the order of the fields goes first."""
+    """A connection that may be closed; candidates compare as tuples, and the smallest is closed first."""
 
     has_unread_bytes: bool
     rank: CloseRank
     last_activity_at: int
-    order: int  # so that no two compare by connection
+    order: int  # unique, so that connections are never compared
     connection: ClientConnection
 
 
 def close_rank(connection: ClientConnection, now: int) -> CloseRank:
-    """Give the rank of a connection without an open request at `now` (the front's clock)."""
+    """Return the rank of a connection without an open request; `now` is monotonic microseconds."""
     is_new = now - connection.last_activity_at < connection.clients.limits.first_request_grace
     if connection.output_blocked or connection.state is ConnectionState.LINGERING:
         return CloseRank.TAKING_ANSWER
@@ -52,8 +53,8 @@
 
 
 def with_unread_bytes(connections: list[ClientConnection]) -> set[ClientConnection]:
-    """Those of the connections on which something is not read yet: a request, or the client's FIN."""
-    by_descriptor = {one.transport.fileno(): one for one in connections if one.transport.fileno() >= 0}
+    """Return those of the connections whose sockets have unread bytes or an unread FIN."""
+    by_descriptor = {c.transport.fileno(): c for c in connections if c.transport.fileno() >= 0}
     poller = select.poll()
     for descriptor in by_descriptor:
         poller.register(descriptor, select.POLLIN)
@@ -61,45 +62,46 @@
 
 
 class ClientConnectionLimit:
-    """Closes connections without a request where there are more than the limit."""
+    """Closes connections without an open request while there are more than the limit."""
 
     def __init__(self, clients: Clients):
         self.clients = clients
-        self.closing: set[ClientConnection] = set()  # closed for the limit, and not lost yet
+        self.closing: set[ClientConnection] = set()  # closed by `enforce`, not lost yet
         self.is_scheduled = False
 
     def count_changed(self) -> None:
-        """Accept no more connections than the limit allows; beyond it, close those idle for longest."""
+        """Pause accepting and schedule `enforce` if there are more connections than the limit."""
         exceeded = len(self.clients.connections) > self.clients.limits.client_connections
         self.clients.listener.set_paused(exceeded)
         if exceeded:
             self.schedule()
 
     def schedule(self) -> None:
-        """Enforce the limit once for all that this event loop iteration brings."""
+        """Enforce the limit once at the end of this event loop iteration."""
         if not self.is_scheduled:
             self.is_scheduled = True
             self.clients.reactor.callLater(0, self.enforce)
 
     def enforce(self) -> None:
-        """Close as many connections as there are too many, less those that are closing already, and a few
-        more that no one will miss: to look at all of them for each that comes costs too much.
+        """Close the connections in excess of the limit, not counting those that are closing already.
+
+        A few more of low rank are closed as well: scanning all connections for each new one is expensive.
         """
         self.is_scheduled = False
         limit = self.clients.limits.client_connections
         excess = len(self.clients.connections) - limit - len(self.closing)
         if excess <= 0:
             return
-        idle = [one for one in self.clients.connections if one.request is None and one not in self.closing]
+        idle = [c for c in self.clients.connections if c.request is None and c not in self.closing]
         self.clients.log.info("descriptors", clients=len(self.clients.connections), idle=len(idle))
-        for number, candidate in enumerate(self._first_to_close(idle, excess + limit // SPARE_SHARE)):
+        for number, candidate in enumerate(self._first_to_close(idle, excess + limit // HEADROOM_DIVISOR)):
             if number >= excess and (candidate.rank >= CloseRank.NEW or candidate.has_unread_bytes):
                 continue
             connection = candidate.connection
-            if not candidate.has_unread_bytes and connection.has_unread_bytes():  # it has come since
+            if not candidate.has_unread_bytes and connection.has_unread_bytes():  # arrived during this loop
                 self.schedule()
                 continue
-            self.closing.add(connection)  # until it is lost, which may be within the call
+            self.closing.add(connection)  # before the call, which may already call connectionLost
             connection.close(abort=connection.output_blocked or connection.is_closing)
 
     def _first_to_close(self, idle: list[ClientConnection], number: int) -> list[CloseCandidate]:
@@ -108,14 +110,19 @@
         return nsmallest(
             number,
             (
-                CloseCandidate(one in unread, close_rank(one, now), one.last_activity_at, order, one)
-                for order, one in enumerate(idle)
+                CloseCandidate(c in unread, close_rank(c, now), c.last_activity_at, order, c)
+                for order, c in enumerate(idle)
             ),
         )
 
     def output_blocked(self) -> None:
-        """Answers that clients do not take must not fill the memory: the longest blocked is closed."""
-        blocked = [one for one in self.clients.connections if one.output_blocked]
+        """Close the connection that is blocked for longest if too many are.
+
+        Otherwise their buffered output could exhaust memory.
+        """
+        blocked = [c for c in self.clients.connections if c.output_blocked]
         if len(blocked) > self.clients.limits.undrained_connections:
-            self.clients.log.info("memory", "clients do not take their answers", clients=len(blocked))
-            min(blocked, key=lambda one: one.last_activity_at).close(abort=True)
+            self.clients.log.info(
+                "memory", "too many clients do not read their answers; closed one", clients=len(blocked)
+            )
+            min(blocked, key=lambda c: c.last_activity_at).close(abort=True)
--- a/limepath/front/client_listener.py
+++ b/limepath/front/client_listener.py
@@ -1,4 +1,4 @@
-"""The listening port for clients: how many connections it accepts at once, and its backlog at the end."""
+"""The listening socket for clients: pauses, a limit on accepts per read, and the backlog at shutdown."""
 
 from __future__ import annotations
 
@@ -18,16 +18,16 @@
 
 
 class ClientListener:
-    """Accepts client connections, and owns the port."""
+    """Accepts client connections and owns the listening port."""
 
     def __init__(self, clients: Clients):
         self.clients = clients
-        self.port = None  # Twisted's port; None before it listens and once it is closed
-        self.is_paused = False  # there are too many connections
+        self.port = None  # Twisted's port; None before listening and after closing
+        self.is_paused = False  # whether accepting is paused because of too many connections
         self.accepted_count = 0
 
     def listen(self, endpoint: IStreamServerEndpoint) -> Deferred:
-        """Listen on a Twisted server endpoint; the Deferred fires once clients can connect."""
+        """Listen on a Twisted server endpoint; return a Deferred that fires once clients can connect."""
         return endpoint.listen(Factory.forProtocol(self._accept)).addCallback(self._listening)
 
     def _accept(self) -> ClientConnection:
@@ -35,7 +35,7 @@
         return ClientConnection(self.clients)
 
     def _listening(self, port) -> None:
-        """Bound how many the port accepts at once: it learns of too many only after the last of them."""
+        """Limit the accepts per read of the port, because accepting can be paused only between reads."""
         self.port = port
         accept = port.doRead
 
@@ -46,28 +46,30 @@
         port.doRead = accept_some
 
     def set_paused(self, paused: bool) -> None:
-        """Stop accepting, or accept again."""
+        """Pause or resume accepting connections."""
         if self.port and paused != self.is_paused:
             self.is_paused = paused
             self.port.stopReading() if paused else self.port.startReading()
 
     def accept_backlog(self) -> None:
-        """Accept what the system holds for this front."""
+        """Accept all connections in the kernel's accept queue."""
         fruitless_reads = 0
         for _ in range(self.clients.limits.backlog):
             accepted_before = self.accepted_count
             self.port.doRead()
             fruitless_reads = fruitless_reads + 1 if self.accepted_count == accepted_before else 0
-            if fruitless_reads > 1:  # one read may accept none: Twisted adapts how many it accepts at once
+            if (
+                fruitless_reads > 1
+            ):  # a single one is possible, as Twisted adapts its number of accepts per read
                 break
 
     def has_backlog(self) -> bool:
-        """Whether the system holds a connection that this front has not accepted."""
+        """Whether the kernel's accept queue is not empty."""
         poller = select.poll()
         poller.register(self.port.socket, select.POLLIN)
         return bool(poller.poll(0))
 
     def close(self) -> None:
-        """Close the port for good."""
+        """Close the port."""
         self.port.stopListening()
         self.port = None
--- a/limepath/front/clients.py
+++ b/limepath/front/clients.py
@@ -1,4 +1,4 @@
-"""The client side: all client connections and requests, with one final answer to each request."""
+"""The client side of a front: client connections, their requests, and one final answer to each request."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 class Clients:
-    """Owns all client connections, and all requests that are owed an answer or have an attempt out."""
+    """Owns all client connections, and all requests that are unanswered or have an attempt in flight."""
 
     servers: Servers  # set by `DecisionLoop.connect`
 
@@ -48,42 +48,45 @@
         self.decision_loop = decision_loop
         self.limits = limits
         self.log = log
-        self.services = services  # see `client_request.parse_request`
+        self.services = services  # as for `client_request.parse_request`
         self.connections: set[ClientConnection] = set()
         self.requests: dict[int, ClientRequest] = {}  # by id
-        self.transaction_ids: set[bytes] = set()  # of open requests
+        self.transaction_ids: set[bytes] = set()  # transaction ids of open requests
         self.request_ids = count(1)
-        self.released: list[ClientRequest] = []  # done with, once the decisions have had the last events
-        self.read_delay = lambda: 0  # microseconds that what has just been read may have waited for a poll
-        self.is_waiting_for_list = False  # the endpoint list is not known yet
+        self.released: list[ClientRequest] = []  # removed after the next call of the decision engine
+        self.read_delay = lambda: 0  # returns the maximum age of the data read last, in microseconds
+        self.is_waiting_for_list = False  # whether the endpoint list is not confirmed yet
         self.disconnects = DisconnectCounter(log)
         self.listener = ClientListener(self)
         self.connection_limit = ClientConnectionLimit(self)
         self.shutdown = GracefulShutdown(self)
 
     def listen(self, endpoint: IStreamServerEndpoint) -> Deferred:
-        """Listen on a Twisted server endpoint; the Deferred fires once clients can connect."""
+        """Listen on a Twisted server endpoint; return a Deferred that fires once clients can connect."""
         return self.listener.listen(endpoint)
 
     @property
     def is_healthy(self) -> bool:
-        """Whether new clients should come here."""
+        """Whether the health check answers 200, so that load balancers send new clients."""
         return not (self.shutdown.is_started or self.is_waiting_for_list)
 
     def accept_request(
         self, connection: ClientConnection, head: RequestHead, body: bytes, arrived_at: int | None = None
     ) -> None:
-        """Accept a request whose last byte came at `arrived_at` (the front's clock), or just now.
+        """Accept a request, or answer 503 if too many are open.
 
-        Raises RequestError for one that cannot be accepted.
+        `arrived_at` is when its last byte arrived, in microseconds on the monotonic clock; by default now.
+
+        Raises:
+            RequestError: the request is invalid.
         """
         if arrived_at is None:
             arrived_at = clock()
         request = parse_request(next(self.request_ids), connection, head, body, self.services, arrived_at)
-        if request.transaction_id in self.transaction_ids:  # caches could not tell the two apart
-            raise RequestError(409, "an id that is open")
+        if request.transaction_id in self.transaction_ids:  # caches identify requests by this id
+            raise RequestError(409, "X-Txn: another open request has this id")
         if len(self.requests) >= self.limits.open_requests:
-            self.log.info("open", "one more shed", gets=len(self.requests))
+            self.log.info("open", "request shed: too many open requests", gets=len(self.requests))
             connection.send_response(503, retry_after_field(self.limits.overload_retry_after))
             return
         self.requests[request.id] = request
@@ -97,7 +100,10 @@
         self.decision_loop.gather(request.event)
 
     def _deadline_passed(self, request: ClientRequest) -> None:
-        """What is out has timed out; the decisions answer, else the backstop does soon."""
+        """Time out all attempts in flight.
+
+        The decision engine then answers; if it does not, `_fail_unanswered` does after `Limits.backstop`.
+        """
         request.timer = None
         for attempt in list(request.attempts.values()):
             self.servers.time_out(attempt)
@@ -107,12 +113,12 @@
 
     def _fail_unanswered(self, request: ClientRequest) -> None:
         request.timer = None
-        self.log.info("backstop", "a GET had no answer in time; errored", ds=request.service)
+        self.log.info("backstop", "request had no answer by its deadline; answered 504", ds=request.service)
         self.decision_loop.gather(ClientDisconnected(request.id))
         self._answer(request, 504)
 
     def client_disconnected(self, request: ClientRequest) -> None:
-        """The client of this request has gone: no answer is owed."""
+        """Abandon a request whose client has disconnected."""
         request.end(RequestState.ABANDONED)
         self.transaction_ids.discard(request.transaction_id)
         self.servers.cancel_unsent(request)
@@ -122,7 +128,7 @@
     def answer_with_copy(
         self, request: ClientRequest, is_not_modified: bool, tag: bytes | None, body: bytes
     ) -> None:
-        """Answer with what a server sent; the answer to a write has no `tag`."""
+        """Answer with the body of a server's answer, or 304; the answer to a write has no `tag`."""
         fields = b'ETag: "%b"\r\n' % tag if tag else b""
         if is_not_modified:
             self._answer(request, 304, fields)
@@ -135,12 +141,12 @@
             self._answer(request, 503, retry_after_field(command.retry_after))
 
     def fail(self, command: FailRequest) -> None:
-        """Answer 502: the request may have had an effect."""
+        """Answer 502, because the request may have had an effect."""
         if request := self.requests.get(command.request):
             self._answer(request, 502)
 
     def _answer(self, request: ClientRequest, status: int, fields: bytes = b"", body: bytes = b"") -> None:
-        """The one final answer."""
+        """Send the final answer, unless the request has ended already."""
         if not request.is_open:
             return
         connection = request.end(RequestState.ANSWERED)
@@ -149,8 +155,10 @@
         self.release_if_done(request)
 
     def release_if_done(self, request: ClientRequest) -> None:
-        """A request that is not open and has no attempts is forgotten once the decisions have had all events
-        of it: until then they may order one more attempt, which needs its outcome.
+        """Mark an ended request without attempts for removal.
+
+        It is removed only once the decision engine has processed all its events: until then the engine may
+        start another attempt, whose outcome has to be reported.
         """
         if request.attempts:
             return
@@ -160,7 +168,7 @@
         self.released.append(request)
 
     def forget_released(self) -> None:
-        """The decisions have had all events there were."""
+        """Remove released requests after the decision engine has processed all events."""
         released = self.released
         self.released = []
         for request in released:
@@ -169,15 +177,16 @@
         self.shutdown.check_finished()
 
     def cancel_attempt(self, command: CancelAttempt) -> None:
-        """Cancel an attempt, if it is still out."""
+        """Cancel an attempt that is still in flight."""
         request = self.requests.get(command.request)
         attempt = request and request.attempts.get(command.attempt)
         if attempt:
             self.servers.cancel(attempt)
 
     def sweep(self) -> None:
-        """Close what is idle, half sent or not taken for long; log who holds the descriptors once clients
-        have all of theirs.
+        """Close connections that were idle, in the middle of a request or blocked on output for too long.
+
+        If clients hold all descriptors reserved for them, log the use of descriptors.
         """
         if len(self.connections) >= self.limits.client_connections:
             self.log.info("descriptors-by-use", **descriptor_use(self, self.servers, self.limits)._asdict())
@@ -191,7 +200,7 @@
     def _close_expired(self, connection: ClientConnection) -> None:
         may_send = connection.is_between_requests and not connection.output_blocked
         if may_send and not connection.close_deferred and connection.has_unread_bytes():
-            connection.close_deferred = True  # once: read first, it may be a request
+            connection.close_deferred = True  # only once: the unread bytes may be a request
             return
         is_idle = connection.state is ConnectionState.IDLE and connection.has_requested
         if is_idle and not connection.output_blocked:
@@ -200,7 +209,7 @@
             connection.close(abort=True)
 
     def _timeout_of(self, connection: ClientConnection) -> int:
-        """Microseconds without activity after which this connection is closed."""
+        """Return after how many microseconds without activity this connection is closed."""
         if connection.output_blocked or connection.state is ConnectionState.LINGERING:
             return self.limits.undrained_timeout
         if connection.state is ConnectionState.HALF_CLOSED:
--- a/limepath/front/clock.py
+++ b/limepath/front/clock.py
@@ -1,13 +1,13 @@
-"""The clocks of a front in whole microseconds: the monotonic one for spans, the Unix one for the start."""
+"""The clocks of a front in whole microseconds: monotonic for intervals, Unix time to compare with servers."""
 
 import time
 
 
 def clock() -> int:
-    """Microseconds on the monotonic clock, which does not follow steps of the system's wall clock."""
+    """Return microseconds on the monotonic clock, which steps of the wall clock do not affect."""
     return time.monotonic_ns() // 1000
 
 
 def unix_clock() -> int:
-    """Microseconds since the Unix epoch by the system's wall clock, which may be stepped."""
+    """Return microseconds since the Unix epoch by the wall clock, which may be stepped."""
     return time.time_ns() // 1000
--- a/limepath/front/descriptors.py
+++ b/limepath/front/descriptors.py
@@ -1,4 +1,4 @@
-"""File descriptors by use: what clients, servers and all else of the front hold, of those it may have."""
+"""Counts the open file descriptors of the process by use."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 
 
 class DescriptorUse(NamedTuple):
-    """Counts of open descriptors; `planned` is what clients and caches may hold at the most, together."""
+    """Numbers of open descriptors; `planned` is the maximum for clients and caches together."""
 
     clients: int
-    caches: int  # parents and the origin too; the name is that of the log field
-    other: int  # the reactor, the log, the listener, the endpoint list, datagrams, the store
+    caches: int  # connections to caches, parents and the origin; named as the log field
+    other: int  # reactor, log, listening port, endpoint list, datagram sockets, store
     planned: int
 
 
 def descriptor_use(clients: Clients, servers: Servers, limits: Limits) -> DescriptorUse:
-    """Count now. Reads the process's directory of descriptors (proc(5)), one call for some hundred."""
-    total = len(os.listdir("/proc/self/fd")) - 1  # the directory itself is open while it is read
+    """Count the open descriptors, by listing /proc/self/fd (proc(5)); one system call lists some hundred."""
+    total = len(os.listdir("/proc/self/fd")) - 1  # listing opens the directory itself
     client_count = len(clients.connections)
     server_count = servers.connection_count
     planned = limits.client_connections + limits.all_cache_connections
--- a/limepath/front/graceful_shutdown.py
+++ b/limepath/front/graceful_shutdown.py
@@ -1,4 +1,4 @@
-"""Graceful shutdown: requests are accepted while they come, all are answered, then the front ends."""
+"""Graceful shutdown: accept requests for a limited time, answer all of them, then end the process."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
 
 
 class ShutdownState(Enum):
-    """How far the shutdown has come."""
+    """Phase of the shutdown."""
 
     SERVING = 0
-    DRAINING = 1  # connections and requests are accepted still
+    DRAINING = 1  # connections and requests are still accepted
     NOT_ACCEPTING = 2  # the port is closed
     FINISHED = 3
 
@@ -33,16 +33,16 @@
         self.clients = clients
         self.state = ShutdownState.SERVING
         self.finished = Deferred()
-        self.answer_deadline: int | None = None  # until when all open requests are answered (front's clock)
-        self.last_call = None  # timer: for how long clients may take their last answers
+        self.answer_deadline: int | None = None  # for all open requests; microseconds on the monotonic clock
+        self.close_timer = None  # finishes the shutdown although clients have not read their last answers
 
     @property
     def is_started(self) -> bool:
-        """Whether the front has been told to end."""
+        """Whether the shutdown was requested."""
         return self.state is not ShutdownState.SERVING
 
     def start(self) -> None:
-        """Accept requests for the time in which they still come, and answer all."""
+        """Start the shutdown: accept requests for `Limits.drain_period` and answer all of them."""
         if self.is_started:
             return
         self.state = ShutdownState.DRAINING
@@ -51,8 +51,10 @@
         self.clients.reactor.callLater(self.clients.limits.drain_period / MICROSECONDS, self._stop_accepting)
 
     def _shorten_deadlines(self) -> None:
-        """Whoever told this front to end kills it once the longest deadline is over, as far as that is waited
-        for: what has more time than that gets its answer while there is still one to give.
+        """Limit the deadlines of open requests to `Limits.last_answer` from now.
+
+        The process is killed some time after SIGTERM, even if requests have later deadlines; these have to be
+        answered before that.
         """
         time_left = self.clients.limits.last_answer
         self.answer_deadline = clock() + time_left
@@ -63,9 +65,11 @@
                 request.timer.reset(time_left / MICROSECONDS)
 
     def _stop_accepting(self) -> None:
-        """Nothing new from here on. What the system has accepted for this front is taken over first, and what
-        has come on connections is read once more: a request in there counts as accepted. Accept may fail for
-        a moment: then it is asked again, as long as there is time for an answer.
+        """Close the listening port.
+
+        Connections in the kernel's accept queue are accepted first, and all connections are read once more,
+        because requests that have arrived count as accepted. If accept fails temporarily, it is retried until
+        `answer_deadline`.
         """
         listener = self.clients.listener
         listener.accept_backlog()
@@ -78,7 +82,7 @@
         self.clients.reactor.callLater(0, self.close_idle_connections)
 
     def close_idle_connections(self) -> None:
-        """Close idle connections; those with unread bytes once these have been read."""
+        """Close idle connections; one with unread bytes is closed only after they were read."""
         has_unread = False
         for connection in list(self.clients.connections):
             if connection.state is not ConnectionState.IDLE:
@@ -92,16 +96,17 @@
         self.check_finished()
 
     def check_finished(self) -> None:
-        """Finish once all is answered and all connections are closed, or have not been for the longest time
-        that an answer may take to be taken.
+        """Finish once all requests are answered and all connections are closed.
+
+        Connections that are still open after `Limits.last_call` are ignored.
         """
         if self.state is not ShutdownState.NOT_ACCEPTING or self.clients.requests:
             return
         if not self.clients.connections:
             self._finish()
-        elif not self.last_call:
+        elif not self.close_timer:
             timeout = self.clients.limits.last_call
-            self.last_call = self.clients.reactor.callLater(timeout / MICROSECONDS, self._finish)
+            self.close_timer = self.clients.reactor.callLater(timeout / MICROSECONDS, self._finish)
 
     def _finish(self) -> None:
         if self.state is not ShutdownState.FINISHED:
--- a/limepath/front/poll_times.py
+++ b/limepath/front/poll_times.py
@@ -1,6 +1,7 @@
-"""How long what the reactor hands out may have waited for it.
+"""Measures how long received data may have waited before the reactor read it.
 
-Where the system does not tell when bytes came, they may have come as early as the last poll of the sockets.
+If the kernel does not provide the time of arrival, the data may have arrived at any time since the previous
+poll of the sockets.
 """
 
 from __future__ import annotations
@@ -13,11 +14,11 @@
 if TYPE_CHECKING:
     from twisted.internet.base import ReactorBase
 
-IMMEDIATE = 1_000  # microseconds; a poll that took longer had to wait for what it brought
+MAX_IMMEDIATE_POLL = 1_000  # microseconds; a poll that took longer had to wait for its first event
 
 
 class TimedPoller:
-    """The epoll object of a reactor, with the times of its polls."""
+    """Wraps the epoll object of a reactor and measures its polls."""
 
     def __init__(self, poller):
         self.poller = poller  # a select.epoll
@@ -31,22 +32,25 @@
         self.delay = 0
 
     def poll(self, *arguments) -> list[tuple[int, int]]:
-        """Poll once, as select.epoll does. What is there at once may be as old as the poll before."""
+        """Poll like select.epoll. Events that are returned immediately may be as old as the previous poll."""
         returned_before = self.returned
         self.entered = clock()
         events = self.poller.poll(*arguments)
         self.returned = clock()
-        was_immediate = self.returned - self.entered < IMMEDIATE
+        was_immediate = self.returned - self.entered < MAX_IMMEDIATE_POLL
         self.delay = self.entered - returned_before if was_immediate else 0
         return events
 
     def read_delay(self) -> int:
-        """Microseconds at the most that what this poll brought has waited for the iteration before it."""
+        """Return how long the events of the last poll may have waited for it, in microseconds."""
         return self.delay
 
 
 def measure_read_delay(reactor: ReactorBase) -> Callable[[], int]:
-    """Time this reactor's polls from now on; gives `TimedPoller.read_delay`, or 0 for one without epoll."""
+    """Start to measure the polls of this reactor.
+
+    Returns `TimedPoller.read_delay`, or a function that returns 0 if the reactor does not use epoll.
+    """
     if not hasattr(reactor, "_poller"):
         return lambda: 0
     reactor._poller = TimedPoller(reactor._poller)
--- a/limepath/front/request_head.py
+++ b/limepath/front/request_head.py
@@ -1,4 +1,4 @@
-"""Heads of HTTP requests: parsed out of a buffer, and the size of the body that follows (RFC 9112)."""
+"""Parses the heads of HTTP requests and finds the size of the body that follows (RFC 9112)."""
 
 from typing import NamedTuple
 
@@ -21,11 +21,11 @@
         b"expect",
     )
 )
-"""Header fields that this front reads, in lower case; all others are dropped."""
+"""Header fields that the front uses, in lower case; all others are dropped."""
 
 
 class RequestError(Exception):
-    """What a client sent cannot be accepted: the HTTP status of the answer, and what was found."""
+    """An invalid request: the HTTP status of the answer, and the reason for the log."""
 
     def __init__(self, status: int, reason: str):
         super().__init__(reason)
@@ -33,38 +33,39 @@
 
 
 class RequestHead(NamedTuple):
-    """A parsed head; field names are in lower case, values without the blanks around them."""
+    """A parsed head. Field names are in lower case; values have no surrounding white space."""
 
     method: bytes
     target: bytes
     fields: dict[bytes, bytes]
-    length: int  # bytes that the head took in the buffer
+    length: int  # of the head, bytes
 
 
 def parse_head(buffer: bytearray, max_size: int, max_fields: int) -> RequestHead | None:
-    """Parse the head at the start of `buffer`; None while it is not complete.
+    """Parse the head at the start of `buffer`; return None if it is incomplete.
 
-    Raises RequestError for a head that is malformed, over `max_size` bytes or over `max_fields` lines long.
+    Raises:
+        RequestError: the head is malformed, or has more than `max_size` bytes or `max_fields` fields.
     """
     end = buffer.find(HEAD_END, 0, max_size)
     if end < 0:
         if len(buffer) >= max_size:
-            raise RequestError(431, "over-long head")
+            raise RequestError(431, f"head of more than {max_size} bytes")
         return None
     request_line, *field_lines = bytes(buffer[:end]).split(b"\r\n")
     method, target = _parse_request_line(request_line)
     if len(field_lines) > max_fields:
-        raise RequestError(431, "too many fields")
+        raise RequestError(431, f"head of more than {max_fields} fields")
     return RequestHead(method, target, _parse_fields(field_lines), end + len(HEAD_END))
 
 
 def _parse_request_line(line: bytes) -> tuple[bytes, bytes]:
     words = line.split(b" ")
     if len(words) != 3 or not words[0].isalpha() or not words[1]:
-        raise RequestError(400, "malformed first line")
+        raise RequestError(400, "malformed request line")
     method, target, version = words
     if version != HTTP_VERSION:
-        raise RequestError(505 if version.startswith(b"HTTP/") else 400, "another version of HTTP")
+        raise RequestError(505 if version.startswith(b"HTTP/") else 400, "HTTP version: expected HTTP/1.1")
     return method, target
 
 
@@ -74,34 +75,39 @@
         name, colon, value = line.partition(b":")
         name = name.lower()
         if not colon or not name or name.strip() != name or b" " in name:
-            raise RequestError(400, "malformed field")
+            raise RequestError(400, "malformed header field")
         if name in fields:
-            raise RequestError(400, "twofold field")
+            raise RequestError(400, "duplicate header field")
         if name in USED_FIELDS:
             fields[name] = value.strip()
     return fields
 
 
 def parse_integer(text: bytes, maximum: int, field: str) -> int:
-    """Give the decimal number in `text`; raises RequestError with `field` unless it is 0 to `maximum`."""
+    """Return the decimal number in `text`.
+
+    Raises:
+        RequestError: it is not a number from 0 to `maximum`; the message is `field`.
+    """
     if not text.isdigit() or len(text) > MAX_NUMBER_DIGITS or int(text) > maximum:
         raise RequestError(400, field)
     return int(text)
 
 
 def body_size(head: RequestHead, max_size: int) -> int:
-    """Give the size in bytes of the body behind this head.
+    """Return the size in bytes of the body that follows this head.
 
-    Raises RequestError for a transfer coding (501), a PUT without Content-Length (411), a body over
-    `max_size` (413) or one where none belongs (400).
+    Raises:
+        RequestError: the request has a transfer coding (501), is a PUT without Content-Length (411), has a
+            body of more than `max_size` bytes (413), or has a body but is not a PUT (400).
     """
     if b"transfer-encoding" in head.fields:
-        raise RequestError(501, "transfer coding")
+        raise RequestError(501, "transfer coding is not supported")
     if head.method == b"PUT" and b"content-length" not in head.fields:
-        raise RequestError(411, "no Content-Length")
+        raise RequestError(411, "PUT without Content-Length")
     size = parse_integer(head.fields.get(b"content-length", b"0"), MAX_CONTENT_LENGTH, "Content-Length")
     if size > max_size:
-        raise RequestError(413, "body too large")
+        raise RequestError(413, f"body of {size} bytes; expected up to {max_size}")
     if size and head.method != b"PUT":
-        raise RequestError(400, "a body where none belongs")
+        raise RequestError(400, "body in a request that is not a PUT")
     return size
--- a/limepath/front/response.py
+++ b/limepath/front/response.py
@@ -1,4 +1,4 @@
-"""HTTP responses to clients: the status line and the fields that the front adds by itself."""
+"""Builds HTTP responses to clients: the status line and the header fields that the front adds."""
 
 REASONS = {
     200: b"OK",
@@ -19,7 +19,10 @@
 
 
 def response_head(status: int, fields: bytes, body_size: int, is_persistent: bool) -> bytes:
-    """Give the head of a response; `fields` are complete lines. A 304 has no length (RFC 9110, 8.6)."""
+    """Return the head of a response; `fields` are complete lines.
+
+    A 304 has no Content-Length (RFC 9110, 8.6).
+    """
     return b"HTTP/1.1 %d %b\r\n%b%b%b\r\n" % (
         status,
         REASONS[status],
@@ -30,5 +33,5 @@
 
 
 def retry_after_field(retry_after: int) -> bytes:
-    """The field that asks a client to wait for `retry_after` microseconds; none where that is 0."""
+    """Return the field that asks a client to retry after `retry_after` microseconds; empty for 0."""
     return b"X-Throttle-Ms: %d\r\n" % -(-retry_after // 1000) if retry_after else b""
--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -377,7 +377,8 @@
         connection.readConnectionLost()
     counted = clients.disconnects
     assert (
-        counted.begun == 1 and 140_000 <= counted.latest <= clock() - before + client_disconnects.RESOLUTION
+        counted.begun == 1
+        and 140_000 <= counted.max_delay <= clock() - before + client_disconnects.RESOLUTION
     )
     assert "event=client-gone attempt=further" in capsys.readouterr().err
 
