--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -1,4 +1,4 @@
-"""Stories of the real front: the program is started and spoken to on loopback sockets."""
+"""Tests of a front as a process, with stand-ins for clients and servers on loopback sockets."""
 
 import contextlib
 import io
@@ -45,7 +45,7 @@
 OBJECT = bytes(range(256)) * 40
 
 
-def test_a_get_is_returned_whole_and_unchanged():
+def test_get_returns_the_object_unchanged():
     with Site() as site:
         viewer = site.viewer().send()
         asked = site.cache.next()
@@ -56,14 +56,14 @@
         asked.answer("DONE", NOW, OBJECT)
         status, fields, body = viewer.answer()
         assert (status, fields["etag"], body) == (200, '"4be0c1927d55a6f3"', OBJECT)
-        viewer.send(target="/invoke/video/00000000000000aa", txn="00000000000000ff")  # the same connection
+        viewer.send(target="/invoke/video/00000000000000aa", txn="00000000000000ff")  # on the same connection
         asked = site.cache.next()
         assert "blk" not in asked.fields
         asked.answer("DONE", NOW)
         assert viewer.answer()[::2] == (200, b"")
 
 
-def test_a_miss_is_filled_and_a_full_cache_is_passed():
+def test_miss_is_filled_and_a_full_cache_is_skipped():
     with Site() as site:
         viewer = site.viewer().send()
         site.cache.next().answer("LACK")
@@ -72,48 +72,50 @@
         fill.answer("DONE", NOW, b"x")
         assert viewer.answer()[::2] == (200, b"x")
         viewer.send()
-        site.cache.next().answer("WAIT")  # once taken for no answer to a forward, which ended its connection
+        site.cache.next().answer("WAIT")  # was once rejected as an answer to ASK, which closed the connection
         direct = site.parent.next()
         assert direct.fields["up"] == "o-1"
         direct.answer("DONE", NOW, b"y")
-        assert viewer.answer()[::2] == (200, b"y") and site.cache.connected == 3  # an id once on each
+        # Each connection carries an id only once.
+        assert viewer.answer()[::2] == (200, b"y") and site.cache.connected == 3
 
 
-def test_a_client_keeps_its_copy():
+def test_copy_of_a_client_is_revalidated():
     with Site() as site:
         viewer = site.viewer().send(If_None_Match='"4be0c1927d55a6f3"')
         asked = site.cache.next()
         assert asked.fields["inm"] == "4be0c1927d55a6f3"
         asked.answer("KEEP", NOW)
         assert viewer.answer()[0] == 304
-        viewer.send(If_None_Match='"a,b=c"', txn="00000000000000ff")  # would spoil the fields of a forward
+        # Forwarded, this tag would corrupt the fields of the request.
+        viewer.send(If_None_Match='"a,b=c"', txn="00000000000000ff")
         asked = site.cache.next()
         other = site.viewer().send(If_None_Match='"%s"' % ("a" * 5000), txn="00000000000000fe")
-        longer = site.cache.next()  # a line that long would end the connection at a cache
+        longer = site.cache.next()  # a cache would close the connection at a line that long
         assert "inm" not in longer.fields
         longer.answer("DONE", NOW)
         assert other.answer()[0] == 200
         assert "inm" not in asked.fields
-        asked.answer("KEEP", NOW)  # nothing that could be kept: unreadable, so the next forward is a new one
+        asked.answer("KEEP", NOW)  # invalid without a copy of the client, so another attempt follows
         site.cache.next().answer("DONE", NOW, b"x")
         assert viewer.answer()[::2] == (200, b"x")
 
 
-def test_a_put_has_its_effect_once():
+def test_put_takes_effect_at_most_once():
     with Site() as site:
         viewer = site.viewer().send("/invoke/tarea/0000000000000001", b"mine" * 12_000)
         asked = site.origin.next()
         assert asked.body == b"mine" * 12_000 and "up" not in asked.fields
-        asked.answer("DONE")  # bears no tag
+        asked.answer("DONE")  # without a tag
         assert viewer.answer()[0] == 200
         viewer.send("/invoke/tarea/0000000000000001", b"again")
         site.origin.next().hang_up()
         assert viewer.answer()[0] == 502
         viewer.send("/invoke/tarea/0000000000000001", b"third")
-        assert site.origin.next().body == b"third"  # nothing came in between
+        assert site.origin.next().body == b"third"  # the second write was not repeated
 
 
-def test_a_client_that_waits_for_a_word_before_its_body_gets_it():
+def test_expect_100_continue_is_answered_before_the_body():
     with Site() as site:
         viewer = site.viewer().raw(
             "PUT /invoke/tarea/1 HTTP/1.1\r\nX-Txn: 9b1f03aa5c7e2d41\r\nX-Ttl-Ms: 900\r\nX-Family: 1\r\n"
@@ -126,7 +128,7 @@
         assert asked.body == b"mine" and viewer.answer()[0] == 200
 
 
-def test_what_was_not_taken_is_shed_with_a_time_to_come_back():
+def test_write_refused_by_the_origin_is_shed_with_a_retry_time():
     with Site() as site:
         viewer = site.viewer().send("/invoke/tarea/0000000000000001", b"mine")
         site.origin.next().answer("WAIT")
@@ -134,22 +136,22 @@
         assert status == 503 and 50 <= int(fields["x-throttle-ms"]) <= 150
 
 
-def test_a_viewer_that_leaves_is_given_up_at_the_cache():
+def test_attempt_is_cancelled_when_its_client_disconnects():
     with Site() as site:
         viewer = site.viewer().send()
         asked = site.cache.next()
         viewer.close()
         assert site.cache.next("QUIT").id == asked.id
-        viewer = site.viewer().send()  # the same id: a late answer must not be taken for this one's
+        viewer = site.viewer().send()  # the same id: the late answer to the first must not be used
         again = site.cache.next()
         asked.answer("DONE", NOW, b"late")
         again.answer("DONE", NOW, b"new")
         assert viewer.answer()[::2] == (200, b"new") and site.cache.connected == 2
 
 
-def test_drains_and_purges_are_obeyed():
+def test_drains_and_purges_take_effect():
     with Site(("s-1", "s-2")) as site:
-        site.cache.asked = site.caches[1].asked  # one queue for both
+        site.cache.asked = site.caches[1].asked  # a common queue
         site.log.called()
         viewer, now = site.viewer(), int(time.time() * 1000)
 
@@ -161,12 +163,13 @@
             return asked
 
         assert {asked_for(number).cache for number in range(40)} == {"s-1", "s-2"}
-        site.log.tell(2, invalidate={"bucket": 4, "time": int(time.time() * 1000)})  # what ages count from
+        # The timestamp sets the reference clock, from which ages are computed.
+        site.log.tell(2, invalidate={"bucket": 4, "time": int(time.time() * 1000)})
         site.log.tell(
             3, fleet={"revision": 2, "complete": False, "members": [site.cache.entry("terminating")]}
         )
         site.log.tell(4, invalidate={"bucket": 17, "time": now - 100})
-        site.log.tell(4, invalidate={"bucket": 17, "time": now - 90_000})  # a repeated number does nothing
+        site.log.tell(4, invalidate={"bucket": 17, "time": now - 90_000})  # a repeated number is ignored
         site.log.tell(5, invalidate={"object": "00000000000000aa", "time": now - 40_000})
         while "cap" not in asked_for(0xAA, X_Family=3).fields:
             pass
@@ -177,7 +180,7 @@
         assert 40_000 <= int(asked_for(0xAA, X_Family=3).fields["cap"]) < 90_000
 
 
-def test_the_change_log_is_called_anew_after_a_break_a_gap_and_a_bad_event():
+def test_change_log_is_reconnected_after_a_break_a_gap_and_an_invalid_event():
     with Site() as site:
         assert site.log.called() == 1
         site.log.hang_up()
@@ -188,14 +191,14 @@
         site.log.tell(3, invalidate={"bucket": 17, "time": int(time.time() * 1000)})
         site.log.raw(4, '{"seq":4,"fleet":{"members":[{"id":"s-9"}]}}')
         assert site.log.called() == 3
-        site.log.raw(4, '{"seq":4,"fleet":{"members":[{"id":"s-9"}]}}')  # bad for good: skipped
+        site.log.raw(4, '{"seq":4,"fleet":{"members":[{"id":"s-9"}]}}')  # invalid again: skipped
         site.log.tell(5, invalidate={"bucket": 17, "time": int(time.time() * 1000)})
         site.log.raw(6, "no event")
         assert site.log.called() == 5
         assert site.health()[0] == 200
 
 
-def test_a_reload_follows_the_change_log_to_another_address_and_disturbs_no_get():
+def test_reload_moves_to_another_change_log_without_disturbing_requests():
     with Site() as site:
         assert site.log.called() == 1
         viewer = site.viewer().send()
@@ -206,7 +209,8 @@
             assert site.heard("event=reload ").endswith('the running values stay"')
         old, site.log = site.log, StandInChangeLog()
         site.reload(json.dumps(site.configuration | {"changelog": address(site.log.listener), "seed": "1"}))
-        assert "seed" in site.heard("event=reload ") and site.log.called() == 2  # SIGHUP once ended the front
+        # SIGHUP without a handler would terminate the front.
+        assert "seed" in site.heard("event=reload ") and site.log.called() == 2
         for _ in range(2):
             site.reload(json.dumps(site.configuration | {"changelog": address(site.log.listener)}))
             assert site.log.called() == 2 and old.calls.empty()
@@ -223,25 +227,25 @@
         assert viewer.answer()[::2] == (200, b"new")
 
 
-def test_a_silent_change_log_is_called_anew():
+def test_silent_change_log_is_reconnected():
     with Site() as site:
         assert [site.log.called(), site.log.called()] == [1, 1]
 
 
-def test_a_cache_that_breaks_twice_is_stepped_past_and_one_that_is_down_proves_that_nothing_ran():
+def test_two_resets_skip_a_cache_and_a_refused_connection_sheds_a_write():
     with Site() as site:
         viewer = site.viewer().send()
         site.cache.next().hang_up()
-        site.cache.next().hang_up()  # once may be the connection's fault
+        site.cache.next().hang_up()  # after one reset the same cache is tried again
         site.parent.next().answer("DONE", NOW, b"x")
         assert viewer.answer()[::2] == (200, b"x")
         site.origin.stop()
         assert viewer.send("/invoke/tarea/0000000000000001", b"mine").answer()[0] == 503
 
 
-def test_what_a_spoilt_answer_breaks_is_one_get_and_it_never_passes_for_whole():
+def test_malformed_answer_is_never_passed_on_and_affects_one_request():
     now = int(time.time() * 1000)
-    spoilt = [
+    malformed = [
         b"what\r\n",
         b"x DONE - 999999999\r\n",
         b"y" * 5000,
@@ -255,24 +259,24 @@
     with Site() as site:
         other = site.viewer().send("/invoke/video/1", txn="00000000000000fe")
         asked_for_other = site.cache.next()
-        for number, junk in enumerate(spoilt):
+        for number, answer in enumerate(malformed):
             viewer = site.viewer().send(txn=f"{number:016x}")
             asked = site.cache.next()
-            asked.connection.sendall(junk.replace(b"ID", asked.id.encode()))
-            asked = site.cache.next()  # again there, on another connection
+            asked.connection.sendall(answer.replace(b"ID", asked.id.encode()))
+            asked = site.cache.next()  # retried there on another connection
             asked.answer("DONE", NOW, b"x")
-            assert viewer.answer()[::2] == (200, b"x"), junk[:60]
+            assert viewer.answer()[::2] == (200, b"x"), answer[:60]
         asked_for_other.answer("DONE", NOW, b"mine")
         assert other.answer()[::2] == (200, b"mine")
 
 
-def test_a_second_copy_and_an_answer_nobody_waits_for_hurt_nobody():
+def test_duplicate_and_unexpected_answers_are_ignored():
     with Site() as site:
         viewer = site.viewer().send()
         asked = site.cache.next()
         asked.connection.sendall(b"00000000000000aa DONE rev=4b,since=1 1\r\nz\r\n")
         asked.answer("LACK")
-        asked.answer("LACK")  # must not pass for the answer to the next forward of this id
+        asked.answer("LACK")  # must not be used for the next attempt with this id
         fill = site.cache.next()
         assert fill.connection is not asked.connection
         fill.answer("DONE", NOW, b"x")
@@ -283,16 +287,20 @@
         assert viewer.answer()[::2] == (200, b"y")
 
 
-def test_what_was_never_written_whole_has_not_run():
-    reactor, front, limits = MemoryReactorClock(), EagerFront(), plan_limits(1024, 192, 32, open_requests=9)
+def test_partially_written_attempt_counts_as_not_sent():
+    reactor, engine, limits = (
+        MemoryReactorClock(),
+        ForwardingEngine(),
+        plan_limits(1024, 192, 32, open_requests=9),
+    )
     log = Log("n1", 0, 1)
-    decision_loop = DecisionLoop(reactor, front, limits, log)
+    decision_loop = DecisionLoop(reactor, engine, limits, log)
     clients = Clients(reactor, decision_loop, limits, log, {b"video": (0, False, 5_000_000)})
     servers = Servers(reactor, decision_loop, clients, limits, log, b"INFO")
     decision_loop.connect(clients, servers)
     servers.update_endpoint(1, "s-1", ("127.0.0.1", 9), 0, EndpointState.READY)
-    verdicts = []
-    servers.end_attempt = lambda attempt, outcome, *_: verdicts.append(outcome)
+    outcomes = []
+    servers.end_attempt = lambda attempt, outcome, *_: outcomes.append(outcome)
     for unsent in (0, 1):
         connection = ServerConnection(servers.endpoints[1])
         servers.endpoints[1].idle.append(connection)
@@ -301,10 +309,10 @@
         )
         connection.send(SimpleNamespace(tag=b"aa"), b"ASK", b"\r\n")
         connection.connectionLost(None)
-    assert verdicts == [AttemptOutcome.RESET, AttemptOutcome.CONNECT_FAILED]
+    assert outcomes == [AttemptOutcome.RESET, AttemptOutcome.CONNECT_FAILED]
 
 
-def test_where_all_are_silent_a_get_ends_with_its_time():
+def test_request_ends_at_its_deadline_if_no_server_answers():
     with Site() as site:
         site.cache.deaf = site.parent.deaf = True
         viewer = site.viewer().send(ttl=1500)
@@ -312,21 +320,21 @@
         assert viewer.answer()[0] == 503
         viewer.send("/invoke/tarea/0000000000000001", b"mine", ttl=1500)
         site.origin.next()
-        assert viewer.answer()[0] == 502  # it may have run
+        assert viewer.answer()[0] == 502  # it may have been executed
 
 
-def test_a_connection_gone_silent_breaks_once_another_is_answered():
+def test_silent_connection_is_closed_once_a_probe_on_another_is_answered():
     with Site() as site:
         viewer = site.viewer().send()
-        site.cache.cut_off.add(site.cache.next().connection)  # a probe on another will be answered
-        site.cache.next().answer("DONE", NOW, b"x")  # long before the GET's time is over
+        site.cache.cut_off.add(site.cache.next().connection)  # a probe on another connection will be answered
+        site.cache.next().answer("DONE", NOW, b"x")  # long before the deadline of the request
         assert viewer.answer()[::2] == (200, b"x")
 
 
-def test_a_connection_that_never_comes_up_proves_that_nothing_ran():
+def test_attempt_without_a_connection_counts_as_not_sent():
     with Site() as site:
         site.cache.crowd()
-        viewer = site.viewer().send(ttl=100)  # shorter than the wait for a connection
+        viewer = site.viewer().send(ttl=100)  # less than the wait for a connection
         assert viewer.answer()[0] == 503
         viewer.send(txn="00000000000000ff")
         site.parent.next().answer("DONE", NOW, b"x")
@@ -334,12 +342,12 @@
         assert not [line for line in site.said if "fault" in line], site.said
 
 
-def test_a_purge_overtakes_no_forward_that_waits_for_its_connection():
+def test_wait_for_a_connection_is_limited_by_heed_within():
     told = SETTINGS | {"family-info": SETTINGS["family-info"] | {"heed-within": 200 * MS}}
     assert front_settings(configuration(free_address(), settings=told), {}).limits.wait == 200_000
 
 
-def test_after_sigterm_all_is_answered_and_the_front_ends_well():
+def test_sigterm_answers_all_requests_and_exits_with_status_0():
     with Site(limits={"leaving_ms": 3000}) as site:
         open_one, late, idle = site.viewer().send(), site.viewer(), site.viewer()
         asked = site.cache.next()
@@ -356,14 +364,14 @@
         assert site.process.wait(BOUND) == 0
 
 
-def test_a_large_last_answer_reaches_a_slow_client_whole():
-    with Site() as site:  # a producer left registered kept this connection open for ever
+def test_large_last_answer_is_sent_completely_before_the_close():
+    with Site() as site:  # a producer that stayed registered once kept this connection open forever
         viewer = site.viewer().send(Connection="close")
         site.cache.next().answer("DONE", NOW, b"z" * 240_000)
         assert viewer.answer()[2] == b"z" * 240_000 and viewer.ended()
 
 
-def test_bad_input_is_answered_and_harms_nobody():
+def test_invalid_requests_are_rejected_without_affecting_others():
     head = (
         "GET /invoke/video/7f3a HTTP/1.1\r\nHost: x\r\nX-Txn: 9b1f03aa5c7e2d41\r\n"
         "X-Ttl-Ms: 900\r\nX-Family: 1\r\n"
@@ -404,14 +412,15 @@
         asked.answer("DONE", NOW, b"x")
         assert other.answer()[::2] == (200, b"x")
         spare = site.viewer().raw("\r\n" + head.replace("/invoke", "http://app.svc/invoke") + "\r\n")
-        site.cache.next().answer("DONE", NOW, b"z")  # an empty line ahead and a whole address are no harm
+        # A request may follow an empty line and have an absolute target.
+        site.cache.next().answer("DONE", NOW, b"z")
         assert spare.answer()[::2] == (200, b"z")
-        half.raw("\r\n")  # the rest of a head may come late
+        half.raw("\r\n")  # the rest of a head may arrive late
         site.cache.next().answer("DONE", NOW, b"y")
         assert half.answer()[::2] == (200, b"y")
 
 
-def test_bytes_behind_an_open_get_end_it_and_an_id_is_open_once():
+def test_bytes_after_an_open_request_abort_it_and_an_open_id_is_rejected():
     with Site() as site:
         viewer = site.viewer().send()
         asked = site.cache.next()
@@ -419,15 +428,15 @@
         assert double.answer()[0] == 409 and double.ended()
         asked.answer("DONE", NOW, b"x")
         assert viewer.answer()[::2] == (200, b"x")
-        asked = viewer.send() and site.cache.next()  # the id is free again
-        viewer.raw("x")  # more than it said
+        asked = viewer.send() and site.cache.next()  # the id can be used again
+        viewer.raw("x")  # one byte after the end of the request
         assert viewer.answer()[0] == 400 and viewer.ended()
         assert site.cache.next("QUIT").id == asked.id
 
 
-def test_the_silent_and_the_endless_are_ended_soon():
+def test_silent_and_endless_clients_are_closed_soon():
     limits = plan_limits(256, 64, 32, open_requests=9)
-    assert max(limits.slow, limits.linger) + 2 * limits.sweep < 3_000_000  # all of it
+    assert max(limits.slow, limits.linger) + 2 * limits.sweep < 3_000_000  # the longest time until the close
     with Site() as site:
         silent, half, after = site.viewer(), site.viewer().raw("GET /inv"), site.viewer().send()
         endless = site.viewer().raw("PUT /invoke/tarea/1 HTTP/1.1\r\nContent-Length: 60000000\r\n\r\n")
@@ -436,27 +445,28 @@
         with contextlib.suppress(OSError):
             while True:
                 sent += endless.socket.send(b"x" * 65_536)
-        assert sent < 30_000_000  # it was read on for 10 s
+        assert sent < 30_000_000  # such a client was once read for 10 s
         site.cache.next().answer("DONE", NOW)
         assert after.answer()[0] == 200
         assert silent.ended() and half.ended() and after.ended()
 
 
-def test_what_is_read_once_its_connection_is_being_closed_is_not_taken():
-    limits, front = plan_limits(1024, 192, 32, open_requests=9), BrokenFront()
+def test_request_read_during_a_lingering_close_is_not_accepted():
+    limits, engine = plan_limits(1024, 192, 32, open_requests=9), FailingEngine()
     clients = Clients(
-        Clock(), DecisionLoop(Clock(), front, limits, Log("n1", 0, 1)), limits, Log("n1", 0, 1), {}
+        Clock(), DecisionLoop(Clock(), engine, limits, Log("n1", 0, 1)), limits, Log("n1", 0, 1), {}
     )
     connection, transport = ClientConnection(clients), StringTransport()
     transport.setTcpNoDelay = lambda on: None
     transport.loseWriteConnection = lambda: None
     connection.makeConnection(transport)
     connection.close_gracefully()
-    connection.dataReceived(b"GET /_health HTTP/1.1\r\n\r\n")  # read in the pass in which it was closed
-    assert transport.value() == b""  # taken, it would be sent again by its client
+    # This request is read in the iteration that closes the connection.
+    connection.dataReceived(b"GET /_health HTTP/1.1\r\n\r\n")
+    assert transport.value() == b""  # the client retries it, so an accepted one would run twice
 
 
-def test_a_get_over_the_most_that_may_be_open_is_shed_with_a_time_to_come_back():
+def test_request_over_max_open_is_shed_with_a_retry_time():
     with Site(settings=SETTINGS | {"limits": SETTINGS["limits"] | {"max-open": 1}}) as site:
         first = site.viewer().send()
         asked = site.cache.next()
@@ -466,7 +476,7 @@
         assert first.answer()[0] == 200
 
 
-def test_of_many_generations_only_the_last_is_held():
+def test_terminated_endpoints_are_forgotten():
     reactor, host, limits = (
         MemoryReactorClock(),
         FakeHost(),
@@ -509,7 +519,7 @@
     assert (len(known), len(warmups)) == tuple(n + 1 for n in before)
 
 
-def test_too_many_connections_close_the_idle_ones_and_open_gets_live():
+def test_excess_connections_close_idle_ones_and_keep_open_requests():
     with Site(limits={"sockets": 100}) as site:
         busy = site.viewer().send()
         asked = site.cache.next()
@@ -519,7 +529,7 @@
         assert busy.answer()[2] == b"x"
 
 
-def test_bad_configuration_is_one_plain_line_that_names_the_key():
+def test_invalid_configuration_is_reported_in_one_line_with_the_key():
     whole = configuration(free_address())
     taken = listening()
     less = {key: value for key, value in SETTINGS.items() if key != "safety"}
@@ -549,21 +559,21 @@
     ]
     processes = [(started(told), key) for told, key in cases]
     for process, key in processes:
-        _, said = process.communicate(timeout=BOUND)
-        assert process.returncode == 2 and key in said and said.count("\n") == 1, (key, said)
+        _, errors = process.communicate(timeout=BOUND)
+        assert process.returncode == 2 and key in errors and errors.count("\n") == 1, (key, errors)
     taken.close()
 
 
-class BrokenFront:
-    """Fails whenever a GET comes; remembers what else it was told."""
+class FailingEngine:
+    """A decision engine that raises at each request and records all other events."""
 
     def __init__(self):
-        self.told = []
+        self.received = []
 
-    def handle(self, now, notes):
-        if any(isinstance(note, RequestArrived) for note in notes):
+    def handle(self, now, events):
+        if any(isinstance(event, RequestArrived) for event in events):
             raise ZeroDivisionError("by a GET")
-        self.told += notes
+        self.received += events
         return []
 
 
@@ -575,10 +585,10 @@
         self.answers.append(status)
 
 
-def test_a_fault_of_the_module_errors_its_gets_and_loses_no_purge():
-    clock, front, limits = Clock(), BrokenFront(), plan_limits(1024, 192, 32, open_requests=9)
+def test_exception_in_the_decision_engine_fails_requests_and_loses_no_purge():
+    clock, engine, limits = Clock(), FailingEngine(), plan_limits(1024, 192, 32, open_requests=9)
     log = Log("n1", 0, 1)
-    decision_loop = DecisionLoop(clock, front, limits, log)
+    decision_loop = DecisionLoop(clock, engine, limits, log)
     clients = Clients(clock, decision_loop, limits, log, {b"video": (0, False, 5_000_000)})
     connection = FakeConnection()
     decision_loop.connect(clients, Servers(clock, decision_loop, clients, limits, log, b"INFO"))
@@ -598,10 +608,10 @@
     assert connection.answers == [502]
     clock.advance(1)
     clock.advance(0)
-    assert purge in front.told and not clients.requests
+    assert purge in engine.received and not clients.requests
 
 
-def test_descriptors_are_shared_out_and_untaken_answers_bounded():
+def test_descriptors_are_divided_and_unread_answers_limited():
     limits = plan_limits(1024, 192, 32, open_requests=20_000)
     assert (limits.client_connections, limits.all_cache_connections, limits.undrained_connections) == (
         409,
@@ -611,16 +621,16 @@
     assert plan_limits(1024, 64, 32, open_requests=20_000).undrained_connections == 50
 
 
-def test_the_log_counts_what_it_leaves_out():
-    said, log = io.StringIO(), Log("n1", 2, 0.0)
-    with contextlib.redirect_stderr(said):
+def test_log_counts_omitted_lines():
+    output, log = io.StringIO(), Log("n1", 2, 0.0)
+    with contextlib.redirect_stderr(output):
         log.interval = 60
         for number in range(5):
             log.info("cache", f"line {number}")
         log.info("client", "another kind")
         log.interval = 0
         log.info("cache", "line 5")
-    lines = [line.partition("instance=")[2] for line in said.getvalue().splitlines()]
+    lines = [line.partition("instance=")[2] for line in output.getvalue().splitlines()]
     assert lines == [
         'n1 event=cache said="line 0"',
         'n1 event=cache said="line 1"',
@@ -630,27 +640,31 @@
     ]
 
 
-def request_of(note):
-    """The request that an event is of."""
-    return note.id if isinstance(note, RequestArrived) else note.request
+def request_of(event):
+    """Return the id of the request that an event belongs to."""
+    return event.id if isinstance(event, RequestArrived) else event.request
 
 
-class EagerFront(BrokenFront):
-    """Forwards whatever GET it hears of, once more after each outcome."""
+class ForwardingEngine(FailingEngine):
+    """A decision engine that forwards each request, and again after each outcome."""
 
-    def handle(self, now, notes):
-        self.told += notes
+    def handle(self, now, events):
+        self.received += events
         return [
-            ForwardRequest(request_of(note), 1, 0, 1, 0, 0)
-            for note in notes
-            if isinstance(note, (RequestArrived, AttemptEnded)) and not getattr(note, "answered", False)
+            ForwardRequest(request_of(event), 1, 0, 1, 0, 0)
+            for event in events
+            if isinstance(event, (RequestArrived, AttemptEnded)) and not getattr(event, "answered", False)
         ]
 
 
-def test_a_forward_ordered_as_its_viewer_leaves_still_has_its_outcome():
-    reactor, front, limits = MemoryReactorClock(), EagerFront(), plan_limits(1024, 192, 32, open_requests=9)
+def test_attempt_started_during_a_disconnect_reports_its_outcome():
+    reactor, engine, limits = (
+        MemoryReactorClock(),
+        ForwardingEngine(),
+        plan_limits(1024, 192, 32, open_requests=9),
+    )
     log = Log("n1", 0, 1)
-    decision_loop = DecisionLoop(reactor, front, limits, log)
+    decision_loop = DecisionLoop(reactor, engine, limits, log)
     clients = Clients(reactor, decision_loop, limits, log, {b"video": (0, False, 5_000_000)})
     servers = Servers(reactor, decision_loop, clients, limits, log, b"INFO")
     decision_loop.connect(clients, servers)
@@ -666,24 +680,25 @@
         b"",
     )
     reactor.advance(0)
-    (get,) = clients.requests.values()
-    servers.end_attempt(get.attempts[0], AttemptOutcome.MISS)  # in one pass with the viewer's end
-    clients.client_disconnected(get)
+    (request,) = clients.requests.values()
+    # The outcome and the client's disconnect arrive in the same iteration.
+    servers.end_attempt(request.attempts[0], AttemptOutcome.MISS)
+    clients.client_disconnected(request)
     reactor.advance(0)
     reactor.advance(0)
-    outcomes = [note for note in front.told if isinstance(note, AttemptEnded)]
-    assert [(note.attempt, note.outcome, note.answered) for note in outcomes] == [
+    outcomes = [event for event in engine.received if isinstance(event, AttemptEnded)]
+    assert [(event.attempt, event.outcome, event.answered) for event in outcomes] == [
         (0, AttemptOutcome.MISS, False),
         (1, AttemptOutcome.SUPERSEDED, True),
     ]
     assert not clients.requests
 
 
-def test_a_get_that_the_module_forgets_is_errored_after_its_time():
-    clock, front, limits = Clock(), BrokenFront(), plan_limits(1024, 192, 32, open_requests=9)
-    front.handle = lambda now, notes: []
+def test_request_without_a_decision_is_failed_after_its_deadline():
+    clock, engine, limits = Clock(), FailingEngine(), plan_limits(1024, 192, 32, open_requests=9)
+    engine.handle = lambda now, events: []
     log, connection = Log("n1", 0, 1), FakeConnection()
-    decision_loop = DecisionLoop(clock, front, limits, log)
+    decision_loop = DecisionLoop(clock, engine, limits, log)
     clients = Clients(clock, decision_loop, limits, log, {b"video": (0, False, 5_000_000)})
     decision_loop.connect(clients, Servers(clock, decision_loop, clients, limits, log, b"INFO"))
     clients.accept_request(
