--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -1,5 +1,7 @@
-"""A client that has gone gets no further work done: no attempt, first or further, begins for it. On real
-sockets; each crossing is forced while the front stands still, and waits longer than is allowed.
+"""Tests that no attempt, first or further, starts for a client that has disconnected.
+
+They use real sockets. Each race is forced while the front is stopped, and the disconnect waits there for
+longer than an attempt may be late.
 """
 
 import contextlib
@@ -33,18 +35,18 @@
     with_effect,
 )
 
-LATE = 0.15  # seconds that a client has been gone when the front wakes; 0.1 are allowed
-OTHER = "00000000000000fe"
+LATE = 0.15  # seconds from a client's disconnect until the front continues; an attempt may be 0.1 s late
+OTHER_ID = "00000000000000fe"
 
 
-def gone_for_long(viewer, leave=None):
-    """The client goes; by the time of return its end has waited at the front for LATE."""
+def disconnect_for_long(viewer, leave=None):
+    """Disconnect the client and return once its FIN or reset has waited at the front for LATE seconds."""
     near = f":{viewer.socket.getsockname()[1]:04X}"
     (leave or viewer.close)()
     until(
         lambda: (
             not any(
-                words[2].endswith(near) and words[3] == "01"  # established no more
+                words[2].endswith(near) and words[3] == "01"  # TCP_ESTABLISHED
                 for words in connections()
             )
         )
@@ -53,20 +55,20 @@
     until(lambda: time.monotonic() - since > LATE)
 
 
-def asked_first(site, where):
-    """Who is asked first at this member: the one that stays, or the one that has gone."""
-    stays = site.viewer().send(txn=OTHER)
+def first_request_id(site, where):
+    """Return the id of the first request that this server receives, after another client sent OTHER_ID."""
+    stays = site.viewer().send(txn=OTHER_ID)
     asked = where.next()
     asked.answer("DONE", NOW, b"x")
     assert stays.answer()[2] == b"x"
     return asked.id
 
 
-def warmed(site, member, target, body=None, number=1):
-    """The front has so many idle connections to this member, so that nothing has to wait for one."""
+def open_idle_connections(site, member, target, body=None, number=1):
+    """Give the front this number of idle connections to a server, so that no attempt waits for one."""
     viewers = [
-        site.viewer().send(target, body, txn=f"{one:016x}")  # other ids: one goes out once on a connection
-        for one in range(number)
+        site.viewer().send(target, body, txn=f"{i:016x}")  # an id can be used once per connection
+        for i in range(number)
     ]
     for asked in [member.next() for _ in viewers]:
         asked.answer("DONE", NOW if body is None else "-")
@@ -76,50 +78,50 @@
 
 @pytest.mark.parametrize("connected", [True, False])
 @pytest.mark.parametrize("reset", [True, False])
-def test_a_request_and_the_end_behind_it_wait_for_a_late_pass(connected, reset):
+def test_request_and_disconnect_are_read_in_one_late_iteration(connected, reset):
     with Site() as site:
-        warmed(site, site.cache, "/invoke/video/1")
+        open_idle_connections(site, site.cache, "/invoke/video/1")
         viewer = site.viewer() if connected else None
         if connected:
             assert viewer.raw("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n").answer()[0] == 200
         stopped(site)
-        viewer = viewer or site.viewer()  # else the system has accepted it, and the front does so late
+        viewer = viewer or site.viewer()  # accepted by the kernel while the front is stopped
         if reset:
             viewer.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
         viewer.send()
-        gone_for_long(viewer)
+        disconnect_for_long(viewer)
         going_on(site)
-        assert asked_first(site, site.cache) == OTHER
+        assert first_request_id(site, site.cache) == OTHER_ID
         assert site.cache.asked.empty()
 
 
-def test_a_put_and_the_end_behind_it_wait_for_a_late_pass():
+def test_put_and_disconnect_are_read_in_one_late_iteration():
     with Site() as site:
-        warmed(site, site.origin, "/invoke/tarea/1", b"x")
+        open_idle_connections(site, site.origin, "/invoke/tarea/1", b"x")
         stopped(site)
         viewer = site.viewer().send("/invoke/tarea/0000000000000001", b"mine")
-        gone_for_long(viewer)
+        disconnect_for_long(viewer)
         going_on(site)
-        stays = site.viewer().send("/invoke/tarea/0000000000000002", b"stays", txn=OTHER)
+        stays = site.viewer().send("/invoke/tarea/0000000000000002", b"stays", txn=OTHER_ID)
         asked = site.origin.next()
-        assert asked.id == OTHER
+        assert asked.id == OTHER_ID
         asked.answer("DONE")
         assert stays.answer()[0] == 200 and site.origin.asked.empty()
 
 
-def test_an_answer_that_leads_to_a_further_attempt_comes_with_the_end_of_its_client():
+def test_miss_and_disconnect_are_read_in_one_late_iteration():
     with Site() as site:
-        warmed(site, site.cache, "/invoke/video/1", number=2)
+        open_idle_connections(site, site.cache, "/invoke/video/1", number=2)
         viewer = site.viewer().send()
         asked = site.cache.next()
         stopped(site)
-        asked.answer("LACK")  # a fill follows
-        gone_for_long(viewer)
+        asked.answer("LACK")  # leads to a fill
+        disconnect_for_long(viewer)
         going_on(site)
-        assert asked_first(site, site.cache) == OTHER
+        assert first_request_id(site, site.cache) == OTHER_ID
 
 
-def test_an_answer_frees_the_connection_that_another_waits_for_whose_client_has_gone():
+def test_connection_is_freed_for_a_request_whose_client_has_disconnected():
     with Site(settings=LONG_WAIT) as site:
         first = site.viewer().send()
         asked = site.cache.next()
@@ -127,15 +129,15 @@
         waits = site.viewer().send(txn="00000000000000aa")
         site.cache.called_in_vain()
         stopped(site)
-        asked.answer("DONE", NOW, b"x")  # is read before the end, in one pass
-        gone_for_long(waits)
+        asked.answer("DONE", NOW, b"x")  # read before the FIN, in the same iteration
+        disconnect_for_long(waits)
         going_on(site)
         assert first.answer()[2] == b"x"
-        assert asked_first(site, site.cache) == OTHER
+        assert first_request_id(site, site.cache) == OTHER_ID
 
 
 @pytest.mark.parametrize("effect", ["free", "single_shot", "guarded"])
-def test_a_connection_comes_up_together_with_the_end_of_the_client_whose_request_waits_for_it(effect):
+def test_connection_is_established_for_a_request_whose_client_has_disconnected(effect):
     with Site(settings=with_effect(LONG_WAIT, idempotency=effect)) as site:
         target, member, body = (
             ("/invoke/video/1", site.cache, None)
@@ -150,21 +152,21 @@
         port = f":{member.listener.getsockname()[1]:04X}"
         member.uncrowd()
         until(
-            lambda: any(  # the system has it up, the front does not know
+            lambda: any(  # established in the kernel, unknown to the front
                 words[2].endswith(port) and words[3] == "01" and words[1][-5:] not in others
                 for words in connections()
             )
         )
-        gone_for_long(waits)
+        disconnect_for_long(waits)
         going_on(site)
-        stays = site.viewer().send(target, body, txn=OTHER)
+        stays = site.viewer().send(target, body, txn=OTHER_ID)
         asked = member.next()
-        assert asked.id == OTHER
+        assert asked.id == OTHER_ID
         asked.answer("DONE", NOW if effect == "free" else "-", b"")
         assert stays.answer()[0] == 200 and member.asked.empty()
 
 
-def test_a_request_behind_an_answer_that_gets_stuck_is_not_open_on_a_connection_that_is_not_read():
+def test_request_is_not_opened_while_output_is_blocked():
     body = b"z" * 240_000
     with Site() as site:
         viewer = slow_to_read(site)
@@ -172,15 +174,15 @@
         whole = b"%s DONE %s %d\r\n%s\r\n" % (asked.id.encode(), NOW.encode(), len(body), body)
         asked.connection.sendall(whole[:-2])
         read = asked.connection.getsockname()[1]
-        until(lambda: unread_at_the_front(read) == 0)
+        until(lambda: unread_bytes(read) == 0)
         stopped(site)
-        asked.connection.sendall(whole[-2:])  # the answer is whole, and gets stuck as it is written,
-        viewer.send(txn="00000000000000aa")  # in the pass that brings this one
-        until(lambda: unread_at_the_front(viewer.socket.getsockname()[1]) > 0)
+        asked.connection.sendall(whole[-2:])  # completes the answer, which blocks the output to the client
+        viewer.send(txn="00000000000000aa")  # read in the same iteration
+        until(lambda: unread_bytes(viewer.socket.getsockname()[1]) > 0)
         going_on(site)
         viewer.socket.recv(1, socket.MSG_PEEK)
         assert site.health()[0] == 200
-        assert site.cache.asked.empty()  # it waits as long as nobody would see its client go
+        assert site.cache.asked.empty()  # the request waits while a disconnect would go unnoticed
         assert viewer.answer()[2] == body
         again = site.cache.next()
         assert again.id == "00000000000000aa"
@@ -188,43 +190,44 @@
         assert site.cache.next("QUIT").id == again.id
 
 
-def unread_at_the_front(far):
-    """Bytes that the system holds for the front from this port."""
+def unread_bytes(far):
+    """Return the number of bytes from this port in receive queues of the kernel."""
     return sum(
         int(words[4].partition(":")[2], 16) for words in connections() if words[2].endswith(f":{far:04X}")
     )
 
 
-def test_half_closed_is_taken_for_gone():
+def test_half_close_counts_as_disconnect():
     with Site() as site:
-        warmed(site, site.cache, "/invoke/video/1")
+        open_idle_connections(site, site.cache, "/invoke/video/1")
         stopped(site)
         viewer = site.viewer().send()
-        gone_for_long(viewer, lambda: viewer.socket.shutdown(socket.SHUT_WR))
+        disconnect_for_long(viewer, lambda: viewer.socket.shutdown(socket.SHUT_WR))
         going_on(site)
-        assert viewer.ended()  # no answer, though it could have been taken
-        assert asked_first(site, site.cache) == OTHER
+        assert viewer.ended()  # no answer, although the client could still read one
+        assert first_request_id(site, site.cache) == OTHER_ID
 
 
-# A late pass, driven by hand
+# Late iterations, run step by step
 
 
-class OrderingAt(Ordering):
-    """Forwards each request to the member that is set."""
+class ForwardingTo(Ordering):
+    """A decision engine that forwards each request to `member`."""
 
     member = 1
 
-    def handle(self, now, notes):
+    def handle(self, now, events):
         return [
-            order._replace(endpoint=self.member, source=self.member) for order in super().handle(now, notes)
+            command._replace(endpoint=self.member, source=self.member)
+            for command in super().handle(now, events)
         ]
 
 
 class DrivenFront:
-    """The front's parts on a reactor of the test's own, which passes when it is told to; one cache."""
+    """The parts of a front on a reactor that the test runs step by step, with one cache."""
 
     def __init__(self, **limits):
-        self.front, self.reactor, self.ready = OrderingAt(), EPollReactor(), EndpointState.READY
+        self.front, self.reactor, self.ready = ForwardingTo(), EPollReactor(), EndpointState.READY
         _, self.clients, self.servers, _ = parts(self.front, self.reactor, **limits)
         self.clients.services[b"tarea"] = (1, True, 5_000_000)
         self.listener = socket.socket()
@@ -241,9 +244,7 @@
 
     def passes_until(self, holds):
         def passed():
-            """What the last look at the sockets brought is carried out; sockets are looked at once more
-            only if that was not it.
-            """
+            """Run pending calls; poll the sockets again only if `holds` is still false."""
             self.reactor.runUntilCurrent()
             if not (held := holds()):
                 self.reactor.doIteration(0.01)
@@ -252,11 +253,13 @@
         until(passed)
 
     def attempts(self):
-        """Those that have been ordered and have not ended."""
-        return [attempt for get in self.clients.requests.values() for attempt in get.attempts.values()]
+        """Return the attempts in flight."""
+        return [
+            attempt for request in self.clients.requests.values() for attempt in request.attempts.values()
+        ]
 
     def accept(self):
-        """The cache's end of the next connection."""
+        """Return the cache's side of the next connection."""
         self.passes_until(lambda: self.servers.endpoints[1].connections)
         connection, _ = self.listener.accept()
         return connection
@@ -277,7 +280,7 @@
             reader.connectionLost(Failure(ConnectionDone()))
 
 
-def test_an_attempt_goes_out_in_the_step_that_looked_for_its_client_not_a_pass_later(driven):
+def test_attempt_is_written_in_the_same_step_as_the_disconnect_check(driven):
     front = driven()
     first = front.viewer().send(ttl=5000)
     cache = front.accept()
@@ -288,18 +291,18 @@
     front.passes_until(lambda: select.select([first.socket], [], [], 0)[0])
     assert first.answer()[0] == 200
     viewer = front.viewer().send(txn="00000000000000aa", ttl=5000)
-    front.passes_until(front.attempts)  # the orders of this pass are carried out; it drags on
-    gone_for_long(viewer)
+    front.passes_until(front.attempts)  # the commands were executed; the iteration has not ended
+    disconnect_for_long(viewer)
     cache.setblocking(False)
-    assert cache.recv(4096).startswith(b"ASK 00000000000000aa ")  # it began while the client was there
+    assert cache.recv(4096).startswith(b"ASK 00000000000000aa ")  # it started before the disconnect
 
 
-def test_an_attempt_does_not_wait_behind_what_its_cache_does_not_read_until_its_client_has_gone(driven):
+def test_attempt_behind_blocked_output_is_not_sent_after_its_client_disconnects(driven):
     front = driven(cache_connections=1, wait=5_000_000)
     body, sent, cache = b"z" * 40_000, [], None
     while cache is None or not front.servers.endpoints[1].connections[0].unsent_bytes():
         sent.append(front.viewer().send("/invoke/tarea/1", body, txn=f"{len(sent):016x}", ttl=5000))
-        cache = cache or front.accept()  # reads nothing
+        cache = cache or front.accept()  # does not read
         front.passes_until(lambda: len(front.attempts()) == len(sent))
         for _ in range(5):
             front.reactor.iterate(0)
@@ -308,23 +311,23 @@
     front.passes_until(lambda: len(front.attempts()) == len(sent) + 1)
     stays = front.viewer().send("/invoke/tarea/3", b"stays", txn="00000000000000bb", ttl=5000)
     front.passes_until(lambda: len(front.attempts()) == len(sent) + 2)
-    gone_for_long(viewer)
+    disconnect_for_long(viewer)
     cache.setblocking(False)
-    cache.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1 << 20)  # now it reads, and fast
+    cache.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1 << 20)  # now it reads
     read = bytearray()
 
     def all_read():
         with contextlib.suppress(BlockingIOError):
             while data := cache.recv(1 << 20):
                 read.extend(data)
-        return b"ASK 00000000000000bb " in read  # as soon as there is room, and not at the next answer
+        return b"ASK 00000000000000bb " in read  # sent once there is room, not only at the next answer
 
     front.passes_until(all_read)
     assert b"ASK 0000000000000000 " in read and b"00000000000000aa" not in read
     stays.close()
 
 
-# The count
+# Counting
 
 
 def connected_pair():
@@ -334,7 +337,7 @@
     return near, far
 
 
-def test_the_system_tells_an_end_behind_unread_bytes_and_how_long_ago_it_came():
+def test_tcp_info_shows_a_fin_behind_unread_bytes_and_its_age():
     near, far = connected_pair()
     with near, far:
         near.sendall(b"unread")
@@ -347,15 +350,15 @@
         assert (
             150_000 - client_disconnects.RESOLUTION <= ago <= clock() - before + client_disconnects.RESOLUTION
         )
-        assert far.recv(9) == b"unread"  # nothing was read by asking
+        assert far.recv(9) == b"unread"  # the queries read nothing
 
 
-def test_an_attempt_that_began_after_its_client_had_gone_is_counted_with_how_late(capsys):
+def test_attempt_started_after_the_disconnect_is_counted_with_its_delay(capsys):
     limits = plan_limits(1024, 192, 32, open_requests=9)
-    decision_loop = SimpleNamespace(gather=lambda *notes: None)
+    decision_loop = SimpleNamespace(gather=lambda *events: None)
     log = Log("n1", 5, 10_000_000)
     clients = Clients(None, decision_loop, limits, log, {})
-    clients.servers = SimpleNamespace(cancel_unsent=lambda get: None)
+    clients.servers = SimpleNamespace(cancel_unsent=lambda request: None)
     near, far = connected_pair()
     with near, far:
         connection = ClientConnection(clients)
@@ -383,10 +386,10 @@
     assert "event=client-gone attempt=further" in capsys.readouterr().err
 
 
-def test_an_attempt_held_back_is_counted_and_told():
+def test_prevented_attempt_is_counted_and_logged():
     with Site() as site:
         stopped(site)
-        gone_for_long(site.viewer().send())
+        disconnect_for_long(site.viewer().send())
         going_on(site)
         line = site.heard("event=client-gone")
         assert "attempt=first" in line and "begun=no" in line
