--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -1,4 +1,4 @@
-"""Descriptors: idle clients may take theirs and no others, whatever else is down. On real sockets."""
+"""Tests that idle clients use only the descriptors for clients, even while the change log is unreachable."""
 
 import os
 import re
@@ -23,8 +23,8 @@
 CLIENTS = plan_limits(SOCKETS, 192, 32, open_requests=9).client_connections
 
 
-def down(log):
-    """The list service refuses calls from now on; give its address."""
+def stop_change_log(log):
+    """Stop the change log, so that it refuses connections; return its address."""
     where = log.listener.getsockname()
     log.hang_up()
     log.listener.shutdown(socket.SHUT_RDWR)
@@ -32,14 +32,14 @@
     return where
 
 
-def back(site, where):
-    """The list service is there again."""
+def restart_change_log(site, where):
+    """Restart the change log at its address."""
     site.log.listener = socket.create_server(where)
     accepting(site.log.listener, site.log.serve)
 
 
-def crowd_of(site, asking):
-    """Clients that connect and stay; those that ask have had their answer once."""
+def connect_clients(site, asking):
+    """Return FLOOD clients that stay connected; with `asking`, each has had one answer."""
     host, port = site.where.split(":")
     crowd = []
     for _ in range(FLOOD):
@@ -55,11 +55,11 @@
     return crowd
 
 
-def alive(crowd):
-    return sum(not ended(one) for one in crowd)
+def count_open(crowd):
+    return sum(not is_closed(one) for one in crowd)
 
 
-def ended(one):
+def is_closed(one):
     try:
         return one.recv(1, socket.MSG_PEEK) == b""
     except BlockingIOError:
@@ -68,8 +68,8 @@
         return True
 
 
-def most_clients(site):
-    """The most connections of clients that the front has told of."""
+def max_logged_clients(site):
+    """Return the maximum number of client connections that the front has logged."""
     told = [re.search(r"event=descriptors clients=(\d+)", line) for line in site.said]
     return max(int(found[1]) for found in told if found)
 
@@ -83,25 +83,25 @@
 def test_idle_clients_fill_their_descriptors_while_the_list_service_is_down(asking, burst):
     with Site(descriptors=SOCKETS, limits={"sockets": SOCKETS}) as site:
         site.log.called()
-        where = down(site.log)
+        where = stop_change_log(site.log)
         site.heard("event=changelog")
         if burst and not asking:
             stopped(site)
-        crowd = crowd_of(site, asking)
+        crowd = connect_clients(site, asking)
         if burst and not asking:
             going_on(site)
-        until(lambda: site.health()[0] == 200)  # behind all of them
-        until(lambda: alive(crowd) <= CLIENTS)
-        assert site.health()[0] == 200  # whatever else was to be closed has been
+        until(lambda: site.health()[0] == 200)  # accepted after all of them
+        until(lambda: count_open(crowd) <= CLIENTS)
+        assert site.health()[0] == 200  # two more iterations, so that the excess is closed
         assert site.health()[0] == 200
-        assert alive(crowd) >= CLIENTS - ACCEPTED_AT_ONCE  # no more were closed than had to be
-        assert most_clients(site) <= CLIENTS + ACCEPTED_AT_ONCE
-        back(site, where)
+        assert count_open(crowd) >= CLIENTS - ACCEPTED_AT_ONCE  # not many more were closed than necessary
+        assert max_logged_clients(site) <= CLIENTS + ACCEPTED_AT_ONCE
+        restart_change_log(site, where)
         assert site.log.called() == 1
         site.log.tell(
             2, fleet={"revision": 2, "complete": False, "members": [site.parent.entry("terminating")]}
         )
-        site.log.tell(9, invalidate={"bucket": 3, "time": 0})  # a gap: called anew, the drain has been read
+        site.log.tell(9, invalidate={"bucket": 3, "time": 0})  # a gap causes a reconnect; the drain was read
         assert site.log.called() == 2
         assert site.health()[0] == 200
         viewer = site.viewer().send()
@@ -116,16 +116,16 @@
             one.close()
 
 
-def test_the_system_may_give_fewer_descriptors_than_the_settings_tell():
+def test_descriptor_limit_of_the_process_overrides_the_settings():
     soft, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
     assert available_descriptors(soft + 1) == soft and available_descriptors(64) == 64
     with Site(descriptors=SOCKETS, limits={"sockets": 5000}) as site:
         site.log.called()
-        where = down(site.log)
-        crowd = crowd_of(site, asking=False)
+        where = stop_change_log(site.log)
+        crowd = connect_clients(site, asking=False)
         until(lambda: site.health()[0] == 200)
-        assert most_clients(site) <= CLIENTS + ACCEPTED_AT_ONCE
-        back(site, where)
+        assert max_logged_clients(site) <= CLIENTS + ACCEPTED_AT_ONCE
+        restart_change_log(site, where)
         assert site.log.called() == 1
         viewer = site.viewer().send()
         site.cache.next().answer("DONE", NOW, b"x")
@@ -136,17 +136,16 @@
 
 
 @pytest.mark.parametrize("sockets", [120, 256, 1024, 5000, 12_500, 65_536])
-def test_the_shares_add_up_to_what_there_is(sockets):
+def test_descriptor_shares_do_not_exceed_the_total(sockets):
     limits = plan_limits(sockets, 192, 32, open_requests=9)
     assert limits.client_connections + limits.all_cache_connections + RESERVED_DESCRIPTORS <= sockets
     crossing = ACCEPTED_AT_ONCE + CROSSING_CLOSES
-    assert (
-        crossing <= RESERVED_DESCRIPTORS - 24
-    )  # a front that shares what it learns holds fewer than that besides
+    # A front that cooperates with others holds fewer than 24 other descriptors.
+    assert crossing <= RESERVED_DESCRIPTORS - 24
 
 
 class Answering(StandInCache):
-    """Answers as many forwards as it is told to."""
+    """A cache that answers a given number of requests."""
 
     def __init__(self, name):
         super().__init__(name, "box", "sur")
@@ -156,11 +155,10 @@
             self.next().answer("DONE", NOW)
 
 
-def test_idle_connections_to_caches_make_room_without_more_descriptors_than_are_kept_back(driven):  # noqa: F811
+def test_idle_cache_connections_are_replaced_within_the_reserved_descriptors(driven):  # noqa: F811
     number = 2 * CROSSING_CLOSES
-    front = driven(
-        open_requests=number, wait=BOUND * 1_000_000, connect=BOUND * 1_000_000
-    )  # however slow it is
+    # Timeouts that a slow machine does not reach.
+    front = driven(open_requests=number, wait=BOUND * 1_000_000, connect=BOUND * 1_000_000)
     front.clients.services[b"video"] = (0, False, BOUND * 1_000_000)
     front.servers.limits = front.servers.limits._replace(all_cache_connections=number)
     first, second = Answering("s-1"), Answering("s-2")
@@ -185,7 +183,7 @@
 
     ask(1, first, 0)
     assert front.servers.connection_count == number and len(front.servers.idle_connections()) == number
-    ask(2, second, 1000)  # in one pass more than may cross
+    ask(2, second, 1000)  # more in one iteration than may be opened before idle ones are closed
     assert number < most <= number + CROSSING_CLOSES
 
 
