--- a/limepath/front/client_connection.py
+++ b/limepath/front/client_connection.py
@@ -51,9 +51,8 @@
         self.discarded_bytes = 0  # since the lingering close began
         self.close_deferred = False  # whether a sweep has spared the connection because of unread bytes
         self.last_activity_at = clock()
-        self.accept_delay = (
-            clients.read_delay()
-        )  # microseconds; the first request may be as old as the connection
+        # Microseconds; the first request may be as old as the connection.
+        self.accept_delay = clients.read_delay()
 
     def connectionMade(self):
         self.transport.setTcpNoDelay(True)
--- a/limepath/front/reference_clock.py
+++ b/limepath/front/reference_clock.py
@@ -22,9 +22,8 @@
         self.skew = skew  # maximum difference between two correct clocks
         self.tolerance = skew  # maximum time by which a valid copy may lie in the future
         self.lower_bound: int | None = None  # of the other machines' clock minus the monotonic clock
-        self.own_offset = (
-            unix_clock() - clock()
-        )  # this machine's corrected Unix clock minus the monotonic one
+        # This machine's corrected Unix clock minus the monotonic one.
+        self.own_offset = unix_clock() - clock()
         self.recent_leads: list[int] = []  # by how much the last copies lay in the future
 
     def observe(self, unix_time: int) -> None:
--- a/tests/test_log.py
+++ b/tests/test_log.py
@@ -1,4 +1,4 @@
-"""The log is whatever the front writes to standard error; one that nobody reads must not stop the front."""
+"""Tests that a log on standard error which nobody reads does not block the front."""
 
 import fcntl
 import json
@@ -8,8 +8,8 @@
 
 from tests.stand_ins import Viewer, configuration, free_address, until
 
-SHORTEST_LINE = 60  # bytes of a log line
-SMALLEST_PIPE = 4096  # bytes that a pipe holds at the least
+SHORTEST_LINE = 60  # bytes; no line of the log is shorter
+SMALLEST_PIPE = 4096  # bytes; the minimum capacity of a pipe
 
 
 def accepts_connections(address):
@@ -21,7 +21,7 @@
 
 
 def test_a_front_whose_log_nobody_reads_goes_on_answering(tmp_path):
-    """The pipe of its log is full from the start."""
+    """The pipe is full from the start, so that a blocking write would stop the front."""
     document = configuration(free_address())
     path = tmp_path / "front.json"
     path.write_text(json.dumps(document))
@@ -33,7 +33,7 @@
     )
     try:
         until(lambda: accepts_connections(document["listen"]))
-        for _ in range(5):  # each adds a line
+        for _ in range(5):  # each logs a line
             client = Viewer(document["listen"]).raw("GET /nowhere HTTP/1.1\r\n\r\n")
             client.socket.settimeout(10)
             assert client.answer()[0] == 404
--- a/tests/test_request_head.py
+++ b/tests/test_request_head.py
@@ -1,19 +1,19 @@
-"""Heads of requests: parsed once complete, and rejected for what is wrong with them."""
+"""Tests of limepath/front/request_head.py."""
 
 import pytest
 
 from limepath.front.request_head import RequestError, parse_head
 
 
-def test_a_head_is_read_once_whole_and_refused_for_what_is_wrong():
-    whole = b"GET /a?block=1 HTTP/1.1\r\nHost: x\r\nX-Txn:  9b\r\n\r\n"
-    assert parse_head(bytearray(whole), 100, 9) == (
+def test_head_is_parsed_once_complete_and_rejected_if_malformed():
+    complete = b"GET /a?block=1 HTTP/1.1\r\nHost: x\r\nX-Txn:  9b\r\n\r\n"
+    assert parse_head(bytearray(complete), 100, 9) == (
         b"GET",
         b"/a?block=1",
         {b"host": b"x", b"x-txn": b"9b"},
         48,
     )
-    assert {parse_head(bytearray(whole[:i]), 100, 9) for i in range(len(whole))} == {None}
+    assert {parse_head(bytearray(complete[:i]), 100, 9) for i in range(len(complete))} == {None}
     for head, status in (
         (b"GET / HTTP/1.1\r\na: " + b"x" * 60, 431),
         (b"GET / HTTP/1.1\r\na:\r\nb:\r\nc:\r\n\r\n", 431),
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -1,4 +1,4 @@
-"""A front's start: many at once on a list of the size to come, and what a list costs by its length."""
+"""Tests of the start of fronts: many at once with a long endpoint list, and the cost of long lists."""
 
 import queue
 import socket
@@ -18,11 +18,12 @@
 from tests.fake_host import FakeHost
 from tests.stand_ins import BOUND, SETTINGS, StandInChangeLog, address, configuration, started
 
-MEMBERS, STARTS, READY_WITHIN = 1400, 12, 10  # seconds, for nine of ten that start at once
+# READY_WITHIN: seconds, for nine of ten fronts that start at once.
+MEMBERS, STARTS, READY_WITHIN = 1400, 12, 10
 
 
 def line(number, phase="in_service"):
-    """A member of a list; one of a hundred is a parent."""
+    """Return an entry of the endpoint list; one of a hundred is a parent."""
     parent = number % 100 == 1
     return {
         "id": f"s-{number}",
@@ -71,8 +72,8 @@
     assert sum(span < READY_WITHIN for span, _ in came) >= 0.9 * STARTS
 
 
-def lines_run(call):
-    """How many lines of Python a call runs: work counted, not timed."""
+def count_lines_run(call):
+    """Return how many lines of Python a call executes, as a measure of work that does not depend on time."""
     count = 0
 
     def trace(frame, event, argument):
@@ -89,8 +90,8 @@
     return count
 
 
-def work_of_a_list(members, phase):
-    """Take in a list of which every other member is in this phase, then a second one without those."""
+def work_to_apply_a_list(members, phase):
+    """Count the work to apply a list with every other member in `phase`, then one without those members."""
     told = front_settings(configuration("127.0.0.1:9"), {})
     log = Log("n1", told.limits.log_lines, told.limits.log_span, "person")
     decision_loop = DecisionLoop(Clock(), FakeHost(fleet=()).front, told.limits, log)
@@ -103,12 +104,13 @@
         decision_loop.gather(TimerFired(0))
         changes.load_known_events(known(lines[::2]))
 
-    work = lines_run(take)
+    work = count_lines_run(take)
     assert len(changes.entries) == members / 2
     return work
 
 
-def test_the_work_to_take_in_a_list_grows_with_its_length_and_no_faster():
+def test_work_to_apply_a_list_grows_linearly_with_its_length():
     for phase in ("in_service", "terminating"):
-        few, many = work_of_a_list(300, phase), work_of_a_list(1200, phase)
-        assert many < 4.4 * few, phase  # 15 times where each that drains or goes asked all what waits
+        few, many = work_to_apply_a_list(300, phase), work_to_apply_a_list(1200, phase)
+        # The factor was 15 while each draining or removed endpoint scanned all waiting attempts.
+        assert many < 4.4 * few, phase
--- a/tests/test_terms_clock.py
+++ b/tests/test_terms_clock.py
@@ -1,5 +1,6 @@
-"""Terms of the operators' notes: the wall clock may be stepped, by seconds or by an hour, forward or back;
-the monotonic clock runs on. Deadlines, windows, waits and graces are spans of real time.
+"""Tests of the operators' rule that the wall clock may be stepped, by seconds or an hour, forward or back.
+
+The monotonic clock is not affected. Deadlines, windows, waits and grace periods are intervals of real time.
 """
 
 import threading
@@ -9,7 +10,7 @@
 
 HOUR = 3600
 STEPS = (HOUR, 3, -3, -HOUR)
-# the first class has copies that are fresh for 8 s; purges leave old copies about for 6 s
+# Copies of the first class are fresh for 8 s; old copies may remain anywhere for 6 s after a purge.
 AGEING = SETTINGS | {
     "family-info": SETTINGS["family-info"] | {"max-age": [8000 * MS, 0], "gone-everywhere": 6000 * MS}
 }
@@ -20,8 +21,8 @@
     return int(time.time() * 1000)
 
 
-def served(site, viewer, since, body=b"x"):
-    """Send a request whose cache answers with a copy given out at `since`; give what was asked there."""
+def serve(site, viewer, since, body=b"x"):
+    """Send a request that a cache answers with a copy of the time `since`; return what the cache received."""
     viewer.send(txn=next(TXNS), ttl=10_000)
     asked = site.cache.next()
     asked.answer("DONE", f"rev=4be0,since={since}", body)
@@ -30,13 +31,13 @@
 
 
 def next_request(cache):
-    while (asked := cache.asked.get(timeout=BOUND)).word != "ASK":  # those before were given up
+    while (asked := cache.asked.get(timeout=BOUND)).word != "ASK":  # skips cancellations
         pass
     return asked
 
 
-def test_a_request_is_answered_in_its_time_after_the_wall_clock_was_stepped():
-    """Twice in a row, and also one that was open when the step came."""
+def test_wall_clock_steps_do_not_change_request_deadlines():
+    """Two requests per step: one that is open when the clock is stepped, and one that arrives later."""
     with Site(faults={}) as site:
         for step in (-HOUR, -3, HOUR):
             open_one, later = site.viewer().send(txn=next(TXNS), ttl=1500), site.viewer()
@@ -52,8 +53,8 @@
             assert 1.4 < time.monotonic() - began < 5, step
 
 
-def test_a_purge_binds_whatever_the_wall_clock_says():
-    """Told in the stream after each step, also to a front that started on a wrong clock."""
+def test_wall_clock_steps_do_not_affect_purges():
+    """A purge follows each step, also at a front that started with a wrong clock."""
     for at_start in (0, HOUR, -HOUR):
         with Site(faults={"wall_step": at_start}, settings=AGEING) as site:
             for number, step in enumerate((at_start, *STEPS), 2):
@@ -61,12 +62,12 @@
                 told_at = milliseconds()
                 site.log.tell(number, invalidate={"bucket": 17, "time": told_at})
                 viewer, end = site.viewer(), time.monotonic() + 5
-                while int(served(site, viewer, milliseconds()).fields["cap"]) > milliseconds() - told_at:
+                while int(serve(site, viewer, milliseconds()).fields["cap"]) > milliseconds() - told_at:
                     assert time.monotonic() < end, (at_start, step)
 
 
 class Answering:
-    """All members answer what comes at once, with a copy given out now; `asked` keeps what came."""
+    """Lets all servers answer immediately with a current copy; records the requests in `asked`."""
 
     def __init__(self, site):
         self.site, self.asked, self.times = site, [], {}
@@ -85,7 +86,7 @@
         return max(sum(first <= at < first + 1 for at in times) for first in times)
 
     def wait_until_heard(self, number):
-        """Tell a purge as this event and wait until what goes out obeys it: all before it is heard, too."""
+        """Send a purge as this event and wait until it takes effect, as then all earlier events have."""
         self.site.log.tell(number, invalidate={"bucket": 18, "time": milliseconds()})
         viewer = self.site.viewer()
         until(lambda: "cap" in self.ask(viewer, X_Family=18).fields)
@@ -95,9 +96,9 @@
         return self.asked[-1]
 
 
-def test_a_new_member_is_cold_whatever_the_wall_clock_says():
-    """The settings let it take N = 2 x 0.2 x 5 transfers of 0.6 s in a second: 12 with what chance is given.
-    A front that takes it for warm sends it all.
+def test_new_member_counts_as_cold_despite_wall_clock_steps():
+    """By the settings a cold server gets N = 2 x 0.2 x 5 transfers of 0.6 s in a second: 12 with random
+    variation. A server that counts as warm gets all requests.
     """
     for at_start in (0, HOUR):
         with Site(faults={"wall_step": at_start}) as site:
@@ -111,8 +112,8 @@
             assert answering.most_in_a_second("s-1") <= 12, at_start
 
 
-def test_good_copies_are_served_whatever_the_wall_clock_says():
-    """Also by a front that started on a wrong clock."""
+def test_valid_copies_are_served_despite_wall_clock_steps():
+    """Also by a front that started with a wrong clock."""
     for at_start in (0, HOUR, -HOUR):
         with Site(faults={"wall_step": at_start}, settings=AGEING) as site:
             answering = Answering(site)
--- a/tests/test_terms_system_calls.py
+++ b/tests/test_terms_system_calls.py
@@ -1,5 +1,6 @@
-"""Terms of the operators' notes: system calls fail in the ways that Linux documents, for a moment, and all
-rules hold. Each fault is counted where it takes effect.
+"""Tests of the operators' rule that system calls may fail temporarily with any error that Linux documents.
+
+Each injected error is counted when it takes effect.
 """
 
 import json
@@ -31,8 +32,8 @@
 
 
 @pytest.mark.parametrize("error", CONNECT_ERRORS)
-def test_a_connection_that_cannot_be_made_for_a_moment_proves_that_nothing_ran(error):
-    """Once: a write is sent again. Twice in a row: it may be refused (harmless to repeat), not failed."""
+def test_temporary_connect_error_counts_as_not_sent(error):
+    """After one error a write is retried; after two it may be shed (safe to repeat), but not failed."""
     for times in (1, 2):
         with Site(faults={}) as site:
             site.inject(fail={"connect_ex": [error, times]}, ports=[port_of(site.origin)])
@@ -44,7 +45,7 @@
 
 
 @pytest.mark.parametrize("error", ["ENFILE", "ENOBUFS", "ENOMEM", "EMFILE"])
-def test_a_socket_that_cannot_be_made_for_a_moment_proves_that_nothing_ran(error):
+def test_temporary_socket_error_counts_as_not_sent(error):
     with Site(faults={}) as site:
         site.inject(fail={"socket": [error, 1]})
         viewer = put(site, 1)
@@ -56,7 +57,7 @@
 @pytest.mark.parametrize(
     "error", ["ECONNABORTED", "ENFILE", "ENOBUFS", "ENOMEM", "EPROTO", "ENETDOWN", "EINTR"]
 )
-def test_accept_that_fails_for_a_moment_loses_no_connection(error):
+def test_temporary_accept_error_loses_no_connection(error):
     with Site(faults={}) as site:
         site.inject(fail={"accept": [error, 3]})
         viewers = [site.viewer().send(txn=f"{number:016x}") for number in range(3)]
@@ -67,8 +68,8 @@
 
 
 @pytest.mark.parametrize("error", ["ETIMEDOUT", "EHOSTUNREACH", "ECONNRESET"])
-def test_a_connection_that_breaks_under_a_request_is_one_that_may_have_run(error):
-    """A read is sent again, a write is failed, and neither is lost."""
+def test_request_on_a_broken_connection_counts_as_possibly_executed(error):
+    """A read is retried, a write is failed, and both get an answer."""
     with Site(faults={}) as site:
         viewer = site.viewer().send()
         asked = site.cache.next()
@@ -87,8 +88,8 @@
 
 
 @pytest.mark.parametrize("error", ["EHOSTUNREACH", "ETIMEDOUT", "EPIPE", "ENOBUFS"])
-def test_a_write_that_the_system_did_not_take_has_not_run(error):
-    """On a new connection and on a kept one; two errors, as one that broke stays broken."""
+def test_failed_send_counts_as_not_sent(error):
+    """On a new and on a kept connection. Two errors, because a broken connection fails again."""
     with Site(faults={}) as site:
         for number in range(2):
             site.inject(fail={"send": [error, 2]})
@@ -98,7 +99,7 @@
             assert site.origin.asked.empty() and site.injected("send") == 2 * (number + 1)
 
 
-def test_waits_that_are_interrupted_all_the_time_cost_no_request():
+def test_interrupted_waits_lose_no_request():
     with Site(faults={}) as site:
         viewer = site.viewer()
         for number in range(30):
@@ -111,8 +112,8 @@
 
 
 @pytest.mark.parametrize("error", ["ENETUNREACH", "EADDRNOTAVAIL", "ENFILE"])
-def test_the_change_log_is_followed_again_after_calls_that_failed(error):
-    """A new address in the configuration, at which no call succeeds at first."""
+def test_change_log_is_reconnected_after_failed_calls(error):
+    """The configuration names a new address, to which the first connections fail."""
     with Site(faults={}) as site:
         other = StandInChangeLog()
         call = "socket" if error == "ENFILE" else "connect_ex"
@@ -122,7 +123,7 @@
         assert site.injected(call) == 3
 
 
-def test_a_write_by_key_goes_on_after_a_call_that_failed():
+def test_keyed_write_is_retried_after_a_failed_connect():
     video, tarea = SETTINGS["classes"]
     with Site(faults={}, settings=SETTINGS | {"classes": [video, tarea | KEYED]}) as site:
         site.inject(fail={"connect_ex": ["EADDRNOTAVAIL", 1]}, ports=[port_of(site.origin)])
