--- a/limepath/front/client_connection.py
+++ b/limepath/front/client_connection.py
@@ -49,7 +49,7 @@
         self.has_requested = False  # whether a complete request has arrived
         self.output_blocked = False  # whether the send buffer is full because the client does not read
         self.discarded_bytes = 0  # since the lingering close began
-        self.close_deferred = False  # whether a sweep has spared the connection because of unread bytes
+        self.close_deferred = False  # whether a sweep has deferred the close because of unread bytes
         self.last_activity_at = clock()
         # Microseconds; the first request may be as old as the connection.
         self.accept_delay = clients.read_delay()
@@ -176,7 +176,7 @@
 
     @property
     def is_between_requests(self) -> bool:
-        """Whether no complete request is waiting for its answer."""
+        """Whether the connection is idle or reading a request."""
         return self.state in (ConnectionState.IDLE, ConnectionState.READING)
 
     def close_gracefully(self) -> None:
--- a/limepath/front/client_limit.py
+++ b/limepath/front/client_limit.py
@@ -22,7 +22,7 @@
 
     ENDED = 0  # the front has sent its FIN
     SILENT = 1  # the client has never sent a request
-    PARTIAL_REQUEST = 2  # and not NEW; before IDLE, so that slow senders cannot lock out other clients
+    PARTIAL_REQUEST = 2  # sent slowly; closed before IDLE, so that slow senders cannot lock out other clients
     IDLE = 3  # between requests
     NEW = 4  # connected recently, or sending a request
     TAKING_ANSWER = 5  # the last answer is still being sent
@@ -70,7 +70,7 @@
         self.is_scheduled = False
 
     def count_changed(self) -> None:
-        """Pause accepting and schedule `enforce` if there are more connections than the limit."""
+        """Pause accepting while there are more connections than the limit, and schedule `enforce`."""
         exceeded = len(self.clients.connections) > self.clients.limits.client_connections
         self.clients.listener.set_paused(exceeded)
         if exceeded:
--- a/limepath/front/client_listener.py
+++ b/limepath/front/client_listener.py
@@ -58,9 +58,8 @@
             accepted_before = self.accepted_count
             self.port.doRead()
             fruitless_reads = fruitless_reads + 1 if self.accepted_count == accepted_before else 0
-            if (
-                fruitless_reads > 1
-            ):  # a single one is possible, as Twisted adapts its number of accepts per read
+            # Twisted adapts its number of accepts per read, so a single read may accept none.
+            if fruitless_reads > 1:
                 break
 
     def has_backlog(self) -> bool:
--- a/limepath/front/clients.py
+++ b/limepath/front/clients.py
@@ -28,7 +28,7 @@
     from limepath.front.servers import Servers
     from limepath.log import Log
 
-MICROSECONDS = 1e6
+MICROSECONDS_PER_SECOND = 1e6
 
 
 class Clients:
@@ -48,7 +48,7 @@
         self.decision_loop = decision_loop
         self.limits = limits
         self.log = log
-        self.services = services  # as for `client_request.parse_request`
+        self.services = services  # by name; see `client_request.parse_request`
         self.connections: set[ClientConnection] = set()
         self.requests: dict[int, ClientRequest] = {}  # by id
         self.transaction_ids: set[bytes] = set()  # transaction ids of open requests
@@ -96,7 +96,9 @@
         if answer_deadline is not None and request.deadline > answer_deadline:
             request.shorten_deadline(answer_deadline)
         time_left = request.event.time_left
-        request.timer = self.reactor.callLater(time_left / MICROSECONDS, self._deadline_passed, request)
+        request.timer = self.reactor.callLater(
+            time_left / MICROSECONDS_PER_SECOND, self._deadline_passed, request
+        )
         self.decision_loop.gather(request.event)
 
     def _deadline_passed(self, request: ClientRequest) -> None:
@@ -109,7 +111,9 @@
             self.servers.time_out(attempt)
         if request.is_open:
             backstop = self.limits.backstop
-            request.timer = self.reactor.callLater(backstop / MICROSECONDS, self._fail_unanswered, request)
+            request.timer = self.reactor.callLater(
+                backstop / MICROSECONDS_PER_SECOND, self._fail_unanswered, request
+            )
 
     def _fail_unanswered(self, request: ClientRequest) -> None:
         request.timer = None
--- a/limepath/front/decision_loop.py
+++ b/limepath/front/decision_loop.py
@@ -37,7 +37,7 @@
     from limepath.front.servers import Servers
     from limepath.log import Log
 
-MICROSECONDS = 1e6
+MICROSECONDS_PER_SECOND = 1e6
 WATCH_EVENTS = (EndpointListUpdated, PurgeAnnounced)
 
 
@@ -140,7 +140,7 @@
         first_time = {event for event in events if isinstance(event, WATCH_EVENTS)} - self.redelivered
         self.redelivered = first_time
         again = [event for event in events if event in first_time]
-        pause = self.limits.fault_pause / MICROSECONDS
+        pause = self.limits.fault_pause / MICROSECONDS_PER_SECOND
         self.reactor.callLater(pause, self.gather, *again, TimerFired(0))
 
     def _carry_out(self, command: tuple) -> None:
@@ -153,7 +153,9 @@
         self.servers.forward(command, self.clients.requests.get(command.request), self.decided_at)
 
     def _schedule_wakeup(self, command: ScheduleWakeup) -> None:
-        self.reactor.callLater(command.delay / MICROSECONDS, self.gather, TimerFired(command.cookie))
+        self.reactor.callLater(
+            command.delay / MICROSECONDS_PER_SECOND, self.gather, TimerFired(command.cookie)
+        )
 
     def _ignore(self, command: SetSubscription | QueryEndpointList) -> None:
         """Do nothing, because a front always watches the endpoint list."""
--- a/limepath/front/front_process.py
+++ b/limepath/front/front_process.py
@@ -35,7 +35,7 @@
 # Twisted's timers follow the wall clock, which may be stepped; deadlines need the monotonic clock.
 reactor.seconds = time.monotonic
 
-MICROSECONDS = 1e6
+MICROSECONDS_PER_SECOND = 1e6
 PROBE_WITH_LOAD_REPORT = b"INFO"
 PLAIN_PROBE = b"NOOP"
 
@@ -138,7 +138,7 @@
         return self.clients.listen(endpoint).addCallback(self._listening)
 
     def _listening(self, _) -> None:
-        interval = self.settings.limits.sweep / MICROSECONDS
+        interval = self.settings.limits.sweep / MICROSECONDS_PER_SECOND
         LoopingCall(reactor.callLater, 0, self._sweep).start(interval, now=False)
         on_signals((signal.SIGTERM, signal.SIGINT), self._shut_down)
         on_signals((signal.SIGHUP,), self._reload)
--- a/limepath/front/graceful_shutdown.py
+++ b/limepath/front/graceful_shutdown.py
@@ -14,7 +14,7 @@
 if TYPE_CHECKING:
     from limepath.front.clients import Clients
 
-MICROSECONDS = 1e6
+MICROSECONDS_PER_SECOND = 1e6
 
 
 class ShutdownState(Enum):
@@ -48,7 +48,9 @@
         self.state = ShutdownState.DRAINING
         self.clients.log.info("leaving", gets=len(self.clients.requests))
         self._shorten_deadlines()
-        self.clients.reactor.callLater(self.clients.limits.drain_period / MICROSECONDS, self._stop_accepting)
+        self.clients.reactor.callLater(
+            self.clients.limits.drain_period / MICROSECONDS_PER_SECOND, self._stop_accepting
+        )
 
     def _shorten_deadlines(self) -> None:
         """Limit the deadlines of open requests to `Limits.last_answer` from now.
@@ -62,7 +64,7 @@
         for request in self.clients.requests.values():
             if request.timer is not None and request.is_open and request.deadline > self.answer_deadline:
                 request.shorten_deadline(self.answer_deadline)
-                request.timer.reset(time_left / MICROSECONDS)
+                request.timer.reset(time_left / MICROSECONDS_PER_SECOND)
 
     def _stop_accepting(self) -> None:
         """Close the listening port.
@@ -75,7 +77,7 @@
         listener.accept_backlog()
         if listener.has_backlog() and clock() < self.answer_deadline:
             pause = self.clients.limits.accept_pause
-            self.clients.reactor.callLater(pause / MICROSECONDS, self._stop_accepting)
+            self.clients.reactor.callLater(pause / MICROSECONDS_PER_SECOND, self._stop_accepting)
             return
         listener.close()
         self.state = ShutdownState.NOT_ACCEPTING
@@ -106,7 +108,7 @@
             self._finish()
         elif not self.close_timer:
             timeout = self.clients.limits.last_call
-            self.close_timer = self.clients.reactor.callLater(timeout / MICROSECONDS, self._finish)
+            self.close_timer = self.clients.reactor.callLater(timeout / MICROSECONDS_PER_SECOND, self._finish)
 
     def _finish(self) -> None:
         if self.state is not ShutdownState.FINISHED:
