--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -39,14 +39,14 @@
 OTHER_ID = "00000000000000fe"
 
 
-def disconnect_for_long(viewer, leave=None):
+def disconnect_for_long(viewer, disconnect=None):
     """Disconnect the client and return once its FIN or reset has waited at the front for LATE seconds."""
-    near = f":{viewer.socket.getsockname()[1]:04X}"
-    (leave or viewer.close)()
+    client_port = f":{viewer.socket.getsockname()[1]:04X}"
+    (disconnect or viewer.close)()
     until(
         lambda: (
             not any(
-                words[2].endswith(near) and words[3] == "01"  # TCP_ESTABLISHED
+                words[2].endswith(client_port) and words[3] == "01"  # TCP_ESTABLISHED
                 for words in connections()
             )
         )
@@ -55,12 +55,12 @@
     until(lambda: time.monotonic() - since > LATE)
 
 
-def first_request_id(site, where):
+def first_request_id(site, server):
     """Return the id of the first request that this server receives, after another client sent OTHER_ID."""
-    stays = site.viewer().send(txn=OTHER_ID)
-    asked = where.next()
+    other_client = site.viewer().send(txn=OTHER_ID)
+    asked = server.next()
     asked.answer("DONE", NOW, b"x")
-    assert stays.answer()[2] == b"x"
+    assert other_client.answer()[2] == b"x"
     return asked.id
 
 
@@ -102,11 +102,11 @@
         viewer = site.viewer().send("/invoke/tarea/0000000000000001", b"mine")
         disconnect_for_long(viewer)
         going_on(site)
-        stays = site.viewer().send("/invoke/tarea/0000000000000002", b"stays", txn=OTHER_ID)
+        other_client = site.viewer().send("/invoke/tarea/0000000000000002", b"stays", txn=OTHER_ID)
         asked = site.origin.next()
         assert asked.id == OTHER_ID
         asked.answer("DONE")
-        assert stays.answer()[0] == 200 and site.origin.asked.empty()
+        assert other_client.answer()[0] == 200 and site.origin.asked.empty()
 
 
 def test_miss_and_disconnect_are_read_in_one_late_iteration():
@@ -126,11 +126,11 @@
         first = site.viewer().send()
         asked = site.cache.next()
         site.cache.crowd()
-        waits = site.viewer().send(txn="00000000000000aa")
+        waiting = site.viewer().send(txn="00000000000000aa")
         site.cache.called_in_vain()
         stopped(site)
         asked.answer("DONE", NOW, b"x")  # read before the FIN, in the same iteration
-        disconnect_for_long(waits)
+        disconnect_for_long(waiting)
         going_on(site)
         assert first.answer()[2] == b"x"
         assert first_request_id(site, site.cache) == OTHER_ID
@@ -145,25 +145,25 @@
             else ("/invoke/tarea/1", site.origin, b"mine")
         )
         member.crowd()
-        waits = site.viewer().send(target, body, txn="00000000000000aa")
+        waiting = site.viewer().send(target, body, txn="00000000000000aa")
         member.called_in_vain()
         stopped(site)
-        others = {f":{one.getsockname()[1]:04X}" for one in member.crowding}
+        crowding_ports = {f":{connection.getsockname()[1]:04X}" for connection in member.crowding}
         port = f":{member.listener.getsockname()[1]:04X}"
         member.uncrowd()
         until(
             lambda: any(  # established in the kernel, unknown to the front
-                words[2].endswith(port) and words[3] == "01" and words[1][-5:] not in others
+                words[2].endswith(port) and words[3] == "01" and words[1][-5:] not in crowding_ports
                 for words in connections()
             )
         )
-        disconnect_for_long(waits)
+        disconnect_for_long(waiting)
         going_on(site)
-        stays = site.viewer().send(target, body, txn=OTHER_ID)
+        other_client = site.viewer().send(target, body, txn=OTHER_ID)
         asked = member.next()
         assert asked.id == OTHER_ID
         asked.answer("DONE", NOW if effect == "free" else "-", b"")
-        assert stays.answer()[0] == 200 and member.asked.empty()
+        assert other_client.answer()[0] == 200 and member.asked.empty()
 
 
 def test_request_is_not_opened_while_output_is_blocked():
@@ -171,12 +171,12 @@
     with Site() as site:
         viewer = slow_to_read(site)
         asked = site.cache.next()
-        whole = b"%s DONE %s %d\r\n%s\r\n" % (asked.id.encode(), NOW.encode(), len(body), body)
-        asked.connection.sendall(whole[:-2])
-        read = asked.connection.getsockname()[1]
-        until(lambda: unread_bytes(read) == 0)
+        answer = b"%s DONE %s %d\r\n%s\r\n" % (asked.id.encode(), NOW.encode(), len(body), body)
+        asked.connection.sendall(answer[:-2])
+        cache_port = asked.connection.getsockname()[1]
+        until(lambda: unread_bytes(cache_port) == 0)
         stopped(site)
-        asked.connection.sendall(whole[-2:])  # completes the answer, which blocks the output to the client
+        asked.connection.sendall(answer[-2:])  # completes the answer, which blocks the output to the client
         viewer.send(txn="00000000000000aa")  # read in the same iteration
         until(lambda: unread_bytes(viewer.socket.getsockname()[1]) > 0)
         going_on(site)
@@ -190,10 +190,10 @@
         assert site.cache.next("QUIT").id == again.id
 
 
-def unread_bytes(far):
+def unread_bytes(port):
     """Return the number of bytes from this port in receive queues of the kernel."""
     return sum(
-        int(words[4].partition(":")[2], 16) for words in connections() if words[2].endswith(f":{far:04X}")
+        int(words[4].partition(":")[2], 16) for words in connections() if words[2].endswith(f":{port:04X}")
     )
 
 
@@ -267,16 +267,16 @@
 
 @pytest.fixture
 def driven():
-    made = []
+    fronts = []
 
     def make(**limits):
-        made.append(DrivenFront(**limits))
-        return made[-1]
+        fronts.append(DrivenFront(**limits))
+        return fronts[-1]
 
     yield make
-    for one in made:
-        one.listener.close()
-        for reader in one.reactor.removeAll():
+    for front in fronts:
+        front.listener.close()
+        for reader in front.reactor.removeAll():
             reader.connectionLost(Failure(ConnectionDone()))
 
 
@@ -309,7 +309,7 @@
         assert len(sent) < 9
     viewer = front.viewer().send("/invoke/tarea/2", b"mine", txn="00000000000000aa", ttl=5000)
     front.passes_until(lambda: len(front.attempts()) == len(sent) + 1)
-    stays = front.viewer().send("/invoke/tarea/3", b"stays", txn="00000000000000bb", ttl=5000)
+    other_client = front.viewer().send("/invoke/tarea/3", b"stays", txn="00000000000000bb", ttl=5000)
     front.passes_until(lambda: len(front.attempts()) == len(sent) + 2)
     disconnect_for_long(viewer)
     cache.setblocking(False)
@@ -324,7 +324,7 @@
 
     front.passes_until(all_read)
     assert b"ASK 0000000000000000 " in read and b"00000000000000aa" not in read
-    stays.close()
+    other_client.close()
 
 
 # Counting
@@ -378,10 +378,10 @@
             end=lambda state: None,
         )
         connection.readConnectionLost()
-    counted = clients.disconnects
+    disconnects = clients.disconnects
     assert (
-        counted.begun == 1
-        and 140_000 <= counted.max_delay <= clock() - before + client_disconnects.RESOLUTION
+        disconnects.begun == 1
+        and 140_000 <= disconnects.max_delay <= clock() - before + client_disconnects.RESOLUTION
     )
     assert "event=client-gone attempt=further" in capsys.readouterr().err
 
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -38,30 +38,30 @@
     accepting(site.log.listener, site.log.serve)
 
 
-def connect_clients(site, asking):
-    """Return FLOOD clients that stay connected; with `asking`, each has had one answer."""
+def connect_clients(site, sends_request):
+    """Return FLOOD clients that stay connected; with `sends_request`, each has had one answer."""
     host, port = site.where.split(":")
-    crowd = []
+    clients = []
     for _ in range(FLOOD):
-        one = socket.socket()
-        one.setblocking(False)
-        one.connect_ex((host, int(port)))
-        crowd.append(one)
-        if asking:
-            one.setblocking(True)
-            one.sendall(b"GET /_health HTTP/1.1\r\nHost: x\r\n\r\n")
-            assert b"200 OK" in one.recv(4096)
-            one.setblocking(False)
-    return crowd
+        client = socket.socket()
+        client.setblocking(False)
+        client.connect_ex((host, int(port)))
+        clients.append(client)
+        if sends_request:
+            client.setblocking(True)
+            client.sendall(b"GET /_health HTTP/1.1\r\nHost: x\r\n\r\n")
+            assert b"200 OK" in client.recv(4096)
+            client.setblocking(False)
+    return clients
 
 
-def count_open(crowd):
-    return sum(not is_closed(one) for one in crowd)
+def count_open(clients):
+    return sum(not is_closed(client) for client in clients)
 
 
-def is_closed(one):
+def is_closed(client):
     try:
-        return one.recv(1, socket.MSG_PEEK) == b""
+        return client.recv(1, socket.MSG_PEEK) == b""
     except BlockingIOError:
         return False
     except OSError:
@@ -70,33 +70,33 @@
 
 def max_logged_clients(site):
     """Return the maximum number of client connections that the front has logged."""
-    told = [re.search(r"event=descriptors clients=(\d+)", line) for line in site.said]
-    return max(int(found[1]) for found in told if found)
+    matches = [re.search(r"event=descriptors clients=(\d+)", line) for line in site.said]
+    return max(int(match[1]) for match in matches if match)
 
 
 def descriptors(site):
     return len(os.listdir(f"/proc/{site.process.pid}/fd"))
 
 
-@pytest.mark.parametrize("asking", [False, True])
+@pytest.mark.parametrize("sends_request", [False, True])
 @pytest.mark.parametrize("burst", [False, True])
-def test_idle_clients_fill_their_descriptors_while_the_list_service_is_down(asking, burst):
+def test_idle_clients_fill_their_descriptors_while_the_list_service_is_down(sends_request, burst):
     with Site(descriptors=SOCKETS, limits={"sockets": SOCKETS}) as site:
         site.log.called()
-        where = stop_change_log(site.log)
+        log_address = stop_change_log(site.log)
         site.heard("event=changelog")
-        if burst and not asking:
+        if burst and not sends_request:
             stopped(site)
-        crowd = connect_clients(site, asking)
-        if burst and not asking:
+        clients = connect_clients(site, sends_request)
+        if burst and not sends_request:
             going_on(site)
         until(lambda: site.health()[0] == 200)  # accepted after all of them
-        until(lambda: count_open(crowd) <= CLIENTS)
+        until(lambda: count_open(clients) <= CLIENTS)
         assert site.health()[0] == 200  # two more iterations, so that the excess is closed
         assert site.health()[0] == 200
-        assert count_open(crowd) >= CLIENTS - ACCEPTED_AT_ONCE  # not many more were closed than necessary
+        assert count_open(clients) >= CLIENTS - ACCEPTED_AT_ONCE  # not many more were closed than necessary
         assert max_logged_clients(site) <= CLIENTS + ACCEPTED_AT_ONCE
-        restart_change_log(site, where)
+        restart_change_log(site, log_address)
         assert site.log.called() == 1
         site.log.tell(
             2, fleet={"revision": 2, "complete": False, "members": [site.parent.entry("terminating")]}
@@ -112,8 +112,8 @@
         assert viewer.answer()[2] == b"x"
         assert descriptors(site) <= SOCKETS
         assert not [line for line in site.said if "fault" in line or "EMFILE" in line or "open files" in line]
-        for one in crowd:
-            one.close()
+        for client in clients:
+            client.close()
 
 
 def test_descriptor_limit_of_the_process_overrides_the_settings():
@@ -121,18 +121,18 @@
     assert available_descriptors(soft + 1) == soft and available_descriptors(64) == 64
     with Site(descriptors=SOCKETS, limits={"sockets": 5000}) as site:
         site.log.called()
-        where = stop_change_log(site.log)
-        crowd = connect_clients(site, asking=False)
+        log_address = stop_change_log(site.log)
+        clients = connect_clients(site, sends_request=False)
         until(lambda: site.health()[0] == 200)
         assert max_logged_clients(site) <= CLIENTS + ACCEPTED_AT_ONCE
-        restart_change_log(site, where)
+        restart_change_log(site, log_address)
         assert site.log.called() == 1
         viewer = site.viewer().send()
         site.cache.next().answer("DONE", NOW, b"x")
         assert viewer.answer()[2] == b"x"
         assert not [line for line in site.said if "open files" in line or "EMFILE" in line]
-        for one in crowd:
-            one.close()
+        for client in clients:
+            client.close()
 
 
 @pytest.mark.parametrize("sockets", [120, 256, 1024, 5000, 12_500, 65_536])
@@ -162,14 +162,14 @@
     front.clients.services[b"video"] = (0, False, BOUND * 1_000_000)
     front.servers.limits = front.servers.limits._replace(all_cache_connections=number)
     first, second = Answering("s-1"), Answering("s-2")
-    viewers, most = [front.viewer() for _ in range(number)], 0
+    clients, most = [front.viewer() for _ in range(number)], 0
 
     def ask(member, cache, start):
         nonlocal most
         front.front.member = member
         front.servers.update_endpoint(member, cache.name, cache.listener.getsockname(), 0, front.ready)
-        for one, viewer in enumerate(viewers):
-            viewer.send(txn=f"{start + one:016x}", ttl=BOUND * 1000)
+        for i, viewer in enumerate(clients):
+            viewer.send(txn=f"{start + i:016x}", ttl=BOUND * 1000)
         front.passes_until(lambda: len(front.clients.requests) == number)
 
         def all_asked():
@@ -190,14 +190,14 @@
 def test_the_front_counts_its_descriptors_by_use():
     with Site(descriptors=SOCKETS, limits={"sockets": SOCKETS}) as site:
         site.log.called()
-        viewers = [site.viewer() for _ in range(CLIENTS)]
-        viewers[0].send()
+        clients = [site.viewer() for _ in range(CLIENTS)]
+        clients[0].send()
         site.cache.next().answer("DONE", NOW, b"x")
-        assert viewers[0].answer()[2] == b"x"
-        told = re.findall(r"(\w+)=(\d+)", site.heard("event=descriptors-by-use").partition("event=")[2])
-        use = {name: int(value) for name, value in told}
+        assert clients[0].answer()[2] == b"x"
+        counts = re.findall(r"(\w+)=(\d+)", site.heard("event=descriptors-by-use").partition("event=")[2])
+        use = {name: int(value) for name, value in counts}
         assert (use["clients"], use["caches"]) == (CLIENTS, 1)
         assert use["clients"] + use["caches"] + use["other"] == descriptors(site)
         assert use["planned"] == SOCKETS - RESERVED_DESCRIPTORS
-        for one in viewers:
-            one.close()
+        for client in clients:
+            client.close()
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -22,14 +22,14 @@
 MEMBERS, STARTS, READY_WITHIN = 1400, 12, 10
 
 
-def line(number, phase="in_service"):
+def list_entry(number, phase="in_service"):
     """Return an entry of the endpoint list; one of a hundred is a parent."""
-    parent = number % 100 == 1
+    is_parent = number % 100 == 1
     return {
         "id": f"s-{number}",
         "host_port": f"127.0.0.1:{20_000 + number}",
-        "locality": "hub" if parent else "sur",
-        "flavor": "parent" if parent else "box",
+        "locality": "hub" if is_parent else "sur",
+        "flavor": "parent" if is_parent else "box",
         "cell": 0,
         "phase": phase,
         "size": 6,
@@ -37,39 +37,41 @@
     }
 
 
-def known(lines):
+def known(entries):
     return {
         "seq": 1,
-        "results": [{"seq": 1, "fleet": {"revision": 1, "complete": True, "members": list(lines)}}],
+        "results": [{"seq": 1, "fleet": {"revision": 1, "complete": True, "members": list(entries)}}],
     }
 
 
 def test_fronts_that_start_at_once_on_a_long_list_are_ready_in_time():
     log, ready = StandInChangeLog(), queue.Queue()
-    told = known(map(line, range(MEMBERS)))
+    known_list = known(map(list_entry, range(MEMBERS)))
     processes = []
 
-    def watch(process, since):
-        for said in process.stderr:
-            if "event=ready" in said:
-                ready.put((time.monotonic() - since, said))
+    def wait_for_ready(process, since):
+        for log_line in process.stderr:
+            if "event=ready" in log_line:
+                ready.put((time.monotonic() - since, log_line))
                 return
 
     try:
         for port in free_ports(socket.SOCK_STREAM, STARTS):
-            where = f"127.0.0.1:{port}"
-            processes.append(started(configuration(where, known=told, changelog=address(log.listener))))
+            listen_address = f"127.0.0.1:{port}"
+            processes.append(
+                started(configuration(listen_address, known=known_list, changelog=address(log.listener)))
+            )
             arguments = (processes[-1], time.monotonic())
-            threading.Thread(target=watch, args=arguments, daemon=True).start()
-        came = [ready.get(timeout=BOUND) for _ in range(STARTS)]
+            threading.Thread(target=wait_for_ready, args=arguments, daemon=True).start()
+        ready_lines = [ready.get(timeout=BOUND) for _ in range(STARTS)]
     finally:
         for process in processes:
             process.kill()
             process.wait()
             process.stderr.close()
         log.listener.close()
-    assert all(f"members={MEMBERS} " in said for _, said in came)
-    assert sum(span < READY_WITHIN for span, _ in came) >= 0.9 * STARTS
+    assert all(f"members={MEMBERS} " in log_line for _, log_line in ready_lines)
+    assert sum(span < READY_WITHIN for span, _ in ready_lines) >= 0.9 * STARTS
 
 
 def count_lines_run(call):
@@ -92,20 +94,20 @@
 
 def work_to_apply_a_list(members, phase):
     """Count the work to apply a list with every other member in `phase`, then one without those members."""
-    told = front_settings(configuration("127.0.0.1:9"), {})
-    log = Log("n1", told.limits.log_lines, told.limits.log_span, "person")
-    decision_loop = DecisionLoop(Clock(), FakeHost(fleet=()).front, told.limits, log)
-    servers = Servers(decision_loop.reactor, decision_loop, None, told.limits, log, b"INFO")
-    changes = EndpointWatch(decision_loop.reactor, decision_loop, servers, told.limits, log, SETTINGS, 1)
-    lines = [line(number, phase if number % 2 else "in_service") for number in range(members)]
-
-    def take():
-        changes.load_known_events(known(lines))
+    settings = front_settings(configuration("127.0.0.1:9"), {})
+    log = Log("n1", settings.limits.log_lines, settings.limits.log_span, "person")
+    decision_loop = DecisionLoop(Clock(), FakeHost(fleet=()).front, settings.limits, log)
+    servers = Servers(decision_loop.reactor, decision_loop, None, settings.limits, log, b"INFO")
+    watch = EndpointWatch(decision_loop.reactor, decision_loop, servers, settings.limits, log, SETTINGS, 1)
+    entries = [list_entry(number, phase if number % 2 else "in_service") for number in range(members)]
+
+    def apply_lists():
+        watch.load_known_events(known(entries))
         decision_loop.gather(TimerFired(0))
-        changes.load_known_events(known(lines[::2]))
+        watch.load_known_events(known(entries[::2]))
 
-    work = count_lines_run(take)
-    assert len(changes.entries) == members / 2
+    work = count_lines_run(apply_lists)
+    assert len(watch.entries) == members / 2
     return work
 
 
--- a/tests/test_terms_shutdown.py
+++ b/tests/test_terms_shutdown.py
@@ -26,11 +26,11 @@
 
 def test_front_stops_accepting_before_it_may_be_killed():
     for deadline in (20, 100, 300, 1000, 2990, 3000, 5000):
-        told = configuration("127.0.0.1:9", settings=with_deadline(deadline), limits={})
-        limits = front_settings(told, {}).limits
-        killed = (min(deadline, 3000) + 700) * 1000
-        assert ARRIVAL_PERIOD < limits.drain_period <= killed - 100_000, deadline
-        assert limits.drain_period <= limits.last_answer <= killed - 100_000, deadline
+        document = configuration("127.0.0.1:9", settings=with_deadline(deadline), limits={})
+        limits = front_settings(document, {}).limits
+        killed_after = (min(deadline, 3000) + 700) * 1000
+        assert ARRIVAL_PERIOD < limits.drain_period <= killed_after - 100_000, deadline
+        assert limits.drain_period <= limits.last_answer <= killed_after - 100_000, deadline
 
 
 def test_no_request_is_unanswered_at_sigkill_with_short_deadlines():
@@ -40,20 +40,22 @@
         viewers = [site.viewer() for _ in range(40)]
         assert all(viewer.raw("GET /_health HTTP/1.1\r\n\r\n").answer()[0] == 200 for viewer in viewers)
         site.terminate()
-        told, sent, closed = time.monotonic(), {}, None
+        terminated_at, sent_times, first_close_at = time.monotonic(), {}, None
         for number, viewer in enumerate(viewers):
-            wait_until(told, number * (deadline + 0.7 - 0.02) / len(viewers))
+            wait_until(terminated_at, number * (deadline + 0.7 - 0.02) / len(viewers))
             if not select.select([viewer.socket], [], [], 0)[0]:
                 viewer.send(txn=f"{number:016x}", ttl=300)
-                sent[viewer] = time.monotonic()
-            elif closed is None:  # closed by the front while it was idle
-                closed = time.monotonic()
-        wait_until(told, deadline + 0.7)
+                sent_times[viewer] = time.monotonic()
+            elif first_close_at is None:  # closed by the front while it was idle
+                first_close_at = time.monotonic()
+        wait_until(terminated_at, deadline + 0.7)
         site.process.kill()
         site.process.wait()
-        assert closed
-        for viewer, at in sent.items():
-            assert answer_unless_reset(viewer) or abs(closed - at) < CLOSE_RACE, at - told
+        assert first_close_at
+        for viewer, sent_at in sent_times.items():
+            assert answer_unless_reset(viewer) or abs(first_close_at - sent_at) < CLOSE_RACE, (
+                sent_at - terminated_at
+            )
 
 
 def answer_unless_reset(viewer):
@@ -70,8 +72,8 @@
             site.inject(fail={"accept": [error, 10**9]})
             viewers = [site.viewer().send(txn=f"{number:016x}") for number in range(3)]
             site.terminate()
-            told = time.monotonic()
-            wait_until(told, 1.0)
+            terminated_at = time.monotonic()
+            wait_until(terminated_at, 1.0)
             assert site.injected("accept") > 2
             site.inject(fail={})
             for _ in viewers:
