--- a/limepath/front/decision_loop.py
+++ b/limepath/front/decision_loop.py
@@ -58,9 +58,8 @@
         self.has_polled_again = False  # whether a late run was already deferred by one more poll
         self.decided_at = 0  # time of the last call of `handle`
         self.redelivered: set = set()  # watch events that were queued again after an exception
-        self.listener: Callable[[Sequence], object] | None = (
-            None  # also called with all events, if fronts cooperate
-        )
+        # Called with all events as well, if fronts cooperate.
+        self.listener: Callable[[Sequence], object] | None = None
         self.command_handlers: dict[type, Callable] = {  # by type of command
             ScheduleWakeup: self._schedule_wakeup,
             SetSubscription: self._ignore,
@@ -113,7 +112,7 @@
             self._recover(events)
             return
         for command in commands:
-            self._carry_out(command)
+            self._execute(command)
         self.clients.forget_released()
 
     def _take_events(self) -> list:
@@ -143,7 +142,7 @@
         pause = self.limits.fault_pause / MICROSECONDS_PER_SECOND
         self.reactor.callLater(pause, self.gather, *again, TimerFired(0))
 
-    def _carry_out(self, command: tuple) -> None:
+    def _execute(self, command: tuple) -> None:
         try:
             self.command_handlers.get(type(command), self._log_unknown)(command)
         except Exception as error:  # the other commands are still executed
