--- a/limepath/scale/quiet_log.py
+++ b/limepath/scale/quiet_log.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from limepath.log import plain
+from limepath.log import log_value
 
 FAULTS_SHOWN = 20  # of one process, on its standard error
 
@@ -34,13 +34,13 @@
     def __init__(self, name, file):
         self.name, self.file, self.said = name, file, {}
 
-    def say(self, event, said=None, **fields):
+    def info(self, event, said=None, **fields):
         self.said[event] = self.said.get(event, 0) + 1
         if self.file.file:
             told = {"time": datetime.now(UTC).isoformat(), "instance": self.name, "event": event}
             if said is not None:
                 fields["said"] = said
-            self.file.write(told | {name: plain(value) for name, value in fields.items()})
+            self.file.write(told | {name: log_value(value) for name, value in fields.items()})
 
     def observe(self, event):
         """Take what Twisted caught in a connection or timer."""
@@ -48,7 +48,7 @@
             self.fault(event.get("log_namespace", "twisted"), failure.value)
 
     def fault(self, where, flaw):
-        self.say("fault", str(flaw), where=where, kind=type(flaw).__name__)
+        self.info("fault", str(flaw), where=where, kind=type(flaw).__name__)
         self.file.fault(flaw)
 
     def take(self):
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -1,4 +1,4 @@
-"""A front's start: many at once on a list of the size to come, and what a list costs by its length."""
+"""Tests of the start of fronts: many at once with a long endpoint list, and the cost of long lists."""
 
 import queue
 import socket
@@ -18,17 +18,18 @@
 from tests.fake_host import FakeHost
 from tests.stand_ins import BOUND, SETTINGS, StandInChangeLog, address, configuration, started
 
-MEMBERS, STARTS, READY_WITHIN = 1400, 12, 10  # seconds, for nine of ten that start at once
+# READY_WITHIN: seconds, for nine of ten fronts that start at once.
+MEMBERS, STARTS, READY_WITHIN = 1400, 12, 10
 
 
-def line(number, phase="in_service"):
-    """A member of a list; one of a hundred is a parent."""
-    parent = number % 100 == 1
+def list_entry(number, phase="in_service"):
+    """Return an entry of the endpoint list; one of a hundred is a parent."""
+    is_parent = number % 100 == 1
     return {
         "id": f"s-{number}",
         "host_port": f"127.0.0.1:{20_000 + number}",
-        "locality": "hub" if parent else "sur",
-        "flavor": "parent" if parent else "box",
+        "locality": "hub" if is_parent else "sur",
+        "flavor": "parent" if is_parent else "box",
         "cell": 0,
         "phase": phase,
         "size": 6,
@@ -36,43 +37,45 @@
     }
 
 
-def known(lines):
+def known(entries):
     return {
         "seq": 1,
-        "results": [{"seq": 1, "fleet": {"revision": 1, "complete": True, "members": list(lines)}}],
+        "results": [{"seq": 1, "fleet": {"revision": 1, "complete": True, "members": list(entries)}}],
     }
 
 
 def test_fronts_that_start_at_once_on_a_long_list_are_ready_in_time():
     log, ready = StandInChangeLog(), queue.Queue()
-    told = known(map(line, range(MEMBERS)))
+    known_list = known(map(list_entry, range(MEMBERS)))
     processes = []
 
-    def watch(process, since):
-        for said in process.stderr:
-            if "event=ready" in said:
-                ready.put((time.monotonic() - since, said))
+    def wait_for_ready(process, since):
+        for log_line in process.stderr:
+            if "event=ready" in log_line:
+                ready.put((time.monotonic() - since, log_line))
                 return
 
     try:
         for port in free_ports(socket.SOCK_STREAM, STARTS):
-            where = f"127.0.0.1:{port}"
-            processes.append(started(configuration(where, known=told, changelog=address(log.listener))))
+            listen_address = f"127.0.0.1:{port}"
+            processes.append(
+                started(configuration(listen_address, known=known_list, changelog=address(log.listener)))
+            )
             arguments = (processes[-1], time.monotonic())
-            threading.Thread(target=watch, args=arguments, daemon=True).start()
-        came = [ready.get(timeout=BOUND) for _ in range(STARTS)]
+            threading.Thread(target=wait_for_ready, args=arguments, daemon=True).start()
+        ready_lines = [ready.get(timeout=BOUND) for _ in range(STARTS)]
     finally:
         for process in processes:
             process.kill()
             process.wait()
             process.stderr.close()
         log.listener.close()
-    assert all(f"members={MEMBERS} " in said for _, said in came)
-    assert sum(span < READY_WITHIN for span, _ in came) >= 0.9 * STARTS
+    assert all(f"members={MEMBERS} " in log_line for _, log_line in ready_lines)
+    assert sum(span < READY_WITHIN for span, _ in ready_lines) >= 0.9 * STARTS
 
 
-def lines_run(call):
-    """How many lines of Python a call runs: work counted, not timed."""
+def count_lines_run(call):
+    """Return how many lines of Python a call executes, as a measure of work that does not depend on time."""
     count = 0
 
     def trace(frame, event, argument):
@@ -89,26 +92,27 @@
     return count
 
 
-def work_of_a_list(members, phase):
-    """Take in a list of which every other member is in this phase, then a second one without those."""
-    told = front_settings(configuration("127.0.0.1:9"), {})
-    log = Log("n1", told.limits.log_lines, told.limits.log_span, "person")
-    decision_loop = DecisionLoop(Clock(), FakeHost(endpoints=()).front, told.limits, log)
-    servers = Servers(decision_loop.reactor, decision_loop, None, told.limits, log, b"INFO")
-    changes = EndpointWatch(decision_loop.reactor, decision_loop, servers, told.limits, log, SETTINGS, 1)
-    lines = [line(number, phase if number % 2 else "in_service") for number in range(members)]
+def work_to_apply_a_list(members, phase):
+    """Count the work to apply a list with every other member in `phase`, then one without those members."""
+    settings = front_settings(configuration("127.0.0.1:9"), {})
+    log = Log("n1", settings.limits.log_lines, settings.limits.log_span, "person")
+    decision_loop = DecisionLoop(Clock(), FakeHost(endpoints=()).front, settings.limits, log)
+    servers = Servers(decision_loop.reactor, decision_loop, None, settings.limits, log, b"INFO")
+    watch = EndpointWatch(decision_loop.reactor, decision_loop, servers, settings.limits, log, SETTINGS, 1)
+    entries = [list_entry(number, phase if number % 2 else "in_service") for number in range(members)]
 
-    def take():
-        changes.load_known_events(known(lines))
+    def apply_lists():
+        watch.load_known_events(known(entries))
         decision_loop.gather(TimerFired(0))
-        changes.load_known_events(known(lines[::2]))
+        watch.load_known_events(known(entries[::2]))
 
-    work = lines_run(take)
-    assert len(changes.entries) == members / 2
+    work = count_lines_run(apply_lists)
+    assert len(watch.entries) == members / 2
     return work
 
 
-def test_the_work_to_take_in_a_list_grows_with_its_length_and_no_faster():
+def test_work_to_apply_a_list_grows_linearly_with_its_length():
     for phase in ("in_service", "terminating"):
-        few, many = work_of_a_list(300, phase), work_of_a_list(1200, phase)
-        assert many < 4.4 * few, phase  # 15 times where each that drains or goes asked all what waits
+        few, many = work_to_apply_a_list(300, phase), work_to_apply_a_list(1200, phase)
+        # The factor was 15 while each draining or removed endpoint scanned all waiting attempts.
+        assert many < 4.4 * few, phase
