--- a/limepath/front/servers.py
+++ b/limepath/front/servers.py
@@ -1,4 +1,4 @@
-"""The server side: caches, parents and the origin by ident, and how each attempt and probe there ended."""
+"""The server side of the front: endpoints of caches, parents and the origin, their attempts and probes."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 class Servers:
-    """Owns all endpoints, the connections to them, and what is out there or waits for a connection."""
+    """Owns all endpoints, their connections, and the attempts and probes that are in flight or queued."""
 
     def __init__(
         self,
@@ -52,32 +52,32 @@
         self.log = log
         self.probe_word = probe_word
         self.endpoints: dict[int, ServerEndpoint] = {}  # by ident
-        self.names: dict[int, bytes] = {}  # of endpoints, as servers know them
+        self.names: dict[int, bytes] = {}  # endpoint names by ident, as sent in the line protocol
         self.probe_numbers = count(1)
-        self.connection_count = 0  # up, or on their way
-        self.lacks_connections = False  # an endpoint found no room for a connection
+        self.connection_count = 0  # established connections and pending connects
+        self.lacks_connections = False  # an endpoint could not connect because of the limit
         self.reference = ReferenceClock(limits.skew)
-        self.secured = None  # tls.host.Secured, where connections are made by TLS
-        self.paced = None  # connection_pacing.host.Paced, where fronts share a pace of new connections
+        self.secured = None  # tls.host.Secured if connections to some kinds of servers use TLS
+        self.paced = None  # connection_pacing.host.Paced if the fronts share a limit on new connections
 
     # Timers of attempts and probes
 
     def start_timer(self, attempt: Attempt | Probe, delay: int, handler: Callable) -> None:
-        """Call `handler(attempt)` in `delay` microseconds."""
+        """Call `handler(attempt)` after `delay` microseconds."""
         attempt.timer = self.reactor.callLater(max(0, delay) / MICROSECONDS, handler, attempt)
 
     def cancel_timer(self, attempt: Attempt | Probe) -> None:
-        """Cancel the timer, if it runs."""
+        """Cancel the timer if it is running."""
         if attempt.timer and attempt.timer.active():
             attempt.timer.cancel()
 
     # The limit on connections to all endpoints
 
     def may_connect(self) -> bool:
-        """Whether there is a descriptor for one more connection, or an idle one that can make room.
+        """Return whether a new connection fits the limit, or an idle connection can be closed for it.
 
-        That one closes an iteration later, so that for so long there is one more than planned, and few are
-        kept back for that.
+        The idle connection closes one iteration of the event loop later, so the limit is exceeded for that
+        long. CROSSING_CLOSES descriptors are reserved for this.
         """
         excess = self.connection_count - self.limits.all_cache_connections
         allowed = excess < 0 or excess < CROSSING_CLOSES and bool(self.idle_connections())
@@ -86,14 +86,14 @@
         return allowed
 
     def connection_freed(self) -> None:
-        """A connection has closed or become idle: endpoints that found no room look again."""
+        """Let endpoints connect that the limit held back, after a connection has closed or become idle."""
         self.lacks_connections = False
         for endpoint in self.endpoints.values():
             if endpoint.waiting:
                 endpoint.connect()
 
     def idle_connections(self) -> list[ServerConnection]:
-        """Open connections with nothing out."""
+        """Return the open connections without attempts or probes in flight."""
         return [
             connection
             for endpoint in self.endpoints.values()
@@ -102,10 +102,10 @@
         ]
 
     def drain_longest_idle(self) -> None:
-        """At the limit, close the connection that has been idle for longest."""
+        """Close the connection that has been idle for longest if the connection limit is reached."""
         if self.connection_count >= self.limits.all_cache_connections:
             self.log.say("descriptors", caches=self.connection_count)
-            min(self.idle_connections(), key=lambda one: one.last_read_at).drain()
+            min(self.idle_connections(), key=lambda connection: connection.last_read_at).drain()
 
     # Endpoint list and purges
 
@@ -118,7 +118,7 @@
         state: EndpointState,
         kind: int | None = None,
     ) -> None:
-        """The list has this entry now; `since` is when it started, in milliseconds by the Unix clock."""
+        """Apply an entry of the endpoint list; `since` is its start time in milliseconds of Unix time."""
         if ident not in self.endpoints and state == EndpointState.REMOVED:
             return
         if ident not in self.endpoints:
@@ -128,21 +128,22 @@
         self.endpoints[ident].update(Incarnation(address, since), state)
 
     def cancel_waiting(self, is_concerned: Callable[[ForwardRequest, ClientRequest], bool]) -> None:
-        """Cancel what still waits for a connection and is out of date by a watch event: it was not executed,
-        and the decisions choose anew. Sent by the old command, it could go out past the grace, which counts
-        from when the event was told.
+        """Cancel the queued attempts that a watch event has made obsolete.
+
+        They have not been executed, so the decisions choose again. If they were sent by the old command, they
+        could go out after the grace period, which begins when the event is published.
         """
         for endpoint in self.endpoints.values():
             concerned = [
-                one
-                for one in endpoint.waiting
-                if isinstance(one, Attempt) and is_concerned(one.command, one.request)
+                queued
+                for queued in endpoint.waiting
+                if isinstance(queued, Attempt) and is_concerned(queued.command, queued.request)
             ]
             for attempt in concerned:
-                self._stop(attempt, AttemptOutcome.SUPERSEDED)
+                self._end_early(attempt, AttemptOutcome.SUPERSEDED)
 
     def apply_purge(self, purge: PurgeAnnounced) -> None:
-        """Cancel what waits and concerns a purged object or group."""
+        """Cancel the queued attempts for a purged object or group."""
         if purge.object:
             self.cancel_waiting(lambda command, request: request.event.object == purge.object)
         else:
@@ -151,7 +152,7 @@
     # Commands of the decisions
 
     def forward(self, command: ForwardRequest, request: ClientRequest, decided_at: int) -> None:
-        """Begin an attempt; `decided_at` is on the front's clock."""
+        """Start an attempt; `decided_at` is in microseconds of the front's clock."""
         attempt = Attempt(request, command, self.names, decided_at, self.limits.wait)
         request.attempt_count += 1
         request.attempts[attempt.number] = attempt
@@ -161,13 +162,16 @@
             self.endpoints[command.endpoint].send(attempt)
 
     def probe(self, command: SendProbe, epoch: int = 0) -> None:
-        """Send a health check; under a lease its tag has the epoch: a server can reject an older one."""
+        """Send a health check.
+
+        Under a lease, its tag contains the epoch, so that a server can reject probes of an older epoch.
+        """
         number = next(self.probe_numbers)
         tag = b"p%d-e%d" % (number, epoch) if epoch else b"p%d" % number
         self.endpoints[command.endpoint].send(Probe(command.endpoint, tag, self.limits.wait))
 
     def close_idle(self, command: CloseIdleConnections) -> None:
-        """Close the connections to an endpoint that have nothing out."""
+        """Close the connections to an endpoint that have nothing in flight."""
         for connection in list(self.endpoints[command.endpoint].connections):
             if not connection.attempts:
                 connection.drain()
@@ -175,21 +179,23 @@
     # How attempts and probes end
 
     def cancel(self, attempt: Attempt) -> None:
-        """Cancel an attempt that the decisions do not need any more."""
-        self._stop(attempt, AttemptOutcome.CANCELLED)
+        """Cancel an attempt that the decisions no longer need."""
+        self._end_early(attempt, AttemptOutcome.CANCELLED)
 
     def time_out(self, attempt: Attempt) -> None:
-        """End an attempt whose time is over."""
-        self._stop(attempt, AttemptOutcome.TIMED_OUT)
+        """End an attempt that has reached its deadline."""
+        self._end_early(attempt, AttemptOutcome.TIMED_OUT)
 
     def time_out_probe(self, probe: Probe) -> None:
-        """End a probe whose time is over."""
+        """End a probe that has reached its timeout."""
         probe.connection.cancel(probe, timed_out=True)
         self.end_attempt(probe, AttemptOutcome.TIMED_OUT)
 
-    def _stop(self, attempt: Attempt, outcome: AttemptOutcome) -> None:
-        """End an attempt early. One that was never sent whole was not executed, and a server that does not
-        even read is out of reach.
+    def _end_early(self, attempt: Attempt, outcome: AttemptOutcome) -> None:
+        """End an attempt early.
+
+        An attempt that was not fully sent has not been executed. If such an attempt times out, the server
+        does not read from the connection, so it counts as unreachable.
         """
         endpoint = self.endpoints[attempt.command.endpoint]
         timed_out = outcome == AttemptOutcome.TIMED_OUT
@@ -202,10 +208,10 @@
         self.end_attempt(attempt, outcome)
 
     def is_client_disconnected(self, attempt: Attempt) -> bool:
-        """Whether this attempt's client has gone, its FIN read or not; the attempt has ended then.
+        """Return whether this attempt's client has disconnected; if so, the attempt has been ended.
 
-        Asked of the system before each attempt: a late iteration, or one that brings an answer before a FIN,
-        can't know.
+        The state of the socket is queried before each attempt, because the client's FIN may not have been
+        read yet: an iteration of the event loop may be late, or read an answer before the FIN.
         """
         client = attempt.request.connection
         if client is None or not client.is_disconnected():
@@ -214,16 +220,16 @@
         return True
 
     def cancel_unsent(self, request: ClientRequest) -> None:
-        """The client has gone: what was not sent whole is not sent, idempotent or not."""
+        """End the attempts of a disconnected client that are not fully sent, idempotent or not."""
         for attempt in list(request.attempts.values()):
             connection = attempt.connection
             if connection is None or not connection.is_fully_sent(attempt) and len(connection.attempts) == 1:
-                self._stop(attempt, AttemptOutcome.SUPERSEDED)
+                self._end_early(attempt, AttemptOutcome.SUPERSEDED)
 
     def end_attempt(
         self, attempt: Attempt | Probe, outcome: AttemptOutcome, answer: Answer | None = None
     ) -> None:
-        """Every attempt and probe ends here, once."""
+        """Report the outcome of an attempt or probe to the decisions; called exactly once for each."""
         self.cancel_timer(attempt)
         load = {}
         if answer and b"use" in answer.fields:
@@ -254,8 +260,10 @@
             self.clients.release_if_done(request)
 
     def sweep(self) -> None:
-        """Forget endpoints, close what has been idle for long, before the server does, and what stalls in the
-        middle of an answer.
+        """Delete endpoints that were removed from the list, and close idle and stalled connections.
+
+        Idle connections are closed before the server's own idle timeout would close them. A connection is
+        stalled if no bytes arrive in the middle of an answer.
         """
         now = clock()
         for ident in [ident for ident, endpoint in self.endpoints.items() if endpoint.is_forgettable(now)]:
@@ -266,11 +274,11 @@
                 self._sweep_connection(connection, now)
 
     def _sweep_connection(self, connection: ServerConnection, now: int) -> None:
-        quiet_for = now - connection.last_read_at
+        silence = now - connection.last_read_at
         is_mid_answer = connection.answer_line or connection.buffer
-        if not connection.attempts and quiet_for > self.limits.cache_idle:
+        if not connection.attempts and silence > self.limits.cache_idle:
             connection.drain()
-        elif is_mid_answer and quiet_for > self.limits.stall:
+        elif is_mid_answer and silence > self.limits.stall:
             name = connection.endpoint.name
-            self.log.say("cache", "an answer stands still; connection closed", cache=name)
+            self.log.say("cache", "stalled in the middle of an answer; connection closed", cache=name)
             connection.close(abort=True)
