--- a/limepath/front/server_endpoint.py
+++ b/limepath/front/server_endpoint.py
@@ -1,4 +1,4 @@
-"""One endpoint of the list: its connections, and the attempts and probes that wait for one."""
+"""One endpoint of the list: its connections, and the attempts and probes queued for a connection."""
 
 from __future__ import annotations
 
@@ -25,14 +25,14 @@
 
 
 class Incarnation(NamedTuple):
-    """Which start of a server an endpoint stands for: another one may get its address."""
+    """Identifies one run of a server, because its address may later be given to another server."""
 
     address: tuple[str, int]
-    started_ms: int  # by the Unix clock, as the list has it
+    started_ms: int  # milliseconds of Unix time, as given in the endpoint list
 
 
 class ServerEndpoint:
-    """One endpoint: where it is, the connections there, and what waits for one."""
+    """One endpoint: its address, its connections, and the queue for a connection."""
 
     def __init__(self, servers: Servers, ident: int, name: str):
         self.servers = servers
@@ -42,25 +42,25 @@
         self.limits = servers.limits
         self.incarnation: Incarnation | None = None
         self.kind: int | None = None
-        self.removed_at: int | None = None  # from the list, on the front's clock
+        self.removed_at: int | None = None  # microseconds of the front's clock; None while it is listed
         self.connections: list[ServerConnection] = []
-        self.idle: list[ServerConnection] = []  # with nothing out, the last used at the end
-        self.connecting = 0  # connections that are not up yet
+        self.idle: list[ServerConnection] = []  # nothing in flight; the most recently used last
+        self.connecting = 0  # number of pending connects
         self.waiting: deque[Attempt | Probe] = deque()
 
     @property
     def address(self) -> tuple[str, int]:
-        """Host and port."""
+        """The host and the port."""
         return self.incarnation.address
 
     @property
     def is_secured(self) -> bool:
-        """Whether connections there are made by TLS."""
+        """Whether connections to this endpoint use TLS."""
         secured = self.servers.secured
         return bool(secured and self.kind in secured.kinds)
 
     def update(self, incarnation: Incarnation, state: EndpointState) -> None:
-        """The list has this entry now: connections to what was there before take nothing new."""
+        """Apply an entry of the endpoint list; drain all connections if it is removed or a new incarnation."""
         if incarnation != self.incarnation or state == EndpointState.REMOVED:
             for connection in list(self.connections):
                 connection.drain()
@@ -68,7 +68,7 @@
         self.removed_at = clock() if state == EndpointState.REMOVED else None
 
     def is_forgettable(self, now: int) -> bool:
-        """Whether it was removed a while ago, and nothing is out or waits there."""
+        """Return whether the endpoint was removed long enough ago and has no connections and no queue."""
         in_use = self.connections or self.waiting or self.connecting
         return (
             self.removed_at is not None
@@ -77,11 +77,11 @@
         )
 
     def send(self, attempt: Attempt | Probe) -> None:
-        """Send it on a connection, or have it wait for one."""
+        """Send an attempt or probe, or queue it until a connection is available."""
         if isinstance(attempt, Attempt):
             if self.servers.is_client_disconnected(attempt):
                 return
-            if clock() >= attempt.send_by:  # decided too long ago; no server is at fault
+            if clock() >= attempt.send_by:  # the decision is too old; the server did not fail
                 self.servers.end_attempt(attempt, AttemptOutcome.SUPERSEDED)
                 return
         connection = self._connection_for(attempt)
@@ -100,9 +100,11 @@
                 self.servers.start_timer(attempt, attempt.deadline - clock(), self.servers.time_out)
 
     def _connection_for(self, attempt: Attempt | Probe) -> ServerConnection | None:
-        """The connection that was idle last; a probe goes where something has lacked an answer for longest.
+        """Return the connection to use, or None if the attempt has to be queued.
 
-        An attempt has a connection to itself where one can be had: what breaks takes no other along.
+        A probe goes to the connection that has been without an answer for longest, if any is busy. An attempt
+        takes the most recently used idle connection. It shares a connection only if no more can be opened,
+        because a broken connection fails all attempts on it.
         """
         if isinstance(attempt, Probe) and (busy := self._busy_connections(attempt.tag)):
             return min(busy, key=ServerConnection.quiet_since)
@@ -111,18 +113,27 @@
                 return connection
         if self.connecting > len(self.waiting) or self._may_connect():
             return None
-        return min(self._busy_connections(attempt.tag), key=lambda one: len(one.attempts), default=None)
+        return min(
+            self._busy_connections(attempt.tag),
+            key=lambda connection: len(connection.attempts),
+            default=None,
+        )
 
     def _busy_connections(self, tag: bytes) -> list[ServerConnection]:
-        return [one for one in self.connections if one.attempts and one.can_send(tag)]
+        return [
+            connection for connection in self.connections if connection.attempts and connection.can_send(tag)
+        ]
 
     def send_waiting(self) -> None:
-        """Look once more for a connection for all that waits, in its order."""
+        """Send the queued attempts and probes for which a connection is available, in their order."""
         for _ in range(len(self.waiting)):
-            if not self.waiting:  # others of a request whose client has gone went with it, or have been sent
+            # Sending one can empty the queue: all attempts of a request end when its client has disconnected.
+            if not self.waiting:
                 return
             attempt = self.waiting.popleft()
-            if clock() >= attempt.send_by:  # its timer is late: the loop was busy, or the process stood still
+            if (
+                clock() >= attempt.send_by
+            ):  # the timer is late: the event loop was busy or the process suspended
                 self.servers.end_attempt(attempt, AttemptOutcome.CONNECT_FAILED)
             elif self._connection_for(attempt):
                 self.servers.cancel_timer(attempt)
@@ -131,17 +142,20 @@
                 self.waiting.append(attempt)
 
     def _may_connect(self) -> bool:
-        """Whether pace and limits allow one more connection; for a probe the pace does not count."""
+        """Return whether the rate limit and the connection limits allow one more connection.
+
+        The rate limit does not apply if a probe is queued.
+        """
         paced = self.servers.paced
         if paced and not paced.may_connect(self.ident):
-            if not any(isinstance(one, Probe) for one in self.waiting):
+            if not any(isinstance(attempt, Probe) for attempt in self.waiting):
                 return False
         if self.connecting + len(self.connections) >= self.limits.cache_connections:
             return False
         return self.servers.may_connect()
 
     def connect(self) -> None:
-        """Open one more connection if there are fewer coming than attempts that wait, and room for it."""
+        """Open a connection if fewer connects are pending than attempts queued, and the limits allow it."""
         if self.connecting >= len(self.waiting) or not self._may_connect():
             return
         self.servers.drain_longest_idle()
@@ -156,7 +170,10 @@
         )
 
     def _open(self, connection: ServerConnection) -> Deferred:
-        """Open it by TLS where this endpoint has that, else by plain TCP; gives it once it is up."""
+        """Open the connection by TLS if it is configured for this endpoint, otherwise by plain TCP.
+
+        The Deferred fires with the connection when it is established.
+        """
         secured = self.servers.secured
         connecting = secured and secured.connect(self, connection, clock() + self.limits.wait)
         if connecting:
@@ -167,20 +184,20 @@
         return endpoint.connect(Factory.forProtocol(lambda: connection))
 
     def connected(self, connection: ServerConnection) -> None:
-        """A connection is up."""
+        """Register a connection that has been established."""
         self.connecting -= 1
         if connection.state is not ConnectionState.OPEN:
             return
         self.connections.append(connection)
         self.idle.append(connection)
         if self.removed_at is not None or connection.incarnation != self.incarnation:
-            connection.drain()  # it leads to what has gone since, or to another that has its address now
+            connection.drain()  # the endpoint was removed or restarted while the connect was pending
         self.send_waiting()
         if self.waiting:
             self.connect()
 
     def _connect_failed(self, failure: Failure) -> None:
-        """The first that waits has failed; all have, where no other connection is there or coming."""
+        """Fail the first queued attempt, or all if there is no other connection or pending connect."""
         self.connecting -= 1
         self.servers.connection_count -= 1
         if self.servers.paced:
@@ -191,7 +208,7 @@
                 self.servers.end_attempt(self.waiting.popleft(), AttemptOutcome.CONNECT_FAILED)
 
     def probe_answered(self) -> None:
-        """Connections that stay unresponsive for a probe's timeout more are closed."""
+        """Close each unresponsive connection that receives nothing for one more probe timeout."""
         for connection in self.connections:
             if connection.is_unresponsive:
                 timeout = self.limits.probe / MICROSECONDS
@@ -204,7 +221,7 @@
         self.servers.end_attempt(attempt, AttemptOutcome.CONNECT_FAILED)
 
     def connection_lost(self, connection: ServerConnection) -> None:
-        """A connection is closed: what was out there has ended. What was not sent whole was not executed."""
+        """End all attempts and probes on a closed connection; those not fully sent were not executed."""
         self.servers.connection_count -= 1
         if connection in self.connections:
             self.connections.remove(connection)
