--- a/limepath/front/server_connection.py
+++ b/limepath/front/server_connection.py
@@ -1,4 +1,4 @@
-"""One connection to a cache, a parent or the origin: commands out, answers in, and how it ends."""
+"""A connection to a cache, a parent or the origin: sends commands, reads answers, and detects failures."""
 
 from __future__ import annotations
 
@@ -32,32 +32,32 @@
 
 
 class ConnectionState(Enum):
-    """State of a connection to a server (docs/front.md tells what is owed in each)."""
+    """State of a connection to a server (docs/front.md lists the obligations in each state)."""
 
     CONNECTING = 0
     OPEN = 1
-    DRAINING = 2  # takes nothing new, closes once nothing is out
-    CLOSING = 3  # closed by this front; what is out ends once the transport has said so
+    DRAINING = 2  # accepts no new attempts; closes when none are in flight
+    CLOSING = 3  # closed by this front; attempts in flight end when the transport reports the close
     CLOSED = 4
 
 
 @implementer(IPushProducer)
 class ServerConnection(Protocol):
-    """One connection: commands out, answers in, in any order."""
+    """A connection to a server; its answers may arrive in any order."""
 
     def __init__(self, endpoint: ServerEndpoint):
         self.endpoint = endpoint
-        self.incarnation = endpoint.incarnation  # of the server that it leads to
+        self.incarnation = endpoint.incarnation  # the server that this connection was opened to
         self.state = ConnectionState.CONNECTING
-        self.attempts: dict[bytes, Attempt | Probe] = {}  # what is out on it, by tag
+        self.attempts: dict[bytes, Attempt | Probe] = {}  # in flight on this connection, by tag
         self.recent_tags: deque[bytes] = deque(maxlen=endpoint.limits.remembered_tags)
-        self.queued_bytes = 0  # ever written to the transport
-        self.buffer = bytearray()  # of an answer that is not complete
-        self.answer_line: AnswerLine | None = None  # the first line of that answer
-        self.output_blocked = False  # the system did not take all that was written
-        self.is_unresponsive = False  # nothing has come since an attempt or probe that timed out
+        self.queued_bytes = 0  # total written to the transport since the connection was opened
+        self.buffer = bytearray()  # received bytes of an incomplete answer
+        self.answer_line: AnswerLine | None = None  # the first line of the incomplete answer
+        self.output_blocked = False  # the kernel's send buffer is full
+        self.is_unresponsive = False  # nothing received since an attempt or probe timed out
         self.last_read_at = clock()
-        self.is_plain_tcp = False  # the transport can be written at once
+        self.is_plain_tcp = False  # the transport can be flushed immediately
 
     def connectionMade(self):
         self.state = ConnectionState.OPEN
@@ -76,9 +76,10 @@
         self.output_blocked = True
 
     def can_send(self, tag: bytes) -> bool:
-        """Whether one more may go out here.
+        """Return whether an attempt or probe with this tag may be sent on this connection.
 
-        A second or late answer to a tag that was out here before could be taken for that of the next attempt.
+        A tag used recently on this connection is refused, because a late or duplicate answer to it could be
+        mistaken for the answer to the new attempt.
         """
         return (
             self.state is ConnectionState.OPEN
@@ -89,7 +90,7 @@
         )
 
     def has_stray_bytes(self) -> bool:
-        """Whether bytes have come that belong to nothing out: the next answer would be read behind them."""
+        """Return whether received bytes belong to no attempt in flight and would corrupt the next answer."""
         if not (self.buffer or self.answer_line):
             return False
         return not self.attempts or (
@@ -97,7 +98,7 @@
         )
 
     def send(self, attempt: Attempt | Probe, *pieces: bytes) -> None:
-        """Send a command, in one gathered write."""
+        """Send a command as one gathered write."""
         if not self.attempts:
             self.endpoint.idle.remove(self)
         self.attempts[attempt.tag] = attempt
@@ -110,14 +111,16 @@
             self._flush()
 
     def _flush(self) -> None:
-        """Hand over what is buffered now, and not an iteration later, in which a client could disconnect;
-        errors come then. What the system does not take blocks the connection until it has: nothing waits
-        behind that.
+        """Write buffered bytes to the socket immediately.
+
+        Twisted would write them an iteration of the event loop later, and the client could disconnect in
+        between. Write errors are still reported in the next iteration. If the kernel does not accept all
+        bytes, the connection is blocked until it has, so that no other attempt is queued behind them.
         """
         self.transport.doWrite()
         if self.unsent_bytes():
             self.output_blocked = True
-            self.transport.producerPaused = True  # so that it calls once all has gone out
+            self.transport.producerPaused = True  # makes the transport call resumeProducing when it is empty
 
     def _end_attempt(self, tag: bytes) -> None:
         del self.attempts[tag]
@@ -125,29 +128,32 @@
             self.endpoint.idle.append(self)
 
     def quiet_since(self) -> int:
-        """Since when something out here has had no answer, on the front's clock."""
+        """Return since when attempts have been unanswered, in microseconds of the front's clock."""
         return max(self.last_read_at, min(attempt.started_at for attempt in self.attempts.values()))
 
     def unsent_bytes(self) -> int:
-        """Bytes that were never handed to the system. Behind TLS that can't be told: all may have gone."""
+        """Return how many bytes the kernel has not accepted yet.
+
+        With TLS this is unknown and 0 is returned, as if all bytes had been sent.
+        """
         if self.endpoint.is_secured:
             return 0
         transport = self.transport
         return len(transport.dataBuffer) - transport.offset + sum(map(len, transport._tempDataBuffer))
 
     def is_fully_sent(self, attempt: Attempt | Probe) -> bool:
-        """Whether all of it was handed to the system; otherwise it can't have been executed."""
+        """Return whether the kernel accepted the whole command; otherwise it cannot have been executed."""
         return attempt.end_offset <= self.queued_bytes - self.unsent_bytes()
 
     def cancel(self, attempt: Attempt | Probe, timed_out: bool = False) -> bool:
-        """Tell the server that nobody waits; give whether the attempt may have been executed.
+        """Cancel an attempt or probe, and return whether it may have been executed.
 
-        Where nothing has come since it timed out, nothing more is sent here until the server answers again,
-        and nothing behind an answer that has begun.
+        After a timeout without any received bytes, nothing more is sent on this connection until the server
+        answers again. If part of an answer has been received, the connection is drained.
         """
         self._end_attempt(attempt.tag)
         if not self.attempts and not self.is_fully_sent(attempt):
-            self.close(abort=True)  # half a command must never become a complete one
+            self.close(abort=True)  # a partly sent command must never be completed
             return False
         if isinstance(attempt, Attempt):
             line = cancel_line(attempt.tag)
@@ -161,7 +167,7 @@
         return True
 
     def drain(self) -> None:
-        """Take nothing new, and close once nothing is out."""
+        """Accept no new attempts, and close when none are in flight."""
         if self.state is ConnectionState.OPEN:
             self.state = ConnectionState.DRAINING
         self._close_if_done()
@@ -171,13 +177,19 @@
             self.close(abort=self.output_blocked or self.is_unresponsive or bool(self.buffer))
 
     def close(self, abort: bool = False) -> None:
-        """Close the connection, here and nowhere else. With `abort`, all out on it is reset."""
+        """Close the connection; with `abort`, discard unsent bytes and reset it.
+
+        This is the only method that closes the transport.
+        """
         if self.state in (ConnectionState.OPEN, ConnectionState.DRAINING):
             self.state = ConnectionState.CLOSING
             self.transport.abortConnection() if abort else self.transport.loseConnection()
 
     def close_if_quiet_since(self, last_read_at: int) -> None:
-        """Another connection was answered a while ago: if this one still is silent, what is out is reset."""
+        """Reset the connection if it has received nothing since `last_read_at` and is unresponsive.
+
+        Called some time after the server has answered a probe on another connection.
+        """
         if self.is_unresponsive and self.last_read_at == last_read_at:
             self.close(abort=True)
 
@@ -193,13 +205,13 @@
             self.close(abort=True)
 
     def _next_answer(self) -> Answer | None:
-        """Take the next complete answer out of the buffer."""
+        """Remove the next complete answer from the buffer and return it, or None if there is none."""
         limits = self.endpoint.limits
         if self.answer_line is None:
             end = self.buffer.find(LINE_END, 0, limits.line)
             if end < 0:
                 if len(self.buffer) >= limits.line:
-                    raise ParseError("over-long line")
+                    raise ParseError(f"answer line exceeds the limit of {limits.line} bytes")
                 return None
             self.answer_line = parse_answer_line(bytes(self.buffer[:end]), limits.answer)
             del self.buffer[: end + len(LINE_END)]
@@ -208,7 +220,7 @@
         if len(self.buffer) < total:
             return None
         if self.buffer[size:total] != LINE_END:
-            raise ParseError("no line end where the length puts it")
+            raise ParseError(f"no line end after a body of {size} bytes")
         body = bytes(self.buffer[:size])
         self.answer_line = None
         del self.buffer[:total]
@@ -217,10 +229,10 @@
     def _handle_answer(self, answer: Answer) -> None:
         attempt = self.attempts.get(answer.tag)
         if attempt is None:
-            return  # late, a second copy, or nobody's
+            return  # a late or duplicate answer, or an unknown tag
         is_probe = isinstance(attempt, Probe)
         if answer.word not in (PROBE_WORDS if is_probe else ATTEMPT_WORDS):
-            raise ParseError(f"{answer.word!r} is no answer to that")
+            raise ParseError(f"unexpected answer {answer.word!r} to {attempt.tag!r}")
         servers = self.endpoint.servers
         if answer.word in WITH_COPY:
             check_copy(attempt, answer, servers.reference)
