--- a/limepath/front/server_connection.py
+++ b/limepath/front/server_connection.py
@@ -14,11 +14,11 @@
 from limepath.front.attempt import Attempt, Probe
 from limepath.front.clock import clock
 from limepath.front.server_protocol import (
-    ATTEMPT_WORDS,
+    ATTEMPT_STATUSES,
     LINE_END,
     OUTCOMES,
-    PROBE_WORDS,
-    WITH_COPY,
+    PROBE_STATUSES,
+    STATUSES_WITH_COPY,
     Answer,
     AnswerLine,
     ParseError,
@@ -215,7 +215,7 @@
                 return None
             self.answer_line = parse_answer_line(bytes(self.buffer[:end]), limits.answer)
             del self.buffer[: end + len(LINE_END)]
-        tag, word, fields, size = self.answer_line
+        tag, status, fields, size = self.answer_line
         total = size + len(LINE_END)
         if len(self.buffer) < total:
             return None
@@ -224,22 +224,22 @@
         body = bytes(self.buffer[:size])
         self.answer_line = None
         del self.buffer[:total]
-        return Answer(tag, word, fields, body)
+        return Answer(tag, status, fields, body)
 
     def _handle_answer(self, answer: Answer) -> None:
         attempt = self.attempts.get(answer.tag)
         if attempt is None:
             return  # a late or duplicate answer, or an unknown tag
         is_probe = isinstance(attempt, Probe)
-        if answer.word not in (PROBE_WORDS if is_probe else ATTEMPT_WORDS):
-            raise ParseError(f"unexpected answer {answer.word!r} to {attempt.tag!r}")
+        if answer.status not in (PROBE_STATUSES if is_probe else ATTEMPT_STATUSES):
+            raise ParseError(f"unexpected answer {answer.status!r} to {attempt.tag!r}")
         servers = self.endpoint.servers
-        if answer.word in WITH_COPY:
+        if answer.status in STATUSES_WITH_COPY:
             check_copy(attempt, answer, servers.reference)
         self._end_attempt(answer.tag)
         if is_probe:
             self.endpoint.probe_answered()
-        servers.end_attempt(attempt, OUTCOMES[answer.word], answer)
+        servers.end_attempt(attempt, OUTCOMES[answer.status], answer)
         if self.endpoint.waiting:
             self.endpoint.send_waiting()
         if servers.lacks_connections and not self.attempts:
--- a/limepath/front/server_endpoint.py
+++ b/limepath/front/server_endpoint.py
@@ -60,7 +60,7 @@
         return bool(secured and self.kind in secured.kinds)
 
     def update(self, incarnation: Incarnation, state: EndpointState) -> None:
-        """Apply an entry of the endpoint list; drain all connections if it is removed or a new incarnation."""
+        """Apply an entry of the endpoint list; connections to a former or removed incarnation are drained."""
         if incarnation != self.incarnation or state == EndpointState.REMOVED:
             for connection in list(self.connections):
                 connection.drain()
--- a/limepath/front/servers.py
+++ b/limepath/front/servers.py
@@ -241,7 +241,7 @@
         request, command = attempt.request, attempt.command
         request.attempts.pop(attempt.number, None)
         if outcome == AttemptOutcome.SUCCEEDED:
-            is_not_modified = answer.word == NOT_MODIFIED
+            is_not_modified = answer.status == NOT_MODIFIED
             self.clients.answer_with_copy(request, is_not_modified, answer.fields.get(b"rev"), answer.body)
         self.decision_loop.gather(
             AttemptEnded(
--- a/tests/test_server_connection.py
+++ b/tests/test_server_connection.py
@@ -1,4 +1,4 @@
-"""A connection to a server: answers out of bytes that come split anywhere."""
+"""Tests of a connection to a server."""
 
 from types import SimpleNamespace
 
@@ -8,29 +8,29 @@
 from limepath.front.server_connection import ServerConnection
 
 
-def test_an_answer_may_be_split_at_any_byte():
+def test_answers_are_parsed_wherever_the_stream_is_split():
     stream = b"aa DONE rev=1,since=2 4\r\nx\r\ny\r\nbb LACK - 0\r\n\r\np7 FIT use=util:0.5 0\r\n\r\n"
     for split in range(len(stream) + 1):
-        heard = []
-        told = SimpleNamespace(
+        answers = []
+        endpoint = SimpleNamespace(
             limits=plan_limits(1024, 192, 32, open_requests=9),
             send_waiting=lambda: None,
             incarnation=None,
             probe_answered=lambda: None,
             servers=SimpleNamespace(
-                end_attempt=lambda attempt, outcome, answer, heard=heard: heard.append(
-                    (answer.word, answer.body)
+                end_attempt=lambda attempt, outcome, answer, answers=answers: answers.append(
+                    (answer.status, answer.body)
                 ),
                 lacks_connections=False,
                 reference=ReferenceClock(100_000),
             ),
         )
-        connection = ServerConnection(told)
+        connection = ServerConnection(endpoint)
         attempt = SimpleNamespace(
             request=SimpleNamespace(event=SimpleNamespace(is_write=False)), command=SimpleNamespace(max_age=0)
         )
-        told.idle, told.waiting = [], []
+        endpoint.idle, endpoint.waiting = [], []
         connection.attempts = {b"aa": attempt, b"bb": attempt, b"p7": Probe(1, b"p7", 1)}
         connection.dataReceived(stream[:split])
         connection.dataReceived(stream[split:])
-        assert heard == [(b"DONE", b"x\r\ny"), (b"LACK", b""), (b"FIT", b"")], (split, heard)
+        assert answers == [(b"DONE", b"x\r\ny"), (b"LACK", b""), (b"FIT", b"")], (split, answers)
