--- a/limepath/front/front_process.py
+++ b/limepath/front/front_process.py
@@ -70,8 +70,8 @@
         self.decision_loop = DecisionLoop(reactor, decisions, limits, self.log)
         self.clients = Clients(reactor, self.decision_loop, limits, self.log, settings.services)
         self.clients.read_delay = measure_read_delay(reactor)
-        probe_word = PROBE_WITH_LOAD_REPORT if settings.reports else PLAIN_PROBE
-        self.servers = Servers(reactor, self.decision_loop, self.clients, limits, self.log, probe_word)
+        probe_command = PROBE_WITH_LOAD_REPORT if settings.reports else PLAIN_PROBE
+        self.servers = Servers(reactor, self.decision_loop, self.clients, limits, self.log, probe_command)
         self.decision_loop.connect(self.clients, self.servers)
         if tls:
             self._secure_servers(tls)
--- a/limepath/front/server_endpoint.py
+++ b/limepath/front/server_endpoint.py
@@ -90,7 +90,7 @@
             self.servers.start_timer(attempt, attempt.send_by - clock(), self._wait_timed_out)
             self.connect()
         elif isinstance(attempt, Probe):
-            connection.send(attempt, probe_line(self.servers.probe_word, attempt.tag))
+            connection.send(attempt, probe_line(self.servers.probe_command, attempt.tag))
             self.servers.start_timer(attempt, self.limits.probe, self.servers.time_out_probe)
         else:
             request = attempt.request
--- a/limepath/front/servers.py
+++ b/limepath/front/servers.py
@@ -43,14 +43,14 @@
         clients: Clients,
         limits: Limits,
         log: Log,
-        probe_word: bytes,
+        probe_command: bytes,
     ):
         self.reactor = reactor
         self.decision_loop = decision_loop
         self.clients = clients
         self.limits = limits
         self.log = log
-        self.probe_word = probe_word
+        self.probe_command = probe_command
         self.endpoints: dict[int, ServerEndpoint] = {}  # by ident
         self.names: dict[int, bytes] = {}  # endpoint names by ident, as sent in the line protocol
         self.probe_numbers = count(1)
