--- a/limepath/front/attempt.py
+++ b/limepath/front/attempt.py
@@ -1,4 +1,4 @@
-"""Attempts and probes that are out: when they began, until when, and what of them has been sent."""
+"""Attempts and probes: their start times, deadlines, and progress of sending."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Attempt:
-    """One attempt of a request at a server. Times are microseconds on the front's clock."""
+    """One attempt of a request at a server. Times are in microseconds of the front's clock."""
 
     __slots__ = (
         "request",
@@ -40,20 +40,21 @@
         self.request = request
         self.command = command
         self.number = request.attempt_count
-        self.tag = request.transaction_id  # by which the server names it in its answer
+        self.tag = request.transaction_id  # the server repeats it in its answer
         self.source_name = b"" if command.source == command.endpoint else server_names[command.source]
         self.started_at = clock()
-        self.connection: ServerConnection | None = None  # None while it waits for one
+        self.connection: ServerConnection | None = None  # None while queued
         self.timer = None
-        self.end_offset = 0  # of its last byte, in all that was ever queued on its connection
-        self.send_by = decided_at + min(max_wait, command.send_within or max_wait)  # wherever it waits
+        self.end_offset = 0  # where its last byte ends, in the bytes ever queued on its connection
+        # The time between the decision and the send is limited, wherever the attempt spends it.
+        self.send_by = decided_at + min(max_wait, command.send_within or max_wait)
         self.deadline = request.deadline
         if command.time_limit:
             self.deadline = min(request.deadline, self.started_at + command.time_limit)
 
 
 class Probe:
-    """One health check of a server. Times are microseconds on the front's clock."""
+    """One health check of a server. Times are in microseconds of the front's clock."""
 
     __slots__ = ("server", "started_at", "tag", "timer", "connection", "end_offset", "send_by")
 
