--- a/limepath/front/endpoint_watch.py
+++ b/limepath/front/endpoint_watch.py
@@ -1,4 +1,4 @@
-"""The watch on the endpoint list: events of the configuration and of the list service, to the decisions."""
+"""Watches the endpoint list: passes events of the configuration and of the list service to the decisions."""
 
 from __future__ import annotations
 
@@ -25,20 +25,21 @@
     from limepath.log import Log
 
 MICROSECONDS = 1e6
-MAX_DOUBLINGS = 10  # of the pause between calls
-MAX_ERRORS_LOGGED = 3  # of the lines of one event
-UNREADABLE = (KeyError, ValueError, TypeError, AttributeError)  # what an event of a wrong form raises
+MAX_BACKOFF_DOUBLINGS = 10  # limits the left shift of the reconnect backoff
+MAX_ERRORS_LOGGED = 3  # per event
+MALFORMED_EVENT_ERRORS = (KeyError, ValueError, TypeError, AttributeError)
+"""The exceptions that reading a malformed event can raise."""
 
 
-class ReadEntries(NamedTuple):
-    """The entries of an event: those that could be read, and what is wrong with the others."""
+class ParsedEntries(NamedTuple):
+    """The entries of an event that could be parsed, and an error message for each of the others."""
 
     entries: list[EndpointEntry]
     errors: list[str]
 
 
 class EndpointWatch:
-    """Owns the endpoint list as received, and the calls to the list service."""
+    """Owns the endpoint list as received, and the streams of the list service."""
 
     host: str  # of the list service, set by `follow`
     port: int
@@ -62,20 +63,22 @@
         self.kinds = list(settings["models"])
         self.seed = seed
         self.entries: dict[str, EndpointEntry] = {}  # by name
-        self.last = 0  # number of the last event taken in
-        self.suspect_event: str | None = None  # the number of one that could not be used
-        self.pauses = 0  # since the last event
-        self.calls = 0
-        self.stream: EventStream | None = None  # the call that is up
-        self.coming = None  # a call on its way (a Deferred), or the timer of the next
-        self.unanswered: list[EventStream] = []  # earlier calls without an answer: the first answered will do
+        self.last = 0  # number of the last event applied
+        self.suspect_event: str | None = None  # number of an event that was rejected once
+        self.pauses = 0  # reconnects since the last event
+        self.reconnect_count = 0  # reconnects since the start
+        self.stream: EventStream | None = None  # the current connection
+        self.coming = None  # the Deferred of a pending connect, or the timer of the next one
+        self.unanswered_streams: list[EventStream] = []  # older connections; the first to be answered is used
 
     # Events
 
     def load_known_events(self, known: dict) -> None:
-        """Take in the events of the configuration: first the times in all of them, which ages follow from.
+        """Apply the events of the configuration.
 
-        Raises WatchError for one that cannot be used.
+        The reference clock observes the times in all events first, because ages are computed from them.
+
+        Raises WatchError for a malformed event.
         """
         for event in known["results"]:
             self._observe_times(event)
@@ -84,19 +87,20 @@
         self.last = max(self.last, known["seq"])
 
     def handle_event(self, number: str, text: str) -> None:
-        """Take the stream's next event in.
+        """Apply the next event of the stream.
 
-        Raises WatchError for a bad event, or one after a gap, so that the service is called again; met again
-        it is skipped, or the gap taken for real: a lost event may be a drain or a purge.
+        Raises WatchError for a malformed event, or an event after a gap in the numbers, so that the front
+        reconnects and receives it again: a lost event may be a drain or a purge. The second time, a malformed
+        event is skipped and a gap is accepted.
         """
         try:
             event = json.loads(text)
             if not isinstance(event, dict) or type(event.get("seq")) is not int:
-                raise WatchError("no numbered event")
+                raise WatchError("not an object with an integer seq")
             if event["seq"] <= self.last:
                 return
             if event["seq"] > self.last + 1 and self.suspect_event != number:
-                raise WatchError(f"comes after {self.last}")
+                raise WatchError(f"gap in the numbers: the last event was {self.last}")
             self.apply_event(event)
             self.last = event["seq"]
             self.suspect_event = None
@@ -108,20 +112,20 @@
             self.last = max(self.last, int(number) if number.isdigit() else 0)
 
     def apply_event(self, event: dict) -> None:
-        """Take in an event; raises WatchError where it, or a part of it, cannot be used."""
+        """Apply an event; raises WatchError if it is malformed, or a part of it."""
         self._observe_times(event)
         self._apply_contents(event)
 
     def _observe_times(self, event: dict) -> None:
-        """Hand the reference clock the times in this event, which are of something past."""
+        """Pass the times in this event, all of which are in the past, to the reference clock."""
         try:
             if "fleet" in event:
                 starts = (int(line.get("up_since_ms") or 0) for line in event["fleet"]["members"])
                 latest = max(starts, default=0)
             else:
                 latest = int(event["invalidate"]["time"])
-        except UNREADABLE:
-            return  # `_apply_contents` says what is wrong with it
+        except MALFORMED_EVENT_ERRORS:
+            return  # `_apply_contents` raises the error
         if latest:
             self.servers.reference.observe(latest * 1000)
 
@@ -131,18 +135,18 @@
                 self.apply_update(event["fleet"])
             elif "invalidate" in event:
                 self.apply_purge(event["invalidate"])
-        except UNREADABLE as error:
+        except MALFORMED_EVENT_ERRORS as error:
             raise WatchError(f"{type(error).__name__}: {error}") from None
 
     def apply_update(self, update: dict) -> None:
-        """Apply an endpoint update, complete or not; raises WatchError where lines of it cannot be read."""
-        entries, errors = self._read_entries(update["members"])
+        """Apply a full or partial endpoint update; raises WatchError if some of its entries are malformed."""
+        entries, errors = self._parse_entries(update["members"])
         is_complete = update.get("complete", False)
         changed = (self._removed_entries(entries) if is_complete else []) + entries
         for entry in changed:
             self._update_entry(entry)
         unready = {entry.endpoint.id for entry in changed if entry.endpoint.state != EndpointState.READY}
-        if unready:  # once for all of them: each asks every endpoint for what waits there
+        if unready:  # one call for all endpoints, because each call scans the queues of all endpoints
             self.servers.cancel_waiting(
                 lambda command, request: not unready.isdisjoint((command.endpoint, command.source))
             )
@@ -153,7 +157,7 @@
             raise WatchError("; ".join(errors[:MAX_ERRORS_LOGGED]))
 
     def _removed_entries(self, entries: list[EndpointEntry]) -> list[EndpointEntry]:
-        """Those that a complete list names no more."""
+        """Mark as removed, and return, the known entries that a complete list does not contain."""
         named = {entry.name for entry in entries}
         removed = [entry for name, entry in self.entries.items() if name not in named]
         for entry in removed:
@@ -169,22 +173,24 @@
             endpoint.id, entry.name, entry.address, entry.started_ms, endpoint.state, endpoint.kind
         )
 
-    def _read_entries(self, lines: list) -> ReadEntries:
-        """Read the lines of a list: one that cannot be read must not hide the drain of another. Of a known
-        endpoint the state is taken all the same.
+    def _parse_entries(self, lines: list) -> ParsedEntries:
+        """Parse the entries of an update one by one.
+
+        A malformed entry must not hide the drain of another endpoint. If a malformed entry belongs to a known
+        endpoint and has a valid state, that state is applied.
         """
         entries, errors = [], []
         for line in lines:
             try:
                 entry = EndpointEntry(line, self.zones, self.kinds, self.entries, self.servers.reference)
                 entries.append(entry)
-            except UNREADABLE as error:
+            except MALFORMED_EVENT_ERRORS as error:
                 errors.append(f"{type(error).__name__}: {error}")
                 known = isinstance(line, dict) and self.entries.get(line.get("id"))
                 if known and line.get("phase") in STATES:
                     known.set_state(STATES[line["phase"]])
                     entries.append(known)
-        return ReadEntries(entries, errors)
+        return ParsedEntries(entries, errors)
 
     def apply_purge(self, purge: dict) -> None:
         """Apply a purge of one object or of a group."""
@@ -196,76 +202,78 @@
         self.servers.apply_purge(announced)
         self.decision_loop.gather(announced)
 
-    # Calls
+    # Connections to the list service
 
     def follow(self, host: str, port: int) -> None:
-        """Watch at this address, from the last event taken in; calls to any other are dropped."""
+        """Connect to this address and watch from the last event applied; all other streams are closed."""
         self.host = host
         self.port = port
         self.pauses = 0
-        self._drop_other_calls(None)
-        self._call()
+        self._close_other_streams(None)
+        self._connect()
 
-    def _drop_other_calls(self, stream: EventStream | None) -> None:
-        """End all calls but this one: those under way, the pause before one, and those not answered yet."""
-        others = [one for one in (*self.unanswered, self.stream) if one not in (None, stream)]
+    def _close_other_streams(self, stream: EventStream | None) -> None:
+        """Close all streams but this one, unanswered ones too, and cancel a pending connect or timer."""
+        others = [other for other in (*self.unanswered_streams, self.stream) if other not in (None, stream)]
         self.stream = stream
-        self.unanswered = []
+        self.unanswered_streams = []
         if self.coming:
             self.coming.cancel()
             self.coming = None
-        for one in others:
-            one.transport.abortConnection()
+        for other in others:
+            other.transport.abortConnection()
 
     def handle_answer(self, stream: EventStream) -> None:
-        """The first answer to any of the calls."""
-        self._drop_other_calls(stream)
+        """Keep the stream that was answered first, and close the others."""
+        self._close_other_streams(stream)
 
-    def _call(self) -> None:
+    def _connect(self) -> None:
         timeout = self.limits.connect / MICROSECONDS
         endpoint = TCP4ClientEndpoint(self.reactor, self.host, self.port, timeout=timeout)
         self.coming = endpoint.connect(Factory.forProtocol(lambda: EventStream(self)))
         self.coming.addCallbacks(self.connected, self._connect_failed)
 
     def connected(self, stream: EventStream) -> None:
-        """A call is up."""
+        """Note that no connect is pending any more."""
         self.coming = None
 
     def _connect_failed(self, failure: Failure) -> None:
-        if not failure.check(ConnectingCancelledError):  # another address is followed now
-            self._call_again(failure.getErrorMessage())
+        if not failure.check(ConnectingCancelledError):  # cancelled by `follow`
+            self._schedule_reconnect(failure.getErrorMessage())
 
     def handle_disconnect(self, stream: EventStream) -> None:
-        """A call has ended."""
-        if stream in self.unanswered:
-            self.unanswered.remove(stream)
+        """Reconnect after the current stream has ended; an unanswered older stream is only forgotten."""
+        if stream in self.unanswered_streams:
+            self.unanswered_streams.remove(stream)
         elif stream is self.stream:
             self.stream = None
-            self._call_again("the stream ended")
+            self._schedule_reconnect("stream ended")
 
-    def _call_again(self, reason: str) -> None:
-        """Call again after a backoff that doubles, give or take half."""
-        self.log.say("changelog", f"{reason}; calls again", after=self.last)
-        backoff = self.limits.feed_pause << min(MAX_DOUBLINGS, self.pauses)
+    def _schedule_reconnect(self, reason: str) -> None:
+        """Reconnect after an exponential backoff with a jitter of 50 %."""
+        self.log.say("changelog", f"{reason}; reconnecting", after=self.last)
+        backoff = self.limits.feed_pause << min(MAX_BACKOFF_DOUBLINGS, self.pauses)
         pause = min(self.limits.feed_longest_pause, backoff)
         self.pauses += 1
-        self.calls += 1
-        jitter = 0.5 + crc32(b"%d:%d" % (self.seed, self.calls)) / 2**32
-        self.coming = self.reactor.callLater(pause * jitter / MICROSECONDS, self._call)
+        self.reconnect_count += 1
+        jitter = 0.5 + crc32(b"%d:%d" % (self.seed, self.reconnect_count)) / 2**32
+        self.coming = self.reactor.callLater(pause * jitter / MICROSECONDS, self._connect)
 
     def sweep(self) -> None:
-        """Call again where the service is silent. A call that was never answered is left open beside the new
-        one: the service may only be slow, at each call.
+        """Reconnect if the service has been silent for too long.
+
+        A stream that was never answered is left open beside the new one, because a service that answers
+        slowly would otherwise never be waited for long enough.
         """
         stream = self.stream
         if stream is None or clock() - stream.last_read_at <= self.limits.feed_silence:
             return
-        self.log.say("changelog", "silent")
+        self.log.say("changelog", "no data received within the limit")
         if stream.is_accepted:
             stream.transport.abortConnection()
             return
-        if len(self.unanswered) >= self.limits.feed_unanswered:
-            self.unanswered.pop(0).transport.abortConnection()
-        self.unanswered.append(stream)
+        if len(self.unanswered_streams) >= self.limits.feed_unanswered:
+            self.unanswered_streams.pop(0).transport.abortConnection()
+        self.unanswered_streams.append(stream)
         self.stream = None
-        self._call_again("not answered yet")
+        self._schedule_reconnect("no answer yet")
