--- a/limepath/discovery/host.py
+++ b/limepath/discovery/host.py
@@ -183,22 +183,26 @@
         timeout = self.limits.connect / US_PER_SECOND
         endpoint = TCP4ClientEndpoint(self.reactor, self.host, self.port, timeout=timeout)
         feed = StreamFeed(self, serial, after)
-        self.coming: Deferred | None = endpoint.connect(Factory.forProtocol(lambda: WatchStream(feed)))
-        self.coming.addCallbacks(self.connected, lambda failure: self._connection_failed(failure, serial))
+        self.pending_connect: Deferred | None = endpoint.connect(
+            Factory.forProtocol(lambda: WatchStream(feed))
+        )
+        self.pending_connect.addCallbacks(
+            self.connected, lambda failure: self._connection_failed(failure, serial)
+        )
 
     def _connection_failed(self, failure: Failure, serial: int) -> None:
-        self.coming = None
+        self.pending_connect = None
         if not failure.check(ConnectingCancelledError) and serial == self.serial:
             self.submit(StreamClosed(failure.getErrorMessage()[:MAX_REASON_LENGTH]))
 
     def _close_stream(self) -> None:
         self.serial += 1  # what still comes of the former call is ignored
-        if self.coming:
-            self.coming.cancel()
+        if self.pending_connect:
+            self.pending_connect.cancel()
         if self.stream:
             self.stream.transport.abortConnection()
         self.stream = None
-        self.coming = None
+        self.pending_connect = None
 
     def sweep(self) -> None:
         """The logic itself detects silence."""
--- a/limepath/front/endpoint_watch.py
+++ b/limepath/front/endpoint_watch.py
@@ -68,7 +68,7 @@
         self.pauses = 0  # reconnects since the last event
         self.reconnect_count = 0  # reconnects since the start
         self.stream: EventStream | None = None  # the current connection
-        self.coming = None  # the Deferred of a pending connect, or the timer of the next one
+        self.pending_connect = None  # the Deferred of a pending connect, or the timer of the next one
         self.unanswered_streams: list[EventStream] = []  # older connections; the first to be answered is used
 
     # Events
@@ -217,9 +217,9 @@
         others = [other for other in (*self.unanswered_streams, self.stream) if other not in (None, stream)]
         self.stream = stream
         self.unanswered_streams = []
-        if self.coming:
-            self.coming.cancel()
-            self.coming = None
+        if self.pending_connect:
+            self.pending_connect.cancel()
+            self.pending_connect = None
         for other in others:
             other.transport.abortConnection()
 
@@ -230,12 +230,12 @@
     def _connect(self) -> None:
         timeout = self.limits.connect / MICROSECONDS
         endpoint = TCP4ClientEndpoint(self.reactor, self.host, self.port, timeout=timeout)
-        self.coming = endpoint.connect(Factory.forProtocol(lambda: EventStream(self)))
-        self.coming.addCallbacks(self.connected, self._connect_failed)
+        self.pending_connect = endpoint.connect(Factory.forProtocol(lambda: EventStream(self)))
+        self.pending_connect.addCallbacks(self.connected, self._connect_failed)
 
     def connected(self, stream: EventStream) -> None:
         """Note that no connect is pending any more."""
-        self.coming = None
+        self.pending_connect = None
 
     def _connect_failed(self, failure: Failure) -> None:
         if not failure.check(ConnectingCancelledError):  # cancelled by `follow`
@@ -257,7 +257,7 @@
         self.pauses += 1
         self.reconnect_count += 1
         jitter = 0.5 + crc32(b"%d:%d" % (self.seed, self.reconnect_count)) / 2**32
-        self.coming = self.reactor.callLater(pause * jitter / MICROSECONDS, self._connect)
+        self.pending_connect = self.reactor.callLater(pause * jitter / MICROSECONDS, self._connect)
 
     def sweep(self) -> None:
         """Reconnect if the service has been silent for too long.
