--- a/limepath/front/endpoint_watch.py
+++ b/limepath/front/endpoint_watch.py
@@ -65,7 +65,7 @@
         self.entries: dict[str, EndpointEntry] = {}  # by name
         self.last = 0  # number of the last event applied
         self.suspect_event: str | None = None  # number of an event that was rejected once
-        self.pauses = 0  # reconnects since the last event
+        self.reconnects_without_event = 0  # reconnects since the last event
         self.reconnect_count = 0  # reconnects since the start
         self.stream: EventStream | None = None  # the current connection
         self.pending_connect = None  # the Deferred of a pending connect, or the timer of the next one
@@ -208,7 +208,7 @@
         """Connect to this address and watch from the last event applied; all other streams are closed."""
         self.host = host
         self.port = port
-        self.pauses = 0
+        self.reconnects_without_event = 0
         self._close_other_streams(None)
         self._connect()
 
@@ -252,9 +252,9 @@
     def _schedule_reconnect(self, reason: str) -> None:
         """Reconnect after an exponential backoff with a jitter of 50 %."""
         self.log.say("changelog", f"{reason}; reconnecting", after=self.last)
-        backoff = self.limits.feed_pause << min(MAX_BACKOFF_DOUBLINGS, self.pauses)
+        backoff = self.limits.feed_pause << min(MAX_BACKOFF_DOUBLINGS, self.reconnects_without_event)
         pause = min(self.limits.feed_longest_pause, backoff)
-        self.pauses += 1
+        self.reconnects_without_event += 1
         self.reconnect_count += 1
         jitter = 0.5 + crc32(b"%d:%d" % (self.seed, self.reconnect_count)) / 2**32
         self.pending_connect = self.reactor.callLater(pause * jitter / MICROSECONDS, self._connect)
--- a/limepath/front/event_stream.py
+++ b/limepath/front/event_stream.py
@@ -82,7 +82,7 @@
             data = self.decoder.feed(data)
         for event in self.reader.feed(data):
             self.watch.handle_event(event.id, event.data)
-            self.watch.pauses = 0
+            self.watch.reconnects_without_event = 0
 
     def connectionLost(self, reason):
         self.watch.handle_disconnect(self)
