--- a/limepath/discovery/host.py
+++ b/limepath/discovery/host.py
@@ -153,7 +153,7 @@
             self.apply_event(command.event)
         except WatchError as error:  # its form was checked; what it names this front does not know
             self.log.say("changelog", f"{error}; skipped", number=number)
-        self.last = number
+        self.last_seq = number
 
     def apply_update(self, fleet: dict[str, Any]) -> None:
         """Apply members, and look again at the pace of connections."""
--- a/limepath/discovery/stream_feed.py
+++ b/limepath/discovery/stream_feed.py
@@ -35,14 +35,14 @@
 class StreamFeed:
     """What one stream knows of its change log, so that a former call's bytes reach nobody.
 
-    `last`, `reconnects_without_event`, `host`, `limits`, `log`, `stream` and the handlers are what an
+    `last_seq`, `reconnects_without_event`, `host`, `limits`, `log`, `stream` and the handlers are what an
     `EventStream` of the front uses.
     """
 
     def __init__(self, changes: DiscoveryChangeLog, serial: int, last: int):
         self.changes = changes
         self.serial = serial
-        self.last = last
+        self.last_seq = last
         self.reconnects_without_event = 0
         self.event_count: int = 0
         self.host = changes.host
--- a/limepath/front/endpoint_watch.py
+++ b/limepath/front/endpoint_watch.py
@@ -63,7 +63,7 @@
         self.kinds = list(settings["models"])
         self.seed = seed
         self.entries: dict[str, EndpointEntry] = {}  # by name
-        self.last = 0  # number of the last event applied
+        self.last_seq = 0  # number of the last event applied
         self.suspect_event: str | None = None  # number of an event that was rejected once
         self.reconnects_without_event = 0  # reconnects since the last event
         self.reconnect_count = 0  # reconnects since the start
@@ -84,7 +84,7 @@
             self._observe_times(event)
         for event in known["results"]:
             self._apply_contents(event)
-        self.last = max(self.last, known["seq"])
+        self.last_seq = max(self.last_seq, known["seq"])
 
     def handle_event(self, number: str, text: str) -> None:
         """Apply the next event of the stream.
@@ -97,19 +97,19 @@
             event = json.loads(text)
             if not isinstance(event, dict) or type(event.get("seq")) is not int:
                 raise WatchError("not an object with an integer seq")
-            if event["seq"] <= self.last:
+            if event["seq"] <= self.last_seq:
                 return
-            if event["seq"] > self.last + 1 and self.suspect_event != number:
-                raise WatchError(f"gap in the numbers: the last event was {self.last}")
+            if event["seq"] > self.last_seq + 1 and self.suspect_event != number:
+                raise WatchError(f"gap in the numbers: the last event was {self.last_seq}")
             self.apply_event(event)
-            self.last = event["seq"]
+            self.last_seq = event["seq"]
             self.suspect_event = None
         except (WatchError, ValueError) as error:
             if self.suspect_event != number:
                 self.suspect_event = number
                 raise WatchError(f"event {number}: {error}") from None
             self.log.say("changelog", f"{error}; skipped", number=number)
-            self.last = max(self.last, int(number) if number.isdigit() else 0)
+            self.last_seq = max(self.last_seq, int(number) if number.isdigit() else 0)
 
     def apply_event(self, event: dict) -> None:
         """Apply an event; raises WatchError if it is malformed, or a part of it."""
@@ -251,7 +251,7 @@
 
     def _schedule_reconnect(self, reason: str) -> None:
         """Reconnect after an exponential backoff with a jitter of 50 %."""
-        self.log.say("changelog", f"{reason}; reconnecting", after=self.last)
+        self.log.say("changelog", f"{reason}; reconnecting", after=self.last_seq)
         backoff = self.limits.feed_pause << min(MAX_BACKOFF_DOUBLINGS, self.reconnects_without_event)
         pause = min(self.limits.feed_longest_pause, backoff)
         self.reconnects_without_event += 1
--- a/limepath/front/event_stream.py
+++ b/limepath/front/event_stream.py
@@ -45,7 +45,7 @@
             (
                 b"GET /changes HTTP/1.1\r\nHost: ",
                 self.watch.host.encode(),
-                b"\r\nAccept: text/event-stream\r\nLast-Event-ID: %d\r\n\r\n" % self.watch.last,
+                b"\r\nAccept: text/event-stream\r\nLast-Event-ID: %d\r\n\r\n" % self.watch.last_seq,
             )
         )
 
--- a/limepath/front/front_process.py
+++ b/limepath/front/front_process.py
@@ -174,7 +174,7 @@
             return
         for key in differing:
             self.log.say("reload", "differs; it changes at a restart only", key=key)
-        self.log.say("reload", "follows the change log", address=f"{host}:{port}", after=self.watch.last)
+        self.log.say("reload", "follows the change log", address=f"{host}:{port}", after=self.watch.last_seq)
         self.watch.follow(host, port)
         if self.cooperation:
             self.cooperation.reload()
