--- a/limepath/discovery/stream_feed.py
+++ b/limepath/discovery/stream_feed.py
@@ -27,7 +27,7 @@
         elif (
             self.is_accepted
             and self.watch.event_count == events
-            and not (self.reader.rest or self.reader.data)
+            and not (self.reader.partial_line or self.reader.data)
         ):
             self.watch.submit(StreamActive())
 
--- a/limepath/front/server_sent_events.py
+++ b/limepath/front/server_sent_events.py
@@ -13,11 +13,11 @@
 
 
 class EventReader:
-    """Reads events; `rest` and `data` hold what is not complete yet."""
+    """Reads events; `partial_line` and `data` hold what is not complete yet."""
 
     def __init__(self, max_size: int):
         self.max_size = max_size  # bytes of a line, and of an event's data
-        self.rest = b""
+        self.partial_line = b""
         self.id = ""
         self.data: list[str] = []
         self.skip_line_feed = False  # the bytes before ended in CR, which may be half of a line end
@@ -42,8 +42,8 @@
             data = data.removeprefix(b"\n")
         self.skip_line_feed = data.endswith(b"\r")
         data = data.replace(b"\r\n", b"\n").replace(b"\r", b"\n")
-        *lines, self.rest = (self.rest + data).split(b"\n")
-        if len(self.rest) > self.max_size:
+        *lines, self.partial_line = (self.partial_line + data).split(b"\n")
+        if len(self.partial_line) > self.max_size:
             raise WatchError("over-long line")
         return [line.decode("utf-8", "replace") for line in lines]
 
