--- a/limepath/front/event_stream.py
+++ b/limepath/front/event_stream.py
@@ -1,4 +1,4 @@
-"""One call of the list service: the request for its stream of watch events, and the events read from it."""
+"""A connection to the list service: requests the stream of watch events and reads the events."""
 
 from __future__ import annotations
 
@@ -17,26 +17,26 @@
 
 
 class StreamState(Enum):
-    """How far the answer has been read."""
+    """Which part of the response is being read."""
 
     READING_HEAD = 0
     READING_EVENTS = 1
 
 
 class EventStream(Protocol):
-    """One call. `watch` is told of the answer, of each event and of the end."""
+    """A connection to the list service; reports the response, the events and the end to `watch`."""
 
     def __init__(self, watch: EndpointWatch):
         self.watch = watch
         self.state = StreamState.READING_HEAD
-        self.head = b""  # what has come of the answer's head
+        self.head = b""  # received bytes of an incomplete response head
         self.decoder: ChunkedDecoder | None = None
         self.reader = EventReader(watch.limits.event)
         self.last_read_at = clock()
 
     @property
     def is_accepted(self) -> bool:
-        """Whether the service has answered the call."""
+        """Whether the service has accepted the request with status 200."""
         return self.state is StreamState.READING_EVENTS
 
     def connectionMade(self):
@@ -57,20 +57,20 @@
             if self.is_accepted:
                 self._read_events(data)
         except WatchError as error:
-            self.watch.log.say("changelog", f"{error}; called anew")
+            self.watch.log.say("changelog", f"{error}; reconnecting")
             self.transport.abortConnection()
 
     def _read_head(self, data: bytes) -> bytes:
-        """Read the answer's head; gives what came behind it."""
+        """Read the response head, and return the bytes that follow it."""
         self.head += data
         head, end, rest = self.head.partition(b"\r\n\r\n")
         if not end:
             if len(self.head) > self.watch.limits.head:
-                raise WatchError("over-long head")
+                raise WatchError(f"response head exceeds the limit of {self.watch.limits.head} bytes")
             return b""
         status = head.split(b"\r\n")[0].split(b" ")
         if len(status) < 2 or status[1] != b"200":
-            raise WatchError(f"answered {head[:40]!r}")
+            raise WatchError(f"response {head[:40]!r}; expected status 200")
         self.state = StreamState.READING_EVENTS
         self.watch.handle_answer(self)
         if b"chunked" in transfer_codings(head):
