--- a/limepath/front/server_sent_events.py
+++ b/limepath/front/server_sent_events.py
@@ -1,4 +1,4 @@
-"""Server-sent events (HTML standard, 9.2), read out of a stream that may be split anywhere."""
+"""Incremental parser of server-sent events (HTML standard, 9.2)."""
 
 from typing import NamedTuple
 
@@ -6,24 +6,29 @@
 
 
 class ServerSentEvent(NamedTuple):
-    """One event: the last id that the stream has had, and its data lines."""
+    """One event: the stream's last event id, and the data lines joined by line feeds."""
 
     id: str
     data: str
 
 
 class EventReader:
-    """Reads events; `partial_line` and `data` hold what is not complete yet."""
+    """Parses events from a stream that may be split at any byte.
+
+    `partial_line` holds the bytes of an incomplete line, `data` the data lines of an incomplete event.
+    """
 
     def __init__(self, max_size: int):
-        self.max_size = max_size  # bytes of a line, and of an event's data
+        self.max_size = max_size  # bytes of an incomplete line; characters of the data of an event
         self.partial_line = b""
         self.id = ""
         self.data: list[str] = []
-        self.skip_line_feed = False  # the bytes before ended in CR, which may be half of a line end
+        self.skip_line_feed = (
+            False  # the last chunk ended in CR, so a leading LF belongs to the same line end
+        )
 
     def feed(self, data: bytes) -> list[ServerSentEvent]:
-        """Give the events that `data` completes; raises WatchError for an over-long line or event."""
+        """Return the events that `data` completes; raises WatchError if a line or an event is too long."""
         if not data:
             return []
         events = []
@@ -37,14 +42,14 @@
         return events
 
     def _lines(self, data: bytes) -> list[str]:
-        """The lines that `data` completes; a line ends in CR, LF or both."""
+        """Return the lines that `data` completes; a line ends in CR, LF or CR LF."""
         if self.skip_line_feed:
             data = data.removeprefix(b"\n")
         self.skip_line_feed = data.endswith(b"\r")
         data = data.replace(b"\r\n", b"\n").replace(b"\r", b"\n")
         *lines, self.partial_line = (self.partial_line + data).split(b"\n")
         if len(self.partial_line) > self.max_size:
-            raise WatchError("over-long line")
+            raise WatchError(f"line exceeds the limit of {self.max_size} bytes")
         return [line.decode("utf-8", "replace") for line in lines]
 
     def _read_field(self, line: str) -> None:
@@ -55,4 +60,4 @@
         elif name == "data":
             self.data.append(value)
             if sum(map(len, self.data)) > self.max_size:
-                raise WatchError("over-long event")
+                raise WatchError(f"event data exceeds the limit of {self.max_size} characters")
