--- a/limepath/front/endpoint_entry.py
+++ b/limepath/front/endpoint_entry.py
@@ -1,4 +1,4 @@
-"""One entry of the endpoint list: the list service's words are mapped here and nowhere else."""
+"""Parses entries of the endpoint list; the only place that maps the list service's names to the front's."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 
 
 def endpoint_ident(name: str) -> int:
-    """The endpoint's number, the same at every front and start."""
+    """Derive an endpoint's ident from its name; it is the same at every front and after restarts."""
     return int.from_bytes(blake2b(name.encode(), digest_size=IDENT_BYTES).digest(), "big")
 
 
 class EndpointEntry:
-    """An endpoint as the decisions have it, and what the network code needs beside it."""
+    """An endpoint as passed to the decisions, with the name, address and start time for the network code."""
 
     __slots__ = ("endpoint", "name", "address", "started_ms")
 
@@ -35,13 +35,13 @@
         known: dict[str, EndpointEntry],
         reference: ReferenceClock,
     ):
-        """Read one line of the list; `known` has the entries so far, by name.
+        """Parse one line of the list; `known` holds the current entries by name.
 
-        Raises KeyError, ValueError, TypeError or AttributeError for a line that cannot be read.
+        Raises KeyError, ValueError, TypeError or AttributeError for a malformed line.
         """
         self.name = line["id"]
         self.address = address_of(line["host_port"])
-        self.started_ms = int(line.get("up_since_ms") or 0)  # by the Unix clock; 0 where it is not told
+        self.started_ms = int(line.get("up_since_ms") or 0)  # milliseconds of Unix time; 0: unknown
         self.endpoint = Endpoint(
             state=STATES[line["phase"]],
             id=endpoint_ident(self.name),
@@ -53,7 +53,10 @@
         )
 
     def _started_at(self, known: EndpointEntry | None, reference: ReferenceClock) -> int:
-        """The start on the front's clock: converted once and kept, as it would drift by microseconds."""
+        """Return the start time in microseconds of the front's clock, or 0 if it is unknown.
+
+        It is converted once and kept, because repeated conversions would differ by microseconds.
+        """
         if known and known.started_ms == self.started_ms:
             return known.endpoint.started_at
         if not self.started_ms:
@@ -61,5 +64,5 @@
         return max(1, clock() - reference.age(self.started_ms * 1000))
 
     def set_state(self, state: EndpointState) -> None:
-        """Take the endpoint's new state, and nothing else."""
+        """Set the endpoint's state and keep everything else."""
         self.endpoint = self.endpoint._replace(state=state)
--- a/tests/test_endpoint_entry.py
+++ b/tests/test_endpoint_entry.py
@@ -1,7 +1,7 @@
-"""Entries of the endpoint list."""
+"""Tests of the entries of the endpoint list."""
 
 from limepath.front.endpoint_entry import endpoint_ident
 
 
-def test_a_member_has_the_same_number_at_every_front():
+def test_an_endpoint_has_the_same_ident_at_every_front():
     assert endpoint_ident("s-00c41f7a") == endpoint_ident("s-00c41f7a") != endpoint_ident("s-00c41f7b")
