--- a/limepath/front/watch_error.py
+++ b/limepath/front/watch_error.py
@@ -1,8 +1,8 @@
-"""The error of the watch stream."""
+"""The exception raised for errors of the watch stream."""
 
 
 class WatchError(Exception):
-    """A watch stream or an event in it cannot be used, or not all of it: what was found.
+    """Raised if a watch stream, an event or a part of an event is malformed; says what was found.
 
-    Endpoints of the event that could be read have been applied.
+    The well-formed entries of the event have been applied.
     """
