--- a/limepath/front/server_connection.py
+++ b/limepath/front/server_connection.py
@@ -136,7 +136,7 @@
 
         With TLS this is unknown and 0 is returned, as if all bytes had been sent.
         """
-        if self.endpoint.is_secured:
+        if self.endpoint.uses_tls:
             return 0
         transport = self.transport
         return len(transport.dataBuffer) - transport.offset + sum(map(len, transport._tempDataBuffer))
@@ -242,7 +242,7 @@
         servers.end_attempt(attempt, OUTCOMES[answer.status], answer)
         if self.endpoint.waiting:
             self.endpoint.send_waiting()
-        if servers.lacks_connections and not self.attempts:
+        if servers.connection_limit_reached and not self.attempts:
             servers.connection_freed()
         self._close_if_done()
 
--- a/limepath/front/server_endpoint.py
+++ b/limepath/front/server_endpoint.py
@@ -54,7 +54,7 @@
         return self.incarnation.address
 
     @property
-    def is_secured(self) -> bool:
+    def uses_tls(self) -> bool:
         """Whether connections to this endpoint use TLS."""
         secured = self.servers.secured
         return bool(secured and self.kind in secured.kinds)
@@ -237,5 +237,5 @@
             self.servers.end_attempt(attempt, outcome)
         if self.waiting:
             self.connect()
-        if self.servers.lacks_connections:
+        if self.servers.connection_limit_reached:
             self.servers.connection_freed()
--- a/limepath/front/servers.py
+++ b/limepath/front/servers.py
@@ -55,7 +55,7 @@
         self.names: dict[int, bytes] = {}  # endpoint names by ident, as sent in the line protocol
         self.probe_numbers = count(1)
         self.connection_count = 0  # established connections and pending connects
-        self.lacks_connections = False  # an endpoint could not connect because of the limit
+        self.connection_limit_reached = False  # an endpoint could not connect because of the limit
         self.reference = ReferenceClock(limits.skew)
         self.secured = None  # tls.host.Secured if connections to some kinds of servers use TLS
         self.paced = None  # connection_pacing.host.Paced if the fronts share a limit on new connections
@@ -82,12 +82,12 @@
         excess = self.connection_count - self.limits.all_cache_connections
         allowed = excess < 0 or excess < CROSSING_CLOSES and bool(self.idle_connections())
         if not allowed:
-            self.lacks_connections = True
+            self.connection_limit_reached = True
         return allowed
 
     def connection_freed(self) -> None:
         """Let endpoints connect that the limit held back, after a connection has closed or become idle."""
-        self.lacks_connections = False
+        self.connection_limit_reached = False
         for endpoint in self.endpoints.values():
             if endpoint.waiting:
                 endpoint.connect()
--- a/tests/test_server_connection.py
+++ b/tests/test_server_connection.py
@@ -21,7 +21,7 @@
                 end_attempt=lambda attempt, outcome, answer, answers=answers: answers.append(
                     (answer.status, answer.body)
                 ),
-                lacks_connections=False,
+                connection_limit_reached=False,
                 reference=ReferenceClock(100_000),
             ),
         )
