--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -23,8 +23,8 @@
 from limepath.log import Log
 from tests.stand_ins import BOUND, Site, Viewer, connections, listening, until
 from tests.test_endings import (
+    COPY_FIELDS,
     LONG_WAIT,
-    NOW,
     Ordering,
     going_on,
     parts,
@@ -57,7 +57,7 @@
     """Who is asked first at this member: the one that stays, or the one that has gone."""
     stays = site.viewer().send(txn=OTHER)
     asked = where.next()
-    asked.answer("DONE", NOW, b"x")
+    asked.answer("DONE", COPY_FIELDS, b"x")
     assert stays.answer()[2] == b"x"
     return asked.id
 
@@ -69,7 +69,7 @@
         for one in range(number)
     ]
     for asked in [member.next() for _ in viewers]:
-        asked.answer("DONE", NOW if body is None else "-")
+        asked.answer("DONE", COPY_FIELDS if body is None else "-")
     assert [viewer.answer()[0] for viewer in viewers] == [200] * number
     assert member.connected == number
 
@@ -127,7 +127,7 @@
         waits = site.viewer().send(txn="00000000000000aa")
         site.cache.called_in_vain()
         stopped(site)
-        asked.answer("DONE", NOW, b"x")  # is read before the end, in one pass
+        asked.answer("DONE", COPY_FIELDS, b"x")  # is read before the end, in one pass
         gone_for_long(waits)
         going_on(site)
         assert first.answer()[2] == b"x"
@@ -160,7 +160,7 @@
         stays = site.viewer().send(target, body, txn=OTHER)
         asked = member.next()
         assert asked.id == OTHER
-        asked.answer("DONE", NOW if effect == "free" else "-", b"")
+        asked.answer("DONE", COPY_FIELDS if effect == "free" else "-", b"")
         assert stays.answer()[0] == 200 and member.asked.empty()
 
 
@@ -169,7 +169,7 @@
     with Site() as site:
         viewer = slow_to_read(site)
         asked = site.cache.next()
-        whole = b"%s DONE %s %d\r\n%s\r\n" % (asked.id.encode(), NOW.encode(), len(body), body)
+        whole = b"%s DONE %s %d\r\n%s\r\n" % (asked.id.encode(), COPY_FIELDS.encode(), len(body), body)
         asked.connection.sendall(whole[:-2])
         read = asked.connection.getsockname()[1]
         until(lambda: unread_at_the_front(read) == 0)
@@ -283,7 +283,7 @@
     cache = front.accept()
     front.passes_until(lambda: select.select([cache], [], [], 0)[0])
     cache.recv(4096)
-    cache.sendall(b"9b1f03aa5c7e2d41 DONE %b 0\r\n\r\n" % NOW.encode())
+    cache.sendall(b"9b1f03aa5c7e2d41 DONE %b 0\r\n\r\n" % COPY_FIELDS.encode())
     front.passes_until(lambda: not front.clients.requests)
     front.passes_until(lambda: select.select([first.socket], [], [], 0)[0])
     assert first.answer()[0] == 200
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -16,7 +16,7 @@
 )
 from tests.stand_ins import BOUND, Site, StandInCache, accepting, until
 from tests.test_client_disconnects import driven  # noqa: F401 (a fixture)
-from tests.test_endings import NOW, going_on, stopped
+from tests.test_endings import COPY_FIELDS, going_on, stopped
 
 SOCKETS = 120
 FLOOD = 300
@@ -108,7 +108,7 @@
         site.cache.next().answer("LACK")
         fill = site.cache.next()
         assert fill.fields["up"] == "o-1"
-        fill.answer("DONE", NOW, b"x")
+        fill.answer("DONE", COPY_FIELDS, b"x")
         assert viewer.answer()[2] == b"x"
         assert descriptors(site) <= SOCKETS
         assert not [line for line in site.said if "fault" in line or "EMFILE" in line or "open files" in line]
@@ -128,7 +128,7 @@
         back(site, where)
         assert site.log.called() == 1
         viewer = site.viewer().send()
-        site.cache.next().answer("DONE", NOW, b"x")
+        site.cache.next().answer("DONE", COPY_FIELDS, b"x")
         assert viewer.answer()[2] == b"x"
         assert not [line for line in site.said if "open files" in line or "EMFILE" in line]
         for one in crowd:
@@ -153,7 +153,7 @@
 
     def answer_all(self, number):
         for _ in range(number):
-            self.next().answer("DONE", NOW)
+            self.next().answer("DONE", COPY_FIELDS)
 
 
 def test_idle_connections_to_caches_make_room_without_more_descriptors_than_are_kept_back(driven):  # noqa: F811
@@ -194,7 +194,7 @@
         site.log.called()
         viewers = [site.viewer() for _ in range(CLIENTS)]
         viewers[0].send()
-        site.cache.next().answer("DONE", NOW, b"x")
+        site.cache.next().answer("DONE", COPY_FIELDS, b"x")
         assert viewers[0].answer()[2] == b"x"
         told = re.findall(r"(\w+)=(\d+)", site.heard("event=descriptors-by-use").partition("event=")[2])
         use = {name: int(value) for name, value in told}
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -50,7 +50,7 @@
     until,
 )
 
-NOW = "rev=4be0c1927d55a6f3,since=1764576000123"
+COPY_FIELDS = "rev=4be0c1927d55a6f3,since=1764576000123"
 # forwards may wait for a connection for 5 s here, so that the system's second call comes up within it
 LONG_WAIT = SETTINGS | {
     "limits": SETTINGS["limits"] | {"connect-timeout": 5000 * MS},
@@ -113,7 +113,7 @@
         stays = site.viewer().send(txn="00000000000000fe")
         asked = site.cache.next()
         assert asked.id == "00000000000000fe"
-        asked.answer("DONE", NOW, b"x")
+        asked.answer("DONE", COPY_FIELDS, b"x")
         assert stays.answer()[2] == b"x"
 
 
@@ -136,7 +136,7 @@
         assert (
             asked.cache == "p-1"
         )  # sent by the old order, it reached the draining one a second after it was told
-        asked.answer("DONE", NOW, b"x")
+        asked.answer("DONE", COPY_FIELDS, b"x")
         assert viewer.answer()[2] == b"x"
 
 
@@ -159,7 +159,7 @@
         again.answer("LACK")
         asked = site.cache.next()
         assert asked.fields["up"] == "o-1"
-        asked.answer("DONE", NOW, b"x")
+        asked.answer("DONE", COPY_FIELDS, b"x")
         assert viewer.answer()[2] == b"x"
 
 
@@ -387,7 +387,7 @@
         while (again := site.cache.asked.get(timeout=BOUND)).word != "ASK":
             pass
         assert again.connection is not asked.connection
-        again.answer("DONE", NOW, b"mine")
+        again.answer("DONE", COPY_FIELDS, b"mine")
         assert other.answer()[2] == b"mine"
 
 
@@ -440,7 +440,7 @@
         viewer = slow_to_read(site, Connection="close")
         asked = site.cache.next()
         stopped(site)
-        asked.answer("DONE", NOW, b"z" * 240_000)
+        asked.answer("DONE", COPY_FIELDS, b"z" * 240_000)
         going_on(site)
         viewer.socket.recv(1, socket.MSG_PEEK)  # the answer has begun, most of it is held
         viewer.raw("GET /invoke/video/1 HTTP/1.1\r\n")  # unread at the close, these reset the connection
@@ -454,7 +454,7 @@
             site.viewer().send(),
             site.viewer().send("/invoke/tarea/1", b"x", txn="00000000000000fe"),
         )
-        site.cache.next().answer("DONE", NOW)
+        site.cache.next().answer("DONE", COPY_FIELDS)
         assert resting.answer()[0] == 200
         asked = site.origin.next()  # keeps the front from ending
         site.terminate()
@@ -472,7 +472,7 @@
     with Site() as site:
         viewer = slow_to_read(site)
         asked = site.cache.next()
-        asked.answer("DONE", NOW, b"z" * 240_000)
+        asked.answer("DONE", COPY_FIELDS, b"z" * 240_000)
         viewer.socket.recv(1, socket.MSG_PEEK)
         viewer.socket.shutdown(socket.SHUT_WR)
         until(lambda: site.health()[0] == 200)
@@ -487,7 +487,7 @@
         more = []
         for number in range(20):
             viewer = site.viewer().send(txn=f"{number:016x}")
-            site.cache.next().answer("DONE", NOW, b"x")
+            site.cache.next().answer("DONE", COPY_FIELDS, b"x")
             assert viewer.answer()[2] == b"x"
             more.append(viewer)
         assert flood[0].ended()
@@ -538,7 +538,7 @@
             site.process.send_signal(number)
         going_on(site)
         until(lambda: any("event=leaving" in line for line in site.said))
-        asked.answer("DONE", NOW, b"x")
+        asked.answer("DONE", COPY_FIELDS, b"x")
         assert viewer.answer()[2] == b"x"
         assert site.process.wait(BOUND) == 0
         assert not [line for line in site.said if "fault" in line]
--- a/tests/test_terms_answers.py
+++ b/tests/test_terms_answers.py
@@ -7,7 +7,7 @@
 import pytest
 
 from tests.stand_ins import Site
-from tests.test_endings import NOW
+from tests.test_endings import COPY_FIELDS
 
 TAG = "4be0c1927d55a6f3"
 
@@ -33,7 +33,7 @@
     assert (len(answer), len(write)) == (240_000, 48_000)
     with Site() as site:
         viewer = site.viewer().send()
-        site.cache.next().answer("DONE", NOW, answer)
+        site.cache.next().answer("DONE", COPY_FIELDS, answer)
         assert viewer.answer()[2] == answer
         viewer.send("/invoke/tarea/1", write, txn="00000000000000ab")
         asked = site.origin.next()
@@ -49,7 +49,7 @@
     answer, write = bytes(range(256)) * 100, bytes(range(256)) * 20
     with Site(faults={"short": 7}) as site:
         viewer = site.viewer().send()
-        site.cache.next().answer("DONE", NOW, answer)
+        site.cache.next().answer("DONE", COPY_FIELDS, answer)
         assert viewer.answer()[2] == answer
         viewer.send("/invoke/tarea/1", write, txn="00000000000000ab")
         asked = site.origin.next()
@@ -100,5 +100,5 @@
         while (asked := first.asked.get(timeout=10)).word != "ASK":
             words.append((asked.word, asked.cache))
         assert is_given_up(silent, words) and asked.cache != silent.cache
-        asked.answer("DONE", NOW, b"x")
+        asked.answer("DONE", COPY_FIELDS, b"x")
         assert viewer.answer()[::2] == (200, b"x")
--- a/tests/test_terms_discovery.py
+++ b/tests/test_terms_discovery.py
@@ -10,7 +10,7 @@
 
 from limepath.front.server_sent_events import EventReader
 from tests.stand_ins import BOUND, Site, accepting, address, listening, until
-from tests.test_endings import NOW
+from tests.test_endings import COPY_FIELDS
 
 
 class SlowChangeLog:
@@ -43,7 +43,7 @@
     """Which member is asked for a new object."""
     viewer = site.viewer().send("/invoke/video/1", txn=f"{number:016x}")
     asked = site.cache.asked.get(timeout=BOUND)
-    asked.answer("DONE", NOW, b"x")
+    asked.answer("DONE", COPY_FIELDS, b"x")
     assert viewer.answer()[0] == 200
     viewer.close()
     return asked.cache
--- a/tests/test_terms_shutdown.py
+++ b/tests/test_terms_shutdown.py
@@ -7,7 +7,7 @@
 
 from limepath.configuration.platform import front_settings
 from tests.stand_ins import BOUND, MS, SETTINGS, Site, configuration, until
-from tests.test_endings import NOW
+from tests.test_endings import COPY_FIELDS
 
 REQUESTS_COME = 600_000  # microseconds after SIGTERM: 0.4 s for new connections, 0.2 s more on open ones
 CROSSING = 0.05  # seconds by which a request may miss the close of its connection
@@ -73,6 +73,6 @@
             assert site.injected("accept") > 2
             site.inject(fail={})
             for _ in viewers:
-                site.cache.next().answer("DONE", NOW, b"x")
+                site.cache.next().answer("DONE", COPY_FIELDS, b"x")
             assert [viewer.answer()[::2] for viewer in viewers] == [(200, b"x")] * 3, error
             assert site.process.wait(BOUND) == 0
--- a/tests/test_terms_standstill.py
+++ b/tests/test_terms_standstill.py
@@ -20,7 +20,7 @@
 from limepath.interface.events import AttemptEnded, AttemptOutcome, PurgeAnnounced, RequestArrived
 from tests.stand_ins import SETTINGS, Site, StandInChangeLog, until
 from tests.test_client_disconnects import driven  # noqa: F401 (a fixture)
-from tests.test_endings import NOW, Ordering, going_on, parts, stopped, up
+from tests.test_endings import COPY_FIELDS, Ordering, going_on, parts, stopped, up
 
 SLACK_MS = 150  # the operators' notes: of the time passed to a server, over what the client has left
 
@@ -36,7 +36,7 @@
 def warmed(site):
     """A client's connection that has had an answer, and with it the front's connection to the cache."""
     viewer = site.viewer().send(txn="00000000000000aa")
-    site.cache.next().answer("DONE", NOW, b"x")
+    site.cache.next().answer("DONE", COPY_FIELDS, b"x")
     assert viewer.answer()[0] == 200
     return viewer
 
@@ -89,7 +89,7 @@
             viewer.send(txn="00000000000000ab")
             passed(connected, 5.4 if asked_before else 2.6)
             going_on(site)
-            site.cache.next().answer("DONE", NOW, b"y")
+            site.cache.next().answer("DONE", COPY_FIELDS, b"y")
             assert viewer.answer()[::2] == (200, b"y"), asked_before
 
 
@@ -101,7 +101,7 @@
         viewers = [site.viewer() for _ in range(8)]
         for number, viewer in enumerate(viewers):
             viewer.send(f"/invoke/video/{number}", txn=f"{number:016x}")
-            site.cache.next().answer("DONE", NOW, b"x")
+            site.cache.next().answer("DONE", COPY_FIELDS, b"x")
             assert viewer.answer()[0] == 200
         stopped(site)
         began = time.monotonic()
@@ -114,7 +114,7 @@
         for _ in viewers:
             asked = site.cache.next()
             assert asked.cache == "s-2"
-            asked.answer("DONE", NOW, b"x")
+            asked.answer("DONE", COPY_FIELDS, b"x")
 
 
 def test_without_the_system_s_word_a_late_pass_counts_against_the_time_of_what_it_kept_waiting(
--- a/tests/test_terms_system_calls.py
+++ b/tests/test_terms_system_calls.py
@@ -8,7 +8,7 @@
 import pytest
 
 from tests.stand_ins import BOUND, MS, SETTINGS, Site, StandInChangeLog, address
-from tests.test_endings import NOW
+from tests.test_endings import COPY_FIELDS
 
 CONNECT_ERRORS = (
     "ENETUNREACH",
@@ -61,7 +61,7 @@
         site.inject(fail={"accept": [error, 3]})
         viewers = [site.viewer().send(txn=f"{number:016x}") for number in range(3)]
         for _ in viewers:
-            site.cache.next().answer("DONE", NOW, b"x")
+            site.cache.next().answer("DONE", COPY_FIELDS, b"x")
         assert [viewer.answer()[::2] for viewer in viewers] == [(200, b"x")] * 3
         assert site.injected("accept") == 3
 
@@ -73,10 +73,10 @@
         viewer = site.viewer().send()
         asked = site.cache.next()
         site.inject(fail={"recv": [error, 1]})
-        asked.answer("DONE", NOW, b"lost on the way")
+        asked.answer("DONE", COPY_FIELDS, b"lost on the way")
         again = site.cache.next()
         assert again.connection is not asked.connection
-        again.answer("DONE", NOW, b"x")
+        again.answer("DONE", COPY_FIELDS, b"x")
         assert viewer.answer()[::2] == (200, b"x")
         write = put(site, 2)
         asked = site.origin.next()
@@ -106,7 +106,7 @@
             viewer.send(txn=f"{number:016x}")
             asked = site.cache.next()
             site.process.send_signal(signal.SIGUSR1)
-            asked.answer("DONE", NOW, b"x" * 100_000)
+            asked.answer("DONE", COPY_FIELDS, b"x" * 100_000)
             assert viewer.answer()[2] == b"x" * 100_000
 
 
