--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -25,7 +25,7 @@
 from tests.test_endings import (
     COPY_FIELDS,
     LONG_WAIT,
-    Ordering,
+    ForwardingDecisions,
     going_on,
     parts,
     slow_to_read,
@@ -209,7 +209,7 @@
 # A late pass, driven by hand
 
 
-class OrderingAt(Ordering):
+class OrderingAt(ForwardingDecisions):
     """Forwards each request to the member that is set."""
 
     member = 1
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -229,7 +229,7 @@
         assert viewer.answer()[0] == 400
 
 
-class Ordering:
+class ForwardingDecisions:
     """A module that forwards each GET to member 1, and keeps what it hears."""
 
     def __init__(self, **order):
@@ -303,7 +303,7 @@
 
 
 def test_the_wait_is_counted_at_the_moment_of_the_send_not_by_the_timer_alone(monkeypatch):
-    front = Ordering(send_within=40_000)
+    front = ForwardingDecisions(send_within=40_000)
     _, _, servers, get = parts(front)
     waiting = get()
     now = waiting.attempts[0].started_at
@@ -319,7 +319,7 @@
 
 
 def test_a_connection_that_comes_up_once_its_member_has_gone_takes_nothing():
-    _, _, servers, get = parts(Ordering())
+    _, _, servers, get = parts(ForwardingDecisions())
     get()
     peer, old = servers.endpoints[1], ServerConnection(servers.endpoints[1])
     servers.update_endpoint(
@@ -332,7 +332,7 @@
 
 
 def test_a_put_half_written_when_its_client_leaves_never_becomes_whole():
-    front = Ordering()
+    front = ForwardingDecisions()
     _, clients, servers, get = parts(front)
     connection = up(servers, CacheTransport(taken=20))  # the cache does not read: the system takes no more
     waiting = get()
@@ -346,7 +346,7 @@
 
 
 def test_a_request_that_a_cache_never_read_whole_has_not_run_when_its_time_is_over():
-    front = Ordering()
+    front = ForwardingDecisions()
     reactor, clients, servers, get = parts(front)
     connection = up(servers, CacheTransport(taken=20))
     get()
@@ -359,7 +359,7 @@
 
 
 def test_news_of_one_pass_comes_before_what_is_decided_by_it():
-    front = Ordering()
+    front = ForwardingDecisions()
     reactor, clients, _, _ = parts(front)
     decision_loop = clients.decision_loop
     left, roster, purge = (
@@ -513,7 +513,7 @@
 def test_a_last_answer_that_is_taken_slowly_keeps_the_front_up_for_as_long_as_any_may_take():
     told = front_settings(configuration(free_address()), {})
     assert told.limits.last_call == max(one.deadline for one in told.arguments["services"])
-    reactor, clients, _, _ = parts(Ordering(), last_call=5_000_000)
+    reactor, clients, _, _ = parts(ForwardingDecisions(), last_call=5_000_000)
     clients.listener.port = SimpleNamespace(
         doRead=lambda: None, stopListening=lambda: None, socket=listening()
     )
--- a/tests/test_terms_standstill.py
+++ b/tests/test_terms_standstill.py
@@ -20,7 +20,7 @@
 from limepath.interface.events import AttemptEnded, AttemptOutcome, PurgeAnnounced, RequestArrived
 from tests.stand_ins import SETTINGS, Site, StandInChangeLog, until
 from tests.test_client_disconnects import driven  # noqa: F401 (a fixture)
-from tests.test_endings import COPY_FIELDS, Ordering, going_on, parts, stopped, up
+from tests.test_endings import COPY_FIELDS, ForwardingDecisions, going_on, parts, stopped, up
 
 SLACK_MS = 150  # the operators' notes: of the time passed to a server, over what the client has left
 
@@ -169,7 +169,7 @@
     assert kinds.index(PurgeAnnounced) < kinds.index(RequestArrived)
 
 
-class Late(Ordering):
+class Late(ForwardingDecisions):
     """A module whose decision takes so long (microseconds) by the clock of `now`."""
 
     def __init__(self, now, takes, **order):
