--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -29,7 +29,7 @@
     going_on,
     parts,
     slow_to_read,
-    stopped,
+    suspend_front,
     with_effect,
 )
 
@@ -82,7 +82,7 @@
         viewer = site.viewer() if connected else None
         if connected:
             assert viewer.raw("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n").answer()[0] == 200
-        stopped(site)
+        suspend_front(site)
         viewer = viewer or site.viewer()  # else the system has accepted it, and the front does so late
         if reset:
             viewer.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
@@ -96,7 +96,7 @@
 def test_a_put_and_the_end_behind_it_wait_for_a_late_pass():
     with Site() as site:
         warmed(site, site.origin, "/invoke/tarea/1", b"x")
-        stopped(site)
+        suspend_front(site)
         viewer = site.viewer().send("/invoke/tarea/0000000000000001", b"mine")
         gone_for_long(viewer)
         going_on(site)
@@ -112,7 +112,7 @@
         warmed(site, site.cache, "/invoke/video/1", number=2)
         viewer = site.viewer().send()
         asked = site.cache.next()
-        stopped(site)
+        suspend_front(site)
         asked.answer("LACK")  # a fill follows
         gone_for_long(viewer)
         going_on(site)
@@ -126,7 +126,7 @@
         site.cache.crowd()
         waits = site.viewer().send(txn="00000000000000aa")
         site.cache.called_in_vain()
-        stopped(site)
+        suspend_front(site)
         asked.answer("DONE", COPY_FIELDS, b"x")  # is read before the end, in one pass
         gone_for_long(waits)
         going_on(site)
@@ -145,7 +145,7 @@
         member.crowd()
         waits = site.viewer().send(target, body, txn="00000000000000aa")
         member.called_in_vain()
-        stopped(site)
+        suspend_front(site)
         others = {f":{one.getsockname()[1]:04X}" for one in member.crowding}
         port = f":{member.listener.getsockname()[1]:04X}"
         member.uncrowd()
@@ -173,7 +173,7 @@
         asked.connection.sendall(whole[:-2])
         read = asked.connection.getsockname()[1]
         until(lambda: unread_at_the_front(read) == 0)
-        stopped(site)
+        suspend_front(site)
         asked.connection.sendall(whole[-2:])  # the answer is whole, and gets stuck as it is written,
         viewer.send(txn="00000000000000aa")  # in the pass that brings this one
         until(lambda: unread_at_the_front(viewer.socket.getsockname()[1]) > 0)
@@ -198,7 +198,7 @@
 def test_half_closed_is_taken_for_gone():
     with Site() as site:
         warmed(site, site.cache, "/invoke/video/1")
-        stopped(site)
+        suspend_front(site)
         viewer = site.viewer().send()
         gone_for_long(viewer, lambda: viewer.socket.shutdown(socket.SHUT_WR))
         going_on(site)
@@ -384,7 +384,7 @@
 
 def test_an_attempt_held_back_is_counted_and_told():
     with Site() as site:
-        stopped(site)
+        suspend_front(site)
         gone_for_long(site.viewer().send())
         going_on(site)
         line = site.heard("event=client-gone")
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -16,7 +16,7 @@
 )
 from tests.stand_ins import BOUND, Site, StandInCache, accepting, until
 from tests.test_client_disconnects import driven  # noqa: F401 (a fixture)
-from tests.test_endings import COPY_FIELDS, going_on, stopped
+from tests.test_endings import COPY_FIELDS, going_on, suspend_front
 
 SOCKETS = 120
 FLOOD = 300
@@ -86,7 +86,7 @@
         where = down(site.log)
         site.heard("event=changelog")
         if burst and not asking:
-            stopped(site)
+            suspend_front(site)
         crowd = crowd_of(site, asking)
         if burst and not asking:
             going_on(site)
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -64,7 +64,7 @@
     return settings | {"classes": [video, tarea | changes]}
 
 
-def stopped(site):
+def suspend_front(site):
     """The front stands still until it is told to go on."""
     site.process.send_signal(signal.SIGSTOP)
     with open(f"/proc/{site.process.pid}/stat", encoding="ascii") as file:
@@ -412,7 +412,7 @@
     with Site() as site:
         viewer = site.viewer().send("/invoke/tarea/0000000000000001", b"mine")
         asked = site.origin.next()
-        stopped(site)
+        suspend_front(site)
         asked.answer("DONE")
         asked.hang_up()
         going_on(site)
@@ -439,7 +439,7 @@
     with Site() as site:
         viewer = slow_to_read(site, Connection="close")
         asked = site.cache.next()
-        stopped(site)
+        suspend_front(site)
         asked.answer("DONE", COPY_FIELDS, b"z" * 240_000)
         going_on(site)
         viewer.socket.recv(1, socket.MSG_PEEK)  # the answer has begun, most of it is held
@@ -501,7 +501,7 @@
         site.terminate()
         while site.health()[0] == 200:
             pass
-        stopped(site)
+        suspend_front(site)
         viewer, before = site.viewer().send("/invoke/tarea/1", b"mine"), time.monotonic()
         until(lambda: time.monotonic() - before > 0.4)  # it is past the time when the front wakes
         going_on(site)
@@ -533,7 +533,7 @@
     with Site(limits={"leaving_ms": 300}) as site:
         viewer = site.viewer().send()
         asked = site.cache.next()
-        stopped(site)
+        suspend_front(site)
         for number in (signal.SIGTERM, signal.SIGHUP, signal.SIGTERM):
             site.process.send_signal(number)
         going_on(site)
--- a/tests/test_terms_standstill.py
+++ b/tests/test_terms_standstill.py
@@ -20,7 +20,7 @@
 from limepath.interface.events import AttemptEnded, AttemptOutcome, PurgeAnnounced, RequestArrived
 from tests.stand_ins import SETTINGS, Site, StandInChangeLog, until
 from tests.test_client_disconnects import driven  # noqa: F401 (a fixture)
-from tests.test_endings import COPY_FIELDS, ForwardingDecisions, going_on, parts, stopped, up
+from tests.test_endings import COPY_FIELDS, ForwardingDecisions, going_on, parts, suspend_front, up
 
 SLACK_MS = 150  # the operators' notes: of the time passed to a server, over what the client has left
 
@@ -50,7 +50,7 @@
         # else the second waits in this system until the first is acknowledged, and goes out after `sent`
         viewer.socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         viewer.raw(head)
-    stopped(site)
+    suspend_front(site)
     if way == "new connection":
         viewer = site.viewer()
     viewer.raw("X-Family: 17\r\n\r\n" if way == "in two pieces" else head + "X-Family: 17\r\n\r\n")
@@ -85,7 +85,7 @@
             viewer = warmed(site) if asked_before else site.viewer()
             connected = time.monotonic()
             passed(connected, 3 if asked_before else 0.3)
-            stopped(site)
+            suspend_front(site)
             viewer.send(txn="00000000000000ab")
             passed(connected, 5.4 if asked_before else 2.6)
             going_on(site)
@@ -103,7 +103,7 @@
             viewer.send(f"/invoke/video/{number}", txn=f"{number:016x}")
             site.cache.next().answer("DONE", COPY_FIELDS, b"x")
             assert viewer.answer()[0] == 200
-        stopped(site)
+        suspend_front(site)
         began = time.monotonic()
         drained = [site.cache.entry("terminating")]
         site.log.tell(2, fleet={"revision": 2, "complete": False, "members": drained})
