--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -26,8 +26,8 @@
     COPY_FIELDS,
     LONG_WAIT,
     ForwardingDecisions,
-    going_on,
     parts,
+    resume_front,
     slow_to_read,
     suspend_front,
     with_effect,
@@ -88,7 +88,7 @@
             viewer.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
         viewer.send()
         gone_for_long(viewer)
-        going_on(site)
+        resume_front(site)
         assert asked_first(site, site.cache) == OTHER
         assert site.cache.asked.empty()
 
@@ -99,7 +99,7 @@
         suspend_front(site)
         viewer = site.viewer().send("/invoke/tarea/0000000000000001", b"mine")
         gone_for_long(viewer)
-        going_on(site)
+        resume_front(site)
         stays = site.viewer().send("/invoke/tarea/0000000000000002", b"stays", txn=OTHER)
         asked = site.origin.next()
         assert asked.id == OTHER
@@ -115,7 +115,7 @@
         suspend_front(site)
         asked.answer("LACK")  # a fill follows
         gone_for_long(viewer)
-        going_on(site)
+        resume_front(site)
         assert asked_first(site, site.cache) == OTHER
 
 
@@ -129,7 +129,7 @@
         suspend_front(site)
         asked.answer("DONE", COPY_FIELDS, b"x")  # is read before the end, in one pass
         gone_for_long(waits)
-        going_on(site)
+        resume_front(site)
         assert first.answer()[2] == b"x"
         assert asked_first(site, site.cache) == OTHER
 
@@ -156,7 +156,7 @@
             )
         )
         gone_for_long(waits)
-        going_on(site)
+        resume_front(site)
         stays = site.viewer().send(target, body, txn=OTHER)
         asked = member.next()
         assert asked.id == OTHER
@@ -177,7 +177,7 @@
         asked.connection.sendall(whole[-2:])  # the answer is whole, and gets stuck as it is written,
         viewer.send(txn="00000000000000aa")  # in the pass that brings this one
         until(lambda: unread_at_the_front(viewer.socket.getsockname()[1]) > 0)
-        going_on(site)
+        resume_front(site)
         viewer.socket.recv(1, socket.MSG_PEEK)
         assert site.health()[0] == 200
         assert site.cache.asked.empty()  # it waits as long as nobody would see its client go
@@ -201,7 +201,7 @@
         suspend_front(site)
         viewer = site.viewer().send()
         gone_for_long(viewer, lambda: viewer.socket.shutdown(socket.SHUT_WR))
-        going_on(site)
+        resume_front(site)
         assert viewer.ended()  # no answer, though it could have been taken
         assert asked_first(site, site.cache) == OTHER
 
@@ -386,7 +386,7 @@
     with Site() as site:
         suspend_front(site)
         gone_for_long(site.viewer().send())
-        going_on(site)
+        resume_front(site)
         line = site.heard("event=client-gone")
         assert "attempt=first" in line and "begun=no" in line
         assert int(line.partition("late_ms=")[2].split()[0]) >= 1000 * LATE - 10
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -16,7 +16,7 @@
 )
 from tests.stand_ins import BOUND, Site, StandInCache, accepting, until
 from tests.test_client_disconnects import driven  # noqa: F401 (a fixture)
-from tests.test_endings import COPY_FIELDS, going_on, suspend_front
+from tests.test_endings import COPY_FIELDS, resume_front, suspend_front
 
 SOCKETS = 120
 FLOOD = 300
@@ -89,7 +89,7 @@
             suspend_front(site)
         crowd = crowd_of(site, asking)
         if burst and not asking:
-            going_on(site)
+            resume_front(site)
         until(lambda: site.health()[0] == 200)  # behind all of them
         until(lambda: alive(crowd) <= CLIENTS)
         assert site.health()[0] == 200  # whatever else was to be closed has been
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -71,7 +71,7 @@
         until(lambda: file.seek(0) or file.read().rpartition(")")[2].split()[0] == "T")
 
 
-def going_on(site):
+def resume_front(site):
     site.process.send_signal(signal.SIGCONT)
 
 
@@ -415,7 +415,7 @@
         suspend_front(site)
         asked.answer("DONE")
         asked.hang_up()
-        going_on(site)
+        resume_front(site)
         assert viewer.answer()[0] == 200
 
 
@@ -441,7 +441,7 @@
         asked = site.cache.next()
         suspend_front(site)
         asked.answer("DONE", COPY_FIELDS, b"z" * 240_000)
-        going_on(site)
+        resume_front(site)
         viewer.socket.recv(1, socket.MSG_PEEK)  # the answer has begun, most of it is held
         viewer.raw("GET /invoke/video/1 HTTP/1.1\r\n")  # unread at the close, these reset the connection
         until(lambda: site.health()[0] == 200)
@@ -504,7 +504,7 @@
         suspend_front(site)
         viewer, before = site.viewer().send("/invoke/tarea/1", b"mine"), time.monotonic()
         until(lambda: time.monotonic() - before > 0.4)  # it is past the time when the front wakes
-        going_on(site)
+        resume_front(site)
         site.origin.next().answer("DONE")
         assert viewer.answer()[0] == 200
         assert site.process.wait(BOUND) == 0
@@ -536,7 +536,7 @@
         suspend_front(site)
         for number in (signal.SIGTERM, signal.SIGHUP, signal.SIGTERM):
             site.process.send_signal(number)
-        going_on(site)
+        resume_front(site)
         until(lambda: any("event=leaving" in line for line in site.said))
         asked.answer("DONE", COPY_FIELDS, b"x")
         assert viewer.answer()[2] == b"x"
--- a/tests/test_terms_standstill.py
+++ b/tests/test_terms_standstill.py
@@ -20,7 +20,7 @@
 from limepath.interface.events import AttemptEnded, AttemptOutcome, PurgeAnnounced, RequestArrived
 from tests.stand_ins import SETTINGS, Site, StandInChangeLog, until
 from tests.test_client_disconnects import driven  # noqa: F401 (a fixture)
-from tests.test_endings import COPY_FIELDS, ForwardingDecisions, going_on, parts, suspend_front, up
+from tests.test_endings import COPY_FIELDS, ForwardingDecisions, parts, resume_front, suspend_front, up
 
 SLACK_MS = 150  # the operators' notes: of the time passed to a server, over what the client has left
 
@@ -57,7 +57,7 @@
     sent = time.monotonic()
     passed(sent, 1)
     stood = time.monotonic() - sent
-    going_on(site)
+    resume_front(site)
     return viewer, sent, stood
 
 
@@ -88,7 +88,7 @@
             suspend_front(site)
             viewer.send(txn="00000000000000ab")
             passed(connected, 5.4 if asked_before else 2.6)
-            going_on(site)
+            resume_front(site)
             site.cache.next().answer("DONE", COPY_FIELDS, b"y")
             assert viewer.answer()[::2] == (200, b"y"), asked_before
 
@@ -110,7 +110,7 @@
         passed(began, 2.9)
         for number, viewer in enumerate(viewers):
             viewer.send(f"/invoke/video/{number}", txn=f"{number + 100:016x}")
-        going_on(site)
+        resume_front(site)
         for _ in viewers:
             asked = site.cache.next()
             assert asked.cache == "s-2"
