--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -26,7 +26,7 @@
     COPY_FIELDS,
     LONG_WAIT,
     ForwardingDecisions,
-    parts,
+    build_front,
     resume_front,
     slow_to_read,
     suspend_front,
@@ -225,7 +225,7 @@
 
     def __init__(self, **limits):
         self.front, self.reactor, self.ready = OrderingAt(), EPollReactor(), EndpointState.READY
-        _, self.clients, self.servers, _ = parts(self.front, self.reactor, **limits)
+        _, self.clients, self.servers, _ = build_front(self.front, self.reactor, **limits)
         self.clients.services[b"tarea"] = (1, True, 5_000_000)
         self.listener = socket.socket()
         self.listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -244,7 +244,7 @@
         ]
 
 
-def parts(front, reactor=None, **limits):
+def build_front(front, reactor=None, **limits):
     """The front's parts on a reactor of the test's own, and a way to send one GET in."""
     reactor, limits = (
         reactor or MemoryReactorClock(),
@@ -291,7 +291,7 @@
         self.aborted = True
 
 
-def up(servers, transport=None):
+def open_connection(servers, transport=None):
     """A connection to member 1 comes up; give it."""
     peer = servers.endpoints[1]
     peer.connecting += 1
@@ -304,13 +304,13 @@
 
 def test_the_wait_is_counted_at_the_moment_of_the_send_not_by_the_timer_alone(monkeypatch):
     front = ForwardingDecisions(send_within=40_000)
-    _, _, servers, get = parts(front)
+    _, _, servers, get = build_front(front)
     waiting = get()
     now = waiting.attempts[0].started_at
     monkeypatch.setattr(
         server_endpoint, "clock", lambda: now + 41_000
     )  # the process stood still, its timer is not yet run
-    connection = up(servers)
+    connection = open_connection(servers)
     assert connection.transport.value() == b""
     servers.reactor.advance(0)
     assert [note.outcome for note in front.heard if isinstance(note, AttemptEnded)] == [
@@ -319,7 +319,7 @@
 
 
 def test_a_connection_that_comes_up_once_its_member_has_gone_takes_nothing():
-    _, _, servers, get = parts(ForwardingDecisions())
+    _, _, servers, get = build_front(ForwardingDecisions())
     get()
     peer, old = servers.endpoints[1], ServerConnection(servers.endpoints[1])
     servers.update_endpoint(
@@ -328,13 +328,15 @@
     old.makeConnection(CacheTransport())
     peer.connected(old)
     assert old.transport.value() == b"" and old.transport.disconnecting
-    assert b"ASK" in up(servers).transport.value()
+    assert b"ASK" in open_connection(servers).transport.value()
 
 
 def test_a_put_half_written_when_its_client_leaves_never_becomes_whole():
     front = ForwardingDecisions()
-    _, clients, servers, get = parts(front)
-    connection = up(servers, CacheTransport(taken=20))  # the cache does not read: the system takes no more
+    _, clients, servers, get = build_front(front)
+    connection = open_connection(
+        servers, CacheTransport(taken=20)
+    )  # the cache does not read: the system takes no more
     waiting = get()
     assert connection.transport.dataBuffer
     clients.client_disconnected(waiting)
@@ -347,8 +349,8 @@
 
 def test_a_request_that_a_cache_never_read_whole_has_not_run_when_its_time_is_over():
     front = ForwardingDecisions()
-    reactor, clients, servers, get = parts(front)
-    connection = up(servers, CacheTransport(taken=20))
+    reactor, clients, servers, get = build_front(front)
+    connection = open_connection(servers, CacheTransport(taken=20))
     get()
     reactor.advance(0.9)
     reactor.advance(0)
@@ -360,7 +362,7 @@
 
 def test_news_of_one_pass_comes_before_what_is_decided_by_it():
     front = ForwardingDecisions()
-    reactor, clients, _, _ = parts(front)
+    reactor, clients, _, _ = build_front(front)
     decision_loop = clients.decision_loop
     left, roster, purge = (
         ClientDisconnected(1),
@@ -513,7 +515,7 @@
 def test_a_last_answer_that_is_taken_slowly_keeps_the_front_up_for_as_long_as_any_may_take():
     told = front_settings(configuration(free_address()), {})
     assert told.limits.last_call == max(one.deadline for one in told.arguments["services"])
-    reactor, clients, _, _ = parts(ForwardingDecisions(), last_call=5_000_000)
+    reactor, clients, _, _ = build_front(ForwardingDecisions(), last_call=5_000_000)
     clients.listener.port = SimpleNamespace(
         doRead=lambda: None, stopListening=lambda: None, socket=listening()
     )
--- a/tests/test_terms_standstill.py
+++ b/tests/test_terms_standstill.py
@@ -20,7 +20,14 @@
 from limepath.interface.events import AttemptEnded, AttemptOutcome, PurgeAnnounced, RequestArrived
 from tests.stand_ins import SETTINGS, Site, StandInChangeLog, until
 from tests.test_client_disconnects import driven  # noqa: F401 (a fixture)
-from tests.test_endings import COPY_FIELDS, ForwardingDecisions, parts, resume_front, suspend_front, up
+from tests.test_endings import (
+    COPY_FIELDS,
+    ForwardingDecisions,
+    build_front,
+    open_connection,
+    resume_front,
+    suspend_front,
+)
 
 SLACK_MS = 150  # the operators' notes: of the time passed to a server, over what the client has left
 
@@ -189,8 +196,8 @@
         for module in (attempt, server_endpoint, server_protocol, client_request, clients, decision_loop):
             monkeypatch.setattr(module, "clock", lambda now=now: now[0])
         front = Late(now, takes, send_within=40_000)
-        _, _, servers, get = parts(front)
-        connection = up(servers)
+        _, _, servers, get = build_front(front)
+        connection = open_connection(servers)
         get()
         assert (connection.transport.value() != b"") == sent
         if not sent:
