--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -28,9 +28,9 @@
     ForwardingDecisions,
     build_front,
     resume_front,
-    slow_to_read,
+    slow_reader,
     suspend_front,
-    with_effect,
+    with_write_settings,
 )
 
 LATE = 0.15  # seconds that a client has been gone when the front wakes; 0.1 are allowed
@@ -136,7 +136,7 @@
 
 @pytest.mark.parametrize("effect", ["free", "single_shot", "guarded"])
 def test_a_connection_comes_up_together_with_the_end_of_the_client_whose_request_waits_for_it(effect):
-    with Site(settings=with_effect(LONG_WAIT, idempotency=effect)) as site:
+    with Site(settings=with_write_settings(LONG_WAIT, idempotency=effect)) as site:
         target, member, body = (
             ("/invoke/video/1", site.cache, None)
             if effect == "free"
@@ -167,7 +167,7 @@
 def test_a_request_behind_an_answer_that_gets_stuck_is_not_open_on_a_connection_that_is_not_read():
     body = b"z" * 240_000
     with Site() as site:
-        viewer = slow_to_read(site)
+        viewer = slow_reader(site)
         asked = site.cache.next()
         whole = b"%s DONE %s %d\r\n%s\r\n" % (asked.id.encode(), COPY_FIELDS.encode(), len(body), body)
         asked.connection.sendall(whole[:-2])
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -59,7 +59,7 @@
 }
 
 
-def with_effect(settings, **changes):
+def with_write_settings(settings, **changes):
     video, tarea = settings["classes"]
     return settings | {"classes": [video, tarea | changes]}
 
@@ -87,7 +87,7 @@
 
 @pytest.mark.parametrize("effect", ["single_shot", "guarded"])
 def test_a_client_that_leaves_while_its_put_waits_for_a_connection_is_not_sent_on(effect):
-    with Site(settings=with_effect(LONG_WAIT, idempotency=effect)) as site:
+    with Site(settings=with_write_settings(LONG_WAIT, idempotency=effect)) as site:
         site.origin.crowd()
         viewer = site.viewer().send("/invoke/tarea/0000000000000001", b"left")
         site.origin.called_in_vain()
@@ -183,7 +183,9 @@
 
 
 def test_a_repeat_by_token_that_waits_past_its_window_is_not_sent():
-    told = with_effect(LONG_WAIT, idempotency="guarded", **{"repeat-window": 900 * MS, "key-scope": "all"})
+    told = with_write_settings(
+        LONG_WAIT, idempotency="guarded", **{"repeat-window": 900 * MS, "key-scope": "all"}
+    )
     with Site(settings=told) as site:
         viewer = site.viewer().send("/invoke/tarea/0000000000000001", b"once", ttl=4000, X_Txn_Key="91e82ce1")
         asked, ran = site.origin.next(), time.monotonic()
@@ -197,7 +199,9 @@
 
 
 def test_within_its_window_a_repeat_by_token_goes_out_once_more():
-    told = with_effect(SETTINGS, idempotency="guarded", **{"repeat-window": 60_000 * MS, "key-scope": "all"})
+    told = with_write_settings(
+        SETTINGS, idempotency="guarded", **{"repeat-window": 60_000 * MS, "key-scope": "all"}
+    )
     with Site(settings=told) as site:
         viewer = site.viewer().send(
             "/invoke/tarea/0000000000000001", b"once", X_Txn_Key="91e82ce155b7e128e0c16bd0886c0fa7"
@@ -218,7 +222,9 @@
 
 
 def test_without_a_token_what_may_have_run_is_not_repeated():
-    told = with_effect(SETTINGS, idempotency="guarded", **{"repeat-window": 60_000 * MS, "key-scope": "all"})
+    told = with_write_settings(
+        SETTINGS, idempotency="guarded", **{"repeat-window": 60_000 * MS, "key-scope": "all"}
+    )
     with Site(settings=told) as site:
         viewer = site.viewer().send("/invoke/tarea/0000000000000001", b"once")
         asked = site.origin.next()
@@ -424,7 +430,7 @@
 # Connections of clients
 
 
-def slow_to_read(site, **fields):
+def slow_reader(site, **fields):
     """A viewer whose system takes little ahead of it, with a GET sent."""
     host, port = site.where.split(":")
     one = Viewer.__new__(Viewer)
@@ -439,7 +445,7 @@
 
 def test_bytes_behind_a_last_answer_do_not_cut_it_short():
     with Site() as site:
-        viewer = slow_to_read(site, Connection="close")
+        viewer = slow_reader(site, Connection="close")
         asked = site.cache.next()
         suspend_front(site)
         asked.answer("DONE", COPY_FIELDS, b"z" * 240_000)
@@ -472,7 +478,7 @@
 
 def test_half_closed_clients_still_get_the_answer_that_is_held_for_them():
     with Site() as site:
-        viewer = slow_to_read(site)
+        viewer = slow_reader(site)
         asked = site.cache.next()
         asked.answer("DONE", COPY_FIELDS, b"z" * 240_000)
         viewer.socket.recv(1, socket.MSG_PEEK)
