--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -1,5 +1,6 @@
-"""What is still owed in the instant in which something ends. On real sockets; the crossing is forced, not
-hoped for.
+"""Tests of races with the end of a connection, client, endpoint or process.
+
+They use real sockets and force the order of events by suspending the front or by filling accept queues.
 """
 
 import json
@@ -51,7 +52,7 @@
 )
 
 COPY_FIELDS = "rev=4be0c1927d55a6f3,since=1764576000123"
-# forwards may wait for a connection for 5 s here, so that the system's second call comes up within it
+# An attempt may wait 5 s for a connection, so that the first SYN retransmission, after 1 s, can succeed.
 LONG_WAIT = SETTINGS | {
     "limits": SETTINGS["limits"] | {"connect-timeout": 5000 * MS},
     "safety": SETTINGS["safety"] | {"drain-grace": 5000 * MS},
@@ -65,7 +66,7 @@
 
 
 def suspend_front(site):
-    """The front stands still until it is told to go on."""
+    """Stop the front's process with SIGSTOP until `resume_front`."""
     site.process.send_signal(signal.SIGSTOP)
     with open(f"/proc/{site.process.pid}/stat", encoding="ascii") as file:
         until(lambda: file.seek(0) or file.read().rpartition(")")[2].split()[0] == "T")
@@ -76,23 +77,23 @@
 
 
 def established(where):
-    """How many connections to this address the system has accepted."""
+    """Return how many connections to this address are established."""
     port = f":{int(where.rpartition(':')[2]):04X}"
     with open("/proc/net/tcp", encoding="ascii") as file:
         return sum(line.split()[1].endswith(port) and line.split()[3] == "01" for line in file)
 
 
-# Requests that wait
+# Requests in the queue for a connection
 
 
 @pytest.mark.parametrize("effect", ["single_shot", "guarded"])
-def test_a_client_that_leaves_while_its_put_waits_for_a_connection_is_not_sent_on(effect):
+def test_a_queued_put_is_not_sent_after_its_client_disconnects(effect):
     with Site(settings=with_write_settings(LONG_WAIT, idempotency=effect)) as site:
         site.origin.crowd()
         viewer = site.viewer().send("/invoke/tarea/0000000000000001", b"left")
         site.origin.called_in_vain()
         viewer.close()
-        assert site.health()[0] == 200  # a later connection is served, so this one's end has been read
+        assert site.health()[0] == 200  # a later connection was served, so the disconnect has been read
         site.origin.uncrowd()
         stays = site.viewer().send("/invoke/tarea/0000000000000002", b"stays", txn="00000000000000fe")
         asked = site.origin.next()
@@ -101,9 +102,9 @@
         assert stays.answer()[0] == 200 and site.origin.asked.empty()
 
 
-def test_a_client_that_leaves_takes_its_get_along_where_nothing_can_be_withdrawn():
-    told = LONG_WAIT | {"limits": LONG_WAIT["limits"] | {"cancel": False}}
-    with Site(settings=told) as site:
+def test_a_queued_get_is_not_sent_after_its_client_disconnects_without_cancellation():
+    settings = LONG_WAIT | {"limits": LONG_WAIT["limits"] | {"cancel": False}}
+    with Site(settings=settings) as site:
         site.cache.crowd()
         viewer = site.viewer().send()
         site.cache.called_in_vain()
@@ -117,10 +118,10 @@
         assert stays.answer()[2] == b"x"
 
 
-def test_a_drain_told_while_a_get_waits_for_its_connection_keeps_it_from_going_out():
+def test_a_queued_get_is_not_sent_to_an_endpoint_that_begins_to_drain():
     with Site(settings=LONG_WAIT) as site:
         site.log.called()
-        site.cache.asked = site.parent.asked = queue.Queue()  # one queue for both
+        site.cache.asked = site.parent.asked = queue.Queue()  # one queue for both, to learn which is asked
         site.cache.crowd()
         viewer = site.viewer().send()
         site.cache.called_in_vain()
@@ -129,24 +130,23 @@
         )
         site.log.tell(
             9, invalidate={"bucket": 3, "time": 0}
-        )  # a gap has it called anew: the drain has been read
+        )  # the gap makes the front reconnect, which shows that it has read the drain
         assert site.log.called() == 2
         site.cache.uncrowd()
         asked = site.cache.next()
-        assert (
-            asked.cache == "p-1"
-        )  # sent by the old order, it reached the draining one a second after it was told
+        # By the old command, it would reach the draining cache a second after the drain was published.
+        assert asked.cache == "p-1"
         asked.answer("DONE", COPY_FIELDS, b"x")
         assert viewer.answer()[2] == b"x"
 
 
-def test_a_drain_of_the_fill_source_is_heeded_by_a_get_that_waits():
+def test_a_queued_get_is_decided_again_when_its_fill_source_drains():
     with Site(settings=LONG_WAIT) as site:
         site.log.called()
         viewer = site.viewer().send()
-        looked = site.cache.next()
+        lookup = site.cache.next()
         site.cache.crowd()
-        looked.answer("LACK")  # an id goes out once on each connection: the fill needs another one
+        lookup.answer("LACK")  # the fill needs another connection: a tag is sent once per connection
         site.cache.called_in_vain()
         site.log.tell(
             2, fleet={"revision": 2, "complete": False, "members": [site.parent.entry("terminating")]}
@@ -155,7 +155,7 @@
         assert site.log.called() == 2
         site.cache.uncrowd()
         again = site.cache.next()
-        assert "up" not in again.fields  # decided anew: a look first, and not the fill by the old order
+        assert "up" not in again.fields  # a new decision: a lookup, not the fill by the old command
         again.answer("LACK")
         asked = site.cache.next()
         assert asked.fields["up"] == "o-1"
@@ -163,14 +163,14 @@
         assert viewer.answer()[2] == b"x"
 
 
-def test_a_purge_told_while_a_get_waits_is_in_what_goes_out():
+def test_a_purge_limits_the_age_of_a_get_that_was_queued_before_it():
     with Site(settings=LONG_WAIT) as site:
         site.log.called()
         site.cache.crowd()
         viewer = site.viewer().send()
         site.cache.called_in_vain()
         now = int(time.time() * 1000)
-        site.log.tell(2, invalidate={"bucket": 4, "time": now})  # what ages count from
+        site.log.tell(2, invalidate={"bucket": 4, "time": now})  # sets the reference clock
         site.log.tell(3, invalidate={"bucket": 17, "time": now - 60_000})
         site.log.tell(9, invalidate={"bucket": 3, "time": 0})
         assert site.log.called() == 3
@@ -182,34 +182,33 @@
         assert viewer.answer()[2] == b"x"
 
 
-def test_a_repeat_by_token_that_waits_past_its_window_is_not_sent():
-    told = with_write_settings(
+def test_a_queued_retry_by_idempotency_key_is_not_sent_after_its_window():
+    settings = with_write_settings(
         LONG_WAIT, idempotency="guarded", **{"repeat-window": 900 * MS, "key-scope": "all"}
     )
-    with Site(settings=told) as site:
+    with Site(settings=settings) as site:
         viewer = site.viewer().send("/invoke/tarea/0000000000000001", b"once", ttl=4000, X_Txn_Key="91e82ce1")
-        asked, ran = site.origin.next(), time.monotonic()
+        asked, received_at = site.origin.next(), time.monotonic()
         site.origin.crowd()
-        asked.hang_up()  # it may have run; the repeat has no connection
+        asked.hang_up()  # the write may have run; its retry has no connection
         site.origin.called_in_vain()
-        until(lambda: time.monotonic() - ran > 0.95)
-        site.origin.uncrowd()  # from now on it could be sent, past its window
-        assert viewer.answer()[0] == 503  # any member knows the token, so its client may repeat it
+        until(lambda: time.monotonic() - received_at > 0.95)
+        site.origin.uncrowd()  # the retry could be sent now, but its window has passed
+        assert viewer.answer()[0] == 503  # the key is valid at all endpoints, so the client may retry
         assert site.origin.asked.empty()
 
 
-def test_within_its_window_a_repeat_by_token_goes_out_once_more():
-    told = with_write_settings(
+def test_a_retry_by_idempotency_key_is_sent_within_its_window():
+    settings = with_write_settings(
         SETTINGS, idempotency="guarded", **{"repeat-window": 60_000 * MS, "key-scope": "all"}
     )
-    with Site(settings=told) as site:
+    with Site(settings=settings) as site:
         viewer = site.viewer().send(
             "/invoke/tarea/0000000000000001", b"once", X_Txn_Key="91e82ce155b7e128e0c16bd0886c0fa7"
         )
         asked = site.origin.next()
-        assert (
-            asked.fields["uniq"] == "91e82ce155b7e128e0c16bd0886c0fa7"
-        )  # left out, the origin knows no repeat again
+        # Without the key, the origin could not recognize the retry.
+        assert asked.fields["uniq"] == "91e82ce155b7e128e0c16bd0886c0fa7"
         asked.hang_up()
         asked = site.origin.next()
         assert (asked.id, asked.body, asked.fields["uniq"]) == (
@@ -221,11 +220,11 @@
         assert viewer.answer()[0] == 200
 
 
-def test_without_a_token_what_may_have_run_is_not_repeated():
-    told = with_write_settings(
+def test_a_write_without_idempotency_key_is_not_retried_if_it_may_have_run():
+    settings = with_write_settings(
         SETTINGS, idempotency="guarded", **{"repeat-window": 60_000 * MS, "key-scope": "all"}
     )
-    with Site(settings=told) as site:
+    with Site(settings=settings) as site:
         viewer = site.viewer().send("/invoke/tarea/0000000000000001", b"once")
         asked = site.origin.next()
         assert "uniq" not in asked.fields
@@ -236,22 +235,22 @@
 
 
 class ForwardingDecisions:
-    """A module that forwards each GET to member 1, and keeps what it hears."""
+    """Decisions that forward each request to endpoint 1, and record all events."""
 
-    def __init__(self, **order):
-        self.order, self.heard = order, []
+    def __init__(self, **command_fields):
+        self.command_fields, self.heard = command_fields, []
 
-    def handle(self, now, notes):
-        self.heard += notes
+    def handle(self, now, events):
+        self.heard += events
         return [
-            ForwardRequest(note.id, 1, 0, 1, 0, 0, **self.order)
-            for note in notes
-            if isinstance(note, RequestArrived)
+            ForwardRequest(event.id, 1, 0, 1, 0, 0, **self.command_fields)
+            for event in events
+            if isinstance(event, RequestArrived)
         ]
 
 
 def build_front(front, reactor=None, **limits):
-    """The front's parts on a reactor of the test's own, and a way to send one GET in."""
+    """Build a front on an in-memory reactor; return its parts and a function that receives one GET."""
     reactor, limits = (
         reactor or MemoryReactorClock(),
         plan_limits(1024, 192, 32, **{"open_requests": 9} | limits),
@@ -281,7 +280,7 @@
 
 
 class CacheTransport(StringTransport):
-    """Of a connection to a cache: hands `taken` bytes to the system, keeps the rest."""
+    """Transport of a connection to a cache whose kernel accepts only the first `taken` bytes."""
 
     def __init__(self, taken=10**9):
         super().__init__()
@@ -298,62 +297,60 @@
 
 
 def open_connection(servers, transport=None):
-    """A connection to member 1 comes up; give it."""
-    peer = servers.endpoints[1]
-    peer.connecting += 1
+    """Establish a connection to endpoint 1 and return it."""
+    endpoint = servers.endpoints[1]
+    endpoint.connecting += 1
     servers.connection_count += 1
-    connection = ServerConnection(peer)
+    connection = ServerConnection(endpoint)
     connection.makeConnection(transport or CacheTransport())
-    peer.connected(connection)
+    endpoint.connected(connection)
     return connection
 
 
-def test_the_wait_is_counted_at_the_moment_of_the_send_not_by_the_timer_alone(monkeypatch):
+def test_the_wait_limit_is_checked_when_sending_not_only_by_its_timer(monkeypatch):
     front = ForwardingDecisions(send_within=40_000)
     _, _, servers, get = build_front(front)
     waiting = get()
     now = waiting.attempts[0].started_at
-    monkeypatch.setattr(
-        server_endpoint, "clock", lambda: now + 41_000
-    )  # the process stood still, its timer is not yet run
+    # The process was suspended, so the timer has not been run yet.
+    monkeypatch.setattr(server_endpoint, "clock", lambda: now + 41_000)
     connection = open_connection(servers)
     assert connection.transport.value() == b""
     servers.reactor.advance(0)
-    assert [note.outcome for note in front.heard if isinstance(note, AttemptEnded)] == [
+    assert [event.outcome for event in front.heard if isinstance(event, AttemptEnded)] == [
         AttemptOutcome.CONNECT_FAILED
     ]
 
 
-def test_a_connection_that_comes_up_once_its_member_has_gone_takes_nothing():
+def test_a_connection_to_a_former_incarnation_is_not_used():
     _, _, servers, get = build_front(ForwardingDecisions())
     get()
-    peer, old = servers.endpoints[1], ServerConnection(servers.endpoints[1])
+    endpoint, old = servers.endpoints[1], ServerConnection(servers.endpoints[1])
     servers.update_endpoint(
         1, "s-1", ("127.0.0.1", 9), 7, EndpointState.READY
-    )  # started anew, at the address of the old one
+    )  # a new incarnation at the same address
     old.makeConnection(CacheTransport())
-    peer.connected(old)
+    endpoint.connected(old)
     assert old.transport.value() == b"" and old.transport.disconnecting
     assert b"ASK" in open_connection(servers).transport.value()
 
 
-def test_a_put_half_written_when_its_client_leaves_never_becomes_whole():
+def test_a_partly_sent_attempt_is_aborted_when_its_client_disconnects():
     front = ForwardingDecisions()
     _, clients, servers, get = build_front(front)
-    connection = open_connection(
-        servers, CacheTransport(taken=20)
-    )  # the cache does not read: the system takes no more
+    # The cache does not read, so the kernel accepts 20 bytes only.
+    connection = open_connection(servers, CacheTransport(taken=20))
     waiting = get()
     assert connection.transport.dataBuffer
     clients.client_disconnected(waiting)
     assert connection.transport.aborted
     servers.reactor.advance(0)
-    assert [note.outcome for note in front.heard if isinstance(note, AttemptEnded)] == [
+    assert [event.outcome for event in front.heard if isinstance(event, AttemptEnded)] == [
         AttemptOutcome.SUPERSEDED
     ]
 
 
-def test_a_request_that_a_cache_never_read_whole_has_not_run_when_its_time_is_over():
+def test_a_partly_sent_attempt_counts_as_not_executed_at_its_deadline():
     front = ForwardingDecisions()
     reactor, clients, servers, get = build_front(front)
     connection = open_connection(servers, CacheTransport(taken=20))
@@ -361,35 +358,37 @@
     reactor.advance(0.9)
     reactor.advance(0)
     assert connection.transport.aborted
-    assert [note.outcome for note in front.heard if isinstance(note, AttemptEnded)] == [
+    assert [event.outcome for event in front.heard if isinstance(event, AttemptEnded)] == [
         AttemptOutcome.CONNECT_FAILED
     ]
 
 
-def test_news_of_one_pass_comes_before_what_is_decided_by_it():
+def test_list_and_purge_events_precede_client_events_of_the_same_iteration():
     front = ForwardingDecisions()
     reactor, clients, _, _ = build_front(front)
     decision_loop = clients.decision_loop
-    left, roster, purge = (
+    disconnect, list_update, purge = (
         ClientDisconnected(1),
         EndpointListUpdated(UpdateKind.DELTA, 2, ()),
         PurgeAnnounced(1, 0, 0),
     )
-    decision_loop.gather(left, roster)
+    decision_loop.gather(disconnect, list_update)
     decision_loop.gather(purge)
     reactor.advance(0)
-    assert front.heard == [roster, purge, left]
+    assert front.heard == [list_update, purge, disconnect]
 
 
 # Answers of caches
 
 
-@pytest.mark.parametrize("begun", [b"ID DONE rev=4b,since=1764576000123 10\r\nabc", b"ID DONE rev=4b,si"])
-def test_behind_an_answer_that_breaks_off_nothing_else_is_sent(begun):
+@pytest.mark.parametrize(
+    "partial_answer", [b"ID DONE rev=4b,since=1764576000123 10\r\nabc", b"ID DONE rev=4b,si"]
+)
+def test_a_connection_with_a_truncated_answer_is_not_reused(partial_answer):
     with Site() as site:
         viewer = site.viewer().send(ttl=300)
         asked = site.cache.next()
-        asked.connection.sendall(begun.replace(b"ID", asked.id.encode()))
+        asked.connection.sendall(partial_answer.replace(b"ID", asked.id.encode()))
         assert viewer.answer()[0] == 503
         other = site.viewer().send(txn="00000000000000fe")
         while (again := site.cache.asked.get(timeout=BOUND)).word != "ASK":
@@ -399,24 +398,22 @@
         assert other.answer()[2] == b"mine"
 
 
-def test_half_a_line_on_a_resting_connection_spoils_no_later_put():
+def test_a_connection_with_stray_bytes_is_not_used_for_a_later_put():
     with Site() as site:
         viewer = site.viewer().send("/invoke/tarea/0000000000000001", b"mine")
         asked = site.origin.next()
-        asked.connection.sendall(
-            b"%s DONE - 0\r\n\r\nID DO" % asked.id.encode()
-        )  # whole, and half of a second one
+        # A complete answer, and the beginning of a second one.
+        asked.connection.sendall(b"%s DONE - 0\r\n\r\nID DO" % asked.id.encode())
         assert viewer.answer()[0] == 200
         viewer.send("/invoke/tarea/0000000000000001", b"next", txn="00000000000000fe")
         again = site.origin.next()
         assert again.connection is not asked.connection
         again.answer("DONE")
-        assert (
-            viewer.answer()[0] == 200
-        )  # read behind the half line its answer was none, and it may have run: 502
+        # On the first connection, the stray bytes would corrupt the answer, and the client would get 502.
+        assert viewer.answer()[0] == 200
 
 
-def test_an_answer_in_the_same_read_as_the_end_counts():
+def test_an_answer_read_together_with_the_end_of_the_connection_counts():
     with Site() as site:
         viewer = site.viewer().send("/invoke/tarea/0000000000000001", b"mine")
         asked = site.origin.next()
@@ -431,52 +428,52 @@
 
 
 def slow_reader(site, **fields):
-    """A viewer whose system takes little ahead of it, with a GET sent."""
+    """Return a client with small receive buffers that has sent a GET."""
     host, port = site.where.split(":")
-    one = Viewer.__new__(Viewer)
-    one.socket = socket.socket()
-    one.socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-    one.socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_MAXSEG, 536)  # else its sender's buffer takes a MB
-    one.socket.settimeout(BOUND)
-    one.socket.connect((host, int(port)))
-    one.stream = one.socket.makefile("rb")
-    return one.send(**fields)
-
-
-def test_bytes_behind_a_last_answer_do_not_cut_it_short():
+    viewer = Viewer.__new__(Viewer)
+    viewer.socket = socket.socket()
+    viewer.socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
+    # With the default segment size, the sender's buffer takes a megabyte.
+    viewer.socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_MAXSEG, 536)
+    viewer.socket.settimeout(BOUND)
+    viewer.socket.connect((host, int(port)))
+    viewer.stream = viewer.socket.makefile("rb")
+    return viewer.send(**fields)
+
+
+def test_bytes_received_after_the_last_request_do_not_truncate_its_response():
     with Site() as site:
         viewer = slow_reader(site, Connection="close")
         asked = site.cache.next()
         suspend_front(site)
         asked.answer("DONE", COPY_FIELDS, b"z" * 240_000)
         resume_front(site)
-        viewer.socket.recv(1, socket.MSG_PEEK)  # the answer has begun, most of it is held
-        viewer.raw("GET /invoke/video/1 HTTP/1.1\r\n")  # unread at the close, these reset the connection
+        viewer.socket.recv(1, socket.MSG_PEEK)  # the response has begun; most of it is buffered
+        viewer.raw("GET /invoke/video/1 HTTP/1.1\r\n")  # bytes unread at the close would reset the connection
         until(lambda: site.health()[0] == 200)
         assert viewer.answer()[2] == b"z" * 240_000 and viewer.ended()
 
 
-def test_a_request_that_crosses_the_close_of_its_connection_is_never_sent_on():
+def test_a_request_that_crosses_the_close_of_its_connection_is_not_forwarded():
     with Site(limits={"leaving_ms": 200}) as site:
-        resting, busy = (
+        idle, busy = (
             site.viewer().send(),
             site.viewer().send("/invoke/tarea/1", b"x", txn="00000000000000fe"),
         )
         site.cache.next().answer("DONE", COPY_FIELDS)
-        assert resting.answer()[0] == 200
-        asked = site.origin.next()  # keeps the front from ending
+        assert idle.answer()[0] == 200
+        asked = site.origin.next()  # keeps the front running
         site.terminate()
-        assert resting.stream.read() == b""  # the front's end has come
-        resting.send(
-            "/invoke/tarea/1", b"y", txn="00000000000000ff"
-        )  # no reset, no answer: it may go elsewhere
-        resting.socket.shutdown(socket.SHUT_WR)
+        assert idle.stream.read() == b""  # the front has closed its side
+        # Neither a reset nor a response, so that the client may retry elsewhere.
+        idle.send("/invoke/tarea/1", b"y", txn="00000000000000ff")
+        idle.socket.shutdown(socket.SHUT_WR)
         asked.answer("DONE")
         assert busy.answer()[0] == 200
         assert site.process.wait(BOUND) == 0 and site.origin.asked.empty()
 
 
-def test_half_closed_clients_still_get_the_answer_that_is_held_for_them():
+def test_a_half_closed_client_receives_its_buffered_response():
     with Site() as site:
         viewer = slow_reader(site)
         asked = site.cache.next()
@@ -487,47 +484,47 @@
         assert viewer.answer()[2] == b"z" * 240_000
 
 
-def test_a_flood_of_slow_senders_does_not_shut_the_others_out():
+def test_slow_senders_do_not_exhaust_the_connections_of_other_clients():
     with Site(limits={"sockets": 100}) as site:  # 40 connections of clients
-        flood = [site.viewer().raw("GET /invoke/video/1 HTTP/1.1\r\n") for _ in range(40)]
+        slow_senders = [site.viewer().raw("GET /invoke/video/1 HTTP/1.1\r\n") for _ in range(40)]
         until(lambda: established(site.where) >= 40)
-        time.sleep(0.4)  # they have been half read for a while; what has just come is closed last
-        more = []
+        time.sleep(0.4)  # the connections with the oldest incomplete requests are closed first
+        others = []
         for number in range(20):
             viewer = site.viewer().send(txn=f"{number:016x}")
             site.cache.next().answer("DONE", COPY_FIELDS, b"x")
             assert viewer.answer()[2] == b"x"
-            more.append(viewer)
-        assert flood[0].ended()
+            others.append(viewer)
+        assert slow_senders[0].ended()
 
 
-# The end of the process
+# Shutdown and startup of the process
 
 
-def test_a_connection_that_the_system_accepted_before_the_front_shut_is_served():
+def test_a_connection_in_the_accept_queue_at_shutdown_is_served():
     with Site(limits={"leaving_ms": 300}) as site:
         site.terminate()
         while site.health()[0] == 200:
             pass
         suspend_front(site)
         viewer, before = site.viewer().send("/invoke/tarea/1", b"mine"), time.monotonic()
-        until(lambda: time.monotonic() - before > 0.4)  # it is past the time when the front wakes
+        until(lambda: time.monotonic() - before > 0.4)  # `leaving_ms` has passed when the front resumes
         resume_front(site)
         site.origin.next().answer("DONE")
         assert viewer.answer()[0] == 200
         assert site.process.wait(BOUND) == 0
 
 
-def test_a_last_answer_that_is_taken_slowly_keeps_the_front_up_for_as_long_as_any_may_take():
-    told = front_settings(configuration(free_address()), {})
-    assert told.limits.last_call == max(one.deadline for one in told.arguments["services"])
+def test_shutdown_waits_for_a_slow_reader_up_to_the_longest_deadline():
+    settings = front_settings(configuration(free_address()), {})
+    assert settings.limits.last_call == max(service.deadline for service in settings.arguments["services"])
     reactor, clients, _, _ = build_front(ForwardingDecisions(), last_call=5_000_000)
     clients.listener.port = SimpleNamespace(
         doRead=lambda: None, stopListening=lambda: None, socket=listening()
     )
-    taking = ClientConnection(clients)  # its answer is held
-    taking.state = ConnectionState.LINGERING
-    clients.connections.add(taking)
+    slow = ClientConnection(clients)  # its response is buffered
+    slow.state = ConnectionState.LINGERING
+    clients.connections.add(slow)
     clients.shutdown.start()
     reactor.advance(clients.limits.drain_period / 1e6)
     reactor.advance(0)
@@ -537,7 +534,7 @@
     assert clients.shutdown.finished.called
 
 
-def test_sigterm_twice_and_sighup_in_between_end_it_once_and_well():
+def test_repeated_sigterm_and_sighup_shut_down_once_without_faults():
     with Site(limits={"leaving_ms": 300}) as site:
         viewer = site.viewer().send()
         asked = site.cache.next()
@@ -552,7 +549,7 @@
         assert not [line for line in site.said if "fault" in line]
 
 
-def test_a_cache_that_hangs_does_not_keep_a_front_that_leaves_and_a_repeat_meanwhile_is_answered():
+def test_a_hanging_cache_does_not_delay_shutdown_and_retries_are_answered():
     with Site(limits={"leaving_ms": 2000}) as site:
         site.cache.deaf = site.parent.deaf = True
         viewer = site.viewer().send(ttl=1500)
@@ -566,8 +563,8 @@
         assert site.process.wait(BOUND) == 0
 
 
-def test_a_front_that_shuts_down_answers_before_it_is_killed_what_has_longer_than_that():
-    """Requests with a minute left on a hanging cache: one that was open, one that came after SIGTERM."""
+def test_shutdown_answers_requests_whose_deadline_is_after_the_kill():
+    """Two requests with a minute left at a hanging cache: one sent before SIGTERM and one after it."""
     assert front_settings(configuration("127.0.0.1:1", limits={}), {}).limits.last_answer == 3_600_000
     with Site(limits={"leaving_ms": 500, "sockets": 256}) as site:
         viewers = [site.viewer().send(), site.viewer()]
@@ -584,10 +581,10 @@
         assert site.process.wait(BOUND) == 0
 
 
-def test_a_write_that_may_have_run_is_failed_not_shed_when_its_front_shuts_down():
+def test_a_write_that_may_have_run_is_failed_not_shed_at_shutdown():
     with Site(limits={"leaving_ms": 300, "last_answer_ms": 600}) as site:
         viewer = site.viewer().send("/invoke/tarea/7f3a9c21e0b4d655", body=b"essay")
-        viewer.socket.settimeout(BOUND / 2)  # its own time is BOUND
+        viewer.socket.settimeout(BOUND / 2)  # the request itself has BOUND seconds
         asked = site.origin.next()
         site.terminate()
         assert viewer.answer()[0] == 502
@@ -595,7 +592,7 @@
         assert site.process.wait(BOUND) == 0
 
 
-def test_what_has_less_time_than_a_shutdown_leaves_keeps_it():
+def test_shutdown_does_not_extend_shorter_deadlines():
     with Site(limits={"leaving_ms": 300, "last_answer_ms": 1000 * BOUND}) as site:
         viewer = site.viewer().send(ttl=700)
         site.cache.next()
@@ -604,15 +601,15 @@
         assert site.process.wait(BOUND) == 0
 
 
-class Pipe:
-    """A configuration file that the front gets to read only when the test lets it."""
+class ConfigurationPipe:
+    """A configuration file, as a named pipe, that blocks the front until the test writes it."""
 
     def __init__(self, tmp_path):
         self.path = str(tmp_path / "front.json")
         os.mkfifo(self.path)
 
-    def hand_over(self, told, then, seconds=15):
-        """Once the front has the file open, do `then`, and let it read."""
+    def serve_once_opened(self, content, then, seconds=15):
+        """Wait until the front has opened the file, call `then`, and write the configuration."""
         end = time.monotonic() + seconds
         while True:
             try:
@@ -624,13 +621,13 @@
         os.set_blocking(opened, True)
         then()
         with os.fdopen(opened, "w") as file:
-            json.dump(told, file)
+            json.dump(content, file)
 
 
 @pytest.mark.parametrize("number", [signal.SIGHUP, signal.SIGTERM])
-def test_a_signal_that_comes_while_the_front_starts_is_kept(tmp_path, number):
-    pipe, first, second = Pipe(tmp_path), StandInChangeLog(), StandInChangeLog()
-    told = configuration(free_address(), changelog=address(first.listener))
+def test_a_signal_during_startup_is_handled(tmp_path, number):
+    pipe, first, second = ConfigurationPipe(tmp_path), StandInChangeLog(), StandInChangeLog()
+    original = configuration(free_address(), changelog=address(first.listener))
     process = subprocess.Popen(
         [sys.executable, "-m", "limepath"],
         stderr=subprocess.DEVNULL,
@@ -638,17 +635,17 @@
     )
     try:
 
-        def crossing():  # the front has the old file open and has read nothing of it
+        def replace_and_signal():  # the front has opened the old file and has not read it
             newer = tmp_path / "newer.json"
-            newer.write_text(json.dumps(told | {"changelog": address(second.listener)}))
+            newer.write_text(json.dumps(original | {"changelog": address(second.listener)}))
             os.replace(newer, pipe.path)
             process.send_signal(number)
 
-        pipe.hand_over(told, crossing)
-        if number == signal.SIGHUP:  # once ignored: the front would have followed the old log for ever
+        pipe.serve_once_opened(original, replace_and_signal)
+        if number == signal.SIGHUP:  # if it were lost, the front would watch the old list service forever
             assert second.calls.get(timeout=15) == 0
         else:
-            assert process.wait(BOUND) == 0  # what the system accepted meanwhile has had its answer
+            assert process.wait(BOUND) == 0  # connections accepted meanwhile have been answered
     finally:
         process.kill()
         process.wait()
