--- a/tests/test_terms_answers.py
+++ b/tests/test_terms_answers.py
@@ -1,5 +1,7 @@
-"""Terms on answers: whole and unchanged, at the protocol's largest sizes; a client's copy is current only if
-a cache has named that copy to it.
+"""Tests of the guarantees on answers.
+
+Answers and writes are forwarded complete and unchanged up to the protocol's largest sizes. A client gets
+304 only if a cache has confirmed the tag of the client's copy.
 """
 
 import socket
@@ -12,23 +14,23 @@
 TAG = "4be0c1927d55a6f3"
 
 
-def test_a_copy_is_current_only_if_the_cache_named_that_copy():
-    """KEEP with the tag of another copy, on the first attempt and on a further one, in a row."""
-    for named in ("4be0c1927d55a6f4", "4BE0C1927D55A6F3", "4be0c1927d55a6f"):
+def test_a_keep_answer_with_another_tag_is_rejected():
+    """The cache answers KEEP with the tag of another copy on two attempts in a row."""
+    for tag in ("4be0c1927d55a6f4", "4BE0C1927D55A6F3", "4be0c1927d55a6f"):
         with Site() as site:
             viewer = site.viewer().send(If_None_Match=f'"{TAG}"')
             for _ in range(2):
                 asked = site.cache.asked.get(timeout=10)
                 assert asked.fields["inm"] == TAG
-                asked.answer("KEEP", f"rev={named},since=1764576000123")
-            fill = site.parent.next()  # two broken answers: the cache is passed over
+                asked.answer("KEEP", f"rev={tag},since=1764576000123")
+            fill = site.parent.next()  # after two corrupt answers, the cache is bypassed
             fill.answer("KEEP", f"rev={TAG},since=1764576000123")
             status, fields, body = viewer.answer()
             assert (status, fields["etag"], body) == (304, f'"{TAG}"', b"")
 
 
-def test_the_largest_objects_and_writes_pass_whole_and_unchanged():
-    """240,000 bytes out and 48,000 in, of any value; one byte more of a write is refused, not cut."""
+def test_the_largest_objects_and_writes_are_forwarded_unchanged():
+    """Objects of 240,000 and writes of 48,000 bytes, of all byte values; a larger write is refused."""
     answer, write = bytes(range(256)) * 937 + bytes(128), bytes(range(255, -1, -1)) * 187 + bytes(128)
     assert (len(answer), len(write)) == (240_000, 48_000)
     with Site() as site:
@@ -40,12 +42,12 @@
         assert asked.body == write
         asked.answer("DONE", "-", answer)
         assert viewer.answer()[::2] == (200, answer)
-        over = site.viewer().send("/invoke/tarea/1", write + b"x", txn="00000000000000ac")
-        assert over.answer()[0] == 413 and site.origin.asked.empty()
+        too_large = site.viewer().send("/invoke/tarea/1", write + b"x", txn="00000000000000ac")
+        assert too_large.answer()[0] == 413 and site.origin.asked.empty()
 
 
-def test_an_answer_arrives_whole_where_the_system_takes_and_gives_little_at_once():
-    """Short reads and writes on all sockets of the front, and a client that reads slowly."""
+def test_answers_and_writes_are_complete_with_short_reads_and_writes():
+    """All socket calls of the front move at most 7 bytes."""
     answer, write = bytes(range(256)) * 100, bytes(range(256)) * 20
     with Site(faults={"short": 7}) as site:
         viewer = site.viewer().send()
@@ -58,14 +60,14 @@
         assert viewer.answer()[::2] == (200, b"taken")
 
 
-@pytest.mark.parametrize("spoilt", [b"", b"ID DO", b"ID DONE rev=4b,since=1764576000123 9\r\nabc"])
-def test_a_write_whose_answer_breaks_off_is_failed_once_and_never_sent_again(spoilt):
-    """However the connection ends: it may have run."""
+@pytest.mark.parametrize("truncated_answer", [b"", b"ID DO", b"ID DONE rev=4b,since=1764576000123 9\r\nabc"])
+def test_a_write_with_a_truncated_answer_is_failed_and_not_retried(truncated_answer):
+    """The write may have run, whether its connection ends with FIN or with a reset."""
     with Site() as site:
         for number, reset in enumerate((False, True)):
             viewer = site.viewer().send("/invoke/tarea/1", b"once", txn=f"{number:016x}")
             asked = site.origin.next()
-            asked.connection.sendall(spoilt.replace(b"ID", asked.id.encode()))
+            asked.connection.sendall(truncated_answer.replace(b"ID", asked.id.encode()))
             if reset:
                 asked.connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
                 asked.connection.shutdown(socket.SHUT_RD)
@@ -74,21 +76,23 @@
             assert site.origin.asked.empty()
 
 
-def is_given_up(asked, words):
-    """Whether the cache has been told so by now: in a word, or by the end of the connection."""
-    if ("QUIT", asked.cache) in words:
+def is_cancelled(asked, later_commands):
+    """Return whether the cache has received a cancel command or the end of the connection."""
+    if ("QUIT", asked.cache) in later_commands:
         return True
     try:
         return asked.connection.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT) == b""
     except BlockingIOError:
         return False
-    except OSError:  # it was reset
+    except OSError:  # the connection was reset
         return True
 
 
-def test_an_attempt_is_given_up_before_the_next_goes_out():
-    """Never two at once: one on a cache that falls silent is called back, and the cache has heard so before
-    another is asked.
+def test_an_attempt_is_cancelled_before_the_next_is_sent():
+    """There are never two attempts at once.
+
+    An attempt at a cache that does not answer is cancelled, and the cache has received the cancellation
+    before the next cache receives the request.
     """
     with Site(("s-1", "s-2")) as site:
         first, second = site.caches
@@ -96,9 +100,9 @@
         for cache in site.caches:
             cache.deaf = True
         viewer = site.viewer().send()
-        silent, words = first.asked.get(timeout=10), []
+        unanswered, later_commands = first.asked.get(timeout=10), []
         while (asked := first.asked.get(timeout=10)).word != "ASK":
-            words.append((asked.word, asked.cache))
-        assert is_given_up(silent, words) and asked.cache != silent.cache
+            later_commands.append((asked.word, asked.cache))
+        assert is_cancelled(unanswered, later_commands) and asked.cache != unanswered.cache
         asked.answer("DONE", COPY_FIELDS, b"x")
         assert viewer.answer()[::2] == (200, b"x")
