--- a/tests/test_terms_discovery.py
+++ b/tests/test_terms_discovery.py
@@ -1,5 +1,7 @@
-"""Terms on the change log: it may be slow, crowded or still, and speaks HTTP and server-sent events in all
-their forms; what it has to tell counts as told soon, whether or not it arrived.
+"""Tests of the guarantees on the list service.
+
+The service may be slow or silent, and may use all valid forms of HTTP and of server-sent events. An event
+binds the front soon after it is published, even if the front has not received it.
 """
 
 import json
@@ -13,8 +15,8 @@
 from tests.test_endings import COPY_FIELDS
 
 
-class SlowChangeLog:
-    """Accepts at once, and answers a call so many seconds later with these bytes, if it is still open."""
+class SlowListService:
+    """Accepts connections immediately, and sends `answer` to each after `seconds` if it is still open."""
 
     def __init__(self, seconds, answer):
         self.seconds, self.answer, self.listener, self.calls = seconds, answer, listening(), queue.Queue()
@@ -22,11 +24,11 @@
 
     def serve(self, connection):
         self.calls.put(connection.recv(4096))
-        threading.Thread(target=self.tell, args=(connection,), daemon=True).start()
+        threading.Thread(target=self.answer_late, args=(connection,), daemon=True).start()
 
-    def tell(self, connection):
-        began = time.monotonic()
-        until(lambda: time.monotonic() - began > self.seconds)
+    def answer_late(self, connection):
+        started_at = time.monotonic()
+        until(lambda: time.monotonic() - started_at > self.seconds)
         try:
             connection.sendall(self.answer)
             while connection.recv(4096):
@@ -35,12 +37,12 @@
             pass
 
 
-def drain_of(site, revision=2):
+def drain_update(site, revision=2):
     return {"revision": revision, "complete": False, "members": [site.cache.entry("terminating")]}
 
 
-def asked_name(site, number):
-    """Which member is asked for a new object."""
+def endpoint_asked(site, number):
+    """Request an object, and return the name of the endpoint that receives the attempt."""
     viewer = site.viewer().send("/invoke/video/1", txn=f"{number:016x}")
     asked = site.cache.asked.get(timeout=BOUND)
     asked.answer("DONE", COPY_FIELDS, b"x")
@@ -49,63 +51,63 @@
     return asked.cache
 
 
-def test_a_change_log_that_answers_late_is_heard():
-    """Slower than the longest silence of a stream, at each call: to call again and again helps nobody."""
+def test_events_of_a_slow_list_service_are_applied():
+    """Each response is later than the limit on silence, so that reconnecting alone never succeeds."""
     with Site() as site:
         site.parent.asked = site.origin.asked = site.cache.asked
-        event = json.dumps({"seq": 2, "fleet": drain_of(site)}).encode()
+        event = json.dumps({"seq": 2, "fleet": drain_update(site)}).encode()
         head = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n"
-        slow = SlowChangeLog(3.5, head + b"id: 2\ndata: " + event + b"\n\n")
+        slow = SlowListService(3.5, head + b"id: 2\ndata: " + event + b"\n\n")
         site.reload(json.dumps(site.configuration | {"changelog": address(slow.listener)}))
-        began = time.monotonic()
+        started_at = time.monotonic()
         number = 1
-        while asked_name(site, number) == "s-1":
-            assert time.monotonic() - began < 12
+        while endpoint_asked(site, number) == "s-1":
+            assert time.monotonic() - started_at < 12
             number += 1
 
 
-def test_a_member_that_cannot_be_read_hides_no_drain_of_another():
-    """An entry of an unknown zone or kind, beside a drain, in one event, met twice."""
+def test_a_malformed_entry_does_not_hide_the_drain_of_another_endpoint():
+    """An event with an entry of an unknown zone, beside drains, is received twice."""
     with Site(("s-1", "s-2")) as site:
         site.log.called()
         site.cache.asked = site.caches[1].asked
         site.parent.asked = site.origin.asked = site.cache.asked
-        odd = site.caches[1].entry(id="s-9", locality="luna")
-        told = {"revision": 2, "complete": False, "members": [odd]}
-        told["members"] += [member.entry("terminating") for member in site.caches]
-        site.log.tell(2, fleet=told)
-        began, numbers = time.monotonic(), count()
-        while asked_name(site, next(numbers)) not in ("p-1", "o-1"):
+        malformed = site.caches[1].entry(id="s-9", locality="luna")
+        update = {"revision": 2, "complete": False, "members": [malformed]}
+        update["members"] += [member.entry("terminating") for member in site.caches]
+        site.log.tell(2, fleet=update)
+        started_at, numbers = time.monotonic(), count()
+        while endpoint_asked(site, next(numbers)) not in ("p-1", "o-1"):
             if not site.log.calls.empty():
                 assert site.log.called() == 1
-                site.log.tell(2, fleet=told)
-            assert time.monotonic() - began < 5
+                site.log.tell(2, fleet=update)
+            assert time.monotonic() - started_at < 5
 
 
-def test_the_change_log_may_word_its_head_and_its_lines_in_each_way_that_http_allows():
-    """Chunked without a blank behind the colon, and lines that end in CR, LF or both."""
+def test_all_valid_forms_of_response_head_and_event_lines_are_accepted():
+    """Chunked coding, no space after the colon of a field, and lines that end in CR, LF or CR LF."""
     events = b"id: 2\rdata: TOLD\r\r: here\n\nid:3\r\ndata:TELL\r\n\r\n"
     with Site() as site:
-        drained = json.dumps({"seq": 2, "fleet": drain_of(site)}).encode()
+        drained = json.dumps({"seq": 2, "fleet": drain_update(site)}).encode()
         purge = json.dumps({"seq": 3, "invalidate": {"bucket": 17, "time": 1}}).encode()
         events = events.replace(b"TOLD", drained).replace(b"TELL", purge)
         chunks = b"".join(
             b"%x;note=1\r\n%b\r\n" % (len(piece), piece) for piece in (events[:9], events[9:40], events[40:])
         )
         head = b"HTTP/1.1 200 OK\r\nTRANSFER-ENCODING:Chunked\r\nContent-Type:text/event-stream\r\n\r\n"
-        log = SlowChangeLog(0, head + chunks)
+        log = SlowListService(0, head + chunks)
         site.reload(json.dumps(site.configuration | {"changelog": address(log.listener)}))
         log.calls.get(timeout=BOUND)
         site.parent.asked = site.cache.asked
         number = 0
-        while asked_name(site, number) == "s-1":
+        while endpoint_asked(site, number) == "s-1":
             number += 1
             assert number < 2000
 
 
-def test_lines_end_in_cr_lf_or_both_wherever_the_stream_is_split():
+def test_all_line_ends_are_parsed_wherever_the_stream_is_split():
     stream = b"id: 1\rdata: a\r\rid: 2\ndata: b\n\nid: 3\r\ndata: c\r\n\r\nid: 4\r\ndata: d\r\rdata: e\n\n"
-    wanted = [("1", "a"), ("2", "b"), ("3", "c"), ("4", "d"), ("4", "e")]
+    expected = [("1", "a"), ("2", "b"), ("3", "c"), ("4", "d"), ("4", "e")]
     for split in range(len(stream) + 1):
         reader = EventReader(1000)
-        assert reader.feed(stream[:split]) + reader.feed(stream[split:]) == wanted, split
+        assert reader.feed(stream[:split]) + reader.feed(stream[split:]) == expected, split
