--- a/tests/fleet_host.py
+++ b/tests/fleet_host.py
@@ -1,8 +1,8 @@
-"""Many fronts on one fake set of members, in virtual time: what each does alone adds up, and is counted here.
+"""Simulates many fronts with one set of servers in virtual time, and counts their combined load.
 
-A member has lanes: with more transfers than these all get slower, with three times as many it is full. A look
-at a cache that lacks the object ends at once, a fill waits for its source. Arrivals, sizes and which objects
-are held are drawn by seed.
+The weight of a server is the number of transfers that it serves at full speed. With more, all of them slow
+down; with three times as many, it answers that it is full. A lookup of an object that a cache does not hold
+ends immediately, and a fill waits for its source. Arrivals, sizes and cache hits are drawn by seed.
 """
 
 from heapq import heappop, heappush
@@ -24,10 +24,10 @@
 from limepath.interface.settings import GracePeriods, Idempotency, Permissions, SlowStart, Topology
 from tests.fake_host import CACHE, ORIGIN, PARENT, SECOND, member, service
 
-V = AttemptOutcome
-WAY = 5_000  # from a front to a member and back, microseconds
+Outcome = AttemptOutcome
+ROUND_TRIP = 5_000  # microseconds between a front and a server and back
 SLOW_START = SlowStart(0.2, 10 * SECOND, 2.0, SECOND)
-ENDS = {RejectRequest: "rejected", FailRequest: "failed"}
+OUTCOME_NAMES = {RejectRequest: "rejected", FailRequest: "failed"}
 VIDEO = service(latency_objective=600_000)
 ENTREGA = service(
     latency_objective=800_000, deadline=3 * SECOND, idempotency=Idempotency.NON_IDEMPOTENT, uncacheable=True
@@ -35,19 +35,19 @@
 
 
 class FleetMember:
-    def __init__(self, member, chance):
-        self.member, self.chance, self.out, self.probes = member, chance, 0, []
+    def __init__(self, member, random):
+        self.member, self.random, self.active_transfers, self.probes = member, random, 0, []
         self.silent = self.down = False
-        self.work = []  # (time, front, microseconds of sending) that came
+        self.attempts = []  # received ones: (time, front, mean transfer time in microseconds)
 
-    def sending(self, mean, size=None):
-        """How long a transfer takes here now; `size` in place of one that is drawn."""
-        size = self.chance.lognormvariate(0, 0.6) / 1.2 if size is None else size
-        return int(size * mean * max(1, self.out / self.member.weight))
+    def transfer_time(self, mean, size=None):
+        """Return how many microseconds a transfer takes now; draws a relative size if `size` is None."""
+        size = self.random.lognormvariate(0, 0.6) / 1.2 if size is None else size
+        return int(size * mean * max(1, self.active_transfers / self.member.weight))
 
 
 class Fleet:
-    """`rate` is GETs a second of all fronts; `held` the share of looks that find their object."""
+    """`rate` is the requests a second of all fronts; `hit_rate` the share of lookups that are cache hits."""
 
     def __init__(
         self,
@@ -55,26 +55,26 @@
         caches,
         seed=1,
         rate=100.0,
-        held=0.6,
+        hit_rate=0.6,
         weight=6.0,
         services=(VIDEO, ENTREGA),
         writes=0.03,
-        mean=400_000,
-        upper=150_000,
+        mean_transfer=400_000,
+        source_latency=150_000,
         link=None,
         warmup=SLOW_START,
-        uneven=1.0,
-        told=0.0,
+        traffic_spread=1.0,
+        size_spread=0.0,
     ):
-        """`told`: sizes are told, of this spread (sigma of their logarithm)."""
-        self.told, self.sizes = told, {}
-        self.chance, self.now, self.serial, self.calendar = Random(seed), 0, 0, []
-        self.rate, self.held, self.writes, self.mean, self.upper, self.services = (
+        """`size_spread`: sigma of the logarithm of the sizes that clients announce; 0: no sizes."""
+        self.size_spread, self.sizes = size_spread, {}
+        self.random, self.now, self.schedule_count, self.scheduled = Random(seed), 0, 0, []
+        self.rate, self.hit_rate, self.writes, self.mean_transfer, self.source_latency, self.services = (
             rate,
-            held,
+            hit_rate,
             writes,
-            mean,
-            upper,
+            mean_transfer,
+            source_latency,
             services,
         )
         fleet = [member(100 + i, weight=weight) for i in range(caches)]
@@ -83,7 +83,7 @@
             member(12, PARENT, weight=30.0),
             member(21, ORIGIN, weight=20.0),
         ]
-        self.members = {one.id: FleetMember(one, self.chance) for one in fleet}
+        self.members = {server.id: FleetMember(server, self.random) for server in fleet}
         link = link or caches * weight * 1000.0
         allowance = Permissions(
             max_attempts=6,
@@ -119,150 +119,160 @@
             )
             for i in range(fronts)
         ]
-        self.shares = [self.chance.lognormvariate(0, uneven) for _ in range(fronts)]
-        self.ids, self.gets, self.ends, self.words = (
+        self.traffic_weights = [self.random.lognormvariate(0, traffic_spread) for _ in range(fronts)]
+        self.request_count, self.requests, self.endings, self.outcomes = (
             0,
             {},
             [],
             {},
-        )  # an end: (time, front, ds, word, took); words by GET
+        )  # endings: (time, front, delivery service, outcome, duration); outcomes by request
         self.forwards = 0
         for front in range(fronts):
-            self.hear(front, EndpointListUpdated(UpdateKind.CACHED, 1, tuple(fleet)))
+            self.deliver(front, EndpointListUpdated(UpdateKind.CACHED, 1, tuple(fleet)))
 
-    def at(self, when, call, *said):
-        self.serial += 1
-        heappush(self.calendar, (when, self.serial, call, said))
+    def schedule(self, when, call, *arguments):
+        self.schedule_count += 1
+        heappush(self.scheduled, (when, self.schedule_count, call, arguments))
 
     def run(self, span):
         end = self.now + span
-        self.at(self.now, self.arrive, end)
-        while self.calendar and self.calendar[0][0] <= end:
-            self.now, _, call, said = heappop(self.calendar)
-            call(*said)
+        self.schedule(self.now, self.arrive, end)
+        while self.scheduled and self.scheduled[0][0] <= end:
+            self.now, _, call, arguments = heappop(self.scheduled)
+            call(*arguments)
         self.now = end
 
     def arrive(self, until):
         if self.now >= until:
             return
-        front = self.chance.choices(range(len(self.fronts)), self.shares)[0]
-        self.ids += 1
-        ds = int(self.chance.random() < self.writes)
-        told = self.services[ds]
-        if self.told and not ds:
-            self.sizes[self.ids] = self.chance.lognormvariate(-(self.told**2) / 2, self.told)
-        size_kb = self.sizes.get(self.ids, 0.0) * self.mean / 1000  # at 1000 KB a second
+        front = self.random.choices(range(len(self.fronts)), self.traffic_weights)[0]
+        self.request_count += 1
+        ds = int(self.random.random() < self.writes)
+        service_settings = self.services[ds]
+        if self.size_spread and not ds:
+            self.sizes[self.request_count] = self.random.lognormvariate(
+                -(self.size_spread**2) / 2, self.size_spread
+            )
+        size_kb = self.sizes.get(self.request_count, 0.0) * self.mean_transfer / 1000  # at 1000 KB a second
         get = RequestArrived(
-            self.ids,
+            self.request_count,
             ds,
             0,
-            self.chance.randrange(1, 1 << 40),
-            told.deadline,
+            self.random.randrange(1, 1 << 40),
+            service_settings.deadline,
             size_kb,
             0,
             0,
             False,
             bool(ds),
         )
-        self.gets[self.ids] = [front, ds, self.now, 0, False]
-        self.at(self.now + told.deadline, self.over, self.ids)
-        self.hear(front, get)
-        self.at(self.now + int(self.chance.expovariate(self.rate) * SECOND), self.arrive, until)
+        self.requests[self.request_count] = [front, ds, self.now, 0, False]
+        self.schedule(self.now + service_settings.deadline, self.expire, self.request_count)
+        self.deliver(front, get)
+        self.schedule(self.now + int(self.random.expovariate(self.rate) * SECOND), self.arrive, until)
 
-    def over(self, ident):
-        if ident in self.gets:
-            self.close(ident, "timeout")
-            self.hear(self.gets.pop(ident)[0], ClientDisconnected(ident))
+    def expire(self, request_id):
+        if request_id in self.requests:
+            self.close(request_id, "timeout")
+            self.deliver(self.requests.pop(request_id)[0], ClientDisconnected(request_id))
 
-    def close(self, ident, word):
-        get = self.gets[ident]
+    def close(self, request_id, outcome):
+        get = self.requests[request_id]
         if not get[4]:
             get[4] = True
-            self.ends.append((self.now, get[0], get[1], word, self.now - get[2]))
-            self.words[ident] = word
+            self.endings.append((self.now, get[0], get[1], outcome, self.now - get[2]))
+            self.outcomes[request_id] = outcome
 
-    def hear(self, front, *notes):
-        for order in self.fronts[front].handle(self.now, notes):
-            if isinstance(order, ScheduleWakeup):
-                self.at(self.now + order.delay, self.hear, front, TimerFired(order.cookie))
-            elif isinstance(order, SendProbe):
-                self.probe(front, order)
-            elif isinstance(order, ForwardRequest):
-                self.forward(front, order)
-            elif isinstance(order, (RejectRequest, FailRequest)):
-                self.close(order.request, ENDS[type(order)])
+    def deliver(self, front, *events):
+        for command in self.fronts[front].handle(self.now, events):
+            if isinstance(command, ScheduleWakeup):
+                self.schedule(self.now + command.delay, self.deliver, front, TimerFired(command.cookie))
+            elif isinstance(command, SendProbe):
+                self.probe(front, command)
+            elif isinstance(command, ForwardRequest):
+                self.forward(front, command)
+            elif isinstance(command, (RejectRequest, FailRequest)):
+                self.close(command.request, OUTCOME_NAMES[type(command)])
 
-    def probe(self, front, order):
-        one = self.members[order.endpoint]
-        one.probes.append((self.now, front))
-        verdict, took = (
-            (V.TIMED_OUT, 250_000)
-            if one.silent
-            else (V.CONNECT_FAILED, WAY)
-            if one.down
-            else (V.SUCCEEDED, WAY)
+    def probe(self, front, command):
+        server = self.members[command.endpoint]
+        server.probes.append((self.now, front))
+        outcome, duration = (
+            (Outcome.TIMED_OUT, 250_000)
+            if server.silent
+            else (Outcome.CONNECT_FAILED, ROUND_TRIP)
+            if server.down
+            else (Outcome.SUCCEEDED, ROUND_TRIP)
+        )
+        load = {"util": min(1.0, server.active_transfers / server.member.weight)}
+        self.schedule(
+            self.now + duration, self.deliver, front, ProbeEnded(command.endpoint, outcome, duration, load)
         )
-        load = {"util": min(1.0, one.out / one.member.weight)}
-        self.at(self.now + took, self.hear, front, ProbeEnded(order.endpoint, verdict, took, load))
 
-    def forward(self, front, order):
+    def forward(self, front, command):
         self.forwards += 1
-        get = self.gets[order.request]
+        get = self.requests[command.request]
         number, get[3] = get[3], get[3] + 1
-        cache, source = self.members[order.endpoint], self.members[order.source]
-        mean = self.mean if get[1] == 0 else 20_000
-        for one in {cache, source}:
-            one.work.append((self.now, front, mean))
-        verdict, took, busy = V.SUCCEEDED, WAY, ()
+        cache, source = self.members[command.endpoint], self.members[command.source]
+        mean = self.mean_transfer if get[1] == 0 else 20_000
+        for server in {cache, source}:
+            server.attempts.append((self.now, front, mean))
+        outcome, duration, transferring = Outcome.SUCCEEDED, ROUND_TRIP, ()
         if cache.silent:
             return
         if cache.down:
-            verdict = V.CONNECT_FAILED
-        elif cache.out >= 3 * cache.member.weight:
-            verdict = V.FULL
+            outcome = Outcome.CONNECT_FAILED
+        elif cache.active_transfers >= 3 * cache.member.weight:
+            outcome = Outcome.FULL
         elif (
             source is cache
             and cache.member.kind == CACHE
-            and (get[1] or order.request * 0x9E3779B1 % 1000 >= self.held * 1000)
+            and (get[1] or command.request * 0x9E3779B1 % 1000 >= self.hit_rate * 1000)
+        ):
+            outcome = Outcome.MISS
+        elif source is not cache and (
+            source.down or source.silent or source.active_transfers >= 3 * source.member.weight
         ):
-            verdict = V.MISS
-        elif source is not cache and (source.down or source.silent or source.out >= 3 * source.member.weight):
-            verdict = V.FULL
+            outcome = Outcome.FULL
         else:
-            busy = {cache, source}
-            took += cache.sending(mean, self.sizes.get(order.request))
+            transferring = {cache, source}
+            duration += cache.transfer_time(mean, self.sizes.get(command.request))
             if source is not cache:
-                took += int(self.chance.expovariate(1) * self.upper)
-        for one in busy:
-            one.out += 1
-        self.at(self.now + took, self.ended, front, order, number, verdict, took, busy)
+                duration += int(self.random.expovariate(1) * self.source_latency)
+        for server in transferring:
+            server.active_transfers += 1
+        self.schedule(
+            self.now + duration, self.end_attempt, front, command, number, outcome, duration, transferring
+        )
 
-    def ended(self, front, order, number, verdict, took, busy):
-        for one in busy:
-            one.out -= 1
-        get = self.gets.get(order.request)
-        closed = get is None or get[4] or verdict == V.SUCCEEDED
-        if get and verdict == V.SUCCEEDED:
-            self.close(order.request, "returned")
-        self.hear(
+    def end_attempt(self, front, command, number, outcome, duration, transferring):
+        for server in transferring:
+            server.active_transfers -= 1
+        get = self.requests.get(command.request)
+        closed = get is None or get[4] or outcome == Outcome.SUCCEEDED
+        if get and outcome == Outcome.SUCCEEDED:
+            self.close(command.request, "returned")
+        self.deliver(
             front,
             AttemptEnded(
-                order.request, number, verdict, order.endpoint, took, 0, closed, CacheStatus.NONE, {}
+                command.request, number, outcome, command.endpoint, duration, 0, closed, CacheStatus.NONE, {}
             ),
         )
 
-    # What is counted
+    # Counts
 
     def probes(self, since=0):
-        return sum(at >= since for one in self.members.values() for at, _ in one.probes)
+        return sum(at >= since for server in self.members.values() for at, _ in server.probes)
 
-    def answered_of_largest(self, part):
-        """The share answered of the largest `part` of the sized GETs, over the share of all of them."""
-        ended = sorted((ident for ident in self.sizes if ident in self.words), key=self.sizes.get)
-        largest = ended[-int(len(ended) * part) :]
-        share = lambda some: sum(self.words[ident] == "returned" for ident in some) / len(some)  # noqa: E731
+    def answered_of_largest(self, fraction):
+        """Return the answered share of the largest `fraction` of the sized GETs, relative to that of all."""
+        ended = sorted(
+            (request_id for request_id in self.sizes if request_id in self.outcomes), key=self.sizes.get
+        )
+        largest = ended[-int(len(ended) * fraction) :]
+        share = lambda ids: sum(self.outcomes[ident] == "returned" for ident in ids) / len(ids)  # noqa: E731
         return share(largest) / share(ended)
 
-    def share(self, word, since=0, ds=None):
-        ends = [end for end in self.ends if end[0] >= since and ds in (None, end[2])]
-        return sum(end[3] == word for end in ends) / len(ends)
+    def share(self, outcome, since=0, ds=None):
+        endings = [end for end in self.endings if end[0] >= since and ds in (None, end[2])]
+        return sum(end[3] == outcome for end in endings) / len(endings)
