--- a/tests/arrival_times.py
+++ b/tests/arrival_times.py
@@ -1,5 +1,6 @@
-"""When bytes arrived at a socket, as the system stamped them (SO_TIMESTAMPNS, socket(7)): a reader that gets
-no processor for a while does not take its own lateness for the sender's.
+"""Arrival times of bytes at a socket, as stamped by the kernel (SO_TIMESTAMPNS, socket(7)).
+
+A reader that was not scheduled for a while would otherwise attribute its own delay to the sender.
 """
 
 import io
@@ -10,20 +11,21 @@
 import time
 from typing import NamedTuple
 
-SO_TIMESTAMPNS = 35  # asm-generic/socket.h; Python does not name it
+SO_TIMESTAMPNS = 35  # asm-generic/socket.h; missing from Python's socket module
 TIMESPEC = struct.Struct("qq")  # seconds, nanoseconds
 READ_SIZE = 1 << 16
 CLOCK_READINGS = 5
 
 
 def stamp_arrivals(connection):
-    """Have the system stamp what arrives here; a listener passes this on to what it accepts."""
+    """Enable kernel timestamps on a socket; connections accepted by a listener inherit the option."""
     connection.setsockopt(socket.SOL_SOCKET, SO_TIMESTAMPNS, 1)
 
 
 def receive(connection, size=READ_SIZE):
-    """Give (data, the time at which the last byte of it arrived) of one read, in seconds of the monotonic
-    clock. Behind TLS there is no stamp: the time is that of the reading.
+    """Read once; return the data and the arrival time of its last byte, in seconds of the monotonic clock.
+
+    With TLS there is no timestamp, and the time of the read is returned.
     """
     if isinstance(connection, ssl.SSLSocket):
         return connection.recv(size), time.monotonic()
@@ -32,7 +34,7 @@
 
 
 def arrival_time(ancillary):
-    """The system's stamp among the ancillary data, on the monotonic clock; now, where there is none."""
+    """Return the kernel's timestamp in the ancillary data, on the monotonic clock, or now if there is none."""
     for level, kind, stamp in ancillary:
         if (level, kind) == (socket.SOL_SOCKET, SO_TIMESTAMPNS):
             seconds, nanoseconds = TIMESPEC.unpack(stamp)
@@ -41,8 +43,9 @@
 
 
 def wall_clock_ahead():
-    """Seconds that the wall clock is ahead of the monotonic one. Of a few readings that counts which took the
-    shortest: the process may lose the processor within one.
+    """Return by how many seconds the wall clock is ahead of the monotonic clock.
+
+    The shortest of a few readings is used, because the process may be descheduled during a reading.
     """
     readings = [(time.monotonic(), time.time(), time.monotonic()) for _ in range(CLOCK_READINGS)]
     before, wall, after = min(readings, key=lambda reading: reading[2] - reading[0])
@@ -50,8 +53,9 @@
 
 
 class Arrival(NamedTuple):
-    """When the last byte of a command arrived. Where later bytes were read along with it, the system has kept
-    only the time of these: then the command arrived between `earliest` and `latest`.
+    """Bounds on the arrival time of a command's last byte, in seconds of the monotonic clock.
+
+    If later bytes were read together with the command, the kernel has kept only their timestamp.
     """
 
     earliest: float
@@ -59,14 +63,14 @@
 
 
 class CommandReader:
-    """Reads a cache's commands from a connection, each with its arrival."""
+    """Reads the commands to a cache from a connection, each with its arrival time."""
 
     def __init__(self, connection):
         self.connection, self.buffer = connection, bytearray()
-        self.previous = self.latest = -math.inf  # when the last bytes of the last two reads arrived
+        self.previous = self.latest = -math.inf  # arrival times of the last two reads
 
     def next(self):
-        """Give (words, body, arrival) of the next whole command, or None at the end of the connection."""
+        """Return (words, body, arrival) of the next complete command, or None at the end of the connection."""
         while (end := self.buffer.find(b"\r\n")) < 0:
             if not self.read_more():
                 return None
@@ -81,7 +85,7 @@
         return words, body, Arrival(self.previous if self.buffer else self.latest, self.latest)
 
     def read_more(self):
-        """Read all that has arrived by now; whether that was anything."""
+        """Read the bytes that have arrived; return False at the end of the connection."""
         data, arrived_at = receive(self.connection)
         self.buffer += data
         self.previous, self.latest = self.latest, arrived_at
@@ -89,7 +93,7 @@
 
 
 class StampedStream(io.RawIOBase):
-    """The bytes of a plain connection; `latest` is when the last of those read arrived."""
+    """The bytes of a connection without TLS; `latest` is the arrival time of the last byte read."""
 
     def __init__(self, connection):
         super().__init__()
@@ -97,11 +101,11 @@
         self.connection, self.latest = connection, -math.inf
 
     def readable(self):
-        """As io.BufferedReader asks."""
+        """Return True, as io.BufferedReader requires."""
         return True
 
     def readinto(self, buffer):
-        """Fill the buffer as far as bytes are there."""
+        """Read available bytes into the buffer and return their number."""
         data, arrived_at = receive(self.connection, len(buffer))
         buffer[: len(data)] = data
         if data:
