--- a/tests/arrival_times.py
+++ b/tests/arrival_times.py
@@ -34,7 +34,7 @@
 
 
 def arrival_time(ancillary):
-    """Return the kernel's timestamp in the ancillary data, on the monotonic clock, or now if there is none."""
+    """Return the kernel's timestamp in the ancillary data, on the monotonic clock; now if there is none."""
     for level, kind, stamp in ancillary:
         if (level, kind) == (socket.SOL_SOCKET, SO_TIMESTAMPNS):
             seconds, nanoseconds = TIMESPEC.unpack(stamp)
@@ -70,7 +70,7 @@
         self.previous = self.latest = -math.inf  # arrival times of the last two reads
 
     def next(self):
-        """Return (words, body, arrival) of the next complete command, or None at the end of the connection."""
+        """Return (words, body, arrival) of the next complete command, or None at the connection's end."""
         while (end := self.buffer.find(b"\r\n")) < 0:
             if not self.read_more():
                 return None
