--- a/tests/faulty_system.py
+++ b/tests/faulty_system.py
@@ -1,8 +1,8 @@
-"""The program under a system that fails: `python -m tests.faulty_system CONTROL [WORDS]` starts it as `run`
-does, with the wall clock and the socket calls between it and the system replaced.
+"""Runs the program with injected faults of the system: `python -m tests.faulty_system CONTROL [WORDS]`.
 
-CONTROL names a JSON file, read at the start and at each SIGUSR1; `Faults` tells what may stand in it. What
-took effect is counted in CONTROL.done, a number for each kind, so that a test knows that it caused the fault.
+It starts the program as `run` does, with replaced wall clock and socket calls. CONTROL is a JSON file that is
+read at the start and at each SIGUSR1; `Faults` describes its keys. The injected faults are counted by kind in
+CONTROL.done, so that a test can verify that its fault occurred.
 """
 
 import errno
@@ -20,9 +20,11 @@
 
 
 @contextmanager
-def signal_held_back():
-    """Let a SIGUSR1 that comes within take effect right after it. One that came before does so first. The
-    program must have one thread only: the system gives the signal to any that does not hold it back.
+def signal_blocked():
+    """Block SIGUSR1 within the context; a signal that arrives meanwhile is handled right after it.
+
+    A signal that arrived before is handled first. The program must have a single thread, because the kernel
+    delivers the signal to any thread that does not block it.
     """
     signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGUSR1})
     try:
@@ -32,9 +34,11 @@
 
 
 class Faults:
-    """What fails now: `wall_step` seconds are added to the wall clock; `fail` maps a call of a socket (one of
-    CALLS, or `socket` for its making) to [name of the error, how many more times]; `ports` limits connect_ex
-    to these; `short` is the most bytes that one send or recv may move, 0 for no limit.
+    """The faults that are injected now; the attributes below are keys of the control file.
+
+    `wall_step`: seconds that are added to the wall clock. `fail`: maps a socket call (one of CALLS, or
+    `socket` for the constructor) to [name of the error, number of further failures]. `ports`: limits failures
+    of connect_ex to these ports. `short`: the maximum number of bytes of one send or recv; 0: no limit.
     """
 
     def __init__(self, control):
@@ -53,15 +57,15 @@
             json.dump(self.done | {"applied": self.applied}, file)
         os.replace(self.control + ".new", self.control + ".done")
 
-    def happens(self, call):
-        """Fail this call, if it is to fail now."""
-        with signal_held_back():  # else `read` would come between, and be undone by what is written after it
-            name = self.use_up(call)
+    def fail_call(self, call):
+        """Raise an OSError if this call is to fail now."""
+        with signal_blocked():  # otherwise `read` could run in between, and its faults would be overwritten
+            name = self.take_error(call)
         if name:
             raise OSError(getattr(errno, name), os.strerror(getattr(errno, name)))
 
-    def use_up(self, call):
-        """Count one failure of this call; give the name of its error, or "" if it is not to fail now."""
+    def take_error(self, call):
+        """Count one failure of this call and return the name of its error, or "" if it is not to fail now."""
         name, left = self.fail.get(call, ("", 0))
         if not left:
             return ""
@@ -70,41 +74,41 @@
         self.report()
         return name
 
-    def most(self, size):
+    def limited_size(self, size):
         return min(size, self.short) if self.short else size
 
 
 def replace_calls(faults):
-    """Put the faults between the program and the system."""
+    """Replace the socket calls and the wall clock with versions that inject the faults."""
     real = {name: getattr(socket.socket, name) for name in CALLS}
-    make = socket.socket.__init__
+    real_init = socket.socket.__init__
 
-    def made(self, *told, fileno=None, **named):
+    def init(self, *args, fileno=None, **kwargs):
         if fileno is None:
-            faults.happens("socket")
-        make(self, *told, fileno=fileno, **named)
+            faults.fail_call("socket")
+        real_init(self, *args, fileno=fileno, **kwargs)
 
     def accept(self):
-        faults.happens("accept")
+        faults.fail_call("accept")
         return real["accept"](self)
 
     def connect_ex(self, address):
         try:
             if not faults.ports or address[1] in faults.ports:
-                faults.happens("connect_ex")
+                faults.fail_call("connect_ex")
         except OSError as error:
             return error.errno
         return real["connect_ex"](self, address)
 
     def recv(self, size, *flags):
-        faults.happens("recv")
-        return real["recv"](self, faults.most(size), *flags)
+        faults.fail_call("recv")
+        return real["recv"](self, faults.limited_size(size), *flags)
 
     def send(self, data, *flags):
-        faults.happens("send")
-        return real["send"](self, bytes(data[: faults.most(len(data))]), *flags)
+        faults.fail_call("send")
+        return real["send"](self, bytes(data[: faults.limited_size(len(data))]), *flags)
 
-    socket.socket.__init__ = made
+    socket.socket.__init__ = init
     for call in (accept, connect_ex, recv, send):
         setattr(socket.socket, call.__name__, call)
     time.time = lambda: REAL_TIME() + faults.wall_step
--- a/tests/test_faulty_system.py
+++ b/tests/test_faulty_system.py
@@ -1,4 +1,4 @@
-"""The faults of tests.faulty_system: a signal to read new ones may come at any line of one that happens."""
+"""Tests of tests.faulty_system: the signal to read new faults may arrive at any line of a failing call."""
 
 import errno
 import json
@@ -26,38 +26,39 @@
     signal.signal(signal.SIGUSR1, before)
 
 
-def errors_of(act):
-    """The numbers of the errors that this raises: one or none."""
+def raised_errors(call):
+    """Return a list with the errno that `call` raises, or an empty list."""
     try:
-        act()
+        call()
     except OSError as error:
         return [error.errno]
     return []
 
 
-def with_signal_at(line, act):
-    """Act, and have a SIGUSR1 come just before this line of all that Python runs for it; give the errors, and
-    whether it ran so many lines.
+def call_with_signal_at(line, call):
+    """Run `call` and raise SIGUSR1 just before its `line`-th executed line.
+
+    Return the errors raised, and whether that many lines were executed.
     """
-    passed, before = 0, sys.gettrace()
+    line_count, before = 0, sys.gettrace()
 
     def trace(_, event, __):
-        nonlocal passed
+        nonlocal line_count
         if event == "line":
-            passed += 1
-            if passed == line:
+            line_count += 1
+            if line_count == line:
                 signal.raise_signal(signal.SIGUSR1)
         return trace
 
     sys.settrace(trace)
     try:
-        errors = errors_of(act)
+        errors = raised_errors(call)
     finally:
         sys.settrace(before)
-    return errors, passed >= line
+    return errors, line_count >= line
 
 
-def test_new_faults_are_in_force_wherever_their_signal_meets_one_that_takes_effect(control, faults):
+def test_new_faults_apply_wherever_their_signal_interrupts_a_failing_call(control, faults):
     line, reached = 0, True
     while reached:
         line += 1
@@ -65,11 +66,11 @@
         faults.read()
         applied, counted = faults.applied, faults.done.get("accept", 0)
         control.write_text(json.dumps({"fail": {}}))
-        errors, reached = with_signal_at(line, lambda: faults.happens("accept"))
+        errors, reached = call_with_signal_at(line, lambda: faults.fail_call("accept"))
         if reached:
             assert errors in ([], [errno.ENFILE]), line
-            told = json.loads(control.with_name("faults.json.done").read_text())
-            assert told["applied"] == applied + 1, line
-            assert told.get("accept", 0) == counted + len(errors), line
-            assert errors_of(lambda: faults.happens("accept")) == [], line
-    assert line > 20, "the signal met too few lines"
+            counts = json.loads(control.with_name("faults.json.done").read_text())
+            assert counts["applied"] == applied + 1, line
+            assert counts.get("accept", 0) == counted + len(errors), line
+            assert raised_errors(lambda: faults.fail_call("accept")) == [], line
+    assert line > 20, f"the signal was raised at only {line} lines"
