--- a/limepath/front/endpoint_watch.py
+++ b/limepath/front/endpoint_watch.py
@@ -25,7 +25,7 @@
     from limepath.log import Log
 
 MICROSECONDS = 1e6
-MAX_BACKOFF_DOUBLINGS = 10  # limits the left shift of the reconnect backoff
+MAX_BACKOFF_DOUBLINGS = 10  # of the reconnect backoff
 MAX_ERRORS_LOGGED = 3  # per event
 MALFORMED_EVENT_ERRORS = (KeyError, ValueError, TypeError, AttributeError)
 """The exceptions that reading a malformed event can raise."""
@@ -242,7 +242,7 @@
             self._schedule_reconnect(failure.getErrorMessage())
 
     def handle_disconnect(self, stream: EventStream) -> None:
-        """Reconnect after the current stream has ended; an unanswered older stream is only forgotten."""
+        """Reconnect after the current stream has ended; an older, unanswered stream needs no reconnect."""
         if stream in self.unanswered_streams:
             self.unanswered_streams.remove(stream)
         elif stream is self.stream:
--- a/limepath/front/server_connection.py
+++ b/limepath/front/server_connection.py
@@ -127,7 +127,7 @@
         if not self.attempts:
             self.endpoint.idle.append(self)
 
-    def quiet_since(self) -> int:
+    def unanswered_since(self) -> int:
         """Return since when attempts have been unanswered, in microseconds of the front's clock."""
         return max(self.last_read_at, min(attempt.started_at for attempt in self.attempts.values()))
 
@@ -185,7 +185,7 @@
             self.state = ConnectionState.CLOSING
             self.transport.abortConnection() if abort else self.transport.loseConnection()
 
-    def close_if_quiet_since(self, last_read_at: int) -> None:
+    def close_if_silent_since(self, last_read_at: int) -> None:
         """Reset the connection if it has received nothing since `last_read_at` and is unresponsive.
 
         Called some time after the server has answered a probe on another connection.
--- a/limepath/front/server_endpoint.py
+++ b/limepath/front/server_endpoint.py
@@ -107,7 +107,7 @@
         because a broken connection fails all attempts on it.
         """
         if isinstance(attempt, Probe) and (busy := self._busy_connections(attempt.tag)):
-            return min(busy, key=ServerConnection.quiet_since)
+            return min(busy, key=ServerConnection.unanswered_since)
         for connection in reversed(self.idle):
             if connection.can_send(attempt.tag):
                 return connection
@@ -131,9 +131,8 @@
             if not self.waiting:
                 return
             attempt = self.waiting.popleft()
-            if (
-                clock() >= attempt.send_by
-            ):  # the timer is late: the event loop was busy or the process suspended
+            # The timer may be late, because the event loop was busy or the process was suspended.
+            if clock() >= attempt.send_by:
                 self.servers.end_attempt(attempt, AttemptOutcome.CONNECT_FAILED)
             elif self._connection_for(attempt):
                 self.servers.cancel_timer(attempt)
@@ -213,7 +212,7 @@
             if connection.is_unresponsive:
                 timeout = self.limits.probe / MICROSECONDS
                 self.servers.reactor.callLater(
-                    timeout, connection.close_if_quiet_since, connection.last_read_at
+                    timeout, connection.close_if_silent_since, connection.last_read_at
                 )
 
     def _wait_timed_out(self, attempt: Attempt | Probe) -> None:
--- a/limepath/front/server_sent_events.py
+++ b/limepath/front/server_sent_events.py
@@ -23,9 +23,8 @@
         self.partial_line = b""
         self.id = ""
         self.data: list[str] = []
-        self.skip_line_feed = (
-            False  # the last chunk ended in CR, so a leading LF belongs to the same line end
-        )
+        # The last chunk ended in CR, so that a leading LF belongs to the same line end.
+        self.skip_line_feed = False
 
     def feed(self, data: bytes) -> list[ServerSentEvent]:
         """Return the events that `data` completes; raises WatchError if a line or an event is too long."""
