--- a/tests/fleet_host.py
+++ b/tests/fleet_host.py
@@ -120,12 +120,8 @@
             for i in range(fronts)
         ]
         self.traffic_weights = [self.random.lognormvariate(0, traffic_spread) for _ in range(fronts)]
-        self.request_count, self.requests, self.endings, self.outcomes = (
-            0,
-            {},
-            [],
-            {},
-        )  # endings: (time, front, delivery service, outcome, duration); outcomes by request
+        # An ending is (time, front, delivery service, outcome, duration); outcomes are by request.
+        self.request_count, self.requests, self.endings, self.outcomes = 0, {}, [], {}
         self.forwards = 0
         for front in range(fronts):
             self.deliver(front, EndpointListUpdated(UpdateKind.CACHED, 1, tuple(fleet)))
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -128,9 +128,8 @@
         site.log.tell(
             2, fleet={"revision": 2, "complete": False, "members": [site.cache.entry("terminating")]}
         )
-        site.log.tell(
-            9, invalidate={"bucket": 3, "time": 0}
-        )  # the gap makes the front reconnect, which shows that it has read the drain
+        # The gap makes the front reconnect, which shows that it has read the drain.
+        site.log.tell(9, invalidate={"bucket": 3, "time": 0})
         assert site.log.called() == 2
         site.cache.uncrowd()
         asked = site.cache.next()
@@ -326,9 +325,8 @@
     _, _, servers, get = build_front(ForwardingDecisions())
     get()
     endpoint, old = servers.endpoints[1], ServerConnection(servers.endpoints[1])
-    servers.update_endpoint(
-        1, "s-1", ("127.0.0.1", 9), 7, EndpointState.READY
-    )  # a new incarnation at the same address
+    # A new incarnation at the same address:
+    servers.update_endpoint(1, "s-1", ("127.0.0.1", 9), 7, EndpointState.READY)
     old.makeConnection(CacheTransport())
     endpoint.connected(old)
     assert old.transport.value() == b"" and old.transport.disconnecting
--- a/tests/test_terms_standstill.py
+++ b/tests/test_terms_standstill.py
@@ -262,9 +262,8 @@
         front = driven()
         viewer, connection = connect_idle(front, asked=reason != "silent too long")
         close_idle(front, connection, reason)
-        until(
-            lambda viewer=viewer: select.select([viewer.socket], [], [], 0)[0]
-        )  # without an iteration of the front
+        # Without an iteration of the front:
+        until(lambda viewer=viewer: select.select([viewer.socket], [], [], 0)[0])
         assert viewer.ended()
         if reason in ("idle too long", "shutdown"):  # lingering: a request that crosses the close is read
             viewer.send(ttl=5000)
