--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -237,10 +237,10 @@
     """Decisions that forward each request to endpoint 1, and record all events."""
 
     def __init__(self, **command_fields):
-        self.command_fields, self.heard = command_fields, []
+        self.command_fields, self.received_events = command_fields, []
 
     def handle(self, now, events):
-        self.heard += events
+        self.received_events += events
         return [
             ForwardRequest(event.id, 1, 0, 1, 0, 0, **self.command_fields)
             for event in events
@@ -316,7 +316,7 @@
     connection = open_connection(servers)
     assert connection.transport.value() == b""
     servers.reactor.advance(0)
-    assert [event.outcome for event in front.heard if isinstance(event, AttemptEnded)] == [
+    assert [event.outcome for event in front.received_events if isinstance(event, AttemptEnded)] == [
         AttemptOutcome.CONNECT_FAILED
     ]
 
@@ -343,7 +343,7 @@
     clients.client_disconnected(waiting)
     assert connection.transport.aborted
     servers.reactor.advance(0)
-    assert [event.outcome for event in front.heard if isinstance(event, AttemptEnded)] == [
+    assert [event.outcome for event in front.received_events if isinstance(event, AttemptEnded)] == [
         AttemptOutcome.SUPERSEDED
     ]
 
@@ -356,7 +356,7 @@
     reactor.advance(0.9)
     reactor.advance(0)
     assert connection.transport.aborted
-    assert [event.outcome for event in front.heard if isinstance(event, AttemptEnded)] == [
+    assert [event.outcome for event in front.received_events if isinstance(event, AttemptEnded)] == [
         AttemptOutcome.CONNECT_FAILED
     ]
 
@@ -373,7 +373,7 @@
     decision_loop.gather(disconnect, list_update)
     decision_loop.gather(purge)
     reactor.advance(0)
-    assert front.heard == [list_update, purge, disconnect]
+    assert front.received_events == [list_update, purge, disconnect]
 
 
 # Answers of caches
--- a/tests/test_terms_standstill.py
+++ b/tests/test_terms_standstill.py
@@ -175,8 +175,10 @@
     log.tell(1, invalidate={"bucket": 17, "time": 1})
     until(lambda: select.select([watch.stream.transport.socket], [], [], 0)[0])
     wait_until_elapsed(began, 0.1)
-    front.passes_until(lambda: any(isinstance(event, RequestArrived) for event in front.front.heard))
-    kinds = [type(event) for event in front.front.heard]
+    front.passes_until(
+        lambda: any(isinstance(event, RequestArrived) for event in front.front.received_events)
+    )
+    kinds = [type(event) for event in front.front.received_events]
     assert kinds.index(PurgeAnnounced) < kinds.index(RequestArrived)
 
 
@@ -206,7 +208,7 @@
         assert (connection.transport.value() != b"") == sent
         if not sent:
             servers.reactor.advance(0)
-            outcomes = [event.outcome for event in front.heard if isinstance(event, AttemptEnded)]
+            outcomes = [event.outcome for event in front.received_events if isinstance(event, AttemptEnded)]
             assert outcomes == [AttemptOutcome.SUPERSEDED]  # neither the client nor the server failed
 
 
