--- a/limepath/discovery/stream_feed.py
+++ b/limepath/discovery/stream_feed.py
@@ -27,7 +27,7 @@
         elif (
             self.is_accepted
             and self.watch.event_count == events
-            and not (self.reader.rest or self.reader.data)
+            and not (self.reader.partial_line or self.reader.data)
         ):
             self.watch.submit(StreamActive())
 
@@ -35,14 +35,15 @@
 class StreamFeed:
     """Passes the events of one stream to its change log, and drops them once a later call has started.
 
-    An `EventStream` uses `last`, `pauses`, `host`, `limits`, `log`, `stream` and the handlers.
+    `last_seq`, `reconnects_without_event`, `host`, `limits`, `log`, `stream` and the handlers are what an
+    `EventStream` of the front uses.
     """
 
     def __init__(self, change_log: DiscoveryChangeLog, serial: int, last: int):
         self.change_log = change_log
         self.serial = serial
-        self.last = last
-        self.pauses = 0
+        self.last_seq = last
+        self.reconnects_without_event = 0
         self.event_count: int = 0
         self.host = change_log.host
         self.limits = change_log.limits
--- a/limepath/front/front_process.py
+++ b/limepath/front/front_process.py
@@ -77,8 +77,8 @@
         self.decision_loop = DecisionLoop(reactor, decisions, limits, self.log)
         self.clients = Clients(reactor, self.decision_loop, limits, self.log, settings.services)
         self.clients.read_delay = measure_read_delay(reactor)
-        probe_word = PROBE_WITH_LOAD_REPORT if settings.reports else PLAIN_PROBE
-        self.servers = Servers(reactor, self.decision_loop, self.clients, limits, self.log, probe_word)
+        probe_command = PROBE_WITH_LOAD_REPORT if settings.reports else PLAIN_PROBE
+        self.servers = Servers(reactor, self.decision_loop, self.clients, limits, self.log, probe_command)
         self.decision_loop.connect(self.clients, self.servers)
         if tls:
             self._secure_servers(tls)
@@ -187,7 +187,7 @@
             "reload",
             "following the change log at this address",
             address=f"{host}:{port}",
-            after=self.watch.last,
+            after=self.watch.last_seq,
         )
         self.watch.follow(host, port)
         if self.cooperation:
--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -25,14 +25,14 @@
 from limepath.log import Log
 from tests.stand_ins import BOUND, Site, Viewer, connections, listening, until
 from tests.test_endings import (
+    COPY_FIELDS,
     LONG_WAIT,
-    NOW,
-    Ordering,
-    going_on,
-    parts,
-    slow_to_read,
-    stopped,
-    with_effect,
+    ForwardingDecisions,
+    build_front,
+    resume_front,
+    slow_reader,
+    suspend_front,
+    with_write_settings,
 )
 
 LATE = 0.15  # seconds from a client's disconnect until the front continues; an attempt may be 0.1 s late
@@ -59,7 +59,7 @@
     """Return the id of the first request that this server receives, after another client sent OTHER_ID."""
     other_client = site.viewer().send(txn=OTHER_ID)
     asked = server.next()
-    asked.answer("DONE", NOW, b"x")
+    asked.answer("DONE", COPY_FIELDS, b"x")
     assert other_client.answer()[2] == b"x"
     return asked.id
 
@@ -71,7 +71,7 @@
         for i in range(number)
     ]
     for asked in [member.next() for _ in viewers]:
-        asked.answer("DONE", NOW if body is None else "-")
+        asked.answer("DONE", COPY_FIELDS if body is None else "-")
     assert [viewer.answer()[0] for viewer in viewers] == [200] * number
     assert member.connected == number
 
@@ -84,13 +84,13 @@
         viewer = site.viewer() if connected else None
         if connected:
             assert viewer.raw("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n").answer()[0] == 200
-        stopped(site)
+        suspend_front(site)
         viewer = viewer or site.viewer()  # accepted by the kernel while the front is stopped
         if reset:
             viewer.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
         viewer.send()
         disconnect_for_long(viewer)
-        going_on(site)
+        resume_front(site)
         assert first_request_id(site, site.cache) == OTHER_ID
         assert site.cache.asked.empty()
 
@@ -98,10 +98,10 @@
 def test_put_and_disconnect_are_read_in_one_late_iteration():
     with Site() as site:
         open_idle_connections(site, site.origin, "/invoke/tarea/1", b"x")
-        stopped(site)
+        suspend_front(site)
         viewer = site.viewer().send("/invoke/tarea/0000000000000001", b"mine")
         disconnect_for_long(viewer)
-        going_on(site)
+        resume_front(site)
         other_client = site.viewer().send("/invoke/tarea/0000000000000002", b"stays", txn=OTHER_ID)
         asked = site.origin.next()
         assert asked.id == OTHER_ID
@@ -114,10 +114,10 @@
         open_idle_connections(site, site.cache, "/invoke/video/1", number=2)
         viewer = site.viewer().send()
         asked = site.cache.next()
-        stopped(site)
+        suspend_front(site)
         asked.answer("LACK")  # leads to a fill
         disconnect_for_long(viewer)
-        going_on(site)
+        resume_front(site)
         assert first_request_id(site, site.cache) == OTHER_ID
 
 
@@ -128,17 +128,17 @@
         site.cache.crowd()
         waiting = site.viewer().send(txn="00000000000000aa")
         site.cache.called_in_vain()
-        stopped(site)
-        asked.answer("DONE", NOW, b"x")  # read before the FIN, in the same iteration
+        suspend_front(site)
+        asked.answer("DONE", COPY_FIELDS, b"x")  # read before the FIN, in the same iteration
         disconnect_for_long(waiting)
-        going_on(site)
+        resume_front(site)
         assert first.answer()[2] == b"x"
         assert first_request_id(site, site.cache) == OTHER_ID
 
 
 @pytest.mark.parametrize("effect", ["free", "single_shot", "guarded"])
 def test_connection_is_established_for_a_request_whose_client_has_disconnected(effect):
-    with Site(settings=with_effect(LONG_WAIT, idempotency=effect)) as site:
+    with Site(settings=with_write_settings(LONG_WAIT, idempotency=effect)) as site:
         target, member, body = (
             ("/invoke/video/1", site.cache, None)
             if effect == "free"
@@ -147,7 +147,7 @@
         member.crowd()
         waiting = site.viewer().send(target, body, txn="00000000000000aa")
         member.called_in_vain()
-        stopped(site)
+        suspend_front(site)
         crowding_ports = {f":{connection.getsockname()[1]:04X}" for connection in member.crowding}
         port = f":{member.listener.getsockname()[1]:04X}"
         member.uncrowd()
@@ -158,28 +158,28 @@
             )
         )
         disconnect_for_long(waiting)
-        going_on(site)
+        resume_front(site)
         other_client = site.viewer().send(target, body, txn=OTHER_ID)
         asked = member.next()
         assert asked.id == OTHER_ID
-        asked.answer("DONE", NOW if effect == "free" else "-", b"")
+        asked.answer("DONE", COPY_FIELDS if effect == "free" else "-", b"")
         assert other_client.answer()[0] == 200 and member.asked.empty()
 
 
 def test_request_is_not_opened_while_output_is_blocked():
     body = b"z" * 240_000
     with Site() as site:
-        viewer = slow_to_read(site)
+        viewer = slow_reader(site)
         asked = site.cache.next()
-        answer = b"%s DONE %s %d\r\n%s\r\n" % (asked.id.encode(), NOW.encode(), len(body), body)
+        answer = b"%s DONE %s %d\r\n%s\r\n" % (asked.id.encode(), COPY_FIELDS.encode(), len(body), body)
         asked.connection.sendall(answer[:-2])
         cache_port = asked.connection.getsockname()[1]
         until(lambda: unread_bytes(cache_port) == 0)
-        stopped(site)
+        suspend_front(site)
         asked.connection.sendall(answer[-2:])  # completes the answer, which blocks the output to the client
         viewer.send(txn="00000000000000aa")  # read in the same iteration
         until(lambda: unread_bytes(viewer.socket.getsockname()[1]) > 0)
-        going_on(site)
+        resume_front(site)
         viewer.socket.recv(1, socket.MSG_PEEK)
         assert site.health()[0] == 200
         assert site.cache.asked.empty()  # the request waits while a disconnect would go unnoticed
@@ -200,10 +200,10 @@
 def test_half_close_counts_as_disconnect():
     with Site() as site:
         open_idle_connections(site, site.cache, "/invoke/video/1")
-        stopped(site)
+        suspend_front(site)
         viewer = site.viewer().send()
         disconnect_for_long(viewer, lambda: viewer.socket.shutdown(socket.SHUT_WR))
-        going_on(site)
+        resume_front(site)
         assert viewer.ended()  # no answer, although the client could still read one
         assert first_request_id(site, site.cache) == OTHER_ID
 
@@ -211,7 +211,7 @@
 # Late iterations, run step by step
 
 
-class ForwardingTo(Ordering):
+class ForwardingTo(ForwardingDecisions):
     """A decision engine that forwards each request to `member`."""
 
     member = 1
@@ -228,7 +228,7 @@
 
     def __init__(self, **limits):
         self.front, self.reactor, self.ready = ForwardingTo(), EPollReactor(), EndpointState.READY
-        _, self.clients, self.servers, _ = parts(self.front, self.reactor, **limits)
+        _, self.clients, self.servers, _ = build_front(self.front, self.reactor, **limits)
         self.clients.services[b"tarea"] = (1, True, 5_000_000)
         self.listener = socket.socket()
         self.listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
@@ -286,7 +286,7 @@
     cache = front.accept()
     front.passes_until(lambda: select.select([cache], [], [], 0)[0])
     cache.recv(4096)
-    cache.sendall(b"9b1f03aa5c7e2d41 DONE %b 0\r\n\r\n" % NOW.encode())
+    cache.sendall(b"9b1f03aa5c7e2d41 DONE %b 0\r\n\r\n" % COPY_FIELDS.encode())
     front.passes_until(lambda: not front.clients.requests)
     front.passes_until(lambda: select.select([first.socket], [], [], 0)[0])
     assert first.answer()[0] == 200
@@ -388,9 +388,9 @@
 
 def test_prevented_attempt_is_counted_and_logged():
     with Site() as site:
-        stopped(site)
+        suspend_front(site)
         disconnect_for_long(site.viewer().send())
-        going_on(site)
+        resume_front(site)
         line = site.heard("event=client-gone")
         assert "attempt=first" in line and "begun=no" in line
         assert int(line.partition("late_ms=")[2].split()[0]) >= 1000 * LATE - 10
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -16,7 +16,7 @@
 )
 from tests.stand_ins import BOUND, Site, StandInCache, accepting, until
 from tests.test_client_disconnects import driven  # noqa: F401 (a fixture)
-from tests.test_endings import NOW, going_on, stopped
+from tests.test_endings import COPY_FIELDS, resume_front, suspend_front
 
 SOCKETS = 120
 FLOOD = 300
@@ -86,10 +86,10 @@
         log_address = stop_change_log(site.log)
         site.heard("event=changelog")
         if burst and not sends_request:
-            stopped(site)
+            suspend_front(site)
         clients = connect_clients(site, sends_request)
         if burst and not sends_request:
-            going_on(site)
+            resume_front(site)
         until(lambda: site.health()[0] == 200)  # accepted after all of them
         until(lambda: count_open(clients) <= CLIENTS)
         assert site.health()[0] == 200  # two more iterations, so that the excess is closed
@@ -108,7 +108,7 @@
         site.cache.next().answer("LACK")
         fill = site.cache.next()
         assert fill.fields["up"] == "o-1"
-        fill.answer("DONE", NOW, b"x")
+        fill.answer("DONE", COPY_FIELDS, b"x")
         assert viewer.answer()[2] == b"x"
         assert descriptors(site) <= SOCKETS
         assert not [line for line in site.said if "fault" in line or "EMFILE" in line or "open files" in line]
@@ -128,7 +128,7 @@
         restart_change_log(site, log_address)
         assert site.log.called() == 1
         viewer = site.viewer().send()
-        site.cache.next().answer("DONE", NOW, b"x")
+        site.cache.next().answer("DONE", COPY_FIELDS, b"x")
         assert viewer.answer()[2] == b"x"
         assert not [line for line in site.said if "open files" in line or "EMFILE" in line]
         for client in clients:
@@ -152,7 +152,7 @@
 
     def answer_all(self, number):
         for _ in range(number):
-            self.next().answer("DONE", NOW)
+            self.next().answer("DONE", COPY_FIELDS)
 
 
 def test_idle_cache_connections_are_replaced_within_the_reserved_descriptors(driven):  # noqa: F811
@@ -192,7 +192,7 @@
         site.log.called()
         clients = [site.viewer() for _ in range(CLIENTS)]
         clients[0].send()
-        site.cache.next().answer("DONE", NOW, b"x")
+        site.cache.next().answer("DONE", COPY_FIELDS, b"x")
         assert clients[0].answer()[2] == b"x"
         counts = re.findall(r"(\w+)=(\d+)", site.heard("event=descriptors-by-use").partition("event=")[2])
         use = {name: int(value) for name, value in counts}
