--- a/limepath/duties/instance.py
+++ b/limepath/duties/instance.py
@@ -1,6 +1,7 @@
-"""One instance: membership and duties behind one `handle`, for the host, the simulation and the tests alike.
+"""One instance of the duties: membership, leases, schedules and shared results behind one `handle` method.
 
-Events and commands are those of `membership.interface` and `duties.interface`. Free of I/O.
+The host, the simulation and the tests all use it. Events and commands are those of `membership.interface` and
+`duties.interface`. The module does no I/O.
 """
 
 from collections import deque
@@ -44,14 +45,14 @@
 from limepath.timer_queue import TimerQueue
 
 DUTIES_SEED = 0x5EED
-"""Keeps the random numbers of the duties apart from those of the membership."""
+"""Makes the random numbers of the duties independent of those of the membership."""
 
 
 class Instance:
     """An instance's membership, leases, schedules and shared results.
 
-    `me` is its own record, `ceiling` and `sure` are what its store knows of epochs (see `voter`), `speaks` is
-    the newest protocol version that it uses.
+    `me` is its own record. `ceiling` and `is_ceiling_known` are the epoch ceiling from its store and whether it
+    had one (see `voter`). `newest_version` is the newest protocol version that the instance uses.
     """
 
     def __init__(
@@ -63,24 +64,24 @@
         lease_settings: LeaseSettings,
         seed: int,
         ceiling: int = 0,
-        sure: bool = True,
-        speaks: int = NEWEST_VERSION,
+        is_ceiling_known: bool = True,
+        newest_version: int = NEWEST_VERSION,
     ):
-        self.members = Members(me, seeds, timeouts, seed, speaks)
+        self.members = Members(me, seeds, timeouts, seed, newest_version)
         self.timers = TimerQueue(seed ^ DUTIES_SEED)
         self.token = me.token
         self.tokens_by_name: dict[str, int] = {}
-        """Of the live members; the voters are configured by name."""
+        """The tokens of the live members, because voters are configured by name."""
         self.is_draining = False
         self.has_ended = False
         """Whether this instance has left or yielded its identity."""
         self.live_ring = LiveRing(me.token, lambda: self.members.ring)
         self.slot_keys = sorted(KeyedTarget(key_of(slot + 1), slot) for slot in range(lease_settings.slots))
         self.wanted_slots: list[int] | None = None
-        """The slots that the ring assigns to this instance; None while they are to be computed."""
+        """The slots that the ring assigns to this instance; None if they have to be computed again."""
         self.loopback: deque[Message] = deque()
-        """Lease messages of this instance to its own voter, and back."""
-        self.lease_manager = self._make_lease_manager(me, duties, lease_settings, ceiling, sure)
+        """Lease messages between this instance and its own voter, in both directions."""
+        self.lease_manager = self._make_lease_manager(me, duties, lease_settings, ceiling, is_ceiling_known)
         self.shares = [
             DutyShare(self.timers, duty, settings, lease_settings.slots, self.lease_manager)
             for duty, settings in enumerate(duties)
@@ -100,7 +101,7 @@
         duties: Sequence[DutySettings],
         settings: LeaseSettings,
         ceiling: int,
-        sure: bool,
+        is_ceiling_known: bool,
     ) -> LeaseManager | None:
         leased = [duty for duty, plan in enumerate(duties) if plan.mode == DutyMode.ONE_OWNER]
         if not leased:
@@ -115,24 +116,24 @@
             self._on_leases_changed,
             self._send_to_voter,
             ceiling,
-            sure,
+            is_ceiling_known,
         )
 
     # What the host calls
 
     def start(self, now: int) -> list[Any]:
-        """Start membership and leases; return the commands that follow."""
+        """Start membership and leases; return the resulting commands."""
         self.timers.now = now
         if self.lease_manager:
             self.lease_manager.start()
-        return self._settle(now, self.members.start(now))
+        return self._run_until_idle(now, self.members.start(now))
 
     def handle(self, now: int, events: Sequence[Any]) -> list[Any]:
-        """Take in events at `now` and do what is due; return the commands that follow, in their order."""
+        """Handle events at the time `now` and run the timers that are due; return the commands in order."""
         member_events = [event for event in events if isinstance(event, (MessageReceived, LeaveRequested))]
         if any(isinstance(event, LeaveRequested) for event in member_events) and not self.is_draining:
             self._leave()
-        commands = self._settle(now, self.members.handle(now, member_events))
+        commands = self._run_until_idle(now, self.members.handle(now, member_events))
         if len(member_events) == len(events):
             return commands
         self.timers.now = now
@@ -141,26 +142,26 @@
                 self._handle_target_served(event)
             elif isinstance(event, TargetsUpdated):
                 self._handle_targets_updated(event)
-        return commands + self._settle(now, [])
+        return commands + self._run_until_idle(now, [])
 
     def next(self) -> int | None:
-        """When to call `handle` again at the latest, or None."""
+        """Return the latest time at which `handle` must be called again, or None."""
         due_times = [due for due in (self.members.next(), self.timers.next_due()) if due is not None]
         return min(due_times) if due_times and not self.has_ended else None
 
     def find_answer(self, target: int, max_age: int) -> ProbeResult | None:
-        """Return a shared result that stands in for a probe (see `SharedResults.find_answer`)."""
+        """Return a shared result that can replace a probe, or None (see `SharedResults.find_answer`)."""
         return self.shared_results.find_answer(target, max_age)
 
     def preload_members(self, records: Iterable[MemberRecord]) -> None:
-        """Know these members from the start, without joining by messages."""
+        """Add known members before the start, without exchanging join messages."""
         self.members.add_known_members(records)
         for command in self.members.timers.take_commands():
             if isinstance(command, MemberJoined):
                 self.add_member(command.member)
 
     def view(self) -> InstanceView:
-        """Return what the control socket reports of this instance."""
+        """Return the view of this instance that the control socket reports."""
         return InstanceView(
             describe_self(self.members, self.lease_manager, self.timers.now, self.is_draining),
             describe_members(self.members),
@@ -175,40 +176,40 @@
         self.shared_results.retain(event.duty, event.targets)
 
     def _handle_target_served(self, event: TargetServed) -> None:
-        """Share this instance's own result, of a scheduled round or of a probe that the front asked for."""
+        """Share a result of this instance, of a scheduled round or of a probe that its front requested."""
         self.shared_results.add_own(event.duty, event.target, event.outcome, event.duration, event.load)
         served_at = self.timers.now - event.duration
         self.shares[event.duty].schedule.record_served(event.target, served_at)
 
     def _leave(self) -> None:
-        """Hand over before leaving: release the leases, serve no target any more."""
+        """Release the leases and stop serving, so that others take over before this instance leaves."""
         self.is_draining = True
         if self.lease_manager:
             self.lease_manager.leave()
         for share in self.shares:
             share.schedule.set_owned(())
 
-    # Membership and duties in turn
+    # Processing of commands and timers
 
-    def _settle(self, now: int, commands: Iterable[Any]) -> list[Any]:
-        """Apply the membership's commands and do what the duties have due, until nothing is left."""
-        settled: list[Any] = []
+    def _run_until_idle(self, now: int, commands: Iterable[Any]) -> list[Any]:
+        """Apply the membership's commands and run the duties' timers until neither yields another command."""
+        collected: list[Any] = []
         self.timers.now = now
         while True:
-            settled += self._apply_member_commands(commands)
+            collected += self._apply_member_commands(commands)
             if self.has_ended:
-                return settled
+                return collected
             self._deliver_loopback()
             self.timers.run_due(now)
-            self._divide_stale_shares(now)
+            self._update_stale_shares(now)
             self.timers.run_due(now)
-            settled += self._send_commands()
+            collected += self._send_commands()
             commands = self.members.timers.take_commands()
             if not commands and not self.loopback:
-                return settled
+                return collected
 
     def _apply_member_commands(self, commands: Iterable[Any]) -> list[Any]:
-        """Take in what concerns the duties; return the commands that the host carries out."""
+        """Handle the commands that concern the duties; return the others, which the host executes."""
         remaining: list[Any] = []
         for command in commands:
             if isinstance(command, MessageRelayed) and self._handle_message(command.sender, command.message):
@@ -224,7 +225,7 @@
         return remaining
 
     def _handle_message(self, sender: MemberRecord, message: Message) -> bool:
-        """Take a message in; return False for one of another logic, which the host hands on."""
+        """Handle a message of the duties; return False for other messages, which the host passes on."""
         if isinstance(message, ProbeResults):
             for known in self.shared_results.receive(message.results):
                 schedule = self.shares[known.result.duty].schedule
@@ -240,21 +241,21 @@
         while self.loopback and self.lease_manager:
             self.lease_manager.handle_message(me.name, me.session_token, self.loopback.popleft())
 
-    def _divide_stale_shares(self, now: int) -> None:
+    def _update_stale_shares(self, now: int) -> None:
         for share in self.shares:
             if not share.is_stale or self.is_draining:
                 continue
             settles_at = self.live_ring.settles_at(now)
             if settles_at is None:
-                share.divide(self.live_ring.current(), self.token)
+                share.update_owned(self.live_ring.current(), self.token)
             else:
-                self.timers.schedule(settles_at, self._look_again)
+                self.timers.schedule(settles_at, self._on_ring_settled)
 
-    def _look_again(self) -> None:
-        """Nothing to do: stale shares are looked at whenever a timer has run."""
+    def _on_ring_settled(self) -> None:
+        """Do nothing: `_run_until_idle` updates the stale shares whenever a timer has run."""
 
     def _send_commands(self) -> list[Any]:
-        """Send the duties' messages through the membership; return the other commands."""
+        """Pass the duties' messages to the membership for sending; return the other commands."""
         remaining: list[Any] = []
         for command in self.timers.take_commands():
             if isinstance(command, SendToMember):
@@ -263,16 +264,16 @@
                 remaining.append(command)
         return remaining
 
-    # The view and the leases
+    # Changes of the view and of the leases
 
     def add_member(self, record: MemberRecord) -> None:
-        """Take in a member that has joined."""
+        """Add a member that has joined."""
         self.live_ring.add(record.token)
         self.tokens_by_name[record.name] = record.token
         self._on_view_changed()
 
     def remove_member(self, record: MemberRecord) -> None:
-        """Take off a member that has left or died."""
+        """Remove a member that has left or died."""
         self.live_ring.remove(record.token)
         if self.tokens_by_name.get(record.name) == record.token:
             del self.tokens_by_name[record.name]
--- a/limepath/duties/instance_view.py
+++ b/limepath/duties/instance_view.py
@@ -1,4 +1,4 @@
-"""What a running instance reports of itself on its control socket. The keys are part of that interface."""
+"""The state that a running instance reports on its control socket. The keys are part of that interface."""
 
 from collections.abc import Sequence
 from typing import Any, NamedTuple
@@ -10,11 +10,11 @@
 from limepath.membership.members import Members
 
 STATE_NAMES = ("alive", "suspect", "dead", "left")
-"""By MemberState."""
+"""Names of the states, indexed by MemberState."""
 
 
 class InstanceView(NamedTuple):
-    """Plain values, ready for JSON."""
+    """The state of an instance, in values that can be encoded as JSON."""
 
     me: dict[str, Any]
     members: list[dict[str, Any]]
@@ -25,7 +25,7 @@
 def describe_self(
     members: Members, lease_manager: LeaseManager | None, now: int, is_draining: bool
 ) -> dict[str, Any]:
-    """Return the instance's own identity and standing; `now_us` is its monotonic clock."""
+    """Return the instance's identity and state; `now_us` is the time of its monotonic clock."""
     me = members.me
     voter = lease_manager.voter if lease_manager else None
     return {
@@ -42,7 +42,7 @@
 
 
 def describe_members(members: Members) -> list[dict[str, Any]]:
-    """Return a row for each member known, this instance included, in order of their names."""
+    """Return a row for each known member, including this instance, sorted by name."""
     records = [members.me, *members.table.values()]
     return [describe_member(record) for record in sorted(records, key=lambda one: (one.name, one.token))]
 
@@ -60,7 +60,7 @@
 
 
 def describe_duty(share: DutyShare) -> dict[str, Any]:
-    """Return one duty with what this instance owns of it, and the epochs of its leases by slot."""
+    """Return one duty, the number of its targets that this instance owns, and its lease epochs by slot."""
     row: dict[str, Any] = {
         "name": share.settings.name,
         "mode": share.settings.mode.name.lower().replace("_", "-"),
@@ -79,7 +79,7 @@
 
 
 def describe_counts(members: Members, results: SharedResults, shares: Sequence[DutyShare]) -> dict[str, int]:
-    """Return the counts of membership, shared results and rounds."""
+    """Return the counts of the membership, of shared results and of missed rounds."""
     counts = dict(members.counts)
     counts["view"] = len(members.ring) + 1
     counts |= {f"results {kind}": count for kind, count in results.counts.items()}
--- a/limepath/duties/interface.py
+++ b/limepath/duties/interface.py
@@ -1,8 +1,9 @@
 """The interface of the duties logic: messages between instances, events in, commands out.
 
-The settings (`DutySettings`, `LeaseSettings`) stand in `limepath.configuration.sharing_settings`. Times are
-whole microseconds of the instance's own monotonic clock. A duty is named by its index in the settings. A
-target is an integer, the same at every instance. Message tags and the order of fields are the wire format.
+The settings (`DutySettings`, `LeaseSettings`) are defined in `limepath.configuration.sharing_settings`. Times
+are whole microseconds of the instance's own monotonic clock. A duty is identified by its index in the
+settings. A target is identified by an integer that is the same at every instance. The tags of the messages
+and the order of their fields are the wire format.
 """
 
 from typing import NamedTuple
@@ -15,20 +16,20 @@
 
 
 class ProbeResult(NamedTuple):
-    """The outcome of serving one target, `age` microseconds ago."""
+    """The outcome of serving one target, `age` and `duration` in microseconds."""
 
     duty: int
     target: int
     prober: int  # token of the instance that served the target
-    serial: int  # counts the prober's results
-    age: int
+    serial: int  # sequence number of the prober's results
+    age: int  # time since the target was served
     outcome: int  # an AttemptOutcome
     duration: int
     load: dict[str, float] = {}
 
 
 class ProbeResults(Message, tag="r"):
-    """Results of the sender and of others."""
+    """Results of the sender, and results of other instances that it passes on."""
 
     results: tuple[ProbeResult, ...]
 
@@ -44,12 +45,12 @@
     """A slot that a voter did not grant."""
 
     slot: int
-    epoch: int  # the epoch that a request has to exceed
-    remaining: int  # of the grant that another holds, 0 if none
+    epoch: int  # a request has to exceed this epoch
+    remaining: int  # microseconds until another holder's grant expires, 0 if there is none
 
 
 class LeaseRequest(Message, tag="c"):
-    """Acquire or renew leases on these slots. A lease runs from when its request was sent."""
+    """Request to acquire or renew leases on these slots. A lease runs from when its request was sent."""
 
     duty: int
     round: int
@@ -57,7 +58,7 @@
 
 
 class LeaseGrant(Message, tag="v"):
-    """A voter's answer to the request of that round."""
+    """A voter's answer to the request with the same round number."""
 
     duty: int
     round: int
@@ -66,35 +67,38 @@
 
 
 class LeaseRelease(Message, tag="e"):
-    """Leases or grants given back before they expire."""
+    """Leases, or grants without a majority, that the sender gives up before they expire."""
 
     duty: int
     slots: tuple[SlotEpoch, ...]
 
 
 class EpochQuery(Message, tag="q"):
-    """A voter whose store is new or lost asks for the ceilings of the other voters."""
+    """Query for the other voters' epoch ceilings, sent by a voter whose store is new or lost."""
 
     round: int
 
 
 class EpochReport(Message, tag="k"):
-    """No epoch above `ceiling` was ever granted here; `sure` unless this voter's own store is new or lost."""
+    """Answer to an EpochQuery: the sender has granted no epoch above `ceiling`.
+
+    `is_ceiling_known` is False while the sender's own store is new or lost.
+    """
 
     round: int
     ceiling: int
-    sure: bool
+    is_ceiling_known: bool
 
 
 LEASE_MESSAGES = (LeaseRequest, LeaseGrant, LeaseRelease, EpochQuery, EpochReport)
 MESSAGES = (ProbeResults, *LEASE_MESSAGES)
 
 
-# Events in, beside MessageReceived and LeaveRequested of the membership
+# Events in, besides MessageReceived and LeaveRequested of the membership
 
 
 class TargetsUpdated(NamedTuple):
-    """All targets of a duty, as the endpoint list has them now."""
+    """All targets of a duty that are on the endpoint list now."""
 
     duty: int
     targets: tuple[int, ...]
@@ -110,7 +114,7 @@
     load: dict[str, float]
 
 
-# Commands out, beside those of the membership
+# Commands out, besides those of the membership
 
 
 class ServeTarget(NamedTuple):
@@ -118,8 +122,8 @@
 
     duty: int
     target: int
-    epoch: int  # of the lease that allows it; 0 where the duty's mode has none
-    until: int = 0  # the lease's expiry: not to be served later; 0 for no limit
+    epoch: int  # of the lease that permits it; 0 if the duty's mode uses no leases
+    until: int = 0  # when the lease expires: the target must not be served later; 0 for no limit
 
 
 class SendToMember(NamedTuple):
@@ -130,12 +134,12 @@
 
 
 class ResultShared(NamedTuple):
-    """A result of another instance, new here."""
+    """A new result of another instance has arrived."""
 
     result: ProbeResult
 
 
 class PersistEpochCeiling(NamedTuple):
-    """Write the ceiling of epochs to the store before any later command takes effect."""
+    """Write the epoch ceiling to the store before any later command is executed."""
 
     ceiling: int
--- a/limepath/duties/lease_model.py
+++ b/limepath/duties/lease_model.py
@@ -78,7 +78,7 @@
             self.on_leases_changed,
             self.send,
             self.stored_ceiling,
-            sure=True,
+            is_ceiling_known=True,
         )
         if self.broken:
             self.manager.voter.__class__ = BrokenVoter
--- a/limepath/duties/leases.py
+++ b/limepath/duties/leases.py
@@ -1,8 +1,9 @@
-"""At most one owner: an instance's leases on slots of targets, granted by a majority of fixed voters.
+"""The leases of one instance on slots of targets, granted by a majority of fixed voters.
 
-A lease runs from when its request was sent and is shorter than the voters' grants by `drift`: it ends first,
-whatever wall clocks do (see `lease_timing` and `voter`). An epoch is granted to one holder only and above all
-that were granted before, so it fences off a former holder. Free of I/O.
+A lease guarantees that a target has at most one owner. It runs from when its request was sent and is shorter
+than the voters' grants by `drift`, so it ends before they do, independent of wall clocks (see `lease_timing`
+and `voter`). An epoch is granted to one holder only and exceeds all epochs granted before, so it fences off
+previous holders. The module does no I/O.
 """
 
 from collections.abc import Callable, Collection, Iterable, Sequence
@@ -24,7 +25,7 @@
 
 
 class Lease:
-    """A lease that this instance holds until it expires."""
+    """A lease of this instance; it is held until `expires_at`."""
 
     __slots__ = ("epoch", "expires_at")
 
@@ -44,14 +45,15 @@
         self.epochs: dict[int, int] = dict(slots)
         """The requested epoch by slot."""
         self.votes: dict[int, set[str]] = {}
-        """The voters that granted, by slot."""
+        """The voters that have granted the lease, by slot."""
 
 
 class LeaseManager:
-    """Holder of one instance's leases, and owner of its voter if it is one.
+    """Acquires, renews and releases one instance's leases; owns its voter if the instance is one.
 
-    `wanted_slots(duty)` gives the slots that it should hold by its view of the fleet. `on_change(duty)` is
-    called when the slots that it holds have changed. `send(name, message)` sends to a voter, itself included.
+    `wanted_slots(duty)` returns the slots that the instance should hold according to its view of the fleet.
+    `on_change(duty)` is called when the slots that it holds have changed. `send(name, message)` sends a
+    message to an instance by its name, which may be this instance itself.
     """
 
     def __init__(
@@ -65,12 +67,12 @@
         on_change: Callable[[int], object],
         send: SendToVoter,
         ceiling: int = 0,
-        sure: bool = True,
+        is_ceiling_known: bool = True,
     ):
         self.timers = timers
         self.name = name
         self.session = session
-        """Names this incarnation of the instance to the voters."""
+        """Identifies this incarnation of the instance to the voters."""
         self.settings = settings
         self.duties = tuple(duties)
         self.wanted_slots = wanted_slots
@@ -79,28 +81,28 @@
         self.voter: Voter | None = None
         if name in settings.voters:
             other_voters = [voter for voter in settings.voters if voter != name]
-            self.voter = Voter(timers, settings, other_voters, ceiling, sure)
+            self.voter = Voter(timers, settings, other_voters, ceiling, is_ceiling_known)
         self.majority = len(settings.voters) // 2 + 1
         self.held_leases: dict[tuple[int, int], Lease] = {}
-        """By duty and slot, as all below; expired ones stay until the next renewal."""
+        """Leases by duty and slot; an expired lease stays until the next renewal."""
         self.highest_epochs: dict[tuple[int, int], int] = {}
-        """The highest epoch that this instance knows to have been requested by anyone."""
+        """By duty and slot, the highest epoch that any instance has requested, as far as is known here."""
         self.retry_at: dict[tuple[int, int], int] = {}
-        """When a slot that was denied may be requested again."""
+        """By duty and slot, the time from which a slot that was denied may be requested again."""
         self.pending_requests: dict[int, PendingRequest] = {}
-        """By round."""
+        """Requests by their round number."""
         self.round = 0
         self.is_draining = False
 
     def start(self) -> None:
-        """Start the voter and the renewals, the first of them at a random time."""
+        """Start the voter, and schedule the first renewal at a random time."""
         if self.voter:
             self.voter.start(self.send)
         delay = int(self.timers.random_fraction() * renewal_interval(self.settings))
         self.timers.schedule(self.timers.now + delay, self.renew)
 
     def valid_lease(self, duty: int, slot: int) -> Lease | None:
-        """Return the lease that this instance holds now."""
+        """Return the lease on a slot, or None if this instance holds none now."""
         lease = self.held_leases.get((duty, slot))
         return lease if lease and self.timers.now < lease.expires_at else None
 
@@ -108,13 +110,15 @@
         """Return the slots of a duty that this instance holds now."""
         now = self.timers.now
         return {
-            slot for (of, slot), lease in self.held_leases.items() if of == duty and now < lease.expires_at
+            slot
+            for (lease_duty, slot), lease in self.held_leases.items()
+            if lease_duty == duty and now < lease.expires_at
         }
 
     # Acquire and renew
 
     def renew(self) -> None:
-        """Renew what is held and still wanted, acquire what is wanted and free, release the rest."""
+        """Renew the leases on wanted slots, request the wanted slots that are free, release the other leases."""
         if self.is_draining:
             return
         self.timers.schedule(self.timers.now + renewal_interval(self.settings), self.renew)
@@ -141,7 +145,7 @@
             if lease and highest <= lease.epoch:
                 slots.append(SlotEpoch(slot, lease.epoch))
             elif lease:
-                # A voter that has started anew grants no former epoch: go on with a higher one.
+                # A voter that has restarted does not grant an earlier epoch again, so request a higher one.
                 slots.append(SlotEpoch(slot, highest + 1))
             elif slot not in pending and self.retry_at.get(key, 0) <= self.timers.now:
                 slots.append(SlotEpoch(slot, highest + 1))
@@ -157,7 +161,7 @@
         self.timers.schedule(ends_at, self.end_request, self.round)
 
     def end_request(self, request_round: int) -> None:
-        """Release what no majority has granted by now, so that a split vote does not block the slot."""
+        """Release the slots that no majority has granted by now, so that a split vote does not block them."""
         request = self.pending_requests.pop(request_round, None)
         if request is None:
             return
@@ -182,7 +186,7 @@
     # Votes
 
     def handle_grant(self, voter: str, grant: LeaseGrant) -> None:
-        """Count a voter's answer to a request that is pending."""
+        """Count the votes in a voter's answer to a pending request."""
         request = self.pending_requests.get(grant.round)
         if request is None or request.duty != grant.duty or voter not in self.settings.voters:
             return
@@ -202,7 +206,7 @@
                 self._postpone(key, self.timers.now + min(remaining, self.settings.span))
 
     def _count_vote(self, request: PendingRequest, slot: int, voter: str) -> bool:
-        """Count one vote; with a majority acquire or renew the lease. Return whether it was acquired."""
+        """Count one vote, and acquire or renew the lease on a majority; return whether it was acquired."""
         voters = request.votes.setdefault(slot, set())
         voters.add(voter)
         expires_at = request.sent_at + holder_duration(self.settings)
@@ -213,7 +217,7 @@
         lease = self.held_leases.get(key)
         is_new_epoch = epoch > self.highest_epochs.get(key, 0)
         if lease is None:
-            if not is_new_epoch:  # it was released meanwhile
+            if not is_new_epoch:  # the lease was released in the meantime
                 return False
             self.held_leases[key] = Lease(epoch, expires_at)
             self.highest_epochs[key] = epoch
@@ -225,10 +229,10 @@
             self.highest_epochs[key] = epoch
         return False
 
-    # Expire and release
+    # Expiry and release
 
     def _expire_leases(self) -> None:
-        """Forget leases that have expired; their epochs are not used again."""
+        """Delete the leases that have expired; their epochs are not used again."""
         expired = [key for key, lease in self.held_leases.items() if lease.expires_at <= self.timers.now]
         for key in expired:
             self._record_epoch(key, self.held_leases.pop(key).epoch)
@@ -249,17 +253,17 @@
                 self.send(voter, LeaseRelease(duty, tuple(slots)))
 
     def leave(self) -> None:
-        """Release all leases and request none any more."""
+        """Release all leases and request no more."""
         self.is_draining = True
         for duty in self.duties:
-            self._release_held(duty, {slot for of, slot in self.held_leases if of == duty})
+            self._release_held(duty, {slot for lease_duty, slot in self.held_leases if lease_duty == duty})
 
     # Messages
 
     def handle_message(self, name: str, session: int, message: Message) -> None:
-        """Take in a lease message of another instance, or of this one to itself.
+        """Handle a lease message of another instance, or one that this instance sent to itself.
 
-        `name` and `session` are those of the sender and of its incarnation.
+        `name` is the sender's name, `session` identifies the sender's incarnation.
         """
         if isinstance(message, LeaseGrant):
             self.handle_grant(name, message)
@@ -272,7 +276,7 @@
         elif isinstance(message, LeaseRelease):
             self.voter.handle_release(session, message)
         elif isinstance(message, EpochQuery):
-            report = EpochReport(message.round, self.voter.highest_epoch(), self.voter.sure)
+            report = EpochReport(message.round, self.voter.highest_epoch(), self.voter.is_ceiling_known)
             self.send(name, report)
         elif isinstance(message, EpochReport):
             self.voter.handle_report(name, message)
--- a/limepath/duties/live_ring.py
+++ b/limepath/duties/live_ring.py
@@ -4,18 +4,18 @@
 
 from limepath.duties.ring import Ring
 
-FEW_CHANGES = 3
-"""Changes of the view that are taken in at once; more of them wait, up to SETTLE_TIME."""
-REBUILD_PART = 16
-"""Single changes cost less than a ring built anew up to this part of its members."""
+MAX_IMMEDIATE_CHANGES = 3
+"""Up to this many changes of the view are applied at once; more of them may wait for SETTLE_TIME."""
+REBUILD_DIVISOR = 16
+"""Single changes cost less than a rebuild up to the number of the ring's members divided by this."""
 SETTLE_TIME = 100_000
-"""Microseconds in which a view that changes much (a cold start) has its ring built once."""
+"""Microseconds within which the ring is built only once while a view changes fast, as in a cold start."""
 
 
 class LiveRing:
-    """Gathers joined and left members, and applies them to the ring when it is asked for.
+    """Collects joins and departures, and applies them to the ring when `current` is called.
 
-    `live_members()` gives the tokens of the other live instances.
+    `live_members()` returns the tokens of the other live instances.
     """
 
     def __init__(self, token: int, live_members: Callable[[], Sequence[int]]):
@@ -23,32 +23,32 @@
         self.live_members = live_members
         self.ring = Ring.of([token])
         self.added: list[int] = []
-        """Members that are live and not yet on the ring."""
+        """Live members that are not on the ring yet."""
         self.removed: list[int] = []
-        """Members on the ring that are live no more."""
+        """Members on the ring that are no longer live."""
         self.large_change_at: int | None = None
-        """When more than FEW_CHANGES were last taken in."""
+        """When more than MAX_IMMEDIATE_CHANGES changes were last applied together."""
 
     def add(self, token: int) -> None:
-        """Take a member in that has joined."""
+        """Add a member that has joined."""
         if token in self.removed:
             self.removed.remove(token)
         else:
             self.added.append(token)
 
     def remove(self, token: int) -> None:
-        """Take a member off that has left or died."""
+        """Remove a member that has left or died."""
         if token in self.added:
             self.added.remove(token)
         else:
             self.removed.append(token)
 
     def settles_at(self, now: int) -> int | None:
-        """Return until when to wait for more changes, or None if the ring may be used now.
+        """Return the time until which to wait for more changes, or None if the ring may be used now.
 
-        Where many changes are taken in now, the next many wait for SETTLE_TIME.
+        When more than MAX_IMMEDIATE_CHANGES are applied now, the next such batch waits for SETTLE_TIME.
         """
-        if len(self.added) + len(self.removed) <= FEW_CHANGES:
+        if len(self.added) + len(self.removed) <= MAX_IMMEDIATE_CHANGES:
             return None
         if self.large_change_at is not None and now < self.large_change_at + SETTLE_TIME:
             return self.large_change_at + SETTLE_TIME
@@ -56,9 +56,9 @@
         return None
 
     def current(self) -> Ring:
-        """Return the ring of the view as it is now."""
+        """Apply the collected changes and return the ring of the present view."""
         changes = len(self.added) + len(self.removed)
-        if changes > max(FEW_CHANGES, self.ring.members // REBUILD_PART):
+        if changes > max(MAX_IMMEDIATE_CHANGES, self.ring.members // REBUILD_DIVISOR):
             self.ring = Ring.of([self.token, *self.live_members()])
         elif changes:
             self.ring = self.ring.with_changes(self.removed, self.added)
--- a/limepath/duties/node.py
+++ b/limepath/duties/node.py
@@ -40,7 +40,7 @@
     token: int
     incarnation: int = 0
     ceiling: int = 0
-    sure: bool = False
+    is_ceiling_known: bool = False
 
 
 class Node:
@@ -93,7 +93,7 @@
             world.lease_settings,
             world.random.getrandbits(32),
             self.store.ceiling,
-            self.store.sure,
+            self.store.is_ceiling_known,
         )
         self.received = []
         self.paused = False
@@ -153,7 +153,7 @@
             world.serve(self, command)
         elif isinstance(command, PersistEpochCeiling):
             self.store.ceiling = command.ceiling
-            self.store.sure = True
+            self.store.is_ceiling_known = True
         elif isinstance(command, ResultShared):
             world.handle_result_shared(self, command.result)
         elif isinstance(command, LogEvent):
--- a/limepath/duties/share.py
+++ b/limepath/duties/share.py
@@ -1,4 +1,4 @@
-"""One duty's share at one instance: which of the duty's targets this instance owns."""
+"""The share of one instance in one duty: the targets of the duty that the instance owns."""
 
 from collections.abc import Collection
 
@@ -9,13 +9,14 @@
 from limepath.timer_queue import TimerQueue
 
 UNLIMITED = ServePermission(epoch=0, until=0)
-"""The permission of duties that need no lease."""
+"""The permission to serve targets of duties that use no leases."""
 
 
 class DutyShare:
     """The targets of one duty, and the schedule of those that this instance owns.
 
-    `lease_manager` is that of the instance, if any duty needs leases; targets are mapped to `slots` slots.
+    `lease_manager` is the instance's lease manager, or None if no duty uses leases. Targets are mapped to
+    `slots` slots.
     """
 
     def __init__(
@@ -30,15 +31,15 @@
         self.settings = settings
         self.slots = slots
         self.lease_manager = lease_manager if settings.mode == DutyMode.ONE_OWNER else None
-        """None where this duty needs no lease."""
+        """None if this duty uses no leases."""
         self.keyed_targets: list[KeyedTarget] = []
-        """All targets of the duty, in order of their keys."""
+        """All targets of the duty, sorted by their keys."""
         self.is_stale = True
-        """Whether targets, view or leases have changed since `divide`."""
+        """Whether targets, view or leases have changed since the last `update_owned`."""
         self.schedule = DutySchedule(timers, duty, settings, self.permission)
 
     def permission(self, target: int) -> ServePermission | None:
-        """Return under which lease the target may be served now, or None if it may not."""
+        """Return the permission to serve the target now, or None without a valid lease."""
         if self.lease_manager is None:
             return UNLIMITED
         lease = self.lease_manager.valid_lease(self.duty, self.slot_of(target))
@@ -49,13 +50,13 @@
         return key_of(target) % self.slots
 
     def set_targets(self, targets: Collection[int]) -> None:
-        """Take all targets of the duty as the endpoint list has them now."""
+        """Replace the targets of the duty with those that are on the endpoint list now."""
         self.keyed_targets = sorted(KeyedTarget(key_of(target), target) for target in set(targets))
         self.schedule.retain(targets)
         self.is_stale = True
 
-    def divide(self, ring: Ring, token: int) -> None:
-        """Own the targets that are this instance's by the ring or by the slots that it holds."""
+    def update_owned(self, ring: Ring, token: int) -> None:
+        """Set the owned targets: those that the ring assigns to this instance, or those in its leased slots."""
         self.is_stale = False
         if self.lease_manager is None:
             owned = ring.targets_of(token, self.keyed_targets)
--- a/limepath/duties/voter.py
+++ b/limepath/duties/voter.py
@@ -1,10 +1,10 @@
-"""A voter: grants and denies leases on slots, each grant with an epoch above all that were granted before.
+"""The voter: grants and denies leases on slots; the epoch of each new grant exceeds all earlier ones.
 
-As Gray and Cheriton's leases (1989), with a majority of fixed voters, as in Paxos, in place of one server.
-What must survive a crash is the ceiling of epochs: it is persisted in blocks, before any grant above it. A
-voter that has just started grants nothing for `startup_silence`, since grants of its former incarnation may
-still hold. One whose store is new or lost grants nothing either until it has reports from so many others
-that every majority is among them. Free of I/O.
+The leases follow Gray and Cheriton (1989), with a majority of fixed voters, as in Paxos, in place of a single
+server. Only the epoch ceiling has to survive a crash: it is persisted in blocks, before any epoch above it is
+granted. A voter that has just started grants nothing for `startup_silence`, because grants of its previous
+incarnation may still be valid. A voter whose store is new or lost also waits for epoch reports from enough
+other voters that every possible majority includes one of them. The module does no I/O.
 """
 
 from collections.abc import Callable, Hashable, Sequence
@@ -24,14 +24,14 @@
 from limepath.timer_queue import TimerQueue
 
 EPOCHS_RESERVED = 1000
-"""Epochs by which the persisted ceiling is ahead of the highest grant: one write for so many."""
+"""How far the persisted ceiling is set above the granted epoch, so that one write covers this many epochs."""
 
 SendToVoter = Callable[[str, Message], object]
 """Sends a message to the voter of that name."""
 
 
 class Grant:
-    """What a voter has granted on one slot."""
+    """A voter's latest grant on one slot; it may have expired."""
 
     __slots__ = ("epoch", "expires_at", "holder")
 
@@ -42,7 +42,11 @@
 
 
 class Voter:
-    """The voter of one instance. `ceiling` and `sure` come from the store; a holder is one incarnation."""
+    """The voter of one instance.
+
+    `ceiling` and `is_ceiling_known` come from the store. A holder is identified by its session, which is
+    different for each incarnation of an instance.
+    """
 
     def __init__(
         self,
@@ -50,41 +54,41 @@
         settings: LeaseSettings,
         other_voters: Sequence[str],
         ceiling: int,
-        sure: bool,
+        is_ceiling_known: bool,
     ):
         self.timers = timers
         self.settings = settings
         self.other_voters = other_voters
         self.ceiling = ceiling
-        """No epoch above this one was granted yet."""
+        """The persisted epoch ceiling: no higher epoch has been granted yet."""
         self.epoch_floor = ceiling
-        """Epochs up to this one may have been granted by a former incarnation, and are not granted again."""
-        self.sure = sure
-        """Whether `ceiling` is known to cover all that was ever granted here."""
+        """Epochs up to this one may have been granted by a previous incarnation and are not granted again."""
+        self.is_ceiling_known = is_ceiling_known
+        """Whether `ceiling` is known to cover every epoch that this voter ever granted."""
         self.grants: dict[tuple[int, int], Grant] = {}
-        """By duty and slot."""
+        """The latest grant by duty and slot."""
         self.silent_until: int | None = None
-        """Nothing is granted before this time; None until `start`."""
+        """The time before which the voter grants nothing; None until `start` is called."""
         self.query_round = 0
         self.reports: dict[str, EpochReport] = {}
 
     def start(self, send: SendToVoter) -> None:
-        """Begin the silence after a start, and query the other voters where the store does not suffice."""
+        """Start the startup silence, and query the other voters if the store does not give the ceiling."""
         self.silent_until = self.timers.now + startup_silence(self.settings)
         self.query_epochs(send)
 
     def can_vote(self) -> bool:
-        """Whether requests are answered now."""
+        """Return whether the voter answers requests now."""
         if self.silent_until is None:
             return False
-        return self.sure and self.timers.now >= self.silent_until
+        return self.is_ceiling_known and self.timers.now >= self.silent_until
 
     def is_valid(self, grant: Grant) -> bool:
-        """Whether a grant has not expired."""
+        """Return whether a grant has not expired yet."""
         return self.timers.now < grant.expires_at
 
     def handle_request(self, holder: Hashable, request: LeaseRequest) -> LeaseGrant | None:
-        """Return the answer to a request, or None while this voter grants nothing."""
+        """Return the answer to a request, or None while this voter may not vote."""
         if not self.can_vote():
             return None
         granted: list[int] = []
@@ -98,7 +102,7 @@
         return LeaseGrant(request.duty, request.round, tuple(granted), tuple(denied))
 
     def _grant_or_deny(self, duty: int, slot: int, holder: Hashable, epoch: int) -> DeniedSlot | None:
-        """Renew or grant one slot and return None, or return why not."""
+        """Grant or renew the lease on one slot and return None, or return the denial."""
         now = self.timers.now
         grant = self.grants.get((duty, slot))
         if grant and grant.holder == holder and grant.epoch == epoch:
@@ -119,19 +123,19 @@
         self.timers.emit(PersistEpochCeiling(ceiling))
 
     def handle_release(self, holder: Hashable, release: LeaseRelease) -> None:
-        """Let grants of this holder expire now; others' stay."""
+        """Expire the released grants at once, except those of other holders."""
         for slot, epoch in release.slots:
             grant = self.grants.get((release.duty, slot))
             if grant and grant.holder == holder and grant.epoch == epoch:
                 grant.expires_at = self.timers.now
 
     def highest_epoch(self) -> int:
-        """No epoch above this one was granted here."""
+        """Return an upper bound of all epochs that this voter has granted."""
         return max([self.ceiling, *(grant.epoch for grant in self.grants.values())])
 
     def query_epochs(self, send: SendToVoter) -> None:
-        """Ask the other voters for their ceilings, repeatedly until enough have reported."""
-        if self.sure:
+        """Query the other voters for their ceilings, and repeat until enough of them have reported."""
+        if self.is_ceiling_known:
             return
         if not self.other_voters:
             self._adopt_reports()
@@ -142,22 +146,23 @@
         self.timers.schedule(self.timers.now + renewal_interval(self.settings), self.query_epochs, send)
 
     def handle_report(self, name: str, report: EpochReport) -> None:
-        """Take in another voter's ceiling; become sure once enough are known.
+        """Record another voter's ceiling, and adopt the highest one once enough voters have reported.
 
-        Enough are so many sure voters that each majority holds one of them, or all there are (a new fleet).
+        Enough is a number of voters with known ceilings such that every majority includes one of them.
+        Reports of all other voters suffice in any case: in a new fleet no voter has a known ceiling.
         """
-        if self.sure or name not in self.other_voters:
+        if self.is_ceiling_known or name not in self.other_voters:
             return
         self.reports[name] = report
         voters = len(self.other_voters) + 1
         majority = voters // 2 + 1
         enough = voters - majority + 1
-        sure_reports = sum(known.sure for known in self.reports.values())
-        if sure_reports >= enough or len(self.reports) == len(self.other_voters):
+        known_ceilings = sum(known.is_ceiling_known for known in self.reports.values())
+        if known_ceilings >= enough or len(self.reports) == len(self.other_voters):
             self._adopt_reports()
 
     def _adopt_reports(self) -> None:
         ceiling = max([self.ceiling, *(report.ceiling for report in self.reports.values())])
         self.epoch_floor = ceiling
-        self.sure = True
+        self.is_ceiling_known = True
         self._raise_ceiling(ceiling)
--- a/tests/byte_records.py
+++ b/tests/byte_records.py
@@ -120,7 +120,7 @@
     ),
     "lease/release": leases.LeaseRelease(duty=108, slots=((109, 110),)),
     "lease/epochs-request": leases.EpochQuery(round=111),
-    "lease/epochs": leases.EpochReport(round=112, ceiling=113, sure=True),
+    "lease/epochs": leases.EpochReport(round=112, ceiling=113, is_ceiling_known=True),
     "request-counts/request": request_counts.RequestCountsQuery(),
     "request-counts/counts": request_counts.RequestCounts(
         age=114, counts=((115, 116, 117.5),), chunk=121, chunks=122
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -12,7 +12,7 @@
 class LeaseFleet:
     """Instances that are holders and voters; a test chooses which messages are lost."""
 
-    def __init__(self, names=("a", "b", "c"), sure=True, leasing=LEASING):
+    def __init__(self, names=("a", "b", "c"), is_ceiling_known=True, leasing=LEASING):
         self.now = 0
         self.sent = []
         self.managers = {}
@@ -29,7 +29,7 @@
                 lambda duty: None,
                 lambda to, message, name=name: self.sent.append((name, to, message)),
                 0,
-                sure,
+                is_ceiling_known,
             )
             self.managers[name] = manager
             manager.start()
@@ -97,7 +97,7 @@
 
 
 def test_a_new_fleet_begins_once_all_voters_have_reported_that_they_know_nothing():
-    fleet = LeaseFleet(sure=False)
+    fleet = LeaseFleet(is_ceiling_known=False)
     fleet.wanted["c"] = {0, 1}
     fleet.run(10 * SECOND)
     assert fleet.holders() == fleet.holders(1) == ["c"]
--- a/tests/test_ring.py
+++ b/tests/test_ring.py
@@ -4,7 +4,7 @@
 
 from limepath.configuration.sharing_settings import LeaseSettings, MembershipTimeouts
 from limepath.duties.instance import Instance
-from limepath.duties.live_ring import FEW_CHANGES, REBUILD_PART
+from limepath.duties.live_ring import MAX_IMMEDIATE_CHANGES, REBUILD_DIVISOR
 from limepath.duties.ring import EMPTY, MAX_CACHED_PLACES, MAX_CACHED_RINGS, POINTS, Ring, key_of
 from limepath.membership.interface import REFUTATION_BITS, MemberRecord, MemberState
 
@@ -59,7 +59,15 @@
 
 
 @pytest.mark.parametrize(
-    "changes", [1, FEW_CHANGES, FEW_CHANGES + 1, FLEET // REBUILD_PART, FLEET // REBUILD_PART + 1, 60]
+    "changes",
+    [
+        1,
+        MAX_IMMEDIATE_CHANGES,
+        MAX_IMMEDIATE_CHANGES + 1,
+        FLEET // REBUILD_DIVISOR,
+        FLEET // REBUILD_DIVISOR + 1,
+        60,
+    ],
 )
 def test_the_ring_of_a_view_that_changes_is_the_one_built_of_its_members(changes):
     others = [
--- a/tests/test_voter.py
+++ b/tests/test_voter.py
@@ -39,9 +39,9 @@
     voter.handle_report("x", EpochReport(1, 9999, True))
     voter.handle_report("c", EpochReport(1, 100, False))
     voter.handle_report("d", EpochReport(1, 100, True))
-    assert not voter.sure
+    assert not voter.is_ceiling_known
     voter.handle_report("e", EpochReport(1, 300, True))
-    assert voter.sure and voter.epoch_floor == 7000
+    assert voter.is_ceiling_known and voter.epoch_floor == 7000
     timers.run_due(startup_silence(LEASING) + 1)
     assert voter.handle_request(1, LeaseRequest(0, 1, ((0, 7000),))).denied == ((0, 7000, 0),)
 
