--- a/limepath/duties/instance.py
+++ b/limepath/duties/instance.py
@@ -51,8 +51,8 @@
 class Instance:
     """An instance's membership, leases, schedules and shared results.
 
-    `me` is its own record. `ceiling` and `is_ceiling_known` are the epoch ceiling from its store and whether it
-    had one (see `voter`). `newest_version` is the newest protocol version that the instance uses.
+    `me` is its own record. `ceiling` and `is_ceiling_known` are the epoch ceiling from its store and whether
+    it had one (see `voter`). `newest_version` is the newest protocol version that the instance uses.
     """
 
     def __init__(
--- a/limepath/duties/leases.py
+++ b/limepath/duties/leases.py
@@ -118,7 +118,7 @@
     # Acquire and renew
 
     def renew(self) -> None:
-        """Renew the leases on wanted slots, request the wanted slots that are free, release the other leases."""
+        """Renew the leases on wanted slots, request wanted slots that are free, release the other leases."""
         if self.is_draining:
             return
         self.timers.schedule(self.timers.now + renewal_interval(self.settings), self.renew)
--- a/limepath/duties/ring.py
+++ b/limepath/duties/ring.py
@@ -1,9 +1,9 @@
-"""Which instance owns a target or slot: a consistent hash ring over the live instances.
+"""A consistent hash ring over the live instances, which determines the owner of each target or slot.
 
-Instances with the same view compute the same ring. Each instance stands at POINTS places; the first place at
-or after a target's key, clockwise, belongs to the target's owner. One instance more or less moves only what
-is its own (Karger et al., 1997). A ring is never changed: `plus`, `minus` and `with_changes` return another,
-and rings of the same members are one object while it is cached.
+Instances with the same view compute the same ring. Each member has POINTS_PER_MEMBER points on the ring; the
+first point at or after a target's key, clockwise, belongs to the target's owner. Adding or removing a member
+changes the owner of that member's targets only (Karger et al., 1997). Rings are immutable: `plus`, `minus` and
+`with_changes` return another ring. Rings of the same members are the same object while it is cached.
 """
 
 from bisect import bisect_left, bisect_right
@@ -14,69 +14,69 @@
 
 from limepath.hashing import MASK_64, mix64
 
-POINTS = 32
-"""Places of one member on the ring."""
+POINTS_PER_MEMBER = 32
+"""Points of one member on the ring."""
 MAX_CACHED_RINGS = 64
-"""Rings of other views that are cached at most."""
-MAX_CACHED_PLACES = 400_000
-"""Places of all cached rings together; one ring of 5,200 members has 166,400."""
+"""The most rings that are cached."""
+MAX_CACHED_POINTS = 400_000
+"""The most points of all cached rings together; a ring of 5,200 members has 166,400."""
 MAX_CACHED_MEMBERS = 8192
-"""Members whose places are cached: more than a fleet of 5,200, else the cache would find none again."""
+"""The most members whose points are cached: with fewer than a fleet's 5,200, an LRU cache would never hit."""
 TARGET_SALT = 0xD1B54A32D192ED03
-"""Keeps the keys of targets apart from the places of members."""
+"""Makes the keys of targets independent of the points of members."""
 
 
 @lru_cache(MAX_CACHED_MEMBERS)
-def places_of(token: int) -> tuple[int, ...]:
-    """Return the places of a member on the ring, in order."""
-    return tuple(sorted(mix64(token ^ mix64(point + 1)) for point in range(POINTS)))
+def points_of(token: int) -> tuple[int, ...]:
+    """Return the points of a member on the ring, sorted."""
+    return tuple(sorted(mix64(token ^ mix64(index + 1)) for index in range(POINTS_PER_MEMBER)))
 
 
 def key_of(target: int) -> int:
-    """Return the key of a target or slot: 64 bits that place it on the ring."""
+    """Return the key of a target or slot: its 64-bit position on the ring."""
     return mix64(target ^ TARGET_SALT)
 
 
 class KeyedTarget(NamedTuple):
-    """A target with its key; in order of the keys in a sorted list."""
+    """A target with its key; the fields are in this order so that a list is sorted by key."""
 
     key: int
     target: int
 
 
 class RingKey(NamedTuple):
-    """Names a set of members: the sum of their mixed tokens, and their number."""
+    """Identifies a set of members by the sum of their mixed tokens and their number."""
 
     digest: int
     members: int
 
 
 class Ring:
-    """Places in their order, and which member owns each."""
+    """The sorted points of all members, and the member that owns each point."""
 
     cached: ClassVar[OrderedDict[RingKey, "Ring"]] = OrderedDict()
-    """Rings by their members, the least recently used first."""
-    __slots__ = ("digest", "members", "owners", "places")
+    """Cached rings by their members, the least recently used first."""
+    __slots__ = ("digest", "members", "owners", "points")
 
-    def __init__(self, places: list[int], owners: list[int], digest: int, members: int):
-        self.places = places
+    def __init__(self, points: list[int], owners: list[int], digest: int, members: int):
+        self.points = points
         self.owners = owners
-        """Tokens of the members, by the index of their places."""
+        """The tokens of the members that own the points, in the order of `points`."""
         self.digest = digest
-        """The sum of the members' mixed tokens, 64 bits."""
+        """The sum of the members' mixed tokens, modulo 2**64."""
         self.members = members
-        """Their number."""
+        """The number of members."""
 
     @staticmethod
     def of(tokens: Collection[int]) -> "Ring":
-        """Return the ring of these members, built at once."""
+        """Return the ring of these members, from the cache or built anew."""
         key = RingKey(sum(map(mix64, tokens)) & MASK_64, len(tokens))
         if key in Ring.cached:
             return Ring.cached[key]
-        pairs = sorted((place, token) for token in tokens for place in places_of(token))
-        places = [place for place, _ in pairs]
+        pairs = sorted((point, token) for token in tokens for point in points_of(token))
+        points = [point for point, _ in pairs]
         owners = [token for _, token in pairs]
-        return Ring._cache(key, Ring(places, owners, *key))
+        return Ring._cache(key, Ring(points, owners, *key))
 
     def with_changes(self, removed: Collection[int], added: Collection[int]) -> "Ring":
         """Return the ring without the removed members and with the added ones."""
@@ -85,55 +85,55 @@
         if key in Ring.cached:
             Ring.cached.move_to_end(key)
             return Ring.cached[key]
-        places = self.places.copy()
+        points = self.points.copy()
         owners = self.owners.copy()
         for token in removed:
-            for place in places_of(token):
-                index = bisect_left(places, place)
-                del places[index]
+            for point in points_of(token):
+                index = bisect_left(points, point)
+                del points[index]
                 del owners[index]
         for token in added:
-            for place in places_of(token):
-                index = bisect_left(places, place)
-                places.insert(index, place)
+            for point in points_of(token):
+                index = bisect_left(points, point)
+                points.insert(index, point)
                 owners.insert(index, token)
-        return Ring._cache(key, Ring(places, owners, *key))
+        return Ring._cache(key, Ring(points, owners, *key))
 
     def plus(self, token: int) -> "Ring":
-        """Return the ring with one member more."""
+        """Return the ring with this member added."""
         return self.with_changes((), (token,))
 
     def minus(self, token: int) -> "Ring":
-        """Return the ring with one member less."""
+        """Return the ring with this member removed."""
         return self.with_changes((token,), ())
 
     @staticmethod
     def _cache(key: RingKey, ring: "Ring") -> "Ring":
-        """Cache a ring, and evict the oldest as far as the bounds want it; the newest stays in any case."""
+        """Cache a ring, and evict the least recently used ones beyond the limits; the new one always stays."""
         cached = Ring.cached
         cached[key] = ring
-        places = sum(len(other.places) for other in cached.values())
-        while len(cached) > 1 and (len(cached) > MAX_CACHED_RINGS or places > MAX_CACHED_PLACES):
+        points = sum(len(other.points) for other in cached.values())
+        while len(cached) > 1 and (len(cached) > MAX_CACHED_RINGS or points > MAX_CACHED_POINTS):
             _, evicted = cached.popitem(last=False)
-            places -= len(evicted.places)
+            points -= len(evicted.points)
         return ring
 
     def owner(self, key: int) -> int | None:
-        """Return the token of the member that owns a key; None on a ring without members."""
-        if not self.places:
+        """Return the token of the member that owns a key, or None if the ring has no members."""
+        if not self.points:
             return None
-        return self.owners[bisect_left(self.places, key) % len(self.places)]
+        return self.owners[bisect_left(self.points, key) % len(self.points)]
 
     def targets_of(self, token: int, keyed: Sequence[KeyedTarget]) -> list[int]:
-        """Return, of a list in order of keys, the targets that this member owns."""
+        """Return the targets of a list sorted by key that this member owns."""
         owned: list[KeyedTarget] = []
-        for place in places_of(token):
-            index = bisect_left(self.places, place)
-            if index >= len(self.places) or self.owners[index] != token:
+        for point in points_of(token):
+            index = bisect_left(self.points, point)
+            if index >= len(self.points) or self.owners[index] != token:
                 break  # the member is not on this ring
-            previous = self.places[index - 1]  # of the first place: the last one, around the ring
+            previous = self.points[index - 1]  # the last point precedes the first one on the ring
             begin = bisect_right(keyed, (previous, MASK_64))
-            end = bisect_right(keyed, (place, MASK_64))
+            end = bisect_right(keyed, (point, MASK_64))
             if index:
                 owned += keyed[begin:end]
             else:
@@ -142,5 +142,5 @@
         return [entry.target for entry in owned]
 
 
-EMPTY = Ring([], [], 0, 0)
+EMPTY_RING = Ring([], [], 0, 0)
 """The ring without members."""
--- a/limepath/duties/share.py
+++ b/limepath/duties/share.py
@@ -56,7 +56,7 @@
         self.is_stale = True
 
     def update_owned(self, ring: Ring, token: int) -> None:
-        """Set the owned targets: those that the ring assigns to this instance, or those in its leased slots."""
+        """Set the owned targets: those that the ring assigns to this instance, or those in its held slots."""
         self.is_stale = False
         if self.lease_manager is None:
             owned = ring.targets_of(token, self.keyed_targets)
--- a/tests/test_ring.py
+++ b/tests/test_ring.py
@@ -5,29 +5,36 @@
 from limepath.configuration.sharing_settings import LeaseSettings, MembershipTimeouts
 from limepath.duties.instance import Instance
 from limepath.duties.live_ring import MAX_IMMEDIATE_CHANGES, REBUILD_DIVISOR
-from limepath.duties.ring import EMPTY, MAX_CACHED_PLACES, MAX_CACHED_RINGS, POINTS, Ring, key_of
+from limepath.duties.ring import (
+    EMPTY_RING,
+    MAX_CACHED_POINTS,
+    MAX_CACHED_RINGS,
+    POINTS_PER_MEMBER,
+    Ring,
+    key_of,
+)
 from limepath.membership.interface import REFUTATION_BITS, MemberRecord, MemberState
 
 FLEET = 600
-"""Instances of a view whose changes are tried."""
+"""The number of instances in the view that the test changes."""
 
 
 @pytest.fixture(autouse=True)
 def no_cached_rings():
-    """Each test begins without rings of another."""
+    """Start each test with an empty cache of rings."""
     Ring.cached.clear()
     yield
     Ring.cached.clear()
 
 
 def test_rings_of_the_same_members_are_one():
-    ring = EMPTY.plus(1).plus(2).plus(3)
-    assert ring.minus(2) is EMPTY.plus(3).plus(1)
-    assert Ring.of([3, 1]) is Ring.of([1, 3]) and Ring.of([3, 1]).owners == EMPTY.plus(1).plus(3).owners
+    ring = EMPTY_RING.plus(1).plus(2).plus(3)
+    assert ring.minus(2) is EMPTY_RING.plus(3).plus(1)
+    assert Ring.of([3, 1]) is Ring.of([1, 3]) and Ring.of([3, 1]).owners == EMPTY_RING.plus(1).plus(3).owners
 
 
 def test_only_the_targets_of_one_that_goes_change_hands():
-    ring = EMPTY.plus(1).plus(2).plus(3)
+    ring = EMPTY_RING.plus(1).plus(2).plus(3)
     left = ring.minus(2)
     lost = [target for target in range(999) if ring.owner(key_of(target)) == 2]
     assert {left.owner(key_of(target)) for target in lost} == {1, 3}
@@ -41,18 +48,18 @@
     assert len(Ring.cached) == MAX_CACHED_RINGS
 
 
-def test_large_rings_are_cached_up_to_a_number_of_places():
+def test_large_rings_are_cached_up_to_a_number_of_points():
     fits = 4
-    members = MAX_CACHED_PLACES // POINTS // fits
+    members = MAX_CACHED_POINTS // POINTS_PER_MEMBER // fits
     ring = Ring.of(range(members - fits))
     for token in range(members, members + 2 * fits):
         ring = ring.minus(token - members).plus(token)
-        assert sum(len(one.places) for one in Ring.cached.values()) <= MAX_CACHED_PLACES
+        assert sum(len(one.points) for one in Ring.cached.values()) <= MAX_CACHED_POINTS
     assert len(Ring.cached) == fits and next(reversed(Ring.cached.values())) is ring
 
 
 def test_a_ring_beyond_all_bounds_is_cached_while_it_is_the_newest():
-    members = MAX_CACHED_PLACES // POINTS + 1
+    members = MAX_CACHED_POINTS // POINTS_PER_MEMBER + 1
     ring = Ring.of(range(members))
     assert list(Ring.cached.values()) == [ring]
     assert Ring.of([1, 2]) is Ring.of([2, 1]) and ring not in Ring.cached.values()
@@ -93,4 +100,4 @@
     Ring.cached.clear()
     whole = Ring.of([1, *instance.members.ring])
     assert whole.members == len(instance.members.ring) + 1 < FLEET
-    assert (seen.places, seen.owners, seen.digest) == (whole.places, whole.owners, whole.digest)
+    assert (seen.points, seen.owners, seen.digest) == (whole.points, whole.owners, whole.digest)
