--- a/limepath/duties/ring.py
+++ b/limepath/duties/ring.py
@@ -2,8 +2,8 @@
 
 Instances with the same view compute the same ring. Each member has POINTS_PER_MEMBER points on the ring; the
 first point at or after a target's key, clockwise, belongs to the target's owner. Adding or removing a member
-changes the owner of that member's targets only (Karger et al., 1997). Rings are immutable: `plus`, `minus` and
-`with_changes` return another ring. Rings of the same members are the same object while it is cached.
+changes the owner of that member's targets only (Karger et al., 1997). Rings are immutable: `plus`, `minus`
+and `with_changes` return another ring. Rings of the same members are one object while it is cached.
 """
 
 from bisect import bisect_left, bisect_right
@@ -109,7 +109,7 @@
 
     @staticmethod
     def _cache(key: RingKey, ring: "Ring") -> "Ring":
-        """Cache a ring, and evict the least recently used ones beyond the limits; the new one always stays."""
+        """Cache a ring, and evict the least recently used beyond the limits; the new one always stays."""
         cached = Ring.cached
         cached[key] = ring
         points = sum(len(other.points) for other in cached.values())
