--- a/limepath/duties/schedule.py
+++ b/limepath/duties/schedule.py
@@ -1,8 +1,9 @@
-"""When each target that an instance owns is due: spread over the interval, handed over without a gap.
+"""The schedule of one duty at an instance: when each target that the instance owns is due.
 
-A target that another instance has served is due an interval later. One that is overdue when this instance
-takes it over, or after this instance stood still, is due within half an interval at an offset of its own:
-missed rounds are not made up all at once.
+Due times are spread over the interval. A target that another instance has served is due one interval after
+that, so a change of owner leaves no gap. A target that is overdue when this instance takes it over, or after
+this instance was suspended, is due at a target-specific offset within half an interval, so that missed rounds
+are not all made up at once.
 """
 
 from collections.abc import Callable, Iterable
@@ -13,17 +14,20 @@
 from limepath.hashing import mix64
 from limepath.timer_queue import TimerQueue
 
-# Parts of the interval: an interval divided by these.
-LATE_PART = 4
-"""A round that is later than this counts as missed."""
-CATCH_UP_PART = 2
-"""Missed rounds are spread over this."""
-OVERDUE_PART = 8
-"""The same for what has been overdue for long, so that a target that changes owners often is served too."""
+# Each span below is the interval divided by the constant.
+LATE_DIVISOR = 4
+"""A round that is late by more than this span counts as missed."""
+CATCH_UP_DIVISOR = 2
+"""Missed rounds are spread over this span."""
+LONG_OVERDUE_DIVISOR = 8
+"""Long overdue rounds are spread over this span, so that a target that often changes owners is served.
+
+A target without a permission is tried again after the same span.
+"""
 
 
 class ServePermission(NamedTuple):
-    """That a target may be served; the fields are those of `ServeTarget`."""
+    """Permission to serve a target; the fields are those of `ServeTarget`."""
 
     epoch: int
     until: int
@@ -32,7 +36,7 @@
 class DutySchedule:
     """The schedule of one duty at one instance.
 
-    `permission(target)` tells whether the target may be served now; None if not.
+    `permission(target)` returns the permission to serve the target now, or None.
     """
 
     def __init__(
@@ -48,25 +52,25 @@
         self.permission = permission
         self.owned: set[int] = set()
         self.due_times: dict[int, int] = {}
-        """When a target is due next. A due time survives that the target is lost to another instance."""
+        """When each target is due next; kept when the target passes to another instance."""
         self.last_served: dict[int, int] = {}
-        """When a target was last served by any instance, as far as is known here."""
+        """When each target was last served by any instance, as far as is known here."""
         self.salt = mix64(timers.seed + duty)
         self.missed_rounds = 0
 
     def offset(self, target: int, span: int) -> int:
-        """Return a time within a span, for each target and instance another one."""
+        """Return an offset within a span that depends on the target and the instance."""
         return mix64(target ^ self.salt) * span >> 64
 
     def set_owned(self, targets: Iterable[int]) -> None:
-        """Own these targets from now on, and no others."""
+        """Set the targets that this instance owns from now on."""
         targets = set(targets)
         for target in targets - self.owned:
             self._schedule_new(target)
         self.owned = targets
 
     def retain(self, targets: Iterable[int]) -> None:
-        """Forget all targets but these, so that none that left the endpoint list is served again."""
+        """Delete all other targets, so that none that left the endpoint list is served again."""
         targets = set(targets)
         self.owned &= targets
         for times in (self.due_times, self.last_served):
@@ -83,9 +87,9 @@
         if due is None:
             due = now + self.offset(target, interval)
         elif due < now:
-            long_overdue = now - due > interval // CATCH_UP_PART
-            part = OVERDUE_PART if long_overdue else CATCH_UP_PART
-            due = now + self.offset(target, interval // part)
+            long_overdue = now - due > interval // CATCH_UP_DIVISOR
+            divisor = LONG_OVERDUE_DIVISOR if long_overdue else CATCH_UP_DIVISOR
+            due = now + self.offset(target, interval // divisor)
         self._schedule_at(target, due)
 
     def _schedule_at(self, target: int, due: int) -> None:
@@ -97,20 +101,20 @@
             return
         now = self.timers.now
         interval = self.settings.interval
-        if now - due > interval // LATE_PART:  # this instance stood still
+        if now - due > interval // LATE_DIVISOR:  # this instance was suspended
             self.missed_rounds += 1
-            self._schedule_at(target, now + self.offset(target, interval // CATCH_UP_PART))
+            self._schedule_at(target, now + self.offset(target, interval // CATCH_UP_DIVISOR))
             return
         permission = self.permission(target)
         if permission is None:
-            self._schedule_at(target, now + interval // OVERDUE_PART)
+            self._schedule_at(target, now + interval // LONG_OVERDUE_DIVISOR)
             return
         self.last_served[target] = now
         self.timers.emit(ServeTarget(self.duty, target, permission.epoch, permission.until))
         self._schedule_at(target, due + interval)
 
     def record_served(self, target: int, served_at: int) -> None:
-        """Note that some instance has served the target at this time."""
+        """Record that an instance has served the target at this time."""
         if served_at <= self.last_served.get(target, served_at - 1):
             return
         self.last_served[target] = served_at
@@ -118,5 +122,5 @@
         due = served_at + interval
         if target not in self.owned:
             self.due_times[target] = due
-        elif due > self.due_times.get(target, 0) + interval // LATE_PART:
+        elif due > self.due_times.get(target, 0) + interval // LATE_DIVISOR:
             self._schedule_at(target, due)
--- a/tests/test_duty_schedule.py
+++ b/tests/test_duty_schedule.py
@@ -1,4 +1,4 @@
-"""When targets are due."""
+"""The schedule of a duty: spread of rounds, missed rounds and changes of owner."""
 
 from itertools import pairwise
 
@@ -23,13 +23,15 @@
 
 
 def served(timers, span, step=10_000):
-    out, end = [], timers.now + span
+    rounds, end = [], timers.now + span
     while timers.now < end:
         timers.run_due(timers.now + step)
-        out += [
-            (timers.now, order.target) for order in timers.take_commands() if isinstance(order, ServeTarget)
+        rounds += [
+            (timers.now, command.target)
+            for command in timers.take_commands()
+            if isinstance(command, ServeTarget)
         ]
-    return out
+    return rounds
 
 
 def test_rounds_of_an_interval_are_spread_and_missed_ones_not_made_up_at_once():
@@ -39,7 +41,7 @@
     assert sorted(target for _, target in first) == list(range(200))
     halves = [sum(at <= 2 * SECOND for at, _ in first), sum(at > 2 * SECOND for at, _ in first)]
     assert min(halves) > 60
-    timers.run_due(timers.now + 30 * SECOND)  # it stood still
+    timers.run_due(timers.now + 30 * SECOND)  # the instance was suspended
     assert timers.take_commands() == []
     after = served(timers, 2 * SECOND)
     assert len(after) == 200 and len([at for at, _ in after if at < timers.now - 1.9 * SECOND]) < 40
@@ -53,11 +55,11 @@
     assert served(timers, 6 * SECOND)[0][0] == 13 * SECOND
     timers, schedule = schedule_of()
     schedule.set_owned([7])
-    told = []
+    rounds = []
     for _ in range(40):  # owned for half a second at a time
-        told += served(timers, SECOND // 2)
+        rounds += served(timers, SECOND // 2)
         schedule.set_owned([])
         timers.run_due(timers.now + SECOND // 2)
         schedule.set_owned([7])
-    times = [at for at, _ in told]
+    times = [at for at, _ in rounds]
     assert len(times) >= 4 and max(b - a for a, b in pairwise(times)) <= 10 * SECOND
