--- a/limepath/duties/shared_results.py
+++ b/limepath/duties/shared_results.py
@@ -1,10 +1,11 @@
-"""Results of serving targets, shared among all instances: the newest of each target is kept.
-
-A result goes out with its age and its prober. Up to NEARBY others get it from its prober alone, twice. Beyond
-that it spreads as an epidemic: whoever receives it new passes it on in SPREAD_ROUNDS batches, then no more
-(Demers et al., "Epidemic algorithms for replicated database maintenance", 1987; with 2 x 2 sends a share of
-exp(-4) misses it). An instance that misses one asks for a probe if it wants one; the next interval brings the
-next result.
+"""Sharing of the results of serving targets among all instances, which store the newest of each target.
+
+A result is sent with its age and its prober. In fleets of up to MAX_DIRECT_RECEIVERS other instances its
+prober sends it to all of them, twice. In larger fleets it spreads by an epidemic protocol: an instance that
+receives a new result passes it on in SPREAD_ROUNDS batches (Demers et al., "Epidemic algorithms for
+replicated database maintenance", 1987). With 2 batches to 2 receivers each, a fraction exp(-4) of the
+instances misses it. Such an instance sends a probe if it needs a result; it gets the next result an interval
+later.
 """
 
 from collections import Counter
@@ -16,32 +17,33 @@
 from limepath.interface.events import AttemptOutcome
 from limepath.timer_queue import TimerQueue
 
-NEARBY = 8
-"""Other instances up to which a prober sends its results to all of them itself."""
+MAX_DIRECT_RECEIVERS = 8
+"""Up to this many other instances, a prober sends its results to all of them directly."""
 SPREAD_ROUNDS = 2
-"""Batches in which a result is passed on."""
+"""The number of batches in which an instance sends a result."""
 RESULTS_PER_MESSAGE = 18
-"""So many fit into one datagram."""
+"""The number of results that fit into one datagram."""
 TRANSIT_TIME = 5000
-"""Microseconds added to an age for the network's delay, which nobody measures."""
+"""Microseconds added to the age of a received result for the network's delay, which is not measured."""
 AGREEING_PROBERS = 2
-"""Probers whose failures must agree before they stand in for a probe of another instance."""
+"""The number of probers that must report a failure before it replaces a probe of another instance."""
 RESULTS_PER_TARGET = 2
-"""Results stored of one target, of different probers."""
+"""The most results stored for one target, each of a different prober."""
 
 
 class KnownResult(NamedTuple):
-    """A result, and when the target was served by the local clock."""
+    """A result, and the time by the local clock at which the target was served."""
 
     result: ProbeResult
     served_at: int
 
 
 class SharedResults:
-    """The results that one instance knows.
+    """The results that one instance stores and passes on.
 
-    `token` is the instance's own, `intervals` are those of the duties by index. `live_members()` gives the
-    tokens of the other live instances, `is_live(token)` whether a prober lives in this instance's view.
+    `token` is the instance's own token, `intervals` has the interval of each duty by its index.
+    `live_members()` returns the tokens of the other live instances, `is_live(token)` whether a prober is live
+    in this instance's view.
     """
 
     def __init__(
@@ -60,27 +62,27 @@
         self.live_members = live_members
         self.is_live = is_live
         self.serial = 0
-        """Of this instance's latest own result."""
+        """The serial number of this instance's latest own result."""
         self.known: dict[tuple[int, int], list[KnownResult]] = {}
-        """By duty and target, the newest first."""
+        """The stored results by duty and target, the newest first."""
         self.rounds_left: dict[tuple[int, int], int] = {}
-        """Batches in which the newest result of a target is still to be passed on."""
+        """By duty and target, the number of batches that the newest result is still to be sent in."""
         self.counts: Counter[str] = Counter()
-        """Received results by what became of them."""
+        """The number of received results by whether they were new or why they were dropped."""
         self.is_spreading = False
         """Whether the next batch is scheduled."""
 
-    # Own results and their spreading
+    # Own results and sending
 
     def add_own(self, duty: int, target: int, outcome: int, duration: int, load: dict[str, float]) -> None:
-        """Keep a result of this instance itself and begin to spread it."""
+        """Store a result of this instance and begin to send it to others."""
         self.serial += 1
         result = ProbeResult(duty, target, self.token, self.serial, 0, outcome, duration, load)
         self._store(result, self.timers.now)
         self._spread(result)
 
     def _store(self, result: ProbeResult, served_at: int) -> None:
-        """Store it in place of the same prober's last one, beside the newest of another prober."""
+        """Store a result in place of the same prober's previous one, beside the newest of another prober."""
         key = result.duty, result.target
         others = [known for known in self.known.get(key, ()) if known.result.prober != result.prober]
         kept = [KnownResult(result, served_at), *others[: RESULTS_PER_TARGET - 1]]
@@ -88,7 +90,7 @@
 
     def _spread(self, result: ProbeResult) -> None:
         live = len(self.live_members())
-        if not live or (live <= NEARBY and result.prober != self.token):
+        if not live or (live <= MAX_DIRECT_RECEIVERS and result.prober != self.token):
             return
         self.rounds_left[result.duty, result.target] = SPREAD_ROUNDS
         if not self.is_spreading:
@@ -102,7 +104,7 @@
             return
         results = self._take_batch()
         receivers = live
-        if len(live) > NEARBY:
+        if len(live) > MAX_DIRECT_RECEIVERS:
             receivers = self.timers.sample(live, min(self.settings.copies, len(live)))
         for first in range(0, len(results), RESULTS_PER_MESSAGE):
             message = ProbeResults(tuple(results[first : first + RESULTS_PER_MESSAGE]))
@@ -111,7 +113,7 @@
         self.timers.schedule(self.timers.now + self.settings.batch, self._send_batch)
 
     def _take_batch(self) -> list[ProbeResult]:
-        """Return the results to be passed on with their ages, and count one round of each."""
+        """Return the results to send now with their present ages, and count one batch for each."""
         batch: list[ProbeResult] = []
         for key in list(self.rounds_left):
             known = self.known.get(key)
@@ -126,7 +128,7 @@
     # Results of other instances
 
     def receive(self, results: Iterable[ProbeResult]) -> list[KnownResult]:
-        """Take in others' results; return those that are new."""
+        """Store results received from other instances; return those that are new."""
         new: list[KnownResult] = []
         arrived_at = self.timers.now - TRANSIT_TIME
         for result in results:
@@ -145,9 +147,9 @@
         return new
 
     def _rejection(self, result: ProbeResult, served_at: int) -> str | None:
-        """Return the count under which a result is dropped, or None for one to be taken in."""
+        """Return the name of the count under which a result is dropped, or None if it is to be stored."""
         known = self.known.get((result.duty, result.target))
-        # Most are known where they spread as an epidemic: the cheapest test of all comes first.
+        # In epidemic spreading most received results are known already, so the cheapest check comes first.
         if known and (
             (known[0].result.prober == result.prober and known[0].result.serial == result.serial)
             or self._is_superseded(known, result, served_at)
@@ -171,12 +173,12 @@
                 return True
         return False
 
-    # Answers
+    # Lookup
 
     def find_answer(self, target: int, max_age: int) -> ProbeResult | None:
-        """Return the newest result that stands in for a probe, not older than `max_age` or its interval.
+        """Return the newest result that can replace a probe, not older than `max_age` or the duty's interval.
 
-        A failure that one prober alone has met may be of its own network path; it does not stand in.
+        A failure that only one prober reports does not count, because its own network path may be the cause.
         """
         now = self.timers.now
         fresh = [
@@ -194,7 +196,7 @@
         return newest.result._replace(age=now - newest.served_at)
 
     def retain(self, duty: int, targets: Iterable[int]) -> None:
-        """Forget the results of all targets of this duty but these."""
+        """Delete the results of all other targets of this duty."""
         targets = set(targets)
         for key in [key for key in self.known if key[0] == duty and key[1] not in targets]:
             del self.known[key]
--- a/tests/test_duty_simulation.py
+++ b/tests/test_duty_simulation.py
@@ -13,7 +13,7 @@
 from limepath.report_table import all_passed
 
 SECOND = 1_000_000
-LEASING = LeaseSettings(("a", "b", "c"), 3 * SECOND, 0.01, 4)
+LEASE_SETTINGS = LeaseSettings(("a", "b", "c"), 3 * SECOND, 0.01, 4)
 MODES = (DutyMode.AT_LEAST_ONCE, DutyMode.ONE_OWNER)
 
 
@@ -47,7 +47,7 @@
 
 def test_200_targets_replaced_within_seconds_are_served_and_the_removed_are_not():
     plan, spans = DutySettings("probe", DutyMode.AT_LEAST_ONCE, 5 * SECOND), MembershipTimeouts()
-    world = World(4, 200, (plan,), spans, LEASING._replace(voters=("n0", "n1", "n2")), 3)
+    world = World(4, 200, (plan,), spans, LEASE_SETTINGS._replace(voters=("n0", "n1", "n2")), 3)
     faults = [Fault(at * SECOND, "targets", (0,), 0) for at in (11, 12, 13, 14, 15)]
     run = FaultRun(world, faults, 40 * SECOND)
     world.open(True)
@@ -68,14 +68,14 @@
 
 def test_the_owner_may_die_before_during_and_after_its_round():
     plan = DutySettings("probe", DutyMode.ONE_OWNER, 5 * SECOND)
-    leasing = LEASING._replace(voters=("n0", "n1", "n2"))
-    bound = bounds(MembershipTimeouts(), plan, leasing, 3).gap
-    quiet = World(3, 6, (plan,), MembershipTimeouts(), leasing, 9)
+    lease_settings = LEASE_SETTINGS._replace(voters=("n0", "n1", "n2"))
+    bound = bounds(MembershipTimeouts(), plan, lease_settings, 3).gap
+    quiet = World(3, 6, (plan,), MembershipTimeouts(), lease_settings, 9)
     quiet.open(True)
     quiet.run(30 * SECOND)
     at, who = quiet.rounds[0, 1][2]
     for dies in (at - 1, at, at + 400, at + 900):  # the answer comes 800 us after the round began
-        world = World(3, 6, (plan,), MembershipTimeouts(), leasing, 9)
+        world = World(3, 6, (plan,), MembershipTimeouts(), lease_settings, 9)
         world.open(True)
         world.at(dies, world.nodes[who].stop)
         world.run(at + 60 * SECOND)
@@ -86,7 +86,7 @@
 
 def test_an_instance_that_resumes_after_its_lease_expired_serves_nothing_under_it():
     plan = DutySettings("probe", DutyMode.ONE_OWNER, 2 * SECOND)
-    world = World(3, 30, (plan,), MembershipTimeouts(), LEASING._replace(voters=("n0", "n1", "n2")), 2)
+    world = World(3, 30, (plan,), MembershipTimeouts(), LEASE_SETTINGS._replace(voters=("n0", "n1", "n2")), 2)
     world.open(True)
     world.run(12 * SECOND)
     node = world.nodes[0]
@@ -104,7 +104,12 @@
 def test_a_minority_stops_and_a_majority_goes_on():
     plan = DutySettings("probe", DutyMode.ONE_OWNER, 2 * SECOND)
     world = World(
-        5, 30, (plan,), MembershipTimeouts(), LEASING._replace(voters=tuple(f"n{i}" for i in range(5))), 6
+        5,
+        30,
+        (plan,),
+        MembershipTimeouts(),
+        LEASE_SETTINGS._replace(voters=tuple(f"n{i}" for i in range(5))),
+        6,
     )
     world.open(True)
     world.run(12 * SECOND)
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -6,13 +6,13 @@
 from limepath.timer_queue import TimerQueue
 
 SECOND = 1_000_000
-LEASING = LeaseSettings(("a", "b", "c"), 3 * SECOND, 0.01, 4)
+LEASE_SETTINGS = LeaseSettings(("a", "b", "c"), 3 * SECOND, 0.01, 4)
 
 
 class LeaseFleet:
     """Instances that are holders and voters; a test chooses which messages are lost."""
 
-    def __init__(self, names=("a", "b", "c"), is_ceiling_known=True, leasing=LEASING):
+    def __init__(self, names=("a", "b", "c"), is_ceiling_known=True, lease_settings=LEASE_SETTINGS):
         self.now = 0
         self.sent = []
         self.managers = {}
@@ -23,7 +23,7 @@
                 timers,
                 name,
                 ord(name),
-                leasing,
+                lease_settings,
                 (0,),
                 lambda duty, name=name: self.wanted[name],
                 lambda duty: None,
@@ -52,7 +52,7 @@
 def test_a_voter_grants_nothing_for_its_startup_silence():
     fleet = LeaseFleet()
     fleet.wanted["a"] = {0}
-    fleet.run(startup_silence(LEASING) - 20_000)
+    fleet.run(startup_silence(LEASE_SETTINGS) - 20_000)
     assert fleet.holders() == []
     fleet.run(2 * SECOND)
     assert fleet.holders() == ["a"]
@@ -63,7 +63,7 @@
     fleet.wanted["a"] = {0}
     fleet.run(8 * SECOND)
     epoch = fleet.managers["a"].valid_lease(0, 0).epoch
-    fleet.run(holder_duration(LEASING) + 20_000, lost=lambda source, to: source != to)
+    fleet.run(holder_duration(LEASE_SETTINGS) + 20_000, lost=lambda source, to: source != to)
     assert fleet.holders() == []
     fleet.wanted["b"], fleet.wanted["a"] = {0}, set()
     fleet.run(8 * SECOND)
@@ -90,7 +90,7 @@
     for name in ("b", "c"):
         old = fleet.managers[name].voter
         old.grants.clear()
-        old.epoch_floor, old.silent_until = old.ceiling, fleet.now + startup_silence(LEASING)
+        old.epoch_floor, old.silent_until = old.ceiling, fleet.now + startup_silence(LEASE_SETTINGS)
         for _ in range(50):
             fleet.run(100_000)
             assert fleet.holders() == ["a"]
--- a/tests/test_shared_results.py
+++ b/tests/test_shared_results.py
@@ -1,4 +1,4 @@
-"""Results that instances share, and what they mean to the decision module."""
+"""Results that instances share, and their effect on the decision module."""
 
 from limepath.configuration.sharing_settings import LeaseSettings
 from limepath.duties.interface import (
@@ -13,26 +13,26 @@
 from tests.fake_host import FakeHost
 
 SECOND = 1_000_000
-LEASING = LeaseSettings(("a", "b", "c"), 3 * SECOND, 0.01, 4)
+LEASE_SETTINGS = LeaseSettings(("a", "b", "c"), 3 * SECOND, 0.01, 4)
 
 
 def shared_results(live=(2, 3), interval=4 * SECOND):
     timers = TimerQueue(1)
     timers.now = 100 * SECOND
     return timers, SharedResults(
-        timers, 1, [interval], LEASING, lambda: list(live), lambda token: token in (1, *live)
+        timers, 1, [interval], LEASE_SETTINGS, lambda: list(live), lambda token: token in (1, *live)
     )
 
 
-def result(target=5, prober=2, serial=1, age=SECOND, verdict=0):
-    return ProbeResult(0, target, prober, serial, age, verdict, 900, {"util": 0.3})
+def result(target=5, prober=2, serial=1, age=SECOND, outcome=0):
+    return ProbeResult(0, target, prober, serial, age, outcome, 900, {"util": 0.3})
 
 
 def test_old_results_and_those_of_dead_probers_are_dropped():
     timers, known = shared_results()
     known.receive((result(), result(prober=9), result(target=6, age=5 * SECOND), result(), result(serial=0)))
     assert dict(known.counts) == {"new": 1, "dead prober": 1, "too old": 1, "known": 2}
-    (shared,) = [o for o in timers.take_commands() if isinstance(o, ResultShared)]
+    (shared,) = [command for command in timers.take_commands() if isinstance(command, ResultShared)]
     assert shared.result.target == 5 and shared.result.age == SECOND + TRANSIT_TIME
 
 
@@ -47,37 +47,38 @@
 
 def test_one_prober_s_failure_does_not_stand_in_but_two_agreeing_do():
     timers, known = shared_results()
-    known.receive((result(verdict=int(AttemptOutcome.TIMED_OUT)),))
+    known.receive((result(outcome=int(AttemptOutcome.TIMED_OUT)),))
     assert known.find_answer(5, 3 * SECOND) is None
-    known.receive((result(prober=3, verdict=int(AttemptOutcome.TIMED_OUT), age=SECOND // 2),))
+    known.receive((result(prober=3, outcome=int(AttemptOutcome.TIMED_OUT), age=SECOND // 2),))
     assert known.find_answer(5, 3 * SECOND).outcome == AttemptOutcome.TIMED_OUT
 
 
 def test_a_result_goes_to_all_nearby_with_its_age_and_spreads_as_an_epidemic_in_large_fleets():
     timers, known = shared_results()
     known.add_own(0, 5, 0, 900, {})
-    timers.run_due(timers.now + LEASING.batch)
-    sent = [o for o in timers.take_commands() if isinstance(o, SendToMember)]
-    assert {o.token for o in sent} == {2, 3} and sent[0].message.results[0].age == LEASING.batch
+    timers.run_due(timers.now + LEASE_SETTINGS.batch)
+    sent = [command for command in timers.take_commands() if isinstance(command, SendToMember)]
+    assert {command.token for command in sent} == {2, 3} and sent[0].message.results[
+        0
+    ].age == LEASE_SETTINGS.batch
     timers, known = shared_results(live=tuple(range(2, 60)))
     known.receive(tuple(result(target=target) for target in range(40)))
-    timers.run_due(timers.now + LEASING.batch)
-    sent = [o for o in timers.take_commands() if isinstance(o, SendToMember)]
-    assert len({o.token for o in sent}) == LEASING.copies
-    assert all(len(o.message.results) <= RESULTS_PER_MESSAGE for o in sent)
+    timers.run_due(timers.now + LEASE_SETTINGS.batch)
+    sent = [command for command in timers.take_commands() if isinstance(command, SendToMember)]
+    assert len({command.token for command in sent}) == LEASE_SETTINGS.copies
+    assert all(len(command.message.results) <= RESULTS_PER_MESSAGE for command in sent)
 
 
 def test_a_shared_result_newer_than_the_missed_probe_ends_the_suspicion_and_an_older_one_does_not():
     host = FakeHost()
-    (forward,) = [o for o in host.request() if isinstance(o, ForwardRequest)]
-    asked = [o for o in host.wait(2 * SECOND) if isinstance(o, SendProbe)]
-    assert asked[0].endpoint == forward.endpoint and 1_200_000 < asked[0].max_age <= 1_300_000
+    (forward,) = [command for command in host.request() if isinstance(command, ForwardRequest)]
+    probes = [command for command in host.wait(2 * SECOND) if isinstance(command, SendProbe)]
+    assert probes[0].endpoint == forward.endpoint and 1_200_000 < probes[0].max_age <= 1_300_000
     host.end_probe(forward.endpoint, AttemptOutcome.TIMED_OUT)
     cache = host.front.endpoints.servers[forward.endpoint]
     assert cache.health.missed_probes == 1
-    host.handle(
-        ProbeEnded(forward.endpoint, AttemptOutcome.SUCCEEDED, 900, {}, 500_000)
-    )  # learnt before that
+    # This result is older than the missed probe.
+    host.handle(ProbeEnded(forward.endpoint, AttemptOutcome.SUCCEEDED, 900, {}, 500_000))
     assert cache.health.missed_probes == 1
     host.wait(SECOND // 5)
     host.handle(ProbeEnded(forward.endpoint, AttemptOutcome.SUCCEEDED, 900, {}, 100_000))
@@ -90,7 +91,8 @@
     host.handle(ProbeEnded(1, AttemptOutcome.TIMED_OUT, 900, {}, 1000))
     cache = host.front.endpoints.servers[1]
     assert cache.health.missed_probes == 0 and cache.health.needs_probe
-    asked = [o for o in host.wait(SECOND // 5) if isinstance(o, SendProbe)]
-    assert [o.endpoint for o in asked] == [1]
-    host.handle(ProbeEnded(1, AttemptOutcome.TIMED_OUT, 900, {}, 1000))  # the shared answer that serves
+    probes = [command for command in host.wait(SECOND // 5) if isinstance(command, SendProbe)]
+    assert [command.endpoint for command in probes] == [1]
+    # This shared result counts as the answer to the probe.
+    host.handle(ProbeEnded(1, AttemptOutcome.TIMED_OUT, 900, {}, 1000))
     assert cache.health.missed_probes == 1
--- a/tests/test_voter.py
+++ b/tests/test_voter.py
@@ -12,12 +12,12 @@
 from limepath.timer_queue import TimerQueue
 
 SECOND = 1_000_000
-LEASING = LeaseSettings(("a", "b", "c"), 3 * SECOND, 0.01, 4)
+LEASE_SETTINGS = LeaseSettings(("a", "b", "c"), 3 * SECOND, 0.01, 4)
 
 
 def test_the_ceiling_is_persisted_before_an_epoch_above_it_is_granted():
     timers = TimerQueue(1)
-    voter = Voter(timers, LEASING, ("b", "c"), 500, True)
+    voter = Voter(timers, LEASE_SETTINGS, ("b", "c"), 500, True)
     voter.silent_until = 0
     low = voter.handle_request(1, LeaseRequest(0, 1, ((0, 500),)))
     assert low.denied == ((0, 500, 0),) and not timers.take_commands()
@@ -32,7 +32,7 @@
 
 def test_a_voter_that_lost_its_store_waits_for_reports_from_part_of_every_majority():
     timers, asked = TimerQueue(1), []
-    voter = Voter(timers, LEASING._replace(voters=tuple("abcde")), tuple("bcde"), 0, False)
+    voter = Voter(timers, LEASE_SETTINGS._replace(voters=tuple("abcde")), tuple("bcde"), 0, False)
     voter.start(lambda name, message: asked.append(name))
     assert asked == list("bcde") and not voter.can_vote()
     voter.handle_report("b", EpochReport(1, 7000, True))
@@ -42,16 +42,16 @@
     assert not voter.is_ceiling_known
     voter.handle_report("e", EpochReport(1, 300, True))
     assert voter.is_ceiling_known and voter.epoch_floor == 7000
-    timers.run_due(startup_silence(LEASING) + 1)
+    timers.run_due(startup_silence(LEASE_SETTINGS) + 1)
     assert voter.handle_request(1, LeaseRequest(0, 1, ((0, 7000),))).denied == ((0, 7000, 0),)
 
 
 def test_a_release_by_the_holder_alone_frees_the_slot():
     timers = TimerQueue(1)
-    voter = Voter(timers, LEASING, (), 0, True)
+    voter = Voter(timers, LEASE_SETTINGS, (), 0, True)
     voter.silent_until = 0
     assert voter.handle_request(1, LeaseRequest(0, 1, ((0, 1),))).granted
-    assert voter.handle_request(2, LeaseRequest(0, 1, ((0, 2),))).denied[0][2] == LEASING.span
+    assert voter.handle_request(2, LeaseRequest(0, 1, ((0, 2),))).denied[0][2] == LEASE_SETTINGS.span
     voter.handle_release(2, LeaseRelease(0, ((0, 1),)))  # not the holder's
     assert not voter.handle_request(2, LeaseRequest(0, 1, ((0, 2),))).granted
     voter.handle_release(1, LeaseRelease(0, ((0, 1),)))
