--- a/limepath/duties/probe_sharing.py
+++ b/limepath/duties/probe_sharing.py
@@ -1,7 +1,8 @@
-"""Between the duties and a front's decision module: scheduled rounds are probes, shared results are reports.
+"""Connects the duties to a front's decision module: serves targets by probes and reports shared results.
 
-The endpoint list that the front receives gives the targets. The outcomes of its probes are this instance's
-results. Where the decision module asks for a probe, a shared result that is new enough stands in.
+The targets are the endpoints on the endpoint list that the front receives. The outcomes of the front's probes
+are this instance's results. When the decision module requests a probe, a shared result that is recent enough
+is reported in its place.
 """
 
 from collections.abc import Callable, Mapping, Sequence
@@ -20,23 +21,23 @@
 )
 
 MAX_LOAD_VALUES = 8
-"""Values of a load report that are shared."""
+"""The most values of a load report that are shared."""
 MAX_LOAD_NAME = 12
-"""Characters of a value's name; those with a longer one are not shared."""
+"""The most characters in the name of a load value; values with longer names are not shared."""
 
 
 class DecisionLoop(Protocol):
-    """What is used of the front's loop around its decision module (`front.decision_loop.DecisionLoop`)."""
+    """The interface used of the loop that runs the decision module (`front.decision_loop.DecisionLoop`)."""
 
     listener: Callable[[Sequence[Any]], object] | None
     command_handlers: dict[type, Callable[[Any], object]]
 
     def gather(self, *events: object) -> None:
-        """Hand events to the decision module in the next pass."""
+        """Pass events to the decision module in the next pass of the loop."""
 
 
 class ProbeSender(Protocol):
-    """What is used of the front's connections to its servers (`front.servers.Servers`)."""
+    """The interface used of the front's connections to its servers (`front.servers.Servers`)."""
 
     @property
     def endpoints(self) -> Mapping[int, object]:
@@ -52,9 +53,9 @@
     upper_kinds: Mapping[str, int],
     kind_count: int,
 ) -> list[set[int]]:
-    """Return for each duty the decision module's kinds of its targets.
+    """Return for each duty the set of its targets' kinds, as the decision module numbers them.
 
-    `names_by_duty` has the names that the settings give for a duty: those of `upper_kinds` (parents and
+    `names_by_duty` has the names of kinds in the settings of each duty: a name in `upper_kinds` (parents and
     origin), or "caches" for all other kinds.
     """
     caches = set(range(kind_count)) - set(upper_kinds.values())
@@ -68,9 +69,10 @@
 
 
 class ProbeSharing:
-    """Serves targets by probing them, and shares what the probes of this front and of others tell.
+    """Serves targets by probing them, and shares the outcomes of probes among fronts.
 
-    `kinds` are the targets' kinds by duty, `submit` hands events to the instance, `clock` is its clock.
+    `kinds` has the set of its targets' kinds for each duty, `submit` passes events to the instance, `clock`
+    returns the time of the instance's clock.
     """
 
     def __init__(
@@ -89,32 +91,32 @@
         self.submit = submit
         self.clock = clock
         self.endpoint_kinds: dict[int, int] = {}
-        """The kinds of the endpoints that are ready."""
+        """The kinds of the endpoints that are ready, by endpoint."""
         self.serving: dict[int, int] = {}
-        """The duty for which an endpoint is being probed."""
-        self.awaited: set[int] = set()
-        """Endpoints whose probe the decision module asked for and that are to answer themselves."""
+        """The duty for which each endpoint is being probed."""
+        self.pending_probes: set[int] = set()
+        """Endpoints with a pending probe of this front that the decision module requested."""
         self.event_listeners: list[Any] = []
-        """Their `saw(events)` is called with all events that the decision module receives."""
+        """Objects whose `handle_events(events)` is called with the decision module's events."""
         self.counts = {"probes_asked": 0, "probes_shared": 0, "probes_sent": 0, "rounds": 0, "too_late": 0}
         self.send_probe_unshared = loop.command_handlers[SendProbe]
 
     def attach(self) -> None:
-        """Listen to the decision module's events and take over its probes."""
+        """Start to receive the decision module's events and to handle its probe commands."""
         self.loop.listener = self.handle_front_events
         self.loop.command_handlers[SendProbe] = self.send_probe
 
     def detach(self) -> None:
-        """Leave the probes to the front alone again."""
+        """Stop receiving events, and restore the front's own handler of probe commands."""
         self.loop.listener = None
         self.loop.command_handlers[SendProbe] = self.send_probe_unshared
 
     # From the front to the instance
 
     def handle_front_events(self, events: Sequence[Any]) -> None:
-        """Take in what the decision module is told: endpoint list updates, and how probes ended."""
+        """Handle endpoint list updates and outcomes of probes among the decision module's events."""
         for listener in self.event_listeners:
-            listener.saw(events)
+            listener.handle_events(events)
         for event in events:
             if isinstance(event, EndpointListUpdated):
                 self._handle_list_updated(event)
@@ -122,8 +124,8 @@
                 self._handle_probe_ended(event)
 
     def _handle_probe_ended(self, event: ProbeEnded) -> None:
-        """Share the outcome of a probe of this front itself."""
-        self.awaited.discard(event.endpoint)
+        """Share the outcome of a probe that this front has sent."""
+        self.pending_probes.discard(event.endpoint)
         duty = self.serving.pop(event.endpoint, self._duty_of(event.endpoint))
         if duty is None or event.outcome == AttemptOutcome.SUPERSEDED:
             return
@@ -151,7 +153,7 @@
         self.submit(*self.all_targets())
 
     def all_targets(self) -> list[TargetsUpdated]:
-        """Return the targets of each duty as the endpoint list has them now."""
+        """Return the targets of each duty that are on the endpoint list now."""
         return [
             TargetsUpdated(
                 duty, tuple(endpoint for endpoint, kind in self.endpoint_kinds.items() if kind in kinds)
@@ -162,7 +164,7 @@
     # From the instance to the front
 
     def serve(self, command: ServeTarget) -> None:
-        """Probe a target that is due, unless its lease has expired meanwhile."""
+        """Probe a target that is due, unless its lease has expired in the meantime."""
         if command.until and self.clock() >= command.until:
             self.counts["too_late"] += 1
         elif command.target in self.probes.endpoints:
@@ -171,7 +173,7 @@
             self.probes.probe(SendProbe(command.target), command.epoch)
 
     def send_probe(self, command: SendProbe) -> None:
-        """Carry out a probe that the decision module asks for, or let a new enough shared result stand in."""
+        """Report a shared result that is recent enough for the requested probe, or send the probe."""
         self.counts["probes_asked"] += 1
         self.instance.timers.now = self.clock()
         if shared := self.instance.find_answer(command.endpoint, command.max_age):
@@ -179,19 +181,19 @@
             self.loop.gather(report_of(shared))
         else:
             self.counts["probes_sent"] += 1
-            self.awaited.add(command.endpoint)
+            self.pending_probes.add(command.endpoint)
             self.send_probe_unshared(command)
 
     def report(self, result: ProbeResult) -> None:
-        """Report another instance's result to the decision module, unless it awaits the endpoint's own."""
-        if result.target not in self.awaited:
+        """Report another instance's result to the decision module, unless a requested probe is pending."""
+        if result.target not in self.pending_probes:
             self.loop.gather(report_of(result))
 
 
 def report_of(result: ProbeResult) -> ProbeEnded:
-    """Return the decision module's event for a shared result; its age is never 0, which is a front's own."""
+    """Return the decision module's event for a shared result. Its age is never 0, which marks own results."""
     try:
         outcome = AttemptOutcome(result.outcome)
-    except ValueError:  # of a later version
+    except ValueError:  # an outcome of a later version
         outcome = AttemptOutcome.FAILED
     return ProbeEnded(result.target, outcome, result.duration, result.load, max(1, result.age))
--- a/limepath/duties/savings.py
+++ b/limepath/duties/savings.py
@@ -115,7 +115,7 @@
         self.fronts = [make_front(index, fronts, seed) for index in range(fronts)]
         self.wakeups: list[int | None] = [None] * fronts
         """When each front is to be called next."""
-        self.awaited: list[set[int]] = [set() for _ in range(fronts)]
+        self.pending_probes: list[set[int]] = [set() for _ in range(fronts)]
         """The caches whose probes each front awaits."""
         self.attempts: dict[tuple[int, int], ForwardRequest] = {}
         """Attempts by front and request."""
@@ -217,7 +217,7 @@
             if shared := node.instance.find_answer(command.endpoint, command.max_age):
                 self.at(self.now + 1, self._submit, index, report_of(shared._replace(load={})))
                 return
-        self.awaited[index].add(command.endpoint)
+        self.pending_probes[index].add(command.endpoint)
         self._probe(index, command.endpoint)
 
     def _probe(self, index: int, cache: int) -> None:
@@ -228,7 +228,7 @@
         self.at(self.now + duration, self._end_probe, index, cache, outcome, duration)
 
     def _end_probe(self, index: int, cache: int, outcome: AttemptOutcome, duration: int) -> None:
-        self.awaited[index].discard(cache)
+        self.pending_probes[index].discard(cache)
         self._submit(index, ProbeEnded(cache, outcome, duration, {}))
         if self.mode != ProbeMode.ALONE:
             self.nodes[index].handle([TargetServed(0, cache, int(outcome), duration, {})])
@@ -239,7 +239,7 @@
 
     def handle_result_shared(self, node: Node, result: ProbeResult) -> None:
         """Report another's result to the node's front, unless it awaits its own."""
-        if result.target not in self.awaited[node.index]:
+        if result.target not in self.pending_probes[node.index]:
             self._submit(node.index, report_of(result._replace(load={})))
 
 
--- a/limepath/frequency_exchange/host.py
+++ b/limepath/frequency_exchange/host.py
@@ -61,8 +61,8 @@
         """Hand on what the decision module answers to a `RequestCountsWanted`."""
         self.logic_host.submit(CountsRead(command.cookie, command.counts))
 
-    def saw(self, events: Iterable[Any]) -> None:
-        """Look for requests among the events of the decision module. Part of the interface of `hearers`."""
+    def handle_events(self, events: Iterable[Any]) -> None:
+        """Look for requests among the events of the decision module. Part of the interface of `event_listeners`."""
         if any(isinstance(event, RequestArrived) for event in events):
             self.logic.record_request(clock())
 
--- a/tests/test_probe_sharing.py
+++ b/tests/test_probe_sharing.py
@@ -1,4 +1,4 @@
-"""A probe that the decisions ask for is sent, unless a shared result that is new enough stands in."""
+"""A probe that the decision module requests is sent, unless a shared result is recent enough."""
 
 from types import SimpleNamespace
 
@@ -14,7 +14,7 @@
 
 
 class RecordingLoop:
-    """The front's loop: keeps the events that it is handed and the probes that it is to carry out."""
+    """A loop of the front that records the events and the probe commands that it receives."""
 
     def __init__(self):
         self.listener = None
@@ -32,7 +32,7 @@
 
 
 def sharing(loop, answer):
-    """The sharing of an instance that has this answer to every question."""
+    """Return an attached ProbeSharing whose instance returns `answer` for each lookup of a shared result."""
     instance = SimpleNamespace(timers=SimpleNamespace(now=0), find_answer=lambda endpoint, max_age: answer)
     shared = ProbeSharing(
         loop, SimpleNamespace(endpoints={}), instance, [], lambda *events: None, lambda: 1000
@@ -45,9 +45,9 @@
     shared = sharing(loop, answer=None)
     loop.command_handlers[SendProbe](SendProbe(TARGET, 2000))
     assert loop.probes == [SendProbe(TARGET, 2000)]
-    assert shared.awaited == {TARGET}
+    assert shared.pending_probes == {TARGET}
     shared.report(RESULT)
-    assert loop.events == []  # the endpoint's own answer is on its way
+    assert loop.events == []  # a requested probe of the endpoint is pending
     loop.listener([ProbeEnded(TARGET, AttemptOutcome.SUCCEEDED, 900, {})])
     shared.report(RESULT)
     assert [event.endpoint for event in loop.events] == [TARGET]
