--- a/limepath/duties/host.py
+++ b/limepath/duties/host.py
@@ -1,7 +1,7 @@
-"""An instance of the duties beside a front: its store, its datagrams, its timer and its control socket.
+"""The host of a front's instance of the duties: its store, datagram socket, timer and control socket.
 
-Its commands are carried out here; what concerns the front's probes is handed to `probe_sharing`. The front
-goes on by itself where this fails.
+The host executes the instance's commands; `probe_sharing` executes those that concern the front's probes. If
+the host fails, the front continues without sharing.
 """
 
 import os
@@ -43,19 +43,19 @@
 from limepath.store import DAMAGED, NEW, PendingWrites, Store, StoreLockedError, StoreUnusableError
 
 REPORT_INTERVAL = 10_000_000
-"""Microseconds between log lines on dropped datagrams."""
+"""Microseconds between log lines about dropped datagrams."""
 TOKEN_BITS = 63
 
 
 def random_token() -> int:
-    """Return TOKEN_BITS of the system's randomness, for an instance's identity."""
+    """Return TOKEN_BITS random bits of the operating system, for an instance's identity."""
     return int.from_bytes(os.urandom(8), "big") >> (64 - TOKEN_BITS)
 
 
 def message_types(settings: PeersSettings) -> tuple[type[Message], ...]:
-    """Return the types of all messages that instances exchange under these settings."""
+    """Return the types of all messages that instances exchange with these settings."""
     types: tuple[type[Message], ...] = MESSAGES + DUTY_MESSAGES
-    if settings.listing:  # loaded only where it is used
+    if settings.listing:  # imported only if used
         from limepath.discovery.interface import MESSAGES as DISCOVERY_MESSAGES
         from limepath.frequency_exchange.interface import MESSAGES as FREQUENCY_MESSAGES
 
@@ -64,9 +64,9 @@
 
 
 class Cooperation:
-    """One instance of the duties at one front, and the owner of its store and socket.
+    """Runs the instance of the duties of one front; owns its store and its sockets.
 
-    Raises StartError where store, keys or address cannot be used.
+    Raises StartError if the store, the keys or the address cannot be used.
     """
 
     def __init__(
@@ -82,12 +82,12 @@
         self.log = log
         self.settings = settings
         self.store: Store
-        """The identity, the ceiling of epochs, and what other parts of the front keep."""
+        """Stores the identity, the epoch ceiling and the rows of other parts of the front."""
         self.line: DatagramSocket
         self._open_files()
         self.identity: Identity = self._load_identity()
         self.writes = PendingWrites(self.store, log)
-        """Rows that are to be written before what rests on them goes out."""
+        """Rows that must be written before messages that depend on them are sent."""
         self.instance = self._make_instance(front.seed)
         self.logic_host = LogicHost(reactor, clock, self.instance, self.execute, self._fail)
         kinds = self._target_kinds(front)
@@ -95,16 +95,16 @@
         self.control: Any = None
         """The listening control socket."""
         self.over = False
-        """Whether nothing is shared any more."""
+        """Whether this front has stopped sharing."""
         self.keys_read_at = clock()
         self.reported_at = clock()
         self.message_handlers: list[Any] = []
-        """Their `heard(sender, message)` is called with messages of other logics, from live members."""
+        """Objects whose `heard(sender, message)` is called with live members' messages to other modules."""
         self.event_listeners = self.probe_sharing.event_listeners
         self.views: dict[str, Callable[[], Any]] = {"peers": self.view}
-        """What the control socket answers, by the name asked for."""
+        """The functions that return the views of the control socket, by the name in the request."""
         self.at_stop: list[Callable[[], object]] = []
-        """Called once nothing is shared any more."""
+        """Functions that are called when this front stops sharing."""
         self.counts = {"held_back": 0}
         self.probe_sharing.attach()
 
@@ -120,7 +120,7 @@
             raise StartError(str(error)) from None
 
     def _load_identity(self) -> Identity:
-        """Read this instance's identity and write it for the new incarnation, before it is used."""
+        """Read this instance's identity, and write it for the new incarnation before the identity is used."""
         identity, rows = next_identity(self.store.all(), random_token)
         try:
             self.store.put(rows)
@@ -160,12 +160,12 @@
     # Start and stop
 
     def start(self) -> None:
-        """Open socket and control socket and join; where they cannot be opened, share nothing."""
+        """Open the datagram socket and the control socket, and join; on an error stop sharing."""
         try:
             self.line.open()
             if self.settings.control:
                 self.control = control.listen(self.reactor, self.settings.control, self.views)
-        except Exception as error:  # the front goes on alone; whoever reads the log mends the file
+        except Exception as error:  # the front continues without sharing; the log names the file to correct
             self.log.say("sharing-off", str(error), file=self.settings.file)
             self.stop()
             return
@@ -189,7 +189,7 @@
         )
 
     def stop(self) -> None:
-        """Share nothing any more; the front goes on by itself."""
+        """Stop sharing; the front continues on its own."""
         self.over = True
         self.probe_sharing.detach()
         self.line.close()
@@ -202,19 +202,19 @@
         self.store.close()
 
     def _fail(self, error: Exception) -> None:
-        """Stop after an error of the logic; requests go on whatever happens here."""
+        """Stop sharing after an error of the logic, so that the front continues to serve requests."""
         self.log.fault("sharing", error)
         self.stop()
 
     # Events and commands
 
     def submit(self, *events: object) -> None:
-        """Keep events until all that this pass of the reactor has ready is read."""
+        """Queue events; they are handled once all input of this pass of the reactor has been read."""
         self.logic_host.submit(*events)
 
     def execute(self, command: object) -> None:
-        """Carry out one command of the instance."""
-        if self._rests_on_unwritten(command):
+        """Execute one command of the instance."""
+        if self._depends_on_pending_write(command):
             self.counts["held_back"] += 1
         elif isinstance(command, SendMessage):
             self.line.send(self.instance.members.me, command)
@@ -238,18 +238,18 @@
         other = command.other
         self.log.say(
             "gives-way",
-            command.reason + "; this front shares nothing any more",
+            command.reason + "; this front stops sharing",
             name=other.name,
             other=f"{other.host}:{other.port}",
             life=other.generation,
         )
         self.stop()
 
-    def _rests_on_unwritten(self, command: object) -> bool:
-        """Return whether a crash could forget what this command rests on.
+    def _depends_on_pending_write(self, command: object) -> bool:
+        """Return whether the command depends on an epoch ceiling that a crash could lose.
 
-        Grants, epoch reports and rounds under a lease are dropped (as if the network had lost them) until the
-        ceiling of epochs is on the disk.
+        Grants, epoch reports and rounds under a lease are dropped until the epoch ceiling is on the disk, as
+        if the network had lost them.
         """
         if EPOCH_CEILING_ROW not in self.writes.rows:
             return False
@@ -258,17 +258,17 @@
         return isinstance(command, SendMessage) and isinstance(command.message, (LeaseGrant, EpochReport))
 
     def reach(self, token: int, message: Message) -> None:
-        """Send a message of another logic to the live member with this token."""
+        """Send a message of another module to the live member with this token."""
         members = self.instance.members
         members.timers.now = clock()
         members.send_to_member(token, message)
         for command in members.timers.take_commands():
             self.line.send(members.me, command)
 
-    # What the front calls
+    # Called by the front
 
     def sweep(self) -> None:
-        """Retry writes, reread the keys and log what was dropped, each when it is time."""
+        """Retry pending writes, and at their intervals reread the keys and log dropped datagrams."""
         if self.over:
             return
         self.writes.retry()
@@ -286,11 +286,11 @@
             self.line.reload_keys()
 
     def leave(self) -> None:
-        """Begin to leave: hand over the duties and tell the other members."""
+        """Begin to leave: hand over the duties and notify the other members."""
         self.submit(LeaveRequested())
 
     def view(self) -> dict[str, Any]:
-        """Return what `limepath membership show` asks for."""
+        """Return the view that `limepath membership show` prints."""
         self.instance.timers.now = clock()
         view = self.instance.view()._asdict()
         view["counts"] |= self.probe_sharing.counts
