--- a/limepath/duties/bounds.py
+++ b/limepath/duties/bounds.py
@@ -1,7 +1,7 @@
-"""The bounds that the settings promise, computed where they are stated; docs/duties.md derives them.
+"""Upper bounds of gaps, take-over times and duplicate rounds, computed from the settings.
 
-They hold for a view of `live` instances, with `together` neighbours on the ring dying within one detection,
-on a network that loses nothing for longer than a detection between those that live.
+docs/duties.md derives them. They hold for a view of `live` instances, if at most `together` neighbours on the
+ring die within one detection time and if the network between live instances fails for no longer than that.
 """
 
 from collections.abc import Iterable
@@ -12,22 +12,22 @@
 from limepath.membership.bounds import detection_time, dissemination_time
 
 REQUEST_ROUNDS = 3
-"""Rounds of lease requests until a slot is granted: two may end in a split vote."""
+"""The most rounds of lease requests until a slot is granted: two of them may end in a split vote."""
 
 
 class Bounds(NamedTuple):
-    """The longest spans that the settings promise, in microseconds."""
+    """The bounds of one duty, in microseconds."""
 
-    gap: int  # between two rounds of one target, an owner's death among them
-    restart: int  # the same where a majority of the voters, or all instances, start anew at once
-    take_over: int  # from an owner's death until the first round of another
-    disagreement: int  # how long views may differ after a change, and two instances serve one target
+    gap: int  # between two rounds of a target, also if its owner dies
+    restart: int  # the same if a majority of the voters, or all instances, restart at once
+    take_over: int  # from an owner's death until another instance serves its target
+    disagreement: int  # how long views may differ after a change, so that two instances serve a target
 
 
 def bounds(
     timeouts: MembershipTimeouts, duty: DutySettings, leases: LeaseSettings, live: int, together: int = 1
 ) -> Bounds:
-    """Return the bounds of one duty."""
+    """Return the bounds of one duty; see the module for `live` and `together`."""
     detected = detection_time(timeouts, live, together)
     if duty.mode == DutyMode.AT_LEAST_ONCE:
         return Bounds(
@@ -48,11 +48,11 @@
 
 
 def most_duplicates(duty: DutySettings, bound: Bounds, changes: Iterable[int]) -> int:
-    """Return how often a target may be served twice within half an interval, over changes of these lengths.
+    """Return how often a target may be served twice within half an interval, given the lengths of changes.
 
-    The lengths are microseconds. While views differ, each side serves it once an interval; the change itself
-    may add one each way. Where one instance at most owns it, two rounds follow each other within half an
-    interval only at a change of owner.
+    The lengths are in microseconds. While views differ, each side serves the target once an interval; the
+    change itself may add two more duplicates. In mode one-owner, two rounds are within half an interval of
+    each other only at a change of owner.
     """
     if duty.mode == DutyMode.ONE_OWNER:
         return sum(2 for _ in changes)
--- a/limepath/frequency_exchange/host.py
+++ b/limepath/frequency_exchange/host.py
@@ -62,7 +62,7 @@
         self.logic_host.submit(CountsRead(command.cookie, command.counts))
 
     def handle_events(self, events: Iterable[Any]) -> None:
-        """Look for requests among the events of the decision module. Part of the interface of `event_listeners`."""
+        """Record whether the decision module's events contain a request (see `event_listeners`)."""
         if any(isinstance(event, RequestArrived) for event in events):
             self.logic.record_request(clock())
 
