--- a/limepath/duties/lease_model.py
+++ b/limepath/duties/lease_model.py
@@ -1,7 +1,7 @@
-"""The states that the model checker of the leases explores: instances, their clocks and messages under way.
+"""The states that the model checker of the leases explores: instances, their clocks and messages in transit.
 
-The logic is the program's own (`leases`, `voter`): instances that all want one slot, all of them voters, with
-clocks that run apart by the drift that the settings allow. States are copied by `pickle`.
+The model runs the production code of `leases` and `voter`: all instances are voters and want the same slot,
+and the rates of their clocks differ by the drift that the settings allow. States are copied with `pickle`.
 """
 
 from collections.abc import Sequence
@@ -17,16 +17,16 @@
 from limepath.timer_queue import TimerQueue
 
 SPAN = 1_000_000
-"""Of a lease, in microseconds."""
+"""The duration of a lease in microseconds."""
 DRIFT = 0.01
 DUTY = 0
 SLOT = 0
 INCARNATIONS_PER_INSTANCE = 100
-"""Keeps the sessions of different instances apart."""
+"""Separates the session numbers of different instances."""
 
 
-class UnrandomTimers(TimerQueue):
-    """Random delays add nothing to the orders that are explored: half of each, always."""
+class DeterministicTimers(TimerQueue):
+    """Timers without randomness, because random delays add no further orders of events to explore."""
 
     def random_fraction(self) -> float:
         """Return the middle of the range."""
@@ -34,24 +34,24 @@
 
 
 class BrokenVoter(Voter):
-    """The rule broken on purpose: what another holds is granted all the same."""
+    """A voter with a deliberate fault: it grants a slot although another instance holds it."""
 
     def is_valid(self, grant: Grant) -> bool:
-        """Take every grant for an expired one."""
+        """Return False, as if each grant had expired."""
         return False
 
 
 class Envelope(NamedTuple):
-    """A message under way, between instances by their index."""
+    """A message in transit between two instances, which are given by their indices."""
 
     source: int
     destination: int
-    session: int  # of the source
+    session: int  # identifies the incarnation of the source
     message: Message
 
 
 class ModelInstance:
-    """One instance: its leases, the rate of its clock, and the ceiling in its store."""
+    """One instance: its lease manager, the rate of its clock, and the epoch ceiling in its store."""
 
     def __init__(self, index: int, names: Sequence[str], broken: bool):
         self.index = index
@@ -64,9 +64,9 @@
         self.start(0, restarted=False)
 
     def start(self, now: int, restarted: bool) -> None:
-        """Start anew with what the store has. The first start is as after a quiet time: the voter votes."""
+        """Start a new incarnation with the stored ceiling; only a restarted voter has a startup silence."""
         self.incarnation += 1
-        self.timers = UnrandomTimers(0)
+        self.timers = DeterministicTimers(0)
         self.timers.now = self.local_time(now)
         self.manager = LeaseManager(
             self.timers,
@@ -85,26 +85,26 @@
         self.manager.start()
         if not restarted:
             self.manager.voter.silent_until = 0
-        self.settle()
+        self.exchange_local()
 
     def local_time(self, now: int) -> int:
-        """Return what this instance's clock shows at a time that all share."""
+        """Convert a time of the model to the time of this instance's clock."""
         return int(now * self.clock_rate)
 
     def wanted_slots(self, duty: int) -> set[int]:
-        """Every instance wants the slot."""
+        """Return the slot, which every instance wants."""
         return {SLOT}
 
     def on_leases_changed(self, duty: int) -> None:
-        """Nothing depends on it here."""
+        """Do nothing, because nothing depends on the leases here."""
 
     def send(self, name: str, message: Message) -> None:
-        """Take a message that the leases send."""
+        """Queue a message that the lease manager sends."""
         destination = self.names.index(name)
         self.outgoing.append(Envelope(self.index, destination, self.manager.session, message))
 
-    def settle(self) -> list[Envelope]:
-        """Deliver messages to itself at once and carry out commands; return what goes to others."""
+    def exchange_local(self) -> list[Envelope]:
+        """Deliver the instance's messages to itself and execute commands; return its messages to others."""
         while own := [envelope for envelope in self.outgoing if envelope.destination == self.index]:
             self.outgoing = [envelope for envelope in self.outgoing if envelope.destination != self.index]
             for envelope in own:
@@ -117,27 +117,27 @@
         return sent
 
     def next_due(self) -> int:
-        """Return when it has something to do next, in the time that all share."""
+        """Return the time of the model at which the instance's next timer is due."""
         return int(self.timers.next_due() / self.clock_rate) + 1
 
     def run_due(self, now: int) -> list[Envelope]:
-        """Do what is due; return what goes to others."""
+        """Run the timers that are due; return the messages to other instances."""
         self.timers.run_due(self.local_time(now))
-        return self.settle()
+        return self.exchange_local()
 
     def receive(self, now: int, envelope: Envelope) -> list[Envelope]:
-        """Take a message in; return what goes to others."""
+        """Handle a message; return the resulting messages to other instances."""
         self.timers.now = self.local_time(now)
         self.manager.handle_message(self.names[envelope.source], envelope.session, envelope.message)
-        return self.settle()
+        return self.exchange_local()
 
     def holds_slot(self, now: int) -> bool:
-        """Whether it holds the slot by its own clock."""
+        """Return whether the instance holds the slot according to its own clock."""
         self.timers.now = self.local_time(now)
         return self.manager.valid_lease(DUTY, SLOT) is not None
 
     def fingerprint(self, now: int) -> tuple[Any, ...]:
-        """Return what its future depends on: times as spans from now, rounds as steps back."""
+        """Return all state that future behaviour depends on, with times and round numbers relative to now."""
         local_now = self.local_time(now)
         voter = self.manager.voter
         return (
@@ -185,34 +185,36 @@
 
 
 class ModelState(NamedTuple):
-    """One moment of a history."""
+    """The state of all instances and messages at one time."""
 
     now: int
     instances: tuple[ModelInstance, ...]
     in_transit: tuple[Envelope, ...]
-    duplicated: int  # messages so far that were delivered twice
-    crashed: int  # instances so far
+    duplicated: int  # the number of messages delivered twice so far
+    crashed: int  # the number of crashes so far
 
     def holders(self) -> list[str]:
-        """Return the names of the instances that hold the slot now, each by its own clock."""
-        return [one.names[one.index] for one in self.instances if one.holds_slot(self.now)]
+        """Return the names of the instances that hold the slot now, each according to its own clock."""
+        return [
+            instance.names[instance.index] for instance in self.instances if instance.holds_slot(self.now)
+        ]
 
     def fingerprint(self) -> int:
-        """Return a hash that is the same for states with the same future."""
-        instances = tuple(one.fingerprint(self.now) for one in self.instances)
+        """Return a hash that is equal for states with the same future behaviour."""
+        instances = tuple(instance.fingerprint(self.now) for instance in self.instances)
         messages = tuple(sorted(self._message_fingerprint(envelope) for envelope in self.in_transit))
         return hash((instances, messages, self.duplicated, self.crashed))
 
     def _message_fingerprint(self, envelope: Envelope) -> tuple[int, int, int, str, str]:
-        """Rounds count as steps back from the latest round of the instance that requested."""
+        """Return a message's fields, its round relative to the latest round of the requesting instance."""
         message = envelope.message
         requester = envelope.source if isinstance(message, LeaseRequest) else envelope.destination
         fields = message_fields(message)
-        steps_back = self.instances[requester].manager.round - fields.pop("round", 0)
-        text = str((steps_back, *fields.values()))
+        relative_round = self.instances[requester].manager.round - fields.pop("round", 0)
+        text = str((relative_round, *fields.values()))
         return (envelope.source, envelope.destination, envelope.session, type(message).__name__, text)
 
 
 def message_fields(message: Message) -> dict[str, Any]:
-    """Return a message's fields by name, in the order of the wire."""
+    """Return a message's fields by name, in the order of their encoding."""
     return msgspec.structs.asdict(message)
