--- a/limepath/duties/network.py
+++ b/limepath/duties/network.py
@@ -1,26 +1,26 @@
-"""A network between simulated instances: it delays, loses, duplicates and reorders messages by chance."""
+"""A network between simulated instances, which randomly delays, loses, duplicates and reorders messages."""
 
 from collections.abc import Hashable
 from collections.abc import Set as AbstractSet
 from random import Random
 from typing import NamedTuple
 
+# All in microseconds.
 MIN_DELAY = 300
 DELAY_SPREAD = 1500
 LATE_SPREAD = 400_000
 DUPLICATE_SPREAD = 300_000
-"""All in microseconds."""
 
 
 class Cut(NamedTuple):
-    """Messages from these to those are lost; indices of instances."""
+    """A failure that loses all messages from `sources` to `destinations`, both indices of instances."""
 
     sources: AbstractSet[int]
     destinations: AbstractSet[int]
 
 
 class Network:
-    """`loss`, `doubled` and `late` are the shares of messages that are lost, duplicated and delayed long."""
+    """A network that loses, duplicates and delays the fractions `loss`, `doubled` and `late` of messages."""
 
     def __init__(self, random: Random, loss: float = 0.0, doubled: float = 0.0, late: float = 0.0):
         self.random = random
@@ -28,10 +28,10 @@
         self.doubled = doubled
         self.late = late
         self.cuts: dict[Hashable, Cut] = {}
-        """By any name, by which a cut is healed again."""
+        """The present cuts, each under a key by which it is removed again."""
 
     def delays(self, source: int, destination: int) -> tuple[int, ...]:
-        """Return the microseconds after which copies of a message arrive; none if it is lost."""
+        """Return the delay in microseconds of each copy of a message; no delays if the message is lost."""
         for sources, destinations in self.cuts.values():
             if source in sources and destination in destinations:
                 return ()
--- a/limepath/duties/node.py
+++ b/limepath/duties/node.py
@@ -1,4 +1,4 @@
-"""A simulated instance: the logic of the real program, with a clock and a store of its own."""
+"""A simulated instance: runs the production logic with its own clock and store."""
 
 from __future__ import annotations
 
@@ -26,16 +26,16 @@
     from limepath.duties.world import World
 
 PORT = 7946
-"""Of all instances; their host is their index."""
+"""The port of all instances; the host of an instance is its index."""
 SOCKET_BUFFER = 2000
-"""Events that a paused instance still receives when it resumes."""
+"""The most events that a paused instance receives when it resumes, as from a socket's buffer."""
 MAX_CLOCK_OFFSET = 10**12
-"""Microseconds."""
+"""The largest offset in microseconds between an instance's clock and virtual time."""
 
 
 @dataclass
 class NodeStore:
-    """What outlives a crash."""
+    """The state that survives a crash."""
 
     token: int
     incarnation: int = 0
@@ -44,7 +44,7 @@
 
 
 class Node:
-    """One instance, running or not, at its place in a world."""
+    """One instance of a simulation, running or not."""
 
     def __init__(self, world: World, index: int):
         self.world = world
@@ -54,27 +54,27 @@
         self.clock_rate = 1 + world.random.uniform(-1, 1) * world.drift
         self.store = NodeStore(world.random.getrandbits(63))
         self.instance: Instance | None = None
-        """None while it does not run."""
+        """The running instance; None while the node is down."""
         self.paused = False
         self.received: list[Any] = []
-        """Events that came while it was paused."""
+        """Events that arrived while the instance was paused."""
         self.wake_at: int | None = None
-        """The world's time at which the instance is to be called next."""
+        """The virtual time at which the instance is to be called next."""
         self.yielded: str | None = None
-        """Why the instance yielded its identity, if it did."""
+        """Why the instance has yielded its identity, or None."""
         self.leases: dict[tuple[int, int], int] = {}
-        """When the leases that it holds expire, in the world's time."""
+        """The held leases by duty and slot, with their expiry in virtual time."""
 
     def clock(self) -> int:
-        """Return what its own clock shows."""
+        """Return the time of this instance's clock."""
         return self.clock_offset + int(self.world.now * self.clock_rate)
 
     def world_time(self, local_time: int) -> int:
-        """Return the world's time at which its own clock has reached `local_time`."""
+        """Return the virtual time at which this instance's clock has reached `local_time`."""
         return int((local_time - self.clock_offset) / self.clock_rate) + 1
 
     def start(self, seeds: Sequence[tuple[str, int]]) -> MemberRecord:
-        """Make the instance of a new incarnation; return its record. It runs from `begin` on."""
+        """Create the instance of a new incarnation and return its record. It does nothing until `begin`."""
         world = self.world
         self.store.incarnation += 1
         me = MemberRecord(
@@ -101,31 +101,31 @@
         return me
 
     def begin(self) -> None:
-        """Start the instance's work, with all targets of the world."""
+        """Start the instance, with all targets of the simulation."""
         self._carry_out(self.instance.start(self.clock()))
         targets = tuple(self.world.targets)
         self.handle([TargetsUpdated(duty, targets) for duty in range(len(self.world.duties))])
 
     def stop(self) -> None:
-        """End the instance as a crash does."""
+        """Stop the instance at once, as in a crash."""
         self.instance = None
         self.received = []
         self.wake_at = None
         self._record_leases({})
 
     def lose_store(self) -> None:
-        """Begin with an empty store next time."""
+        """Replace the store with an empty one for the next start."""
         self.store = NodeStore(self.world.random.getrandbits(63))
 
     def handle(self, events: Iterable[Any]) -> None:
-        """Hand events to the instance; a paused one receives them when it resumes."""
+        """Pass events to the instance, or keep them until it resumes if it is paused."""
         if self.paused:
             self.received += events
         elif self.instance:
             self._carry_out(self.instance.handle(self.clock(), list(events)))
 
     def resume(self) -> None:
-        """Go on after a pause."""
+        """Resume after a pause."""
         self.paused = False
         events = self.received[-SOCKET_BUFFER:]
         self.received = []
