--- a/limepath/duties/savings.py
+++ b/limepath/duties/savings.py
@@ -124,10 +124,10 @@
         self.forwarded_to_silent = 0
         self.requests = 0
 
-    def open(self, preset: bool = True) -> None:
+    def start(self, members_known: bool = True) -> None:
         """Start all fronts and their requests."""
         if self.mode == ProbeMode.SHARED:
-            super().open(True)
+            super().start(True)
         else:
             for node in self.nodes:
                 node.start(())
@@ -253,7 +253,7 @@
 ) -> Savings:
     """Run one mode for RUN_LENGTH; return what the caches saw."""
     world = FrontWorld(mode, fronts, caches, interval, rate, seed)
-    world.open()
+    world.start()
     world.run(RUN_LENGTH)
     healthy = sum(len(seen) for cache, seen in world.probes_seen.items() if cache != SILENT_CACHE)
     silent = sum(SILENCE_BEGIN <= at < SILENCE_END for at in world.probes_seen.get(SILENT_CACHE, ()))
--- a/limepath/duties/simulate.py
+++ b/limepath/duties/simulate.py
@@ -108,7 +108,7 @@
     world = World(instances, targets, (duty,), timeouts, lease_settings, seed, loss, doubled, late)
     faults = draw_faults(kinds, instances, first, length, settle, seed) if kinds else []
     run = FaultRun(world, faults, length + interval)
-    world.open(not cold)
+    world.start(not cold)
     run.look()
     with garbage_collection_off():
         world.run(run.end)
--- a/limepath/duties/world.py
+++ b/limepath/duties/world.py
@@ -1,7 +1,7 @@
-"""Many instances in virtual time: one seed, one history. The logic is that of the real program.
+"""Simulation of many instances in virtual time: it runs the production logic, and a seed fixes its course.
 
-What is counted is what the targets see, and who holds which lease. See `node` for an instance with its clock
-and store, `network` for what lies between them.
+It records the rounds that the targets receive and the instances that hold each lease. See `node` for a
+simulated instance with its clock and store, and `network` for the network between instances.
 """
 
 from collections.abc import Callable, Collection, Iterable, Sequence
@@ -26,24 +26,26 @@
 )
 
 SAMPLE_EVERY = 64
-"""One message in so many is encoded, to count bytes."""
+"""One of this many messages is encoded, to measure its size."""
 SEEDS = 3
-"""Instances that the others join by."""
+"""The number of seed instances, by which the others join."""
 SERVE_DURATION = 800
+"""Microseconds that serving a target takes."""
 LIST_DELAY = 200_000
+"""Microseconds within which all instances receive a change of the endpoint list."""
 REMOVAL_GRACE = 500_000
-"""Within which rounds at a removed target are not counted. All three in microseconds."""
+"""Microseconds after a target's removal within which rounds at it are not counted."""
 
 
 class ServedRound(NamedTuple):
-    """A round that a target has seen."""
+    """A round that a target has received."""
 
     at: int
     node: int
 
 
 class LeaseConflict(NamedTuple):
-    """A moment at which two nodes held one slot."""
+    """The time at which two nodes held the same slot."""
 
     at: int
     duty_and_slot: tuple[int, int]
@@ -52,14 +54,14 @@
 
 
 class NodeEvent(NamedTuple):
-    """Something that a node did, or that was declared of it."""
+    """The time and the node of an event."""
 
     at: int
     node: int
 
 
 class World:
-    """Instances, their targets and the network between them. Times are virtual microseconds."""
+    """Simulated instances, their targets and their network. Times are microseconds of virtual time."""
 
     def __init__(
         self,
@@ -80,15 +82,15 @@
         self.timeouts = timeouts
         self.lease_settings = lease_settings
         self.drift = drift
-        """By how much the rates of the clocks differ from that of the world, at most."""
+        """The largest deviation of a clock's rate from that of virtual time, as a fraction."""
         self.has_leases = any(duty.mode == DutyMode.ONE_OWNER for duty in duties)
         self.network = Network(Random(seed + 1), loss, doubled, late)
         self.wall_clock_step = 0
-        """By how much wall clocks were set."""
+        """Microseconds by which the wall clocks have been stepped."""
         self.targets = dict.fromkeys(range(1, targets + 1), 0)
-        """When each was added to the endpoint list; those that are on it."""
+        """The targets on the endpoint list, and when each was added."""
         self.added_at = dict(self.targets)
-        """The same with those that were removed."""
+        """When each target was added, including those that were removed."""
         self.removed_at: dict[int, int] = {}
         self.nodes = [Node(self, index) for index in range(instances)]
         self._scheduled = 0
@@ -97,14 +99,14 @@
 
     def _start_records(self) -> None:
         self.rounds: dict[tuple[int, int], list[ServedRound]] = {}
-        """By duty and target."""
+        """The rounds by duty and target."""
         self.highest_epochs: dict[tuple[int, int], int] = {}
-        """That each target has seen, by duty and target."""
+        """The highest epoch that each target has received, by duty and target."""
         self.rejected_rounds = 0
-        """Rounds that a target rejected for an older epoch."""
+        """The number of rounds that targets rejected because of an older epoch."""
         self.rounds_after_removal = 0
         self.lease_holders: dict[tuple[int, int], dict[int, int]] = {}
-        """Until when each node holds a lease, by duty and slot."""
+        """By duty and slot, when the lease of each node expires."""
         self.lease_conflicts: list[LeaseConflict] = []
         self.yielded: list[NodeEvent] = []
         self.false_deaths: list[NodeEvent] = []
@@ -116,12 +118,12 @@
     # Time
 
     def at(self, when: int, callback: Callable[..., object], *arguments: Any) -> None:
-        """Call `callback(*arguments)` once `when` has come."""
+        """Call `callback(*arguments)` at the time `when`."""
         self._scheduled += 1
         heappush(self._heap, (when, self._scheduled, callback, arguments))
 
     def run(self, until: int) -> None:
-        """Let time go on until then."""
+        """Advance virtual time to `until`, and call what is due."""
         while self._heap and self._heap[0][0] <= until:
             self.now, _, callback, arguments = heappop(self._heap)
             callback(*arguments)
@@ -129,37 +131,37 @@
 
     # Instances
 
-    def open(self, preset: bool) -> None:
-        """Start all instances; `preset`: each knows all others, as after a quiet time."""
+    def start(self, members_known: bool) -> None:
+        """Start all instances; with `members_known`, each knows all others from the start."""
         seeds = [(str(index), PORT) for index in range(min(SEEDS, len(self.nodes)))]
         records = [node.start(seeds) for node in self.nodes]
-        if preset:
+        if members_known:
             for node in self.nodes:
                 node.instance.preload_members([record for record in records if record.name != node.name])
         for node in self.nodes:
             node.begin()
 
     def restart(self, index: int) -> None:
-        """Start an instance that does not run."""
+        """Start an instance that is not running."""
         node = self.nodes[index]
         seeds = [(str(seed), PORT) for seed in range(min(SEEDS, len(self.nodes))) if seed != index]
         node.start(seeds or [("0", PORT)])
         node.begin()
 
     def views_agree(self) -> bool:
-        """Whether all that run see exactly those that run."""
+        """Return whether the view of each running instance consists of all running instances."""
         running = [node for node in self.nodes if node.instance and not node.paused]
         tokens = {node.store.token for node in running}
         return all(set(node.instance.members.ring) | {node.store.token} == tokens for node in running)
 
     def record_yield(self, node: Node, why: str) -> None:
-        """Note that an instance yielded its identity."""
+        """Record that an instance has yielded its identity."""
         self.yielded.append(NodeEvent(self.now, node.index))
 
     def record_leases(
         self, index: int, former: Collection[tuple[int, int]], leases: dict[tuple[int, int], int]
     ) -> None:
-        """Note which leases a node holds now, and until when; find those that another holds too."""
+        """Record a node's present leases and their expiry; find those that another node holds as well."""
         for key, until in leases.items():
             holders = self.lease_holders.setdefault(key, {})
             for other, other_until in holders.items():
@@ -171,7 +173,7 @@
                 self.lease_holders[key].pop(index, None)
 
     def handle_log_event(self, event: LogEvent) -> None:
-        """Note a death that was declared of an instance which runs, in that very incarnation."""
+        """Record that a running instance was declared dead in its present incarnation."""
         if event.event != "peer-dead":
             return
         node = self.nodes[int(event.fields["peer"][1:])]
@@ -182,7 +184,7 @@
     # Messages
 
     def send(self, node: Node, me: MemberRecord, command: SendMessage) -> None:
-        """Send a message of a node through the network."""
+        """Send a node's message over the network."""
         self.messages += 1
         destination = int(command.host)
         if self.messages % SAMPLE_EVERY == 0:
@@ -200,7 +202,7 @@
     # Targets
 
     def serve(self, node: Node, command: ServeTarget) -> None:
-        """Let a target see a round; it rejects one with an older epoch."""
+        """Deliver a round to its target, which rejects one with an older epoch."""
         key = command.duty, command.target
         if command.target not in self.targets:
             removed_for = self.now - self.removed_at[command.target]
@@ -219,10 +221,10 @@
             node.handle([TargetServed(command.duty, command.target, 0, SERVE_DURATION, {"util": 0.5})])
 
     def handle_result_shared(self, node: Node, result: ProbeResult) -> None:
-        """Another's result has come to this node; worlds with fronts hand it on."""
+        """Do nothing with another instance's result; worlds with fronts report it to the front."""
 
     def replace_targets(self, removed: Iterable[int], added: Iterable[int]) -> None:
-        """Change the endpoint list; each instance learns of it within LIST_DELAY."""
+        """Change the endpoint list; each instance receives the change within LIST_DELAY."""
         for target in removed:
             self.removed_at[target] = self.now
             del self.targets[target]
--- a/limepath/scale/roles_membership.py
+++ b/limepath/scale/roles_membership.py
@@ -56,7 +56,7 @@
 def set_up(instances):
     """A fleet whose instances all know each other, as after a quiet time."""
     fleet = Fleet(instances)
-    fleet.open(True)
+    fleet.start(True)
     return fleet
 
 
--- a/tests/test_duty_simulation.py
+++ b/tests/test_duty_simulation.py
@@ -50,7 +50,7 @@
     world = World(4, 200, (plan,), spans, LEASE_SETTINGS._replace(voters=("n0", "n1", "n2")), 3)
     faults = [Fault(at * SECOND, "targets", (0,), 0) for at in (11, 12, 13, 14, 15)]
     run = FaultRun(world, faults, 40 * SECOND)
-    world.open(True)
+    world.start(True)
     world.run(40 * SECOND)
     rows = findings(record_of(run), plan)
     assert all_passed(rows) and len(world.removed_at) == 200 and len(world.targets) == 200
@@ -71,12 +71,12 @@
     lease_settings = LEASE_SETTINGS._replace(voters=("n0", "n1", "n2"))
     bound = bounds(MembershipTimeouts(), plan, lease_settings, 3).gap
     quiet = World(3, 6, (plan,), MembershipTimeouts(), lease_settings, 9)
-    quiet.open(True)
+    quiet.start(True)
     quiet.run(30 * SECOND)
     at, who = quiet.rounds[0, 1][2]
     for dies in (at - 1, at, at + 400, at + 900):  # the answer comes 800 us after the round began
         world = World(3, 6, (plan,), MembershipTimeouts(), lease_settings, 9)
-        world.open(True)
+        world.start(True)
         world.at(dies, world.nodes[who].stop)
         world.run(at + 60 * SECOND)
         times = [when for when, _ in world.rounds[0, 1]]
@@ -87,7 +87,7 @@
 def test_an_instance_that_resumes_after_its_lease_expired_serves_nothing_under_it():
     plan = DutySettings("probe", DutyMode.ONE_OWNER, 2 * SECOND)
     world = World(3, 30, (plan,), MembershipTimeouts(), LEASE_SETTINGS._replace(voters=("n0", "n1", "n2")), 2)
-    world.open(True)
+    world.start(True)
     world.run(12 * SECOND)
     node = world.nodes[0]
     before = {slot for _, slot in node.instance.lease_manager.held_leases}
@@ -111,7 +111,7 @@
         LEASE_SETTINGS._replace(voters=tuple(f"n{i}" for i in range(5))),
         6,
     )
-    world.open(True)
+    world.start(True)
     world.run(12 * SECOND)
     few = frozenset({0, 1})
     world.network.cuts = {1: (few, frozenset({2, 3, 4})), 2: (frozenset({2, 3, 4}), few)}
--- a/tests/test_membership_group.py
+++ b/tests/test_membership_group.py
@@ -16,7 +16,7 @@
 def messages_per_instance(size: int) -> float:
     """Return messages sent per instance and second in a group without faults that has joined from seeds."""
     group = virtual_group(size, 5)
-    group.open(preset=False)
+    group.start(members_known=False)
     group.run(15 * SECOND)
     assert group.views_agree()
     before = group.messages
@@ -45,7 +45,7 @@
 
     for node in group.nodes[:2]:
         node.start = starting_at_version_1(node)
-    group.open(preset=False)
+    group.start(members_known=False)
     group.run(12 * SECOND)
     assert group.views_agree()
     assert group.nodes[0].instance.members.digest_to_send() == 0
@@ -118,7 +118,7 @@
 )
 def test_views_agree_again_after_any_sequence_of_faults(seed, faults) -> None:
     group = virtual_group(SIZE, seed, loss=0.1, doubled=0.1, late=0.1)
-    group.open(preset=True)
+    group.start(members_known=True)
     for inject, number, seconds in faults:
         inject(group, number)
         group.run(group.now + seconds * SECOND)
--- a/tests/test_membership_views.py
+++ b/tests/test_membership_views.py
@@ -20,7 +20,7 @@
         LeaseSettings(),
         1,
     )
-    world.open(False)
+    world.start(False)
     world.run(dissemination_time(MembershipTimeouts(), 100))
     assert world.views_agree()  # takes 2 s; took 9.5 s when only one page per period was pulled
 
@@ -34,7 +34,7 @@
         LeaseSettings(),
         1,
     )
-    world.open(True)
+    world.start(True)
     world.run(3 * SECOND)
     first_half = frozenset(range(75))
     world.network.cuts["split"] = first_half, frozenset(range(150)) - first_half
