--- a/limepath/duties/check.py
+++ b/limepath/duties/check.py
@@ -166,7 +166,7 @@
             self.steps_tried += 1
             holders = step.state.holders()
             if len(holders) > 1:
-                violation = f"violation: {' and '.join(holders)} both hold the slot"
+                violation = f"now {' and '.join(holders)} both hold the slot"
                 self.trace = [*self._steps_to(node), step.description, violation]
                 return
             fingerprint = step.state.fingerprint()
