--- a/limepath/duties/simulate.py
+++ b/limepath/duties/simulate.py
@@ -1,4 +1,4 @@
-"""Runs in virtual time under faults: the same seed gives the same table."""
+"""Runs of a fleet in virtual time under faults; a run with the same seed gives the same report."""
 
 import gc
 from collections.abc import Iterator, Sequence
@@ -14,13 +14,13 @@
 from limepath.report_table import CheckResult
 
 MANY_INSTANCES = 50
-"""Beyond these a run has two kinds of fault."""
+"""With more instances, a run has only two kinds of fault by default."""
 VERY_MANY_INSTANCES = 400
-"""Beyond these it has one."""
+"""With more instances, a run has only one kind of fault by default."""
 
 
 class Findings(NamedTuple):
-    """The table of a run, and what it was made of."""
+    """The rows of a run's report, the faults of the run and its simulation."""
 
     rows: list[CheckResult]
     faults: list[Fault]
@@ -28,7 +28,7 @@
 
 
 def record_of(run: FaultRun, began_at: int = 0) -> RunRecord:
-    """Return what was recorded of a run so far."""
+    """Return the record of a run so far."""
     world = run.world
     return RunRecord(
         timeouts=world.timeouts,
@@ -58,7 +58,7 @@
 
 
 def default_kinds(instances: int, seed: int) -> Sequence[str]:
-    """Return every kind of fault, or for many instances some, drawn by the seed."""
+    """Return all kinds of fault, or for many instances a random choice of them drawn from the seed."""
     if instances <= MANY_INSTANCES:
         return KINDS
     return Random(seed).sample(KINDS, 1 if instances > VERY_MANY_INSTANCES else 2)
@@ -66,7 +66,7 @@
 
 @contextmanager
 def garbage_collection_off() -> Iterator[None]:
-    """Collect no garbage meanwhile: a large fleet's objects would be scanned over and over for few cycles."""
+    """Disable garbage collection in the context: many objects would be scanned often to find few cycles."""
     was_enabled = gc.isenabled()
     gc.disable()
     try:
@@ -92,10 +92,11 @@
     lease_settings: LeaseSettings = LeaseSettings(),
     cold: bool = False,
 ) -> Findings:
-    """Run a fleet under faults; return its table.
+    """Run a fleet under faults; return the findings.
 
-    `interval` and `length`, in which faults begin, are microseconds. `loss`, `doubled` and `late` are shares
-    of the datagrams. `kinds` None: see `default_kinds`. `cold`: at first no instance knows another.
+    `interval` and `length`, the time in which faults begin, are in microseconds. `loss`, `doubled` and `late`
+    are fractions of the datagrams. If `kinds` is None, `default_kinds` are used. If `cold` is true, no
+    instance knows another at the start.
     """
     if kinds is None:
         kinds = default_kinds(instances, seed)
