--- a/limepath/duties/savings.py
+++ b/limepath/duties/savings.py
@@ -1,8 +1,9 @@
-"""What sharing saves the caches: many fronts with the real decision module, in virtual time.
+"""Measures how many probes sharing saves the caches, with many fronts and the real decision module.
 
-One cache is silent for a while. Three modes: as the decision module does by itself (probes on suspicion
-only), each front for itself (every front probes every cache in each interval), and shared. Counted are the
-probes that caches see, and the requests that are forwarded to the silent cache.
+Runs in virtual time, in which one cache does not answer for a while. There are three modes: the decision
+module alone (probes on suspicion only), each front on its own (every front probes every cache in each
+interval), and shared. Counted are the probes that caches receive, and the requests that are forwarded to the
+silent cache.
 """
 
 from collections.abc import Iterable
@@ -42,19 +43,19 @@
 
 
 class ProbeMode(StrEnum):
-    """How fronts learn that a cache is silent. The values stand in the measurements."""
+    """How fronts detect that a cache is silent. The values are written to the measurements."""
 
     ALONE = "on suspicion alone"
     EACH = "each for itself"
     SHARED = "shared"
 
 
+# All in microseconds.
 DEADLINE = 2 * SECOND
 PROBE_TIMEOUT = 250_000
 ATTEMPT_DURATION = 40_000
-"""All in microseconds."""
 KEYS = 10_000
-"""Different keys that are requested."""
+"""The number of different keys that are requested."""
 SILENT_CACHE = 1
 SILENCE_BEGIN = 20 * SECOND
 SILENCE_END = 40 * SECOND
@@ -78,13 +79,13 @@
 
 
 class Savings(NamedTuple):
-    """What one mode showed."""
+    """The measurements of one mode."""
 
     mode: ProbeMode
     fronts: int
-    probes: float  # that a healthy cache sees, by second
-    probes_silent: float  # that the silent cache sees, by second of its silence
-    forwarded_to_silent: int  # requests, in its silence
+    probes: float  # received by a healthy cache per second
+    probes_silent: float  # received by the silent cache per second of its silence
+    forwarded_to_silent: int  # requests forwarded to the silent cache during its silence
     requests: int  # at all fronts
 
 
@@ -102,9 +103,9 @@
 
 
 class FrontWorld(World):
-    """A world whose nodes each have a front.
+    """A simulation in which each node has a front.
 
-    `interval` is that of the probes in microseconds, `rate` the requests a second at each front.
+    `interval` is the interval of the probes in microseconds, `rate` the requests per second at each front.
     """
 
     def __init__(self, mode: ProbeMode, fronts: int, caches: int, interval: int, rate: float, seed: int):
@@ -114,18 +115,18 @@
         self.rate = rate
         self.fronts = [make_front(index, fronts, seed) for index in range(fronts)]
         self.wakeups: list[int | None] = [None] * fronts
-        """When each front is to be called next."""
+        """The time of each front's next wakeup, or None."""
         self.pending_probes: list[set[int]] = [set() for _ in range(fronts)]
-        """The caches whose probes each front awaits."""
+        """By front, the caches with a pending probe that the decision module requested."""
         self.attempts: dict[tuple[int, int], ForwardRequest] = {}
-        """Attempts by front and request."""
+        """The pending attempts by front and request."""
         self.probes_seen: dict[int, list[int]] = {}
-        """When each cache saw probes."""
+        """By cache, the times at which it received probes."""
         self.forwarded_to_silent = 0
         self.requests = 0
 
     def start(self, members_known: bool = True) -> None:
-        """Start all fronts and their requests."""
+        """Start all fronts and the arrival of their requests."""
         if self.mode == ProbeMode.SHARED:
             super().start(True)
         else:
@@ -139,7 +140,7 @@
             self.at(self.random.randrange(SECOND), self._request, index)
 
     def is_silent(self, cache: int) -> bool:
-        """Whether a cache answers nothing now."""
+        """Return whether a cache does not answer now."""
         return cache == SILENT_CACHE and SILENCE_BEGIN <= self.now < SILENCE_END
 
     # The fronts' decision modules
@@ -208,7 +209,7 @@
             ),
         )
 
-    # Probes of scheduled rounds, and those that the decision module asks for
+    # Probes of scheduled rounds, and probes that the decision module requests
 
     def _send_probe(self, index: int, command: SendProbe) -> None:
         node = self.nodes[index]
@@ -234,11 +235,11 @@
             self.nodes[index].handle([TargetServed(0, cache, int(outcome), duration, {})])
 
     def serve(self, node: Node, command: ServeTarget) -> None:
-        """Probe a cache that is due at a node."""
+        """Probe a cache that is due, from the node's front."""
         self._probe(node.index, command.target)
 
     def handle_result_shared(self, node: Node, result: ProbeResult) -> None:
-        """Report another's result to the node's front, unless it awaits its own."""
+        """Report another instance's result to the node's front, unless a requested probe is pending."""
         if result.target not in self.pending_probes[node.index]:
             self._submit(node.index, report_of(result._replace(load={})))
 
@@ -251,7 +252,7 @@
     rate: float = 20.0,
     seed: int = 1,
 ) -> Savings:
-    """Run one mode for RUN_LENGTH; return what the caches saw."""
+    """Run one mode for RUN_LENGTH; return its measurements."""
     world = FrontWorld(mode, fronts, caches, interval, rate, seed)
     world.start()
     world.run(RUN_LENGTH)
