--- a/limepath/duties/measure.py
+++ b/limepath/duties/measure.py
@@ -1,4 +1,4 @@
-"""Measurements of shared duties: raw figures with the machine's facts, a page and a chart."""
+"""Measures shared duties; writes raw figures with a description of the machine, a page and a chart."""
 
 import json
 import os
@@ -25,17 +25,17 @@
 DRILL_OPTIONS = ("--targets", "20", "--interval", "2s", "--faults", "0", "--json")
 
 Figures = dict[str, Any]
-"""One row of raw figures. The keys stand in `duties.json`."""
+"""One row of raw figures; the keys are written to `duties.json`."""
 Progress = Callable[[str], object]
-"""Told of each row as it is measured."""
+"""A function that is called with the text of each row once it has been measured."""
 
 
 class DrillError(Exception):
-    """A drill that ended without figures; the text is what it wrote."""
+    """A drill ended without figures; the text includes its error output."""
 
 
 def machine() -> Figures:
-    """Return facts about the machine that measures."""
+    """Return a description of the machine that the measurements run on."""
     return {
         "cores": os.cpu_count(),
         "machine": platform.machine(),
@@ -46,14 +46,14 @@
 
 
 def value(rows: Iterable[CheckResult], what: str) -> Any:
-    """Return what was measured in the row of that name."""
+    """Return the measured value of the row with this name."""
     return next(row.measured for row in rows if row.what == what)
 
 
 def measure_costs(sizes: Sequence[int], progress: Progress) -> list[Figures]:
-    """Measure messages and bytes by instance and second, in virtual time without faults.
+    """Measure messages and bytes per instance and second, in virtual time without faults.
 
-    Once for the membership alone, and once with 1,000 targets.
+    Each size is measured with the membership alone, and with 1,000 targets.
     """
     figures: list[Figures] = []
     for instances in sizes:
@@ -73,7 +73,7 @@
 
 
 def measure_all_savings(fronts: Sequence[int], progress: Progress) -> list[Figures]:
-    """Measure what caches see, in virtual time with the real decision module."""
+    """Measure the probes that caches receive, in virtual time with the real decision module."""
     figures: list[Figures] = []
     for count in fronts:
         for mode in ProbeMode:
@@ -92,7 +92,7 @@
 
 
 def measure_drills(fronts: Sequence[int], progress: Progress) -> list[Figures]:
-    """Measure what caches see from real processes on loopback, shared and each front for itself."""
+    """Measure the probes of real processes on loopback, shared and without sharing."""
     figures: list[Figures] = []
     for count in fronts:
         for option in DRILL_MODES:
@@ -110,12 +110,12 @@
 
 
 def run_drill(instances: int, option: str) -> Figures:
-    """Run a drill in a process of its own; return what was measured, by row. Raises DrillError."""
+    """Run a drill in its own process; return the measured values by row. Raises DrillError."""
     command = [sys.executable, "-m", "limepath", "duties", "drill", "--instances", str(instances)]
-    done = subprocess.run([*command, *DRILL_OPTIONS, option], capture_output=True, text=True)
-    if done.returncode not in (0, 1):
-        raise DrillError(f"status {done.returncode} in place of 0 or 1: {done.stderr}")
-    return {row["what"]: row["measured"] for row in json.loads(done.stdout)["rows"]}
+    completed = subprocess.run([*command, *DRILL_OPTIONS, option], capture_output=True, text=True)
+    if completed.returncode not in (0, 1):
+        raise DrillError(f"status {completed.returncode} of the drill, expected 0 or 1: {completed.stderr}")
+    return {row["what"]: row["measured"] for row in json.loads(completed.stdout)["rows"]}
 
 
 def write_measurements(
@@ -124,7 +124,7 @@
     fronts: Sequence[int] = FRONTS,
     progress: Progress = print,
 ) -> str:
-    """Measure all; write page, chart and raw figures to the folder. Return the page's path."""
+    """Run all measurements; write page, chart and raw figures to the folder; return the page's path."""
     figures: Figures = {
         "machine": machine(),
         "drills": measure_drills(fronts, progress),
--- a/limepath/duties/measurement_page.py
+++ b/limepath/duties/measurement_page.py
@@ -1,16 +1,16 @@
-"""The page and the chart of the duties' measurements."""
+"""Renders the page and the chart of the measurements of shared duties."""
 
 from collections.abc import Iterable, Sequence
 from typing import Any
 
 from limepath.duties.savings import ProbeMode
 
-COST_LABELS = {0: "checks alone", 1000: "with 1,000 targets' results"}
-"""By the number of targets."""
+COST_LABELS = {0: "membership alone", 1000: "with 1,000 targets' results"}
+"""The labels of the curves, by the number of targets."""
 
 
 def draw_chart(figures: dict[str, Any], path: str) -> None:
-    """Draw costs and savings by the size of the fleet. Needs the extra `measure`."""
+    """Draw costs and savings by the size of the fleet. Requires the extra `measure`."""
     import matplotlib
 
     matplotlib.use("Agg")
@@ -33,7 +33,7 @@
         xscale="log",
         yscale="log",
         xlabel="instances",
-        ylabel="kB sent by instance and second",
+        ylabel="kB sent per instance and second",
         title="Cost (virtual time)",
     )
     axes.legend()
@@ -49,47 +49,47 @@
         xscale="log",
         yscale="log",
         xlabel="fronts",
-        ylabel="probes by second",
-        title="A healthy cache sees (virtual time)",
+        ylabel="probes per second",
+        title="Probes of a healthy cache (virtual time)",
     )
     axes.legend()
 
 
 def columns(rows: Iterable[dict[str, Any]], names: Sequence[str]) -> str:
-    """Return rows as a Markdown table of these columns."""
+    """Return the rows as a Markdown table with these columns."""
     lines = ["| " + " | ".join(names) + " |", "|" + " --- |" * len(names)]
     lines += ["| " + " | ".join(str(row[name]) for name in names) + " |" for row in rows]
     return "\n".join(lines)
 
 
 def render_page(figures: dict[str, Any], command: str) -> str:
-    """Return the page of the measurements as Markdown; `command` is what made it."""
+    """Return the page of the measurements as Markdown; `command` is the command that created it."""
     facts = ", ".join(f"{name} {value}" for name, value in figures["machine"].items())
-    return f"""# Shared duties, measured
+    return f"""# Measurements of shared duties
 
-Made by `{command}` ({facts}); the raw figures are in `duties.json`.
-Absolute figures are of this machine; read the ratios.
+Created by `{command}` ({facts}); the raw figures are in `duties.json`.
+Absolute figures depend on this machine; compare the ratios.
 
-## What it costs (virtual time, the real logic, encoded messages)
+## Cost (virtual time, the real logic, encoded messages)
 
-At least once, interval 10 s, nothing fails. Bytes are those of sealed datagrams,
-without the system's headers.
+Mode at-least-once, interval 10 s, no faults. Bytes are those of sealed datagrams
+without IP and UDP headers.
 
 {columns(figures["costs"], ["instances", "targets", "messages", "bytes", "seconds_taken"])}
 
-## What it saves the caches (virtual time, the real decision module)
+## Probes saved (virtual time, the real decision module)
 
-60 s, 20 caches, 20 GETs a second at each front, rounds every 2 s; one cache is silent for
-20 s. `probes` a healthy cache sees
-by second, `probes_silent` the silent one, `met` are GETs forwarded to the silent one.
+60 s, 20 caches, 20 GETs per second at each front, a round every 2 s; one cache does not
+answer for 20 s. `probes` are the probes per second that a healthy cache receives,
+`probes_silent` those of the silent cache, `met` the GETs forwarded to the silent cache.
 
 {columns(figures["savings"], ["fronts", "way", "probes", "probes_silent", "met", "gets"])}
 
 ## Real processes and datagrams on loopback
 
-20 stand-in caches, rounds every 2 s; nothing fails.
+20 simulated caches, a round every 2 s, no faults.
 
 {columns(figures["drills"], ["fronts", "way", "probes_per_target_and_interval", "messages", "bytes"])}
 
-![cost and saving](duties.png)
+![cost and savings](duties.png)
 """
