--- a/tests/test_ring.py
+++ b/tests/test_ring.py
@@ -27,19 +27,19 @@
     Ring.cached.clear()
 
 
-def test_rings_of_the_same_members_are_one():
+def test_rings_of_the_same_members_are_the_same_object():
     ring = EMPTY_RING.plus(1).plus(2).plus(3)
     assert ring.minus(2) is EMPTY_RING.plus(3).plus(1)
     assert Ring.of([3, 1]) is Ring.of([1, 3]) and Ring.of([3, 1]).owners == EMPTY_RING.plus(1).plus(3).owners
 
 
-def test_only_the_targets_of_one_that_goes_change_hands():
+def test_removing_a_member_changes_the_owner_of_its_targets_only():
     ring = EMPTY_RING.plus(1).plus(2).plus(3)
-    left = ring.minus(2)
+    smaller = ring.minus(2)
     lost = [target for target in range(999) if ring.owner(key_of(target)) == 2]
-    assert {left.owner(key_of(target)) for target in lost} == {1, 3}
+    assert {smaller.owner(key_of(target)) for target in lost} == {1, 3}
     stayed = [target for target in range(999) if target not in lost]
-    assert [target for target in stayed if ring.owner(key_of(target)) != left.owner(key_of(target))] == []
+    assert [target for target in stayed if ring.owner(key_of(target)) != smaller.owner(key_of(target))] == []
 
 
 def test_small_rings_are_cached_up_to_a_number():
@@ -49,16 +49,16 @@
 
 
 def test_large_rings_are_cached_up_to_a_number_of_points():
-    fits = 4
-    members = MAX_CACHED_POINTS // POINTS_PER_MEMBER // fits
-    ring = Ring.of(range(members - fits))
-    for token in range(members, members + 2 * fits):
+    fitting_rings = 4
+    members = MAX_CACHED_POINTS // POINTS_PER_MEMBER // fitting_rings
+    ring = Ring.of(range(members - fitting_rings))
+    for token in range(members, members + 2 * fitting_rings):
         ring = ring.minus(token - members).plus(token)
-        assert sum(len(one.points) for one in Ring.cached.values()) <= MAX_CACHED_POINTS
-    assert len(Ring.cached) == fits and next(reversed(Ring.cached.values())) is ring
+        assert sum(len(other.points) for other in Ring.cached.values()) <= MAX_CACHED_POINTS
+    assert len(Ring.cached) == fitting_rings and next(reversed(Ring.cached.values())) is ring
 
 
-def test_a_ring_beyond_all_bounds_is_cached_while_it_is_the_newest():
+def test_a_ring_larger_than_the_cache_limit_is_cached_while_it_is_the_newest():
     members = MAX_CACHED_POINTS // POINTS_PER_MEMBER + 1
     ring = Ring.of(range(members))
     assert list(Ring.cached.values()) == [ring]
@@ -76,7 +76,7 @@
         60,
     ],
 )
-def test_the_ring_of_a_view_that_changes_is_the_one_built_of_its_members(changes):
+def test_the_ring_of_a_changing_view_equals_the_ring_built_from_its_members(changes):
     others = [
         MemberRecord(token, f"n{token}", "h", 1, 1 << REFUTATION_BITS, 1) for token in range(2, FLEET + 1)
     ]
@@ -92,12 +92,16 @@
     instance.preload_members(others[changes:])
     assert instance.live_ring.current() is Ring.of([1, *instance.members.ring])
     instance.preload_members(
-        [*late, *(one._replace(state=MemberState.DEAD) for one in others[-changes // 2 :])]
+        [*late, *(other._replace(state=MemberState.DEAD) for other in others[-changes // 2 :])]
     )
-    for one in others[-changes // 2 :]:
-        instance.remove_member(one)
-    seen = instance.live_ring.current()
+    for other in others[-changes // 2 :]:
+        instance.remove_member(other)
+    updated = instance.live_ring.current()
     Ring.cached.clear()
-    whole = Ring.of([1, *instance.members.ring])
-    assert whole.members == len(instance.members.ring) + 1 < FLEET
-    assert (seen.points, seen.owners, seen.digest) == (whole.points, whole.owners, whole.digest)
+    rebuilt = Ring.of([1, *instance.members.ring])
+    assert rebuilt.members == len(instance.members.ring) + 1 < FLEET
+    assert (updated.points, updated.owners, updated.digest) == (
+        rebuilt.points,
+        rebuilt.owners,
+        rebuilt.digest,
+    )
