--- a/tests/test_shared_results.py
+++ b/tests/test_shared_results.py
@@ -29,40 +29,42 @@
 
 
 def test_old_results_and_those_of_dead_probers_are_dropped():
-    timers, known = shared_results()
-    known.receive((result(), result(prober=9), result(target=6, age=5 * SECOND), result(), result(serial=0)))
-    assert dict(known.counts) == {"new": 1, "dead prober": 1, "too old": 1, "known": 2}
+    timers, results = shared_results()
+    results.receive(
+        (result(), result(prober=9), result(target=6, age=5 * SECOND), result(), result(serial=0))
+    )
+    assert dict(results.counts) == {"new": 1, "dead prober": 1, "too old": 1, "known": 2}
     (shared,) = [command for command in timers.take_commands() if isinstance(command, ResultShared)]
     assert shared.result.target == 5 and shared.result.age == SECOND + TRANSIT_TIME
 
 
-def test_a_result_stands_in_for_a_probe_while_it_is_new_enough():
-    timers, known = shared_results()
-    known.receive((result(),))
-    assert known.find_answer(5, 3 * SECOND).age == SECOND + TRANSIT_TIME
-    assert known.find_answer(5, SECOND) is None and known.find_answer(6, 3 * SECOND) is None
+def test_a_result_replaces_a_probe_while_it_is_recent_enough():
+    timers, results = shared_results()
+    results.receive((result(),))
+    assert results.find_answer(5, 3 * SECOND).age == SECOND + TRANSIT_TIME
+    assert results.find_answer(5, SECOND) is None and results.find_answer(6, 3 * SECOND) is None
     timers.now += 4 * SECOND
-    assert known.find_answer(5, 60 * SECOND) is None  # older than the interval
+    assert results.find_answer(5, 60 * SECOND) is None  # older than the interval
 
 
-def test_one_prober_s_failure_does_not_stand_in_but_two_agreeing_do():
-    timers, known = shared_results()
-    known.receive((result(outcome=int(AttemptOutcome.TIMED_OUT)),))
-    assert known.find_answer(5, 3 * SECOND) is None
-    known.receive((result(prober=3, outcome=int(AttemptOutcome.TIMED_OUT), age=SECOND // 2),))
-    assert known.find_answer(5, 3 * SECOND).outcome == AttemptOutcome.TIMED_OUT
+def test_a_failure_replaces_a_probe_only_if_two_probers_report_one():
+    timers, results = shared_results()
+    results.receive((result(outcome=int(AttemptOutcome.TIMED_OUT)),))
+    assert results.find_answer(5, 3 * SECOND) is None
+    results.receive((result(prober=3, outcome=int(AttemptOutcome.TIMED_OUT), age=SECOND // 2),))
+    assert results.find_answer(5, 3 * SECOND).outcome == AttemptOutcome.TIMED_OUT
 
 
-def test_a_result_goes_to_all_nearby_with_its_age_and_spreads_as_an_epidemic_in_large_fleets():
-    timers, known = shared_results()
-    known.add_own(0, 5, 0, 900, {})
+def test_a_result_is_sent_to_all_in_small_fleets_and_spreads_by_epidemic_in_large_ones():
+    timers, results = shared_results()
+    results.add_own(0, 5, 0, 900, {})
     timers.run_due(timers.now + LEASE_SETTINGS.batch)
     sent = [command for command in timers.take_commands() if isinstance(command, SendToMember)]
     assert {command.token for command in sent} == {2, 3} and sent[0].message.results[
         0
     ].age == LEASE_SETTINGS.batch
-    timers, known = shared_results(live=tuple(range(2, 60)))
-    known.receive(tuple(result(target=target) for target in range(40)))
+    timers, results = shared_results(live=tuple(range(2, 60)))
+    results.receive(tuple(result(target=target) for target in range(40)))
     timers.run_due(timers.now + LEASE_SETTINGS.batch)
     sent = [command for command in timers.take_commands() if isinstance(command, SendToMember)]
     assert len({command.token for command in sent}) == LEASE_SETTINGS.copies
@@ -85,7 +87,7 @@
     assert cache.health.missed_probes == 0 and cache.health.last_contact_at == host.now - 100_000
 
 
-def test_another_s_failure_makes_the_module_probe_and_counts_as_its_answer():
+def test_a_shared_failure_triggers_a_probe_and_then_counts_as_its_answer():
     host = FakeHost()
     host.wait(SECOND)
     host.handle(ProbeEnded(1, AttemptOutcome.TIMED_OUT, 900, {}, 1000))
