--- a/tests/test_voter.py
+++ b/tests/test_voter.py
@@ -1,4 +1,4 @@
-"""One voter: what it grants, denies and persists."""
+"""A single voter: grants, denials and the persisted epoch ceiling."""
 
 from limepath.configuration.sharing_settings import LeaseSettings
 from limepath.duties.interface import (
@@ -19,22 +19,22 @@
     timers = TimerQueue(1)
     voter = Voter(timers, LEASE_SETTINGS, ("b", "c"), 500, True)
     voter.silent_until = 0
-    low = voter.handle_request(1, LeaseRequest(0, 1, ((0, 500),)))
-    assert low.denied == ((0, 500, 0),) and not timers.take_commands()
+    answer = voter.handle_request(1, LeaseRequest(0, 1, ((0, 500),)))
+    assert answer.denied == ((0, 500, 0),) and not timers.take_commands()
     assert voter.handle_request(1, LeaseRequest(0, 1, ((0, 501),))).granted == (0,)
-    (keep,) = timers.take_commands()
-    assert isinstance(keep, PersistEpochCeiling) and keep.ceiling > 501
+    (persist,) = timers.take_commands()
+    assert isinstance(persist, PersistEpochCeiling) and persist.ceiling > 501
     assert (
         voter.handle_request(1, LeaseRequest(0, 2, ((1, 502),))).granted == (1,)
         and not timers.take_commands()
     )
 
 
-def test_a_voter_that_lost_its_store_waits_for_reports_from_part_of_every_majority():
-    timers, asked = TimerQueue(1), []
+def test_a_voter_that_lost_its_store_waits_for_reports_from_a_member_of_every_majority():
+    timers, queried = TimerQueue(1), []
     voter = Voter(timers, LEASE_SETTINGS._replace(voters=tuple("abcde")), tuple("bcde"), 0, False)
-    voter.start(lambda name, message: asked.append(name))
-    assert asked == list("bcde") and not voter.can_vote()
+    voter.start(lambda name, message: queried.append(name))
+    assert queried == list("bcde") and not voter.can_vote()
     voter.handle_report("b", EpochReport(1, 7000, True))
     voter.handle_report("x", EpochReport(1, 9999, True))
     voter.handle_report("c", EpochReport(1, 100, False))
@@ -52,7 +52,7 @@
     voter.silent_until = 0
     assert voter.handle_request(1, LeaseRequest(0, 1, ((0, 1),))).granted
     assert voter.handle_request(2, LeaseRequest(0, 1, ((0, 2),))).denied[0][2] == LEASE_SETTINGS.span
-    voter.handle_release(2, LeaseRelease(0, ((0, 1),)))  # not the holder's
+    voter.handle_release(2, LeaseRelease(0, ((0, 1),)))  # the sender is not the holder
     assert not voter.handle_request(2, LeaseRequest(0, 1, ((0, 2),))).granted
     voter.handle_release(1, LeaseRelease(0, ((0, 1),)))
     assert voter.handle_request(2, LeaseRequest(0, 1, ((0, 2),))).granted
