--- a/limepath/discovery/host.py
+++ b/limepath/discovery/host.py
@@ -105,7 +105,7 @@
         """Log an error of the logic; the front keeps its present list, and the next round retries."""
         self.log.fault("listing", error)
 
-    def heard(self, sender: MemberRecord, message: msgspec.Struct) -> None:
+    def handle_message(self, sender: MemberRecord, message: msgspec.Struct) -> None:
         """Pass a discovery message of another instance to the logic; ignore other messages."""
         if isinstance(message, MESSAGES):
             self.submit(PeerMessage(sender.token, message))
--- a/limepath/duties/host.py
+++ b/limepath/duties/host.py
@@ -99,7 +99,7 @@
         self.keys_read_at = clock()
         self.reported_at = clock()
         self.message_handlers: list[Any] = []
-        """Objects whose `heard(sender, message)` is called with live members' messages to other modules."""
+        """Objects whose `handle_message(sender, message)` receives live members' messages to other modules."""
         self.event_listeners = self.probe_sharing.event_listeners
         self.views: dict[str, Callable[[], Any]] = {"peers": self.view}
         """The functions that return the views of the control socket, by the name in the request."""
@@ -228,7 +228,7 @@
             self.log.say(command.event, **command.fields)
         elif isinstance(command, MessageRelayed):
             for handler in self.message_handlers:
-                handler.heard(command.sender, command.message)
+                handler.handle_message(command.sender, command.message)
         elif isinstance(command, YieldIdentity):
             self._yield_identity(command)
         elif isinstance(command, LeaveCompleted):
--- a/limepath/frequency_exchange/host.py
+++ b/limepath/frequency_exchange/host.py
@@ -52,8 +52,8 @@
         self.logic.start(clock())
         self.logic_host.submit()
 
-    def heard(self, sender: Any, message: Any) -> None:
-        """Take a message of another instance, if it is of this package. Part of the interface of `guests`."""
+    def handle_message(self, sender: Any, message: Any) -> None:
+        """Handle a message of another instance if it is of this package (see `message_handlers`)."""
         if isinstance(message, MESSAGES):
             self.logic_host.submit(PeerMessage(sender.token, message))
 
--- a/limepath/scale/hollow.py
+++ b/limepath/scale/hollow.py
@@ -80,7 +80,7 @@
         )
         members.handle = account.charged(members.handle, Subsystem.MEMBERSHIP)
         self.turn.listener = account.charged(self.turn.listener, Subsystem.DUTIES)
-        tallies.heard = account.charged(tallies.heard, Subsystem.COUNTS)
+        tallies.handle_message = account.charged(tallies.handle_message, Subsystem.COUNTS)
         carriers[ReportRequestCounts] = account.charged(carriers[ReportRequestCounts], Subsystem.COUNTS)
         self.sweep_sharing = account.charged(cooperation.sweep, Subsystem.MEMBERSHIP)
         if changes.paced_connections:
@@ -92,10 +92,14 @@
         """Count datagrams and events where they pass the front's socket and its list."""
         line, changes = self.cooperation.line, self.changes
         self.receive, self.open_datagram, self.seal = line.datagramReceived, line.guard.open, line.guard.seal
-        self.send_order, self.take_event, self.hear = line.send, changes.apply_list_event, changes.heard
+        self.send_order, self.take_event, self.hear = (
+            line.send,
+            changes.apply_list_event,
+            changes.handle_message,
+        )
         line.datagramReceived, line.guard.open = self.datagram_came, self.opened
         line.guard.seal, line.send = self.sealed, self.sent
-        changes.apply_list_event, changes.heard = self.event_taken, self.heard
+        changes.apply_list_event, changes.handle_message = self.event_taken, self.handle_message
 
     # Datagrams
 
@@ -127,7 +131,7 @@
 
     # Events of the list
 
-    def heard(self, sender, message):
+    def handle_message(self, sender, message):
         if isinstance(message, Events):
             self.arrivals.came(message.generation, message.first, len(message.texts))
         self.hear(sender, message)
