--- a/limepath/discovery/host.py
+++ b/limepath/discovery/host.py
@@ -114,7 +114,7 @@
         """Execute one command of the logic."""
         match command:
             case SendToMember():
-                self.cooperation.reach(command.token, command.message)
+                self.cooperation.send_to_member(command.token, command.message)
             case ApplyEvent():
                 self.apply_list_event(command)
             case OpenStream():
@@ -122,7 +122,7 @@
             case CloseStream():
                 self._close_stream()
             case SaveSnapshot():
-                if not self.cooperation.over:
+                if not self.cooperation.is_stopped:
                     self.cooperation.writes.put({SAVED_LIST_ROW: command.data})
             case ListConfirmed():
                 self._log_confirmed(command)
--- a/limepath/duties/host.py
+++ b/limepath/duties/host.py
@@ -83,7 +83,7 @@
         self.settings = settings
         self.store: Store
         """Stores the identity, the epoch ceiling and the rows of other parts of the front."""
-        self.line: DatagramSocket
+        self.datagram_socket: DatagramSocket
         self._open_files()
         self.identity: Identity = self._load_identity()
         self.writes = PendingWrites(self.store, log)
@@ -94,16 +94,16 @@
         self.probe_sharing = ProbeSharing(loop, probes, self.instance, kinds, self.submit, clock)
         self.control: Any = None
         """The listening control socket."""
-        self.over = False
+        self.is_stopped = False
         """Whether this front has stopped sharing."""
         self.keys_read_at = clock()
         self.reported_at = clock()
         self.message_handlers: list[Any] = []
-        """Objects whose `handle_message(sender, message)` receives live members' messages to other modules."""
+        """Objects whose `handle_message(sender, message)` receives messages to other modules."""
         self.event_listeners = self.probe_sharing.event_listeners
         self.views: dict[str, Callable[[], Any]] = {"peers": self.view}
         """The functions that return the views of the control socket, by the name in the request."""
-        self.at_stop: list[Callable[[], object]] = []
+        self.stop_callbacks: list[Callable[[], object]] = []
         """Functions that are called when this front stops sharing."""
         self.counts = {"held_back": 0}
         self.probe_sharing.attach()
@@ -113,7 +113,7 @@
         try:
             self.store = Store(settings.store)
             types = message_types(settings)
-            self.line = DatagramSocket(
+            self.datagram_socket = DatagramSocket(
                 self.reactor, settings.listen, settings.keys, types, self.log, self.submit
             )
         except (StoreLockedError, StoreUnusableError, OSError) as error:
@@ -162,7 +162,7 @@
     def start(self) -> None:
         """Open the datagram socket and the control socket, and join; on an error stop sharing."""
         try:
-            self.line.open()
+            self.datagram_socket.open()
             if self.settings.control:
                 self.control = control.listen(self.reactor, self.settings.control, self.views)
         except Exception as error:  # the front continues without sharing; the log names the file to correct
@@ -190,12 +190,12 @@
 
     def stop(self) -> None:
         """Stop sharing; the front continues on its own."""
-        self.over = True
+        self.is_stopped = True
         self.probe_sharing.detach()
-        self.line.close()
-        self.line.report()
+        self.datagram_socket.close()
+        self.datagram_socket.report()
         self.logic_host.close()
-        for callback in self.at_stop:
+        for callback in self.stop_callbacks:
             callback()
         if self.control:
             self.control.stopListening()
@@ -217,7 +217,7 @@
         if self._depends_on_pending_write(command):
             self.counts["held_back"] += 1
         elif isinstance(command, SendMessage):
-            self.line.send(self.instance.members.me, command)
+            self.datagram_socket.send(self.instance.members.me, command)
         elif isinstance(command, ServeTarget):
             self.probe_sharing.serve(command)
         elif isinstance(command, ResultShared):
@@ -257,33 +257,33 @@
             return bool(command.epoch)
         return isinstance(command, SendMessage) and isinstance(command.message, (LeaseGrant, EpochReport))
 
-    def reach(self, token: int, message: Message) -> None:
+    def send_to_member(self, token: int, message: Message) -> None:
         """Send a message of another module to the live member with this token."""
         members = self.instance.members
         members.timers.now = clock()
         members.send_to_member(token, message)
         for command in members.timers.take_commands():
-            self.line.send(members.me, command)
+            self.datagram_socket.send(members.me, command)
 
     # Called by the front
 
     def sweep(self) -> None:
         """Retry pending writes, and at their intervals reread the keys and log dropped datagrams."""
-        if self.over:
+        if self.is_stopped:
             return
         self.writes.retry()
         now = clock()
         if now - self.keys_read_at > self.settings.keys_reread:
             self.keys_read_at = now
-            self.line.reload_keys()
+            self.datagram_socket.reload_keys()
         if now - self.reported_at > REPORT_INTERVAL:
             self.reported_at = now
-            self.line.report()
+            self.datagram_socket.report()
 
     def reload(self) -> None:
         """Reread the keys."""
-        if not self.over:
-            self.line.reload_keys()
+        if not self.is_stopped:
+            self.datagram_socket.reload_keys()
 
     def leave(self) -> None:
         """Begin to leave: hand over the duties and notify the other members."""
@@ -295,6 +295,8 @@
         view = self.instance.view()._asdict()
         view["counts"] |= self.probe_sharing.counts
         view["counts"] |= self.counts
-        view["counts"]["datagrams_sent"] = self.line.sent
-        view["counts"] |= {f"datagrams {kind}": count for kind, count in self.line.guard.counts.items()}
+        view["counts"]["datagrams_sent"] = self.datagram_socket.sent
+        view["counts"] |= {
+            f"datagrams {kind}": count for kind, count in self.datagram_socket.guard.counts.items()
+        }
         return view
--- a/limepath/frequency_exchange/host.py
+++ b/limepath/frequency_exchange/host.py
@@ -44,7 +44,7 @@
         self.logic_host = LogicHost(reactor, clock, self.logic, self.execute, self.failed)
         decision_loop.command_handlers[ReportRequestCounts] = self.report_counts
         cooperation.message_handlers.append(self)
-        cooperation.at_stop.append(self.logic_host.close)
+        cooperation.stop_callbacks.append(self.logic_host.close)
         cooperation.views["tallies"] = self.logic.statistics.as_view
 
     def start(self) -> None:
@@ -69,7 +69,7 @@
     def execute(self, command: Command) -> None:
         """Carry out one command of the logic."""
         if isinstance(command, SendToMember):
-            self.cooperation.reach(command.token, command.message)
+            self.cooperation.send_to_member(command.token, command.message)
         elif isinstance(command, ReadCounts):
             self.decision_loop.gather(RequestCountsWanted(command.most, command.token))
         elif isinstance(command, AddCounts):
--- a/limepath/scale/hollow.py
+++ b/limepath/scale/hollow.py
@@ -64,7 +64,7 @@
         self.charge()
         self.count()
         self.cooperation.start()
-        if self.cooperation.over:
+        if self.cooperation.is_stopped:
             self.end()
             raise NotDone(f"{config.name}: cannot share on {shared.listen[0]}:{shared.listen[1]}")
         self.changes.follow(*opening.changelog)
@@ -90,7 +90,7 @@
 
     def count(self):
         """Count datagrams and events where they pass the front's socket and its list."""
-        line, changes = self.cooperation.line, self.changes
+        line, changes = self.cooperation.datagram_socket, self.changes
         self.receive, self.open_datagram, self.seal = line.datagramReceived, line.guard.open, line.guard.seal
         self.send_order, self.take_event, self.hear = (
             line.send,
@@ -119,7 +119,7 @@
         return datagram
 
     def sent(self, me, order):
-        meter, line = self.account.meter, self.cooperation.line
+        meter, line = self.account.meter, self.cooperation.datagram_socket
         previous = meter.switch(self.account.desk_of[type(order.message)].cell)
         before = line.sent
         try:
@@ -184,7 +184,7 @@
             instance.shared_results,
         )
         parts += (instance.members.timers, instance.members, instance)
-        parts += (self.cooperation.line, self.cooperation, self)
+        parts += (self.cooperation.datagram_socket, self.cooperation, self)
         for part in parts:  # they hold each other: freed now, without a walk over all fronts of the process
             part.__dict__.clear()
 
@@ -261,6 +261,6 @@
         events, doubled = self.arrivals.take()
         report = FrontReport(cpu, sent, received, events, doubled, self.token, self.lives)
         report.said = self.log.take()
-        if self.state == State.RUNNING and not self.life.cooperation.over:
+        if self.state == State.RUNNING and not self.life.cooperation.is_stopped:
             self.life.describe(report)
         return report
--- a/tests/test_failing_disk.py
+++ b/tests/test_failing_disk.py
@@ -72,9 +72,13 @@
 def cooperation_on(store, log):
     """Return a Cooperation that executes commands on this store, and the list of messages that it sends."""
     cooperation, sent = Cooperation.__new__(Cooperation), []
-    cooperation.writes, cooperation.over, cooperation.counts = PendingWrites(store, log), False, Counter()
+    cooperation.writes, cooperation.is_stopped, cooperation.counts = (
+        PendingWrites(store, log),
+        False,
+        Counter(),
+    )
     cooperation.instance = SimpleNamespace(members=SimpleNamespace(me=None))
-    cooperation.line = SimpleNamespace(send=lambda me, command: sent.append(command))
+    cooperation.datagram_socket = SimpleNamespace(send=lambda me, command: sent.append(command))
     return cooperation, sent
 
 
