--- a/limepath/discovery/host.py
+++ b/limepath/discovery/host.py
@@ -45,7 +45,7 @@
 
 if TYPE_CHECKING:
     from limepath.configuration.platform import FrontSettings
-    from limepath.duties.host import Cooperation
+    from limepath.duties.host import InstanceHost
     from limepath.membership.interface import MemberRecord
 
 SAVED_LIST_ROW = "list"  # key in the store
@@ -57,7 +57,7 @@
 
 
 class DiscoveryChangeLog(EndpointWatch):
-    """The change log of a front with sharing; `cooperation` sends messages to others and owns the store."""
+    """The change log of a front with sharing; `instance_host` sends messages to others and owns the store."""
 
     def __init__(
         self,
@@ -68,13 +68,13 @@
         log: Any,
         settings: dict[str, Any],
         seed: int,
-        cooperation: Cooperation,
+        instance_host: InstanceHost,
         discovery: DiscoverySettings,
     ):
         super().__init__(reactor, event_loop, caches, limits, log, settings, seed)
-        self.cooperation = cooperation
-        members = cooperation.instance.members
-        saved = cooperation.store.all().get(SAVED_LIST_ROW)
+        self.instance_host = instance_host
+        members = instance_host.instance.members
+        saved = instance_host.store.all().get(SAVED_LIST_ROW)
         self.logic = DiscoveryEngine(members.me.token, discovery, seed, lambda: members.ring, saved)
         self.logic_host = LogicHost(reactor, clock, self.logic, self.execute, self.failed)
         self.serial: int = 0  # number of the current call
@@ -114,7 +114,7 @@
         """Execute one command of the logic."""
         match command:
             case SendToMember():
-                self.cooperation.send_to_member(command.token, command.message)
+                self.instance_host.send_to_member(command.token, command.message)
             case ApplyEvent():
                 self.apply_list_event(command)
             case OpenStream():
@@ -122,8 +122,8 @@
             case CloseStream():
                 self._close_stream()
             case SaveSnapshot():
-                if not self.cooperation.is_stopped:
-                    self.cooperation.writes.put({SAVED_LIST_ROW: command.data})
+                if not self.instance_host.is_stopped:
+                    self.instance_host.writes.put({SAVED_LIST_ROW: command.data})
             case ListConfirmed():
                 self._log_confirmed(command)
             case FrontReady():
@@ -216,7 +216,7 @@
     limits: Any,
     log: Any,
     front: FrontSettings,
-    cooperation: Cooperation,
+    instance_host: InstanceHost,
     discovery: DiscoverySettings,
 ) -> DiscoveryChangeLog:
     """Create the change log of a front with sharing, and register it for the messages of other instances."""
@@ -224,26 +224,26 @@
     gone_ns = int(front.settings.get("family-info", {}).get("gone-everywhere", 0))
     discovery = discovery._replace(zone=zone, purge_lifetime=gone_ns // NS_PER_US or discovery.purge_lifetime)
     change_log = DiscoveryChangeLog(
-        reactor, event_loop, caches, limits, log, front.settings, front.seed, cooperation, discovery
+        reactor, event_loop, caches, limits, log, front.settings, front.seed, instance_host, discovery
     )
-    cooperation.message_handlers.append(change_log)
+    instance_host.message_handlers.append(change_log)
     change_log.request_counts = FrequencyExchange(
-        reactor, event_loop, cooperation, front.seed ^ REQUEST_COUNTS_SEED
+        reactor, event_loop, instance_host, front.seed ^ REQUEST_COUNTS_SEED
     )
-    cooperation.event_listeners.append(change_log.request_counts)
-    if cooperation.settings.connections:
+    instance_host.event_listeners.append(change_log.request_counts)
+    if instance_host.settings.connections:
         from limepath.connection_pacing.host import (
             PacedConnections,  # imported only if a rate is set
         )
 
-        members = cooperation.instance.members
+        members = instance_host.instance.members
         change_log.paced_connections = PacedConnections(
             reactor,
             event_loop,
             caches,
-            float(cooperation.settings.connections),
+            float(instance_host.settings.connections),
             lambda: max(discovery.fronts, len(members.ring) + 1),
             change_log.logic.timers.random_fraction,
         )
-    cooperation.views["listing"] = change_log.describe
+    instance_host.views["listing"] = change_log.describe
     return change_log
--- a/limepath/duties/host.py
+++ b/limepath/duties/host.py
@@ -63,7 +63,7 @@
     return types
 
 
-class Cooperation:
+class InstanceHost:
     """Runs the instance of the duties of one front; owns its store and its sockets.
 
     Raises StartError if the store, the keys or the address cannot be used.
--- a/limepath/frequency_exchange/host.py
+++ b/limepath/frequency_exchange/host.py
@@ -20,7 +20,7 @@
 if TYPE_CHECKING:
     from twisted.internet.interfaces import IReactorTime
 
-    from limepath.duties.host import Cooperation
+    from limepath.duties.host import InstanceHost
     from limepath.duties.probe_sharing import DecisionLoop
 
 
@@ -29,23 +29,23 @@
 
     Attributes:
         decision_loop: takes events to the decision module, and its commands to their handlers.
-        cooperation: the link to other instances.
+        instance_host: the link to other instances.
         logic: the exchange.
         logic_host: runs it on the reactor.
     """
 
     def __init__(
-        self, reactor: "IReactorTime", decision_loop: "DecisionLoop", cooperation: "Cooperation", seed: int
+        self, reactor: "IReactorTime", decision_loop: "DecisionLoop", instance_host: "InstanceHost", seed: int
     ) -> None:
         self.decision_loop = decision_loop
-        self.cooperation = cooperation
-        members = cooperation.instance.members
+        self.instance_host = instance_host
+        members = instance_host.instance.members
         self.logic = RequestCountsExchange(seed, lambda: members.ring)
         self.logic_host = LogicHost(reactor, clock, self.logic, self.execute, self.failed)
         decision_loop.command_handlers[ReportRequestCounts] = self.report_counts
-        cooperation.message_handlers.append(self)
-        cooperation.stop_callbacks.append(self.logic_host.close)
-        cooperation.views["tallies"] = self.logic.statistics.as_view
+        instance_host.message_handlers.append(self)
+        instance_host.stop_callbacks.append(self.logic_host.close)
+        instance_host.views["tallies"] = self.logic.statistics.as_view
 
     def start(self) -> None:
         """Schedule the first query."""
@@ -69,7 +69,7 @@
     def execute(self, command: Command) -> None:
         """Carry out one command of the logic."""
         if isinstance(command, SendToMember):
-            self.cooperation.send_to_member(command.token, command.message)
+            self.instance_host.send_to_member(command.token, command.message)
         elif isinstance(command, ReadCounts):
             self.decision_loop.gather(RequestCountsWanted(command.most, command.token))
         elif isinstance(command, AddCounts):
@@ -77,4 +77,4 @@
 
     def failed(self, error: Exception) -> None:
         """Log an error of the logic; the front goes on without the counts of others."""
-        self.cooperation.log.fault("tallies", error)
+        self.instance_host.log.fault("tallies", error)
--- a/limepath/front/front_process.py
+++ b/limepath/front/front_process.py
@@ -75,7 +75,7 @@
         self.decision_loop.connect(self.clients, self.servers)
         if tls:
             self._secure_servers(tls)
-        self.cooperation = self._cooperation(shared) if shared else None
+        self.instance_host = self._make_instance_host(shared) if shared else None
         self.watch = self._watch(shared)
         try:
             self.watch.load_known_events(settings.known)
@@ -93,18 +93,18 @@
         except ValueError as error:
             raise SettingError(f"{tls.file}: {error}") from None
 
-    def _cooperation(self, shared: PeersSettings):
-        from limepath.duties.host import Cooperation
+    def _make_instance_host(self, shared: PeersSettings):
+        from limepath.duties.host import InstanceHost
         from limepath.membership.host import StartError
 
         try:
-            return Cooperation(reactor, self.decision_loop, self.servers, self.log, shared, self.settings)
+            return InstanceHost(reactor, self.decision_loop, self.servers, self.log, shared, self.settings)
         except StartError as error:
             raise SettingError(f"{shared.file}: {error}") from None
 
     def _watch(self, shared: PeersSettings | None) -> EndpointWatch:
         limits, settings = self.settings.limits, self.settings
-        if not (self.cooperation and shared.listing):
+        if not (self.instance_host and shared.listing):
             return EndpointWatch(
                 reactor, self.decision_loop, self.servers, limits, self.log, settings.settings, settings.seed
             )
@@ -117,7 +117,7 @@
             limits,
             self.log,
             settings,
-            self.cooperation,
+            self.instance_host,
             shared.listing,
         )
         watch.on_ready = self._list_confirmed
@@ -135,8 +135,8 @@
         LoopingCall(reactor.callLater, 0, self._sweep).start(interval, now=False)
         on_signals((signal.SIGTERM, signal.SIGINT), self._shut_down)
         on_signals((signal.SIGHUP,), self._reload)
-        if self.cooperation:
-            self.cooperation.start()
+        if self.instance_host:
+            self.instance_host.start()
         self.watch.follow(*self.settings.changelog)
         gc.freeze()
         if self.clients.is_waiting_for_list:
@@ -160,7 +160,7 @@
         """
         if self.servers.secured:
             self.servers.secured.announce()
-        for part in filter(None, (self.clients, self.servers, self.watch, self.cooperation)):
+        for part in filter(None, (self.clients, self.servers, self.watch, self.instance_host)):
             try:
                 part.sweep()
             except Exception as error:  # the other parts are swept, and this one the next time
@@ -176,14 +176,14 @@
             self.log.say("reload", "differs; it changes at a restart only", key=key)
         self.log.say("reload", "follows the change log", address=f"{host}:{port}", after=self.watch.last)
         self.watch.follow(host, port)
-        if self.cooperation:
-            self.cooperation.reload()
+        if self.instance_host:
+            self.instance_host.reload()
         if self.servers.secured:
             self.servers.secured.reload()
 
     def _shut_down(self) -> None:
-        if self.cooperation:
-            self.cooperation.leave()
+        if self.instance_host:
+            self.instance_host.leave()
         self.clients.shutdown.start()
 
 
--- a/limepath/scale/hollow.py
+++ b/limepath/scale/hollow.py
@@ -1,7 +1,7 @@
 """One hollow front: the program's own control logic and hosts, over real sockets, without a data path.
 
 It is put together as `front.front_process` does for `limepath run --peers`: settings by the same readers,
-`duties.host.Cooperation`, `listing.host.guided` with its tallies and limits. Left out are clients, the
+`duties.host.InstanceHost`, `listing.host.guided` with its tallies and limits. Left out are clients, the
 decision module and connections to caches (`data_path`). Every datagram passes the faults of `links` before
 anything reads it, and is counted by its message's subsystem.
 """
@@ -13,7 +13,7 @@
 from limepath.configuration.ini import SettingError
 from limepath.discovery.host import create_change_log
 from limepath.discovery.interface import Events
-from limepath.duties.host import Cooperation, clock
+from limepath.duties.host import InstanceHost, clock
 from limepath.interface.commands import ReportRequestCounts
 from limepath.membership.host import StartError
 from limepath.scale.accounting import Account
@@ -47,7 +47,7 @@
             self.turn = HollowTurn(self.reactor.callLater, opening.seed)
             self.caches = HollowCaches(self.reactor.callLater, self.turn, opening.limits)
             self.turn.joined(self.caches)
-            self.cooperation = Cooperation(self.reactor, self.turn, self.caches, log, shared, opening)
+            self.instance_host = InstanceHost(self.reactor, self.turn, self.caches, log, shared, opening)
         except (SettingError, platform.ConfigurationError, StartError) as flaw:
             raise NotDone(f"{config.name}: {flaw}") from None
         self.changes = create_change_log(
@@ -57,14 +57,14 @@
             opening.limits,
             log,
             opening,
-            self.cooperation,
+            self.instance_host,
             shared.listing,
         )
         self.changes.on_ready = lambda: self.turn.gather(ONE_GET)  # in service, and asked by clients
         self.charge()
         self.count()
-        self.cooperation.start()
-        if self.cooperation.is_stopped:
+        self.instance_host.start()
+        if self.instance_host.is_stopped:
             self.end()
             raise NotDone(f"{config.name}: cannot share on {shared.listen[0]}:{shared.listen[1]}")
         self.changes.follow(*opening.changelog)
@@ -72,9 +72,9 @@
 
     def charge(self):
         """Charge calls from one host into another; timers and sockets are charged by the reactor."""
-        account, cooperation, changes = self.account, self.cooperation, self.changes
+        account, instance_host, changes = self.account, self.instance_host, self.changes
         members, tallies, carriers = (
-            cooperation.instance.members,
+            instance_host.instance.members,
             changes.request_counts,
             self.turn.command_handlers,
         )
@@ -82,7 +82,7 @@
         self.turn.listener = account.charged(self.turn.listener, Subsystem.DUTIES)
         tallies.handle_message = account.charged(tallies.handle_message, Subsystem.COUNTS)
         carriers[ReportRequestCounts] = account.charged(carriers[ReportRequestCounts], Subsystem.COUNTS)
-        self.sweep_sharing = account.charged(cooperation.sweep, Subsystem.MEMBERSHIP)
+        self.sweep_sharing = account.charged(instance_host.sweep, Subsystem.MEMBERSHIP)
         if changes.paced_connections:
             changes.paced_connections.update = account.charged(
                 changes.paced_connections.update, Subsystem.LIMITS
@@ -90,7 +90,7 @@
 
     def count(self):
         """Count datagrams and events where they pass the front's socket and its list."""
-        line, changes = self.cooperation.datagram_socket, self.changes
+        line, changes = self.instance_host.datagram_socket, self.changes
         self.receive, self.open_datagram, self.seal = line.datagramReceived, line.guard.open, line.guard.seal
         self.send_order, self.take_event, self.hear = (
             line.send,
@@ -119,7 +119,7 @@
         return datagram
 
     def sent(self, me, order):
-        meter, line = self.account.meter, self.cooperation.datagram_socket
+        meter, line = self.account.meter, self.instance_host.datagram_socket
         previous = meter.switch(self.account.desk_of[type(order.message)].cell)
         before = line.sent
         try:
@@ -167,14 +167,14 @@
         for key in differing:
             self.log.say("reload", "differs; it changes at a restart only", key=key)
         self.changes.follow(host, port)
-        self.cooperation.reload()
+        self.instance_host.reload()
 
     def end(self):
         """End as a crash does. The store's file is as the last write left it."""
         self.count_doubled()
         self.reactor.kill()
-        self.cooperation.store.close()
-        instance, changes = self.cooperation.instance, self.changes
+        self.instance_host.store.close()
+        instance, changes = self.instance_host.instance, self.changes
         parts = (
             self.caches,
             self.turn,
@@ -184,13 +184,13 @@
             instance.shared_results,
         )
         parts += (instance.members.timers, instance.members, instance)
-        parts += (self.cooperation.datagram_socket, self.cooperation, self)
+        parts += (self.instance_host.datagram_socket, self.instance_host, self)
         for part in parts:  # they hold each other: freed now, without a walk over all fronts of the process
             part.__dict__.clear()
 
     def describe(self, report):
         """Fill in how this front stands."""
-        members, told = self.cooperation.instance.members, self.changes.describe()
+        members, told = self.instance_host.instance.members, self.changes.describe()
         live = sorted([members.me.token, *members.ring])
         report.live, report.view = len(live), digest_of(live)
         report.late, report.age_us = told["late"], told["confirmed_us_ago"]
@@ -230,7 +230,7 @@
     def start(self):
         self.must_be(State.DOWN)
         self.life = Life(self.reactor, self.account, self.arrivals, self.links, self.config, self.log)
-        identity = self.life.cooperation.identity
+        identity = self.life.instance_host.identity
         self.token, self.lives, self.state = f"{identity.token:016x}", identity.generation, State.RUNNING
 
     def kill(self):
@@ -261,6 +261,6 @@
         events, doubled = self.arrivals.take()
         report = FrontReport(cpu, sent, received, events, doubled, self.token, self.lives)
         report.said = self.log.take()
-        if self.state == State.RUNNING and not self.life.cooperation.is_stopped:
+        if self.state == State.RUNNING and not self.life.instance_host.is_stopped:
             self.life.describe(report)
         return report
--- a/tests/test_failing_disk.py
+++ b/tests/test_failing_disk.py
@@ -13,7 +13,7 @@
 
 from limepath.discovery.host import DiscoveryChangeLog
 from limepath.discovery.interface import SaveSnapshot
-from limepath.duties.host import Cooperation
+from limepath.duties.host import InstanceHost
 from limepath.duties.interface import LeaseGrant, PersistEpochCeiling
 from limepath.log import Log
 from limepath.membership.interface import SendMessage
@@ -69,35 +69,35 @@
         self.rows |= rows
 
 
-def cooperation_on(store, log):
-    """Return a Cooperation that executes commands on this store, and the list of messages that it sends."""
-    cooperation, sent = Cooperation.__new__(Cooperation), []
-    cooperation.writes, cooperation.is_stopped, cooperation.counts = (
+def instance_host_on(store, log):
+    """Return an InstanceHost that executes commands on this store, and the list of messages that it sends."""
+    instance_host, sent = InstanceHost.__new__(InstanceHost), []
+    instance_host.writes, instance_host.is_stopped, instance_host.counts = (
         PendingWrites(store, log),
         False,
         Counter(),
     )
-    cooperation.instance = SimpleNamespace(members=SimpleNamespace(me=None))
-    cooperation.datagram_socket = SimpleNamespace(send=lambda me, command: sent.append(command))
-    return cooperation, sent
+    instance_host.instance = SimpleNamespace(members=SimpleNamespace(me=None))
+    instance_host.datagram_socket = SimpleNamespace(send=lambda me, command: sent.append(command))
+    return instance_host, sent
 
 
 def test_no_lease_is_granted_while_the_epoch_ceiling_cannot_be_written(capsys):
     """The voter's epoch ceiling must be on disk before a vote is sent; other messages are sent at once."""
     store = FailingStore()
-    cooperation, sent = cooperation_on(store, Log("n1", 5, 10**6))
+    instance_host, sent = instance_host_on(store, Log("n1", 5, 10**6))
     vote, ping = SendMessage("127.0.0.1", 9, 1, LeaseGrant(0, 1, (0,))), SendMessage("127.0.0.1", 9, 1, None)
-    cooperation.execute(PersistEpochCeiling(4096))
-    cooperation.execute(vote)
-    cooperation.execute(ping)
+    instance_host.execute(PersistEpochCeiling(4096))
+    instance_host.execute(vote)
+    instance_host.execute(ping)
     assert sent == [ping] and store.rows == {}
-    cooperation.writes.retry()
-    cooperation.execute(vote)
+    instance_host.writes.retry()
+    instance_host.execute(vote)
     assert sent == [ping] and store.attempts == 2
-    cooperation.execute(PersistEpochCeiling(8192))  # replaces the first ceiling
+    instance_host.execute(PersistEpochCeiling(8192))  # replaces the first ceiling
     store.fails = False
-    cooperation.writes.retry()
-    cooperation.execute(vote)
+    instance_host.writes.retry()
+    instance_host.execute(vote)
     assert sent == [ping, vote] and store.rows == {"ceiling": b"8192"}
     logged = capsys.readouterr().err
     assert "event=store-fails" in logged and "event=store-written" in logged
@@ -107,12 +107,12 @@
     """Commands after it in the same batch, for example a drain, are executed, and the save is retried."""
     store = FailingStore()
     changes = DiscoveryChangeLog.__new__(DiscoveryChangeLog)
-    changes.cooperation, sent = cooperation_on(store, Log("n1", 0, 10**6))
+    changes.instance_host, sent = instance_host_on(store, Log("n1", 0, 10**6))
     changes.execute(SaveSnapshot(b"first"))
     changes.execute(SaveSnapshot(b"second"))
-    changes.cooperation.execute(SendMessage("127.0.0.1", 9, 1, LeaseGrant(0, 1, (0,))))
+    changes.instance_host.execute(SendMessage("127.0.0.1", 9, 1, LeaseGrant(0, 1, (0,))))
     assert len(sent) == 1  # a vote does not depend on the saved list
     store.fails = False
-    changes.cooperation.writes.retry()
-    changes.cooperation.writes.retry()
+    changes.instance_host.writes.retry()
+    changes.instance_host.writes.retry()
     assert store.rows == {"list": b"second"} and store.attempts == 3
