--- a/limepath/duties/instance.py
+++ b/limepath/duties/instance.py
@@ -149,9 +149,9 @@
         due_times = [due for due in (self.members.next(), self.timers.next_due()) if due is not None]
         return min(due_times) if due_times and not self.has_ended else None
 
-    def find_answer(self, target: int, max_age: int) -> ProbeResult | None:
-        """Return a shared result that can replace a probe, or None (see `SharedResults.find_answer`)."""
-        return self.shared_results.find_answer(target, max_age)
+    def find_recent_result(self, target: int, max_age: int) -> ProbeResult | None:
+        """Return a shared result that can replace a probe, or None (see `SharedResults.find_recent_result`)."""
+        return self.shared_results.find_recent_result(target, max_age)
 
     def preload_members(self, records: Iterable[MemberRecord]) -> None:
         """Add known members before the start, without exchanging join messages."""
--- a/limepath/duties/probe_sharing.py
+++ b/limepath/duties/probe_sharing.py
@@ -176,7 +176,7 @@
         """Report a shared result that is recent enough for the requested probe, or send the probe."""
         self.counts["probes_asked"] += 1
         self.instance.timers.now = self.clock()
-        if shared := self.instance.find_answer(command.endpoint, command.max_age):
+        if shared := self.instance.find_recent_result(command.endpoint, command.max_age):
             self.counts["probes_shared"] += 1
             self.loop.gather(report_of(shared))
         else:
--- a/limepath/duties/savings.py
+++ b/limepath/duties/savings.py
@@ -215,7 +215,7 @@
         node = self.nodes[index]
         if self.mode == ProbeMode.SHARED:
             node.instance.timers.now = node.clock()
-            if shared := node.instance.find_answer(command.endpoint, command.max_age):
+            if shared := node.instance.find_recent_result(command.endpoint, command.max_age):
                 self.at(self.now + 1, self._submit, index, report_of(shared._replace(load={})))
                 return
         self.pending_probes[index].add(command.endpoint)
--- a/limepath/duties/shared_results.py
+++ b/limepath/duties/shared_results.py
@@ -175,7 +175,7 @@
 
     # Lookup
 
-    def find_answer(self, target: int, max_age: int) -> ProbeResult | None:
+    def find_recent_result(self, target: int, max_age: int) -> ProbeResult | None:
         """Return the newest result that can replace a probe, not older than `max_age` or the duty's interval.
 
         A failure that only one prober reports does not count, because its own network path may be the cause.
--- a/tests/test_probe_sharing.py
+++ b/tests/test_probe_sharing.py
@@ -33,7 +33,9 @@
 
 def make_sharing(loop, result):
     """Return an attached ProbeSharing whose instance returns `result` for each lookup of a shared result."""
-    instance = SimpleNamespace(timers=SimpleNamespace(now=0), find_answer=lambda endpoint, max_age: result)
+    instance = SimpleNamespace(
+        timers=SimpleNamespace(now=0), find_recent_result=lambda endpoint, max_age: result
+    )
     sharing = ProbeSharing(
         loop, SimpleNamespace(endpoints={}), instance, [], lambda *events: None, lambda: 1000
     )
--- a/tests/test_shared_results.py
+++ b/tests/test_shared_results.py
@@ -41,18 +41,18 @@
 def test_a_result_replaces_a_probe_while_it_is_recent_enough():
     timers, results = shared_results()
     results.receive((result(),))
-    assert results.find_answer(5, 3 * SECOND).age == SECOND + TRANSIT_TIME
-    assert results.find_answer(5, SECOND) is None and results.find_answer(6, 3 * SECOND) is None
+    assert results.find_recent_result(5, 3 * SECOND).age == SECOND + TRANSIT_TIME
+    assert results.find_recent_result(5, SECOND) is None and results.find_recent_result(6, 3 * SECOND) is None
     timers.now += 4 * SECOND
-    assert results.find_answer(5, 60 * SECOND) is None  # older than the interval
+    assert results.find_recent_result(5, 60 * SECOND) is None  # older than the interval
 
 
 def test_a_failure_replaces_a_probe_only_if_two_probers_report_one():
     timers, results = shared_results()
     results.receive((result(outcome=int(AttemptOutcome.TIMED_OUT)),))
-    assert results.find_answer(5, 3 * SECOND) is None
+    assert results.find_recent_result(5, 3 * SECOND) is None
     results.receive((result(prober=3, outcome=int(AttemptOutcome.TIMED_OUT), age=SECOND // 2),))
-    assert results.find_answer(5, 3 * SECOND).outcome == AttemptOutcome.TIMED_OUT
+    assert results.find_recent_result(5, 3 * SECOND).outcome == AttemptOutcome.TIMED_OUT
 
 
 def test_a_result_is_sent_to_all_in_small_fleets_and_spreads_by_epidemic_in_large_ones():
