--- a/limepath/duties/check.py
+++ b/limepath/duties/check.py
@@ -28,7 +28,7 @@
     state: ModelState
 
 
-class Explored(NamedTuple):
+class ExplorationResult(NamedTuple):
     """The result of an exploration."""
 
     rows: list[CheckResult]
@@ -187,7 +187,7 @@
         return steps
 
 
-def explore(instances: int, depth: int, max_states: int, broken: bool = False) -> Explored:
+def explore(instances: int, depth: int, max_states: int, broken: bool = False) -> ExplorationResult:
     """Explore up to `depth` steps and `max_states` states; return the rows and a shortest violation, if any.
 
     `broken` makes the voters violate the invariant on purpose, to test that the checker finds the violation.
@@ -209,4 +209,4 @@
         CheckResult("seconds", round(time.monotonic() - began, 1)),
         at_most("states with two holders of the slot", int(bool(trace)), 0),
     ]
-    return Explored(rows, [f"{number}. {line}" for number, line in enumerate(trace, 1)])
+    return ExplorationResult(rows, [f"{number}. {line}" for number, line in enumerate(trace, 1)])
--- a/limepath/duties/instance.py
+++ b/limepath/duties/instance.py
@@ -150,7 +150,7 @@
         return min(due_times) if due_times and not self.has_ended else None
 
     def find_recent_result(self, target: int, max_age: int) -> ProbeResult | None:
-        """Return a shared result that can replace a probe, or None (see `SharedResults.find_recent_result`)."""
+        """Return a shared result that can replace a probe, or None (see `SharedResults`)."""
         return self.shared_results.find_recent_result(target, max_age)
 
     def preload_members(self, records: Iterable[MemberRecord]) -> None:
--- a/limepath/duties/lease_model.py
+++ b/limepath/duties/lease_model.py
@@ -85,7 +85,7 @@
         self.manager.start()
         if not restarted:
             self.manager.voter.silent_until = 0
-        self.exchange_local()
+        self.process_outputs()
 
     def local_time(self, now: int) -> int:
         """Convert a time of the model to the time of this instance's clock."""
@@ -103,7 +103,7 @@
         destination = self.names.index(name)
         self.outgoing.append(Envelope(self.index, destination, self.manager.session, message))
 
-    def exchange_local(self) -> list[Envelope]:
+    def process_outputs(self) -> list[Envelope]:
         """Deliver the instance's messages to itself and execute commands; return its messages to others."""
         while own := [envelope for envelope in self.outgoing if envelope.destination == self.index]:
             self.outgoing = [envelope for envelope in self.outgoing if envelope.destination != self.index]
@@ -123,13 +123,13 @@
     def run_due(self, now: int) -> list[Envelope]:
         """Run the timers that are due; return the messages to other instances."""
         self.timers.run_due(self.local_time(now))
-        return self.exchange_local()
+        return self.process_outputs()
 
     def receive(self, now: int, envelope: Envelope) -> list[Envelope]:
         """Handle a message; return the resulting messages to other instances."""
         self.timers.now = self.local_time(now)
         self.manager.handle_message(self.names[envelope.source], envelope.session, envelope.message)
-        return self.exchange_local()
+        return self.process_outputs()
 
     def holds_slot(self, now: int) -> bool:
         """Return whether the instance holds the slot according to its own clock."""
--- a/limepath/duties/probe_sharing.py
+++ b/limepath/duties/probe_sharing.py
@@ -99,7 +99,7 @@
         self.event_listeners: list[Any] = []
         """Objects whose `handle_events(events)` is called with the decision module's events."""
         self.counts = {"probes_asked": 0, "probes_shared": 0, "probes_sent": 0, "rounds": 0, "too_late": 0}
-        self.send_probe_unshared = loop.command_handlers[SendProbe]
+        self.front_send_probe = loop.command_handlers[SendProbe]
 
     def attach(self) -> None:
         """Start to receive the decision module's events and to handle its probe commands."""
@@ -109,7 +109,7 @@
     def detach(self) -> None:
         """Stop receiving events, and restore the front's own handler of probe commands."""
         self.loop.listener = None
-        self.loop.command_handlers[SendProbe] = self.send_probe_unshared
+        self.loop.command_handlers[SendProbe] = self.front_send_probe
 
     # From the front to the instance
 
@@ -182,7 +182,7 @@
         else:
             self.counts["probes_sent"] += 1
             self.pending_probes.add(command.endpoint)
-            self.send_probe_unshared(command)
+            self.front_send_probe(command)
 
     def report(self, result: ProbeResult) -> None:
         """Report another instance's result to the decision module, unless a requested probe is pending."""
--- a/limepath/duties/shared_results.py
+++ b/limepath/duties/shared_results.py
@@ -31,7 +31,7 @@
 """The most results stored for one target, each of a different prober."""
 
 
-class KnownResult(NamedTuple):
+class StoredResult(NamedTuple):
     """A result, and the time by the local clock at which the target was served."""
 
     result: ProbeResult
@@ -63,7 +63,7 @@
         self.is_live = is_live
         self.serial = 0
         """The serial number of this instance's latest own result."""
-        self.known: dict[tuple[int, int], list[KnownResult]] = {}
+        self.known: dict[tuple[int, int], list[StoredResult]] = {}
         """The stored results by duty and target, the newest first."""
         self.rounds_left: dict[tuple[int, int], int] = {}
         """By duty and target, the number of batches that the newest result is still to be sent in."""
@@ -85,7 +85,7 @@
         """Store a result in place of the same prober's previous one, beside the newest of another prober."""
         key = result.duty, result.target
         others = [known for known in self.known.get(key, ()) if known.result.prober != result.prober]
-        kept = [KnownResult(result, served_at), *others[: RESULTS_PER_TARGET - 1]]
+        kept = [StoredResult(result, served_at), *others[: RESULTS_PER_TARGET - 1]]
         self.known[key] = sorted(kept, key=lambda known: -known.served_at)
 
     def _spread(self, result: ProbeResult) -> None:
@@ -127,9 +127,9 @@
 
     # Results of other instances
 
-    def receive(self, results: Iterable[ProbeResult]) -> list[KnownResult]:
+    def receive(self, results: Iterable[ProbeResult]) -> list[StoredResult]:
         """Store results received from other instances; return those that are new."""
-        new: list[KnownResult] = []
+        new: list[StoredResult] = []
         arrived_at = self.timers.now - TRANSIT_TIME
         for result in results:
             rejection = self._rejection(result, arrived_at - result.age)
@@ -143,7 +143,7 @@
                 self._spread(aged)
             self.counts["new"] += 1
             self.timers.emit(ResultShared(aged))
-            new.append(KnownResult(aged, served_at))
+            new.append(StoredResult(aged, served_at))
         return new
 
     def _rejection(self, result: ProbeResult, served_at: int) -> str | None:
@@ -165,7 +165,7 @@
             return "too old"
         return None
 
-    def _is_superseded(self, known: Iterable[KnownResult], result: ProbeResult, served_at: int) -> bool:
+    def _is_superseded(self, known: Iterable[StoredResult], result: ProbeResult, served_at: int) -> bool:
         for other in known:
             if other.result.prober == result.prober:
                 return result.serial <= other.result.serial
