--- a/limepath/duties/world.py
+++ b/limepath/duties/world.py
@@ -221,7 +221,7 @@
             node.handle([TargetServed(command.duty, command.target, 0, SERVE_DURATION, {"util": 0.5})])
 
     def handle_result_shared(self, node: Node, result: ProbeResult) -> None:
-        """Do nothing with another instance's result; worlds with fronts report it to the front."""
+        """Do nothing with another instance's result; a simulation with fronts reports it to the front."""
 
     def replace_targets(self, removed: Iterable[int], added: Iterable[int]) -> None:
         """Change the endpoint list; each instance receives the change within LIST_DELAY."""
