--- a/tests/test_probe_sharing.py
+++ b/tests/test_probe_sharing.py
@@ -1,4 +1,4 @@
-"""A probe that the decisions ask for is sent, unless a shared result that is new enough stands in."""
+"""A probe that the decision module requests is sent, unless a shared result is recent enough."""
 
 from types import SimpleNamespace
 
@@ -14,7 +14,7 @@
 
 
 class RecordingLoop:
-    """The front's loop: keeps the events that it is handed and the probes that it is to carry out."""
+    """A loop of the front that records the events and the probe commands that it receives."""
 
     def __init__(self):
         self.listener = None
@@ -31,45 +31,47 @@
     return RecordingLoop()
 
 
-def sharing(loop, answer):
-    """The sharing of an instance that has this answer to every question."""
-    instance = SimpleNamespace(timers=SimpleNamespace(now=0), find_answer=lambda endpoint, max_age: answer)
-    shared = ProbeSharing(
+def make_sharing(loop, result):
+    """Return an attached ProbeSharing whose instance returns `result` for each lookup of a shared result."""
+    instance = SimpleNamespace(
+        timers=SimpleNamespace(now=0), find_recent_result=lambda endpoint, max_age: result
+    )
+    sharing = ProbeSharing(
         loop, SimpleNamespace(endpoints={}), instance, [], lambda *events: None, lambda: 1000
     )
-    shared.attach()
-    return shared
+    sharing.attach()
+    return sharing
 
 
-def test_a_probe_without_a_shared_result_is_sent_and_awaited(loop):
-    shared = sharing(loop, answer=None)
+def test_a_probe_without_a_shared_result_is_sent_and_recorded_as_pending(loop):
+    sharing = make_sharing(loop, result=None)
     loop.command_handlers[SendProbe](SendProbe(TARGET, 2000))
     assert loop.probes == [SendProbe(TARGET, 2000)]
-    assert shared.awaited == {TARGET}
-    shared.report(RESULT)
-    assert loop.events == []  # the endpoint's own answer is on its way
+    assert sharing.pending_probes == {TARGET}
+    sharing.report(RESULT)
+    assert loop.events == []  # a requested probe of the endpoint is pending
     loop.listener([ProbeEnded(TARGET, AttemptOutcome.SUCCEEDED, 900, {})])
-    shared.report(RESULT)
+    sharing.report(RESULT)
     assert [event.endpoint for event in loop.events] == [TARGET]
 
 
-def test_a_shared_result_stands_in_for_a_probe(loop):
-    shared = sharing(loop, answer=RESULT)
+def test_a_shared_result_replaces_a_probe(loop):
+    sharing = make_sharing(loop, result=RESULT)
     loop.command_handlers[SendProbe](SendProbe(TARGET, 2000))
     assert loop.probes == []
     assert loop.events == [ProbeEnded(TARGET, AttemptOutcome.SUCCEEDED, 900, {}, 500)]
-    assert shared.counts["probes_shared"] == 1
+    assert sharing.counts["probes_shared"] == 1
 
 
-def test_once_detached_probes_go_out_as_they_are(loop):
-    shared = sharing(loop, answer=RESULT)
-    shared.detach()
+def test_probes_are_sent_unchanged_after_detach(loop):
+    sharing = make_sharing(loop, result=RESULT)
+    sharing.detach()
     loop.command_handlers[SendProbe](SendProbe(TARGET))
     assert loop.probes == [SendProbe(TARGET)]
     assert loop.listener is None
 
 
-def test_endpoint_updates_tell_the_targets(loop):
-    shared = sharing(loop, answer=None)
-    shared.handle_front_events([EndpointListUpdated(1, 1, ())])
-    assert shared.endpoint_kinds == {}
+def test_an_endpoint_list_update_replaces_the_targets(loop):
+    sharing = make_sharing(loop, result=None)
+    sharing.handle_front_events([EndpointListUpdated(1, 1, ())])
+    assert sharing.endpoint_kinds == {}
