--- a/limepath/front/front_process.py
+++ b/limepath/front/front_process.py
@@ -92,11 +92,11 @@
         self.clients.shutdown.finished.addCallback(lambda _: reactor.stop())
 
     def _secure_servers(self, tls: TlsSettings) -> None:
-        from limepath.tls.host import Secured
+        from limepath.tls.host import TlsConnector
 
         kinds = trusts_by_kind(self.settings, tls)
         try:
-            self.servers.secured = Secured(reactor, self.log, tls, kinds, self.settings.seed)
+            self.servers.secured = TlsConnector(reactor, self.log, tls, kinds, self.settings.seed)
         except ValueError as error:
             raise SettingError(f"{tls.file}: {error}") from None
 
--- a/limepath/front/server_endpoint.py
+++ b/limepath/front/server_endpoint.py
@@ -57,7 +57,7 @@
     def uses_tls(self) -> bool:
         """Whether connections to this endpoint use TLS."""
         secured = self.servers.secured
-        return bool(secured and self.kind in secured.kinds)
+        return bool(secured and self.kind in secured.trust_by_kind)
 
     def update(self, incarnation: Incarnation, state: EndpointState) -> None:
         """Apply an entry of the endpoint list; connections to a former or removed incarnation are drained."""
--- a/limepath/tls/__init__.py
+++ b/limepath/tls/__init__.py
@@ -1,6 +1,6 @@
-"""TLS to servers: verified, resumed, with certificates and keys that change in service.
+"""TLS to servers: verification, session resumption, and replacement of certificates and keys in service.
 
-So far its decisions, free of I/O: `sessions` (which one to offer), `admission` (who may shake hands when,
-which server is left alone), and `material` (whether certificates, keys and trust fit together). Read
-`interface` first.
+The modules `sessions` (which session to offer), `admission` (when a handshake may start) and `material`
+(whether certificates, keys and roots fit together) do no I/O. `interface` defines their events and commands;
+`host` runs them on sockets.
 """
--- a/limepath/tls/admission.py
+++ b/limepath/tls/admission.py
@@ -1,227 +1,268 @@
-"""Who may shake hands when, and which server is left alone. Free of I/O: notes in, orders out, one timers.
+"""Decides when TLS handshakes may start, and when a failing server is tried again.
 
-A full handshake costs both sides much more than a GET. So they pass a budget, by server and in all: a bucket
-of `burst` that fills at `rate`, and so many under way at once. An offered session may be turned down by the
-server, which makes the handshake a full one; so each is charged as full when it begins, and what it did not
-cost is given back when it proves resumed. The budget is never overdrawn that way.
+The module does no I/O: it takes events and returns commands.
 
-Who goes first: the nearest latency objective, with a head start for who can resume. The head start is a span,
-so nobody waits for ever behind others; whose time is over is refused.
+A full handshake costs both sides much more than a GET, so handshakes are limited for each server and for all
+of them: by a token bucket of `burst` tokens that fills at `rate`, and by a maximum number in progress. The
+server may reject an offered session, which makes the handshake a full one. Each handshake is therefore
+charged as a full one when it starts, and the difference is refunded when it turns out to be resumed. That way
+the buckets are never overdrawn.
 
-A server whose handshakes fail is left alone, longer each time: shortly where the failure may pass by itself,
-long where somebody must mend a certificate. Then one try; then, with each success, one more at once until as
-before.
+Handshakes start in the order of their latency objectives. Those with a session to offer are treated as if
+their objective were earlier by a constant, so no handshake waits forever behind others. A handshake is
+refused once its deadline has passed.
+
+A server whose handshakes fail is in backoff, with a delay that grows with each failure: a short one if the
+failure may pass by itself, a long one if a certificate must be replaced. After the delay one handshake is
+allowed; each success raises the number that may be in progress by one, up to the configured maximum.
 """
 
 from sortedcontainers import SortedList
 
 from limepath.configuration.tls_settings import HandshakePace, RetryDelays
 from limepath.timer_queue import TimerQueue
-from limepath.tls.interface import PASSING, Begin, Broken, Refuse, Shaken, Swapped, Told, Unwanted, Want
+from limepath.tls.interface import (
+    TRANSIENT_FAILURES,
+    HandshakeCancelled,
+    HandshakeCompleted,
+    HandshakeFailed,
+    HandshakeRequested,
+    KeySetReplaced,
+    LogServerState,
+    RefuseHandshake,
+    StartHandshake,
+)
 
-HEAD_START = 200_000  # microseconds for who can resume
+RESUMPTION_ADVANTAGE_US = 200_000  # subtracted from the objective of a handshake with a session to offer
 
 
-class Bucket:
-    """Tokens in millionths: `rate` a second into at most `burst`."""
+class TokenBucket:
+    """A token bucket that fills with `rate` tokens a second, up to `burst`. Counts millionths of a token."""
 
-    __slots__ = ("rate", "most", "held", "at")
+    __slots__ = ("rate", "capacity", "level", "filled_at")
 
     def __init__(self, rate, burst, now):
-        self.rate, self.most, self.held, self.at = rate, burst * 1_000_000, burst * 1_000_000, now
+        self.rate, self.capacity, self.level, self.filled_at = rate, burst * 1_000_000, burst * 1_000_000, now
 
     def fill(self, now):
-        self.held = min(self.most, self.held + int((now - self.at) * self.rate))
-        self.at = now
+        self.level = min(self.capacity, self.level + int((now - self.filled_at) * self.rate))
+        self.filled_at = now
 
-    def wait(self, now):
-        """Microseconds until a whole one is there."""
+    def time_until_token(self, now):
+        """Return the microseconds until a whole token is available, 0 if there is one."""
         self.fill(now)
-        return 0 if self.held >= 1_000_000 else int((1_000_000 - self.held) / self.rate) + 1
+        return 0 if self.level >= 1_000_000 else int((1_000_000 - self.level) / self.rate) + 1
 
     def take(self):
-        self.held -= 1_000_000
+        self.level -= 1_000_000
+
+    def refund(self, share):
+        """Put back a share of a token, up to the capacity."""
+        self.level = min(self.capacity, self.level + int(share * 1_000_000))
 
-    def give_back(self, share):
-        self.held = min(self.most, self.held + int(share * 1_000_000))
 
+class ServerState:
+    """The handshakes of one server.
 
-class Server:
-    """One server: its bucket, what is under way, and whether it is left alone."""
+    Attributes:
+        bucket: the server's token bucket.
+        in_progress: identifiers of the handshakes in progress.
+        failures: failures since the last success.
+        retry_at: when the backoff ends, or None without one.
+        limit: how many handshakes may be in progress.
+        queue: the waiting handshakes, as (effective objective, identifier).
+    """
 
-    __slots__ = ("bucket", "under_way", "failures", "left_until", "limit", "line")
+    __slots__ = ("bucket", "in_progress", "failures", "retry_at", "limit", "queue")
 
     def __init__(self, pace, now):
-        self.bucket, self.under_way, self.failures, self.left_until = (
-            Bucket(pace.rate, pace.burst, now),
+        self.bucket, self.in_progress, self.failures, self.retry_at = (
+            TokenBucket(pace.rate, pace.burst, now),
             set(),
             0,
             None,
         )
-        self.limit, self.line = pace.at_once, SortedList()
+        self.limit, self.queue = pace.at_once, SortedList()
 
 
 class Admission:
+    """Admits handshakes to all servers of a front.
+
+    Attributes:
+        bucket: the token bucket that all servers share.
+        servers: a ServerState by server.
+        waiting: the requests that have not started, by handshake.
+        in_progress: the server of each handshake in progress, by handshake.
+        next_check: when waiting handshakes are looked at again, or None if that is not scheduled.
+        counts: handshakes by result.
+    """
+
     def __init__(self, seed, pace=HandshakePace(), retry_delays=RetryDelays()):
         self.timers, self.pace, self.retry_delays = TimerQueue(seed), pace, retry_delays
-        self.bucket, self.servers, self.wants, self.under_way = None, {}, {}, {}
-        self.looks_at = None
+        self.bucket, self.servers, self.waiting, self.in_progress = None, {}, {}, {}
+        self.next_check = None
         self.counts = {"full": 0, "resumed": 0, "failed": 0, "refused": 0}
-        self.desks = {
-            Want: self.wanted,
-            Shaken: self.shaken,
-            Broken: self.broken,
-            Unwanted: self.unwanted,
-            Swapped: self.swapped,
+        self.handlers = {
+            HandshakeRequested: self.on_requested,
+            HandshakeCompleted: self.on_completed,
+            HandshakeFailed: self.on_failed,
+            HandshakeCancelled: self.on_cancelled,
+            KeySetReplaced: self.on_key_set_replaced,
         }
 
-    def handle(self, now, notes):
-        """Take notes in at `now`; give the orders that follow."""
+    def handle(self, now, events):
+        """Handle events at `now`, run the timers that are due, and return the resulting commands."""
         self.timers.run_due(now)
         if self.bucket is None:
-            self.bucket = Bucket(self.pace.all_rate, self.pace.all_burst, now)
-        for note in notes:
-            self.desks[type(note)](note)
-        self.admit()
+            self.bucket = TokenBucket(self.pace.all_rate, self.pace.all_burst, now)
+        for event in events:
+            self.handlers[type(event)](event)
+        self.start_allowed()
         return self.timers.take_commands()
 
     def next(self):
+        """Return when the next timer is due, or None without a timer."""
         return self.timers.next_due()
 
     def server(self, ident):
+        """Return the state of a server, which is created at its first handshake."""
         if ident not in self.servers:
-            self.servers[ident] = Server(self.pace, self.timers.now)
+            self.servers[ident] = ServerState(self.pace, self.timers.now)
         return self.servers[ident]
 
-    # Notes
+    # Events
 
-    def wanted(self, note):
-        server = self.server(note.server)
-        if note.id in self.wants or note.id in self.under_way:
+    def on_requested(self, event):
+        server = self.server(event.server)
+        if event.id in self.waiting or event.id in self.in_progress:
             return
-        if note.until <= self.timers.now:
-            return self.refuse(note.id, "too late")
+        if event.deadline <= self.timers.now:
+            return self.refuse(event.id, "deadline passed")
         if (
-            server.left_until is not None
-            and self.timers.now < server.left_until
-            and server.left_until >= note.until
+            server.retry_at is not None
+            and self.timers.now < server.retry_at
+            and server.retry_at >= event.deadline
         ):
-            return self.refuse(note.id, "left alone")
-        self.wants[note.id] = note
-        server.line.add(self.place(note))
-        self.timers.schedule(note.until, self.overdue, note.id)
+            return self.refuse(event.id, "server in backoff")
+        self.waiting[event.id] = event
+        server.queue.add(self.queue_key(event))
+        self.timers.schedule(event.deadline, self.expire, event.id)
 
     @staticmethod
-    def place(note):
-        return note.objective - HEAD_START * note.resumable, note.id
+    def queue_key(event):
+        return event.objective - RESUMPTION_ADVANTAGE_US * event.resumable, event.id
 
-    def overdue(self, ident):
-        if note := self.wants.pop(ident, None):
-            self.servers[note.server].line.remove(self.place(note))
-            self.refuse(ident, "too late")
+    def expire(self, ident):
+        """Refuse a handshake whose deadline has passed, if it is still waiting."""
+        if event := self.waiting.pop(ident, None):
+            self.servers[event.server].queue.remove(self.queue_key(event))
+            self.refuse(ident, "deadline passed")
 
-    def refuse(self, ident, why):
+    def refuse(self, ident, reason):
         self.counts["refused"] += 1
-        self.timers.emit(Refuse(ident, why))
+        self.timers.emit(RefuseHandshake(ident, reason))
 
-    def shaken(self, note):
-        if (ident := self.under_way.pop(note.id, None)) is None:
+    def on_completed(self, event):
+        if (ident := self.in_progress.pop(event.id, None)) is None:
             return
         server = self.servers[ident]
-        server.under_way.discard(note.id)
-        self.counts["resumed" if note.resumed else "full"] += 1
-        if note.resumed:
+        server.in_progress.discard(event.id)
+        self.counts["resumed" if event.resumed else "full"] += 1
+        if event.resumed:
             for bucket in (server.bucket, self.bucket):
                 bucket.fill(self.timers.now)
-                bucket.give_back(1 - self.pace.resumed_share)
+                bucket.refund(1 - self.pace.resumed_share)
         if server.failures:
-            self.timers.emit(Told(ident, "shakes hands again", None, 0))
-        server.failures, server.left_until = 0, None
+            self.timers.emit(LogServerState(ident, "backoff ended: a handshake succeeded", None, 0))
+        server.failures, server.retry_at = 0, None
         server.limit = min(self.pace.at_once, server.limit + 1)
 
-    def broken(self, note):
-        if (ident := self.under_way.pop(note.id, None)) is None:
+    def on_failed(self, event):
+        if (ident := self.in_progress.pop(event.id, None)) is None:
             return
         server = self.servers[ident]
-        server.under_way.discard(note.id)
+        server.in_progress.discard(event.id)
         self.counts["failed"] += 1
         now = self.timers.now
-        if server.left_until is not None and now < server.left_until:
-            return  # one of several that were under way: told already
-        passing = note.failure in PASSING
+        if server.retry_at is not None and now < server.retry_at:
+            return  # an earlier failure of the handshakes in progress started the backoff and was logged
+        transient = event.failure in TRANSIENT_FAILURES
         first, most = (
             (self.retry_delays.passing, self.retry_delays.passing_most)
-            if passing
+            if transient
             else (self.retry_delays.lasting, self.retry_delays.lasting_most)
         )
-        span = min(most, first << min(20, server.failures))
-        span = int(span * (0.75 + self.timers.random_fraction() / 2))
-        server.failures, server.limit, server.left_until = server.failures + 1, 1, now + span
-        self.look_at(server.left_until)
-        self.timers.emit(Told(ident, "left alone", note.failure, span))
-        for _, waiting in list(server.line):  # whom it would come too late for
-            if self.wants[waiting].until <= server.left_until:
-                lost = self.wants.pop(waiting)
-                server.line.remove(self.place(lost))
-                self.refuse(waiting, "left alone")
-
-    def unwanted(self, note):
-        if want := self.wants.pop(note.id, None):
-            self.servers[want.server].line.remove(self.place(want))
-        elif (ident := self.under_way.pop(note.id, None)) is not None:
-            self.servers[ident].under_way.discard(note.id)
-
-    def swapped(self, note):
+        backoff = min(most, first << min(20, server.failures))
+        backoff = int(backoff * (0.75 + self.timers.random_fraction() / 2))
+        server.failures, server.limit, server.retry_at = server.failures + 1, 1, now + backoff
+        self.schedule_check(server.retry_at)
+        self.timers.emit(LogServerState(ident, "backoff started", event.failure, backoff))
+        for _, waiting_id in list(server.queue):  # refuse those whose deadline is not after the backoff
+            if self.waiting[waiting_id].deadline <= server.retry_at:
+                refused = self.waiting.pop(waiting_id)
+                server.queue.remove(self.queue_key(refused))
+                self.refuse(waiting_id, "server in backoff")
+
+    def on_cancelled(self, event):
+        if request := self.waiting.pop(event.id, None):
+            self.servers[request.server].queue.remove(self.queue_key(request))
+        elif (ident := self.in_progress.pop(event.id, None)) is not None:
+            self.servers[ident].in_progress.discard(event.id)
+
+    def on_key_set_replaced(self, event):
         for server in self.servers.values():
-            server.failures, server.left_until, server.limit = 0, None, self.pace.at_once
+            server.failures, server.retry_at, server.limit = 0, None, self.pace.at_once
 
-    # Who goes
+    # Start of handshakes
 
-    def look_at(self, when):
-        """Look again then, if not sooner."""
-        if self.looks_at is None or when < self.looks_at:
-            self.looks_at = when
-            self.timers.schedule(when, self.look, when)
+    def schedule_check(self, when):
+        """Look at the waiting handshakes at `when`, unless an earlier check is scheduled."""
+        if self.next_check is None or when < self.next_check:
+            self.next_check = when
+            self.timers.schedule(when, self.check, when)
 
-    def look(self, when):
-        if self.looks_at == when:
-            self.looks_at = None
-            self.admit()
+    def check(self, when):
+        """Start waiting handshakes, unless the check at `when` was replaced by an earlier one."""
+        if self.next_check == when:
+            self.next_check = None
+            self.start_allowed()
 
-    def admit(self):
-        """Begin what the budget allows, the nearest objective of all servers first."""
+    def start_allowed(self):
+        """Start as many handshakes as the limits allow, the earliest objective of all servers first."""
         now = self.timers.now
-        while len(self.under_way) < self.pace.all_at_once:
-            able = [
-                (server.line[0], ident)
+        while len(self.in_progress) < self.pace.all_at_once:
+            candidates = [
+                (server.queue[0], ident)
                 for ident, server in self.servers.items()
-                if server.line and self.ready(server)
+                if server.queue and self.can_start(server)
             ]
-            if not able:
+            if not candidates:
                 return
-            if wait := self.bucket.wait(now):
-                return self.look_at(now + wait)
-            (_, want), ident = min(able)
-            if self.wants[want].until <= now:  # its own timer is due as well, behind this one
-                self.overdue(want)
+            if delay := self.bucket.time_until_token(now):
+                return self.schedule_check(now + delay)
+            (_, request_id), ident = min(candidates)
+            # A check may run before the request's own deadline timer when both are due.
+            if self.waiting[request_id].deadline <= now:
+                self.expire(request_id)
                 continue
             server = self.servers[ident]
-            server.line.pop(0)
-            del self.wants[want]
+            server.queue.pop(0)
+            del self.waiting[request_id]
             server.bucket.take()
             self.bucket.take()
-            server.under_way.add(want)
-            self.under_way[want] = ident
-            self.timers.emit(Begin(want))
+            server.in_progress.add(request_id)
+            self.in_progress[request_id] = ident
+            self.timers.emit(StartHandshake(request_id))
 
-    def ready(self, server):
+    def can_start(self, server):
+        """Whether a handshake with this server may start now; schedules a check at the time it may."""
         now = self.timers.now
-        if server.left_until is not None and now < server.left_until:
-            self.look_at(server.left_until)
+        if server.retry_at is not None and now < server.retry_at:
+            self.schedule_check(server.retry_at)
             return False
-        if len(server.under_way) >= server.limit:
+        if len(server.in_progress) >= server.limit:
             return False
-        if wait := server.bucket.wait(now):
-            self.look_at(now + wait)
+        if delay := server.bucket.time_until_token(now):
+            self.schedule_check(now + delay)
             return False
         return True
--- a/limepath/tls/host.py
+++ b/limepath/tls/host.py
@@ -1,8 +1,8 @@
-"""TLS on the sockets to servers: contexts of the keys in force, handshakes as `admission` lets them begin,
-sessions kept.
+"""Makes TLS connections to servers, with the keys in force, paced by `admission` and resumed with `sessions`.
 
-A connection is handed to the front once its handshake is done and its server verified; before that nothing of
-a forward is written, so a handshake that fails is proven not to have run and comes back as a ConnectError.
+A connection is passed to the front's protocol once its handshake is complete and its server is verified.
+Nothing of a forward is written before that, so a forward whose handshake failed was certainly not executed;
+the failure is reported as a ConnectError.
 """
 
 import ipaddress
@@ -22,22 +22,33 @@
 
 from limepath.tls.admission import Admission
 from limepath.tls.files import key_set
-from limepath.tls.interface import Begin, Broken, Failure, Refuse, Session, Shaken, Swapped, Told, Under, Want
+from limepath.tls.interface import (
+    Failure,
+    HandshakeCompleted,
+    HandshakeFailed,
+    HandshakeRequested,
+    KeySetReplaced,
+    LogServerState,
+    RefuseHandshake,
+    Session,
+    StartHandshake,
+    VerificationScope,
+)
 from limepath.tls.material import BadMaterial, announced, is_revoked, unix
-from limepath.tls.sessions import Sessions
+from limepath.tls.sessions import SessionCache
 
-VERSIONS = {"1.2": SSL.TLS1_2_VERSION, "1.3": SSL.TLS1_3_VERSION}
-# what OpenSSL's verification says, by the numbers of its x509_vfy.h
-FAILURES = {
+VERSION_BY_NAME = {"1.2": SSL.TLS1_2_VERSION, "1.3": SSL.TLS1_3_VERSION}
+# Failures by the error codes of OpenSSL's certificate verification, from its x509_vfy.h.
+FAILURE_BY_VERIFY_CODE = {
     9: Failure.NOT_YET_VALID,
     10: Failure.EXPIRED,
     23: Failure.REVOKED,
     62: Failure.WRONG_NAME,
-    66: Failure.WEAK,
-    67: Failure.WEAK,
-    68: Failure.WEAK,
+    66: Failure.WEAK_KEY,
+    67: Failure.WEAK_KEY,
+    68: Failure.WEAK_KEY,
 } | dict.fromkeys((2, 18, 19, 20, 21, 24, 79), Failure.UNKNOWN_ISSUER)
-DAY = 86_400_000_000
+DAY_US = 86_400_000_000
 
 
 def clock():
@@ -48,47 +59,71 @@
     return time.time_ns() // 1000
 
 
-class HandshakeFailed(ConnectError):
-    """Nothing of a forward was sent. `failure` is a Failure, or None where no handshake was begun."""
+class HandshakeError(ConnectError):
+    """A connection was not made; nothing of a forward was sent.
 
-    def __init__(self, failure, why):
-        super().__init__(string=why)
+    Attributes:
+        failure: the Failure of the handshake, or None if no handshake was started.
+    """
+
+    def __init__(self, failure, reason):
+        super().__init__(string=reason)
         self.failure = failure
 
 
 @implementer(IOpenSSLClientConnectionCreator)
-class Creator:
-    """Makes the library's connection for one handshake."""
+class ConnectionCreator:
+    """Creates the OpenSSL connection of one handshake."""
 
-    def __init__(self, shaking):
-        self.shaking = shaking
+    def __init__(self, tls_connection):
+        self.tls_connection = tls_connection
 
     def clientConnectionForTLS(self, protocol):
-        shaking = self.shaking
-        connection = SSL.Connection(shaking.context, None)
-        if not shaking.address_only:
-            connection.set_tlsext_host_name(shaking.under.name.encode("ascii"))
-        if shaking.offered:
-            connection.set_session(shaking.offered.ticket)
+        tls_connection = self.tls_connection
+        connection = SSL.Connection(tls_connection.context, None)
+        if not tls_connection.address_only:
+            connection.set_tlsext_host_name(tls_connection.scope.name.encode("ascii"))
+        if tls_connection.offered_session:
+            connection.set_session(tls_connection.offered_session.ticket)
         connection.set_connect_state()
         return connection
 
 
 @implementer(IHandshakeListener)
-class Shaking(Protocol):
-    """One connection from its handshake on; once that is done, all goes to and from the front's protocol."""
-
-    def __init__(self, secured, number, member, under, trust, inner):
-        self.secured, self.number, self.member, self.under, self.trust, self.inner = (
-            secured,
-            number,
-            member,
-            under,
+class TlsConnection(Protocol):
+    """A connection from the start of its handshake; afterwards it passes data to the front's protocol.
+
+    Attributes:
+        inner: the front's protocol.
+        lists: the revocation lists.
+        verify: whether the server is verified.
+        when_connected: a Deferred that fires with `inner`, or fails with a HandshakeError.
+        verification_failure: the first failure of OpenSSL's verification, or None.
+        offered_session: the session that the handshake offers, or None.
+        session_kept: whether a session of this connection was added to the cache.
+        is_open: whether the handshake is complete and the server verified.
+        verify_called: whether OpenSSL checked a certificate, which it doesn't in a resumed handshake.
+        address_only: whether the server's name is an IP address, which is not sent as server name indication.
+    """
+
+    def __init__(self, connector, handshake_id, server, scope, trust, inner):
+        self.connector, self.handshake_id, self.server, self.scope, self.trust, self.inner = (
+            connector,
+            handshake_id,
+            server,
+            scope,
             trust,
             inner,
         )
-        self.context, self.lists, self.verify = secured.contexts[trust.title]
-        self.done, self.failed, self.verification_failure, self.offered, self.timer, self.kept = (
+        self.context, self.lists, self.verify = connector.contexts[trust.title]
+        (
+            self.when_connected,
+            self.failed,
+            self.verification_failure,
+            self.offered_session,
+            self.timer,
+            self.session_kept,
+        ) = (
             Deferred(),
             False,
             None,
@@ -96,168 +131,183 @@
             None,
             False,
         )
-        self.up = self.looked = False
+        self.is_open = self.verify_called = False
         try:
-            ipaddress.ip_address(under.name)
+            ipaddress.ip_address(scope.name)
             self.address_only = True
         except ValueError:
             self.address_only = False
 
-    def judged(self, certificate, number):
-        """OpenSSL's verification looks at a certificate, failing or not: remember the first failure."""
-        self.looked = True
-        if number and self.verification_failure is None:
-            self.verification_failure = FAILURES.get(number, Failure.UNKNOWN_ISSUER)
+    def on_certificate_checked(self, certificate, error_code):
+        """Record the first failure of OpenSSL's verification, which calls this for each certificate."""
+        self.verify_called = True
+        if error_code and self.verification_failure is None:
+            self.verification_failure = FAILURE_BY_VERIFY_CODE.get(error_code, Failure.UNKNOWN_ISSUER)
 
     def connectionMade(self):
-        self.timer = self.secured.reactor.callLater(
-            self.secured.opening.handshake_timeout / 1e6, self.fail, Failure.TIMED_OUT
+        self.timer = self.connector.reactor.callLater(
+            self.connector.settings.handshake_timeout / 1e6, self.fail, Failure.TIMED_OUT
         )
 
     def handshakeCompleted(self):
         connection = self.transport.getHandle()
-        if self.verify and (failure := self.unfit(connection)):
+        if self.verify and (failure := self.check_identity(connection)):
             return self.fail(failure)
         self.timer.cancel()
-        self.up, self.resumed = (
+        self.is_open, self.resumed = (
             True,
-            self.offered is not None and not self.looked,
-        )  # a resumption looks at none
+            self.offered_session is not None and not self.verify_called,
+        )
         self.protocol_name = connection.get_protocol_version_name()
         if self.protocol_name != "TLSv1.3":
-            self.keep(connection)
+            self.cache_session(connection)
         self.inner.makeConnection(self.transport)
-        self.secured.shaken(self)
+        self.connector.on_handshake_completed(self)
 
-    def unfit(self, connection):
-        """Name and revocation lists, which the library's own verification leaves to us."""
+    def check_identity(self, connection):
+        """Return a Failure of the name or the revocation lists, which OpenSSL doesn't check, or None."""
         try:
-            (verify_ip_address if self.address_only else verify_hostname)(connection, self.under.name)
-        except (
-            VerificationError,
-            CertificateError,
-            ValueError,
-        ):  # another name, no name, one that can't be read
+            (verify_ip_address if self.address_only else verify_hostname)(connection, self.scope.name)
+        except (VerificationError, CertificateError, ValueError):  # another name, no name, or malformed
             return Failure.WRONG_NAME
         chain = connection.get_verified_chain() or [connection.get_peer_certificate()]
         if any(is_revoked(one.to_cryptography(), self.lists) for one in chain if one):
             return Failure.REVOKED
         return None
 
-    def keep(self, connection):
-        """Keep the session for the next handshake, under what this one was verified under."""
+    def cache_session(self, connection):
+        """Add the session to the cache, for the scope that this connection was verified for."""
         ticket = connection.get_session()
-        if ticket is None or self.kept:
+        if ticket is None or self.session_kept:
             return
-        self.kept = True
-        if self.offered and self.resumed:
-            since, until = self.offered.wall_since, self.offered.wall_until
+        self.session_kept = True
+        if self.offered_session and self.resumed:
+            valid_from, valid_until = self.offered_session.valid_from, self.offered_session.valid_until
         else:
             chain = [
                 one.to_cryptography()
                 for one in connection.get_verified_chain() or [connection.get_peer_certificate()]
             ]
-            since = max(unix(one.not_valid_before_utc) for one in chain)
-            until = min(unix(one.not_valid_after_utc) for one in chain)
+            valid_from = max(unix(one.not_valid_before_utc) for one in chain)
+            valid_until = min(unix(one.not_valid_after_utc) for one in chain)
         now = clock()
-        self.secured.sessions.keep(
+        self.connector.sessions.add(
             now,
             unix_clock(),
             Session(
-                self.under,
+                self.scope,
                 self.protocol_name,
                 ticket,
-                now + self.secured.sessions.longest,
-                since,
-                until,
+                now + self.connector.sessions.max_lifetime,
+                valid_from,
+                valid_until,
                 self.protocol_name == "TLSv1.3",
             ),
         )
 
     def dataReceived(self, data):
-        if self.up:
-            if not self.kept:  # tickets of 1.3 come with the first bytes
-                self.keep(self.transport.getHandle())
+        if self.is_open:
+            if not self.session_kept:  # TLS 1.3 sends session tickets after the handshake
+                self.cache_session(self.transport.getHandle())
             self.inner.dataReceived(data)
 
     def connectionLost(self, reason):
-        if self.up:
-            self.secured.open.discard(self)
+        if self.is_open:
+            self.connector.open_connections.discard(self)
             self.inner.connectionLost(reason)
         else:
-            self.fail(self.verification_failure or self.kind(reason), lost=True)
+            self.fail(self.verification_failure or self.failure_of(reason), lost=True)
 
     @staticmethod
-    def kind(reason):
-        """What broke the handshake off, as far as the library's words tell."""
+    def failure_of(reason):
+        """Return why the connection was lost during the handshake, from the text of OpenSSL's error."""
         if not isinstance(reason.value, SSL.Error):
-            return Failure.BROKE_OFF
-        words = " ".join(
+            return Failure.CONNECTION_LOST
+        text = " ".join(
             str(one) for part in reason.value.args for one in (part if isinstance(part, list) else [part])
         ).lower()
-        if "alert" in words and ("certificate" in words or "unknown ca" in words or "access denied" in words):
-            return Failure.KEY_REFUSED
-        if "too small" in words or "too weak" in words:
-            return Failure.WEAK
-        return Failure.PROTOCOL if words else Failure.BROKE_OFF
+        if "alert" in text and ("certificate" in text or "unknown ca" in text or "access denied" in text):
+            return Failure.CLIENT_KEY_REFUSED
+        if "too small" in text or "too weak" in text:
+            return Failure.WEAK_KEY
+        return Failure.PROTOCOL if text else Failure.CONNECTION_LOST
 
     def fail(self, failure, lost=False):
-        if self.failed or self.up and lost:
+        if self.failed or self.is_open and lost:
             return
         self.failed = True
         if self.timer and self.timer.active():
             self.timer.cancel()
         if not lost:
             self.transport.abortConnection()
-        self.secured.broken(self, failure)
-
-
-class Secured:
-    """All TLS of one front. `opening` is a TlsOpening, `kinds` maps a member's kind to its Trust."""
-
-    def __init__(self, reactor, log, opening, kinds, seed):
-        self.reactor, self.log, self.opening, self.kinds = reactor, log, opening, kinds
+        self.connector.on_handshake_failed(self, failure)
+
+
+class TlsConnector:
+    """Makes all TLS connections of one front.
+
+    Attributes:
+        settings: the TlsSettings.
+        trust_by_kind: the Trust of each kind of server.
+        trust_generation: the generation of the trusted roots and revocation lists.
+        key_generation: the generation of the client's certificate and key.
+        handshakes: the connections that are waiting or in their handshake, by handshake.
+        contexts: (OpenSSL context, revocation lists, whether servers are verified) by title of the Trust.
+        open_connections: the connections whose handshake is complete.
+        announced: the last expiry notice that was logged for each certificate.
+        counts: handshakes by result, and replacements of the key set.
+        keys: the KeySet in force.
+    """
+
+    def __init__(self, reactor, log, settings, trust_by_kind, seed):
+        self.reactor, self.log, self.settings, self.trust_by_kind = reactor, log, settings, trust_by_kind
         self.admission, self.sessions = (
-            Admission(seed, opening.pace, opening.retry_delays),
-            Sessions(*opening.sessions),
+            Admission(seed, settings.pace, settings.retry_delays),
+            SessionCache(*settings.sessions),
+        )
+        self.trust_generation, self.key_generation, self.handshake_ids, self.handshakes = 0, 0, count(1), {}
+        self.contexts, self.timer, self.open_connections, self.server_names, self.announced = (
+            {},
+            None,
+            set(),
+            {},
+            {},
         )
-        self.trust, self.client, self.numbers, self.wanted = 0, 0, count(1), {}
-        self.contexts, self.timer, self.open, self.names, self.said = {}, None, set(), {}, {}
         self.counts = {"full": 0, "resumed": 0, "swaps": 0} | {failure.value: 0 for failure in Failure}
-        self.keys = key_set(opening, unix_clock())
-        self.build()
-        for trust in opening.trusts:
+        self.keys = key_set(settings, unix_clock())
+        self.build_contexts()
+        for trust in settings.trusts:
             if not trust.verify:
                 log.info(
                     "tls-unverified",
-                    "whoever answers is believed",
+                    "server certificates are not verified",
                     trust=trust.title,
                     members=",".join(trust.members),
                 )
 
-    def build(self):
+    def build_contexts(self):
         self.contexts = {
-            trust.title: (self.context(trust, found), found.lists, trust.verify)
-            for trust, found in zip(self.opening.trusts, self.keys.trusts, strict=True)
+            trust.title: (self.build_context(trust, loaded), loaded.lists, trust.verify)
+            for trust, loaded in zip(self.settings.trusts, self.keys.trusts, strict=True)
         }
 
-    def context(self, trust, found):
+    def build_context(self, trust, loaded):
         context = SSL.Context(SSL.TLS_CLIENT_METHOD)
-        context.set_min_proto_version(VERSIONS[self.opening.min_version])
-        context.set_max_proto_version(VERSIONS[self.opening.max_version])
+        context.set_min_proto_version(VERSION_BY_NAME[self.settings.min_version])
+        context.set_max_proto_version(VERSION_BY_NAME[self.settings.max_version])
         context.set_options(SSL.OP_NO_COMPRESSION | SSL.OP_NO_RENEGOTIATION)
         context.set_session_cache_mode(SSL.SESS_CACHE_CLIENT | SSL.SESS_CACHE_NO_INTERNAL)
         store = context.get_cert_store()
-        for root in found.roots:
+        for root in loaded.roots:
             store.add_cert(crypto.X509.from_cryptography(root))
 
-        def judge(connection, certificate, number, depth, fine):
-            connection.get_app_data().wrappedProtocol.judged(
-                certificate, 0 if fine or not trust.verify else number
+        def verify(connection, certificate, error_code, depth, accepted):
+            connection.get_app_data().wrappedProtocol.on_certificate_checked(
+                certificate, 0 if accepted or not trust.verify else error_code
             )
-            return bool(fine) or not trust.verify
+            return bool(accepted) or not trust.verify
 
-        context.set_verify(SSL.VERIFY_PEER, judge)
+        context.set_verify(SSL.VERIFY_PEER, verify)
         if self.keys.chain:
             context.use_certificate(crypto.X509.from_cryptography(self.keys.chain.leaf))
             for one in self.keys.chain.above:
@@ -266,131 +316,163 @@
         return context
 
     def reload(self):
-        """Read the set again: taken as a whole, or refused as a whole with the reason in the log."""
+        """Read the key set again and put it in force; on an error, log it and keep the previous set.
+
+        Returns whether another set is in force.
+        """
         try:
-            keys = key_set(self.opening, unix_clock())
+            keys = key_set(self.settings, unix_clock())
         except BadMaterial as error:
-            self.log.info("tls-keys", f"{error}; the old set stays")
+            self.log.info("tls-keys", f"{error}; the previous key set stays in use")
             return False
         trust = [
             (one.roots, tuple(x.fingerprint(x.signature_hash_algorithm) for x in one.lists))
             for one in keys.trusts
         ]
-        held = [
+        old_trust = [
             (one.roots, tuple(x.fingerprint(x.signature_hash_algorithm) for x in one.lists))
             for one in self.keys.trusts
         ]
-        other_trust, other_key = (
-            trust != held,
+        trust_changed, key_changed = (
+            trust != old_trust,
             (keys.certificate, keys.key) != (self.keys.certificate, self.keys.key),
         )
-        if not (other_trust or other_key):
+        if not (trust_changed or key_changed):
             return False
         self.keys = keys
-        self.trust, self.client = self.trust + other_trust, self.client + other_key
-        self.build()
-        self.sessions.swap(self.trust, self.client)
+        self.trust_generation, self.key_generation = (
+            self.trust_generation + trust_changed,
+            self.key_generation + key_changed,
+        )
+        self.build_contexts()
+        self.sessions.set_generations(self.trust_generation, self.key_generation)
         self.counts["swaps"] += 1
-        self.log.info("tls-keys", "swapped", trust=self.trust, key=self.client)
-        if other_trust:  # what is out finishes; nothing new goes where the old trust led
-            for shaking in list(self.open):
-                shaking.inner.retire()
-        self.carry(self.admission.handle(clock(), [Swapped()]))
+        self.log.info("tls-keys", "swapped", trust=self.trust_generation, key=self.key_generation)
+        if trust_changed:  # requests in flight finish; connections of the old trust take no new ones
+            for tls_connection in list(self.open_connections):
+                tls_connection.inner.retire()
+        self.execute(self.admission.handle(clock(), [KeySetReplaced()]))
         return True
 
     def announce(self):
-        """Say, some days and then hours before, that something ends."""
-        wall, ends = unix_clock(), {}
+        """Log certificates that expire soon, at the notice times that `announced` defines."""
+        wall, expiries = unix_clock(), {}
         if self.keys.chain:
-            ends["our certificate"] = self.keys.chain.until
-        for found in self.keys.trusts:
-            for root in found.roots:
-                ends[f"root of {found.title}"] = min(
-                    unix(root.not_valid_after_utc), ends.get(f"root of {found.title}", 10**18)
+            expiries["our certificate"] = self.keys.chain.until
+        for loaded in self.keys.trusts:
+            for root in loaded.roots:
+                expiries[f"root of {loaded.title}"] = min(
+                    unix(root.not_valid_after_utc), expiries.get(f"root of {loaded.title}", 10**18)
                 )
-        for what, until in ends.items():
-            if mark := announced(until, wall, self.said.get(what)):
-                self.said[what] = mark
-                self.log.info("tls-ends", what=what, left=mark)
+        for what, until in expiries.items():
+            if notice := announced(until, wall, self.announced.get(what)):
+                self.announced[what] = notice
+                self.log.info("tls-ends", what=what, left=notice)
 
     # Connections
 
-    def connect(self, peer, inner, until):
-        """A Deferred of `inner` once it is connected and its server verified; None where no trust covers this
-        kind.
+    def connect(self, server, inner, deadline):
+        """Connect the protocol `inner` to a server by `deadline`, in microseconds of the monotonic clock.
+
+        Returns a Deferred that fires with `inner` once its server is verified, or None if no Trust covers the
+        server's kind.
         """
-        trust = self.kinds.get(peer.kind)
+        trust = self.trust_by_kind.get(server.kind)
         if trust is None:
             return None
-        number, now = next(self.numbers), clock()
-        under = Under(peer.ident, trust.name.replace("{id}", peer.name), self.trust, self.client)
-        shaking = Shaking(self, number, peer, under, trust, inner)
-        self.wanted[number] = shaking
-        resumable = self.sessions.resumable(now, unix_clock(), under)
-        self.carry(self.admission.handle(now, [Want(number, peer.ident, resumable, until, until)]))
-        return shaking.done
-
-    def carry(self, orders):
-        for order in orders:
-            if isinstance(order, Begin):
-                self.begin(self.wanted[order.id])
-            elif isinstance(order, Refuse):
-                shaking = self.wanted.pop(order.id)
-                self.reactor.callLater(0, shaking.done.errback, HandshakeFailed(None, order.why))
-            elif isinstance(order, Told):
+        handshake_id, now = next(self.handshake_ids), clock()
+        scope = VerificationScope(
+            server.ident, trust.name.replace("{id}", server.name), self.trust_generation, self.key_generation
+        )
+        tls_connection = TlsConnection(self, handshake_id, server, scope, trust, inner)
+        self.handshakes[handshake_id] = tls_connection
+        resumable = self.sessions.resumable(now, unix_clock(), scope)
+        self.execute(
+            self.admission.handle(
+                now, [HandshakeRequested(handshake_id, server.ident, resumable, deadline, deadline)]
+            )
+        )
+        return tls_connection.when_connected
+
+    def execute(self, commands):
+        for command in commands:
+            if isinstance(command, StartHandshake):
+                self.start_handshake(self.handshakes[command.id])
+            elif isinstance(command, RefuseHandshake):
+                tls_connection = self.handshakes.pop(command.id)
+                self.reactor.callLater(
+                    0, tls_connection.when_connected.errback, HandshakeError(None, command.reason)
+                )
+            elif isinstance(command, LogServerState):
                 self.log.info(
                     "tls-server",
-                    order.what,
-                    server=self.names.get(order.server, order.server),
-                    **({"why": order.failure.value, "for_ms": order.span // 1000} if order.failure else {}),
+                    command.message,
+                    server=self.server_names.get(command.server, command.server),
+                    **(
+                        {"why": command.failure.value, "for_ms": command.backoff // 1000}
+                        if command.failure
+                        else {}
+                    ),
                 )
         due = self.admission.next()
         if self.timer and self.timer.active():
             self.timer.cancel()
-        self.timer = due is not None and self.reactor.callLater(max(0, due - clock()) / 1e6, self.due)
-
-    def due(self):
-        self.carry(self.admission.handle(clock(), ()))
-
-    def begin(self, shaking):
-        """TCP first, then the handshake, with a session where one holds under the generations of now."""
-        peer = shaking.member
-        self.names[peer.ident] = peer.name
-        shaking.under = shaking.under._replace(trust=self.trust, client=self.client)
-        shaking.context, shaking.lists, shaking.verify = self.contexts[shaking.trust.title]
-        shaking.offered = self.sessions.offer(clock(), unix_clock(), shaking.under)
-        factory = TLSMemoryBIOFactory(Creator(shaking), True, Factory.forProtocol(lambda: shaking))
+        self.timer = due is not None and self.reactor.callLater(max(0, due - clock()) / 1e6, self.on_timer)
+
+    def on_timer(self):
+        self.execute(self.admission.handle(clock(), ()))
+
+    def start_handshake(self, tls_connection):
+        """Connect by TCP and start the handshake, offering a session if there is one."""
+        server = tls_connection.server
+        self.server_names[server.ident] = server.name
+        tls_connection.scope = tls_connection.scope._replace(
+            trust_generation=self.trust_generation, key_generation=self.key_generation
+        )
+        tls_connection.context, tls_connection.lists, tls_connection.verify = self.contexts[
+            tls_connection.trust.title
+        ]
+        tls_connection.offered_session = self.sessions.offer(clock(), unix_clock(), tls_connection.scope)
+        factory = TLSMemoryBIOFactory(
+            ConnectionCreator(tls_connection), True, Factory.forProtocol(lambda: tls_connection)
+        )
         factory.noisy = False
-        host, port = peer.address
-        endpoint = TCP4ClientEndpoint(self.reactor, host, port, timeout=peer.limits.connect / 1e6)
-        endpoint.connect(factory).addErrback(self.no_socket, shaking)
+        host, port = server.address
+        endpoint = TCP4ClientEndpoint(self.reactor, host, port, timeout=server.limits.connect / 1e6)
+        endpoint.connect(factory).addErrback(self.on_tcp_failed, tls_connection)
 
-    def no_socket(self, failure, shaking):
-        kind = (
+    def on_tcp_failed(self, failure, tls_connection):
+        reason = (
             Failure.REFUSED
             if failure.check(ConnectionRefusedError)
-            else (Failure.TIMED_OUT if failure.check(TimeoutError) else Failure.BROKE_OFF)
+            else (Failure.TIMED_OUT if failure.check(TimeoutError) else Failure.CONNECTION_LOST)
+        )
+        if not tls_connection.failed:
+            tls_connection.failed = True
+            self.on_handshake_failed(tls_connection, reason)
+
+    def on_handshake_completed(self, tls_connection):
+        if tls_connection.offered_session and not tls_connection.resumed:
+            self.sessions.drop_member(tls_connection.server.ident)
+        self.handshakes.pop(tls_connection.handshake_id, None)
+        self.counts["resumed" if tls_connection.resumed else "full"] += 1
+        self.open_connections.add(tls_connection)
+        if tls_connection.scope.trust_generation != self.trust_generation:
+            tls_connection.inner.retire()  # the trusted roots were replaced during the handshake
+        tls_connection.when_connected.callback(tls_connection.inner)
+        self.execute(
+            self.admission.handle(
+                clock(), [HandshakeCompleted(tls_connection.handshake_id, tls_connection.resumed)]
+            )
         )
-        if not shaking.failed:
-            shaking.failed = True
-            self.broken(shaking, kind)
-
-    def shaken(self, shaking):
-        if shaking.offered and not shaking.resumed:
-            self.sessions.forget(shaking.member.ident)
-        self.wanted.pop(shaking.number, None)
-        self.counts["resumed" if shaking.resumed else "full"] += 1
-        self.open.add(shaking)
-        if shaking.under.trust != self.trust:
-            shaking.inner.retire()  # trust was swapped while it shook hands
-        shaking.done.callback(shaking.inner)
-        self.carry(self.admission.handle(clock(), [Shaken(shaking.number, shaking.resumed)]))
-
-    def broken(self, shaking, failure):
-        self.wanted.pop(shaking.number, None)
+
+    def on_handshake_failed(self, tls_connection, failure):
+        self.handshakes.pop(tls_connection.handshake_id, None)
         self.counts[failure.value] += 1
-        self.carry(self.admission.handle(clock(), [Broken(shaking.number, failure)]))
-        shaking.done.errback(HandshakeFailed(failure, f"{shaking.member.name}: {failure.value}"))
+        self.execute(self.admission.handle(clock(), [HandshakeFailed(tls_connection.handshake_id, failure)]))
+        tls_connection.when_connected.errback(
+            HandshakeError(failure, f"{tls_connection.server.name}: {failure.value}")
+        )
 
 
-__all__ = ["HandshakeFailed", "Secured"]
+__all__ = ["HandshakeError", "TlsConnector"]
--- a/limepath/tls/interface.py
+++ b/limepath/tls/interface.py
@@ -1,8 +1,9 @@
-"""The interface of the TLS decisions. Times are whole microseconds: `now` of a monotonic clock, `wall` since
-1970.
+"""Events and commands of `admission`, and the sessions of `sessions`.
 
-A generation is a number that grows each time trust or the client's key is swapped; what was verified under
-another generation is not verified.
+Times are whole microseconds: `now` on a monotonic clock, `wall` since 1970-01-01 UTC.
+
+A generation is a number that grows each time the trusted roots or the client's key are replaced. A
+verification holds only for the generations that it was made under.
 """
 
 from enum import Enum
@@ -10,103 +11,138 @@
 
 
 class Failure(Enum):
-    """How a handshake failed. In all of them nothing of a forward was sent: it is proven not to have run."""
+    """Why a handshake failed. Nothing of a forward was sent in any of these cases, so it was not executed."""
 
     REFUSED = "refused"
     TIMED_OUT = "timed out"
-    BROKE_OFF = "broke off"
+    CONNECTION_LOST = "broke off"
     PROTOCOL = "protocol"
     EXPIRED = "certificate expired"
     NOT_YET_VALID = "certificate not yet valid"
     WRONG_NAME = "wrong name"
     UNKNOWN_ISSUER = "unknown issuer"
     REVOKED = "revoked"
-    STALE_LIST = "revocation list stale"
-    WEAK = "weak key"
-    KEY_REFUSED = "our key refused"
+    STALE_REVOCATION_LIST = "revocation list stale"
+    WEAK_KEY = "weak key"
+    CLIENT_KEY_REFUSED = "our key refused"
+
 
+# Failures that may pass without a change of certificates or keys.
+TRANSIENT_FAILURES = frozenset(
+    (Failure.REFUSED, Failure.TIMED_OUT, Failure.CONNECTION_LOST, Failure.PROTOCOL)
+)
 
-PASSING = frozenset(
-    (Failure.REFUSED, Failure.TIMED_OUT, Failure.BROKE_OFF, Failure.PROTOCOL)
-)  # may mend by itself
 
+class VerificationScope(NamedTuple):
+    """What a server was verified for. A session may be used only for an equal scope.
 
-class Under(NamedTuple):
-    """What a session was verified under: it may be used for no other member, name or generation."""
+    Attributes:
+        member: the server's identifier.
+        name: the name that the server's certificate must carry.
+        trust_generation: the generation of the trusted roots and revocation lists.
+        key_generation: the generation of the client's certificate and key.
+    """
 
     member: int
     name: str
-    trust: int
-    client: int
+    trust_generation: int
+    key_generation: int
 
 
 class Session(NamedTuple):
-    """`ticket` is the library's. `until` ends its own lifetime (monotonic), `wall_until` its certificate
-    chain's; from `wall_since` on the chain is valid. `once`: it may be offered once (TLS 1.3).
+    """A TLS session that can be resumed.
+
+    Attributes:
+        scope: what the server was verified for.
+        protocol: the version of TLS, as OpenSSL names it.
+        ticket: the session object of OpenSSL.
+        expires_at: when the session's own lifetime ends, on the monotonic clock.
+        valid_from: when the server's certificate chain becomes valid, on the wall clock.
+        valid_until: when the server's certificate chain expires, on the wall clock.
+        single_use: whether it may be offered only once, as in TLS 1.3.
     """
 
-    under: Under
+    scope: VerificationScope
     protocol: str
     ticket: Any
-    until: int
-    wall_since: int
-    wall_until: int
-    once: bool
+    expires_at: int
+    valid_from: int
+    valid_until: int
+    single_use: bool
 
 
-# Notes in
+# Events
 
 
-class Want(NamedTuple):
-    """A connection is wanted: its GET should be answered by `objective` and is lost at `until`."""
+class HandshakeRequested(NamedTuple):
+    """A connection is needed.
+
+    Attributes:
+        id: the handshake's identifier.
+        server: the server's identifier.
+        resumable: whether a session can be offered.
+        objective: when the GET that needs the connection should be answered.
+        deadline: when that GET is given up.
+    """
 
     id: int
     server: int
     resumable: bool
     objective: int
-    until: int
+    deadline: int
 
 
-class Shaken(NamedTuple):
-    """The handshake is done."""
+class HandshakeCompleted(NamedTuple):
+    """A handshake succeeded, with or without resumption."""
 
     id: int
     resumed: bool
 
 
-class Broken(NamedTuple):
+class HandshakeFailed(NamedTuple):
+    """A handshake that had started failed."""
+
     id: int
     failure: Failure
 
 
-class Unwanted(NamedTuple):
-    """Nobody waits for this one any more, whether it has begun or not."""
+class HandshakeCancelled(NamedTuple):
+    """A handshake is no longer needed, whether it has started or not."""
 
     id: int
 
 
-class Swapped(NamedTuple):
-    """Trust or keys are new: what was refused for the old is tried again."""
+class KeySetReplaced(NamedTuple):
+    """Trusted roots or keys were replaced: servers that failed with the old ones are tried again."""
+
 
+# Commands
 
-# Orders out
 
+class StartHandshake(NamedTuple):
+    """Start a handshake that was requested."""
 
-class Begin(NamedTuple):
     id: int
 
 
-class Refuse(NamedTuple):
-    """No handshake: it is too late, or the server is left alone. The forward has not run."""
+class RefuseHandshake(NamedTuple):
+    """Don't start a handshake: its deadline passed or its server is in backoff. The forward was not sent."""
 
     id: int
-    why: str
+    reason: str
 
 
-class Told(NamedTuple):
-    """For the log: a server is left alone, or tried again."""
+class LogServerState(NamedTuple):
+    """Log that a server enters or leaves backoff.
+
+    Attributes:
+        server: the server's identifier.
+        message: the text of the log line.
+        failure: the failure that caused the backoff, or None when it ends.
+        backoff: microseconds until the server is tried again, 0 when the backoff ends.
+    """
 
     server: int
-    what: str
+    message: str
     failure: Failure | None
-    span: int
+    backoff: int
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -13,19 +13,19 @@
 
 from limepath.cli import root
 from limepath.configuration.tls_settings import HandshakePace, RetryDelays
-from limepath.tls.admission import HEAD_START, Admission
+from limepath.tls.admission import RESUMPTION_ADVANTAGE_US, Admission
 from limepath.tls.interface import (
-    Begin,
-    Broken,
     Failure,
-    Refuse,
+    HandshakeCancelled,
+    HandshakeCompleted,
+    HandshakeFailed,
+    HandshakeRequested,
+    KeySetReplaced,
+    LogServerState,
+    RefuseHandshake,
     Session,
-    Shaken,
-    Swapped,
-    Told,
-    Under,
-    Unwanted,
-    Want,
+    StartHandshake,
+    VerificationScope,
 )
 from limepath.tls.making import DAY, Made, authority, issue, revoked
 from limepath.tls.material import (
@@ -38,58 +38,58 @@
     shown,
     trusted,
 )
-from limepath.tls.sessions import Sessions
+from limepath.tls.sessions import SessionCache
 from tests.stand_ins import Site
 
 SECOND = 1_000_000
 WALL = 1_796_000_000 * SECOND
-NAME = Under(1, "c1.sur.example.org", 0, 0)
+NAME = VerificationScope(1, "c1.sur.example.org", 0, 0)
 
 
-def session(under=NAME, ticket="t", until=100 * SECOND, since=0, end=10**18, once=False):
-    return Session(under, "TLSv1.3" if once else "TLSv1.2", ticket, until, since, end, once)
+def session(scope=NAME, ticket="t", until=100 * SECOND, since=0, end=10**18, once=False):
+    return Session(scope, "TLSv1.3" if once else "TLSv1.2", ticket, until, since, end, once)
 
 
 def test_a_session_is_offered_only_while_all_holds_that_it_was_verified_under():
-    kept = Sessions(10, 4, 3600 * SECOND)
-    assert kept.keep(0, WALL, session(end=WALL + 50 * SECOND))
-    assert kept.offer(SECOND, WALL, NAME).ticket == "t"
+    cache = SessionCache(10, 4, 3600 * SECOND)
+    assert cache.add(0, WALL, session(end=WALL + 50 * SECOND))
+    assert cache.offer(SECOND, WALL, NAME).ticket == "t"
     for other in (
         NAME._replace(member=2),
         NAME._replace(name="c2"),
-        NAME._replace(trust=1),
-        NAME._replace(client=1),
+        NAME._replace(trust_generation=1),
+        NAME._replace(key_generation=1),
     ):
-        assert kept.offer(SECOND, WALL, other) is None
-    assert kept.resumable(SECOND, WALL, NAME)
+        assert cache.offer(SECOND, WALL, other) is None
+    assert cache.resumable(SECOND, WALL, NAME)
     assert (
-        kept.offer(SECOND, WALL + 50 * SECOND, NAME) is None
+        cache.offer(SECOND, WALL + 50 * SECOND, NAME) is None
     )  # the clock has stepped past its certificate's end
-    assert kept.offer(SECOND, WALL, NAME) is None  # gone with that
-    assert kept.keep(0, WALL, session()) and kept.offer(100 * SECOND, WALL, NAME) is None
-    assert not kept.keep(0, WALL, session(since=WALL + 1))
+    assert cache.offer(SECOND, WALL, NAME) is None  # gone with that
+    assert cache.add(0, WALL, session()) and cache.offer(100 * SECOND, WALL, NAME) is None
+    assert not cache.add(0, WALL, session(since=WALL + 1))
 
 
 def test_a_ticket_of_1_3_is_offered_once_and_a_session_of_1_2_again():
-    kept = Sessions(10, 4, 3600 * SECOND)
-    kept.keep(0, WALL, session(ticket="a", once=True))
-    kept.keep(0, WALL, session(ticket="b", once=True))
-    assert [kept.offer(1, WALL, NAME).ticket for _ in range(2)] == ["b", "a"]
-    assert kept.offer(1, WALL, NAME) is None and kept.count == 0
-    kept.keep(0, WALL, session())
-    assert kept.offer(1, WALL, NAME) == kept.offer(1, WALL, NAME) is not None
+    cache = SessionCache(10, 4, 3600 * SECOND)
+    cache.add(0, WALL, session(ticket="a", once=True))
+    cache.add(0, WALL, session(ticket="b", once=True))
+    assert [cache.offer(1, WALL, NAME).ticket for _ in range(2)] == ["b", "a"]
+    assert cache.offer(1, WALL, NAME) is None and cache.count == 0
+    cache.add(0, WALL, session())
+    assert cache.offer(1, WALL, NAME) == cache.offer(1, WALL, NAME) is not None
 
 
 def test_all_is_dropped_when_trust_or_key_change_and_one_server_s_when_it_falls_back():
-    kept = Sessions(10, 4, 3600 * SECOND)
+    cache = SessionCache(10, 4, 3600 * SECOND)
     other = NAME._replace(member=2)
-    for under in (NAME, other):
-        kept.keep(0, WALL, session(under))
-    kept.forget(1)
-    assert kept.offer(1, WALL, NAME) is None and kept.offer(1, WALL, other)
-    kept.swap(1, 0)
-    assert kept.count == 0 and not kept.keep(0, WALL, session(other))
-    assert kept.keep(0, WALL, session(other._replace(trust=1)))
+    for scope in (NAME, other):
+        cache.add(0, WALL, session(scope))
+    cache.drop_member(1)
+    assert cache.offer(1, WALL, NAME) is None and cache.offer(1, WALL, other)
+    cache.set_generations(1, 0)
+    assert cache.count == 0 and not cache.add(0, WALL, session(other))
+    assert cache.add(0, WALL, session(other._replace(trust_generation=1)))
 
 
 @settings(derandomize=True, deadline=None)
@@ -113,55 +113,62 @@
     )
 )
 def test_no_session_is_ever_offered_that_fails_a_condition_and_the_store_stays_bounded(history):
-    kept, now, wall, used = Sessions(6, 3, 15), 0, 100, set()
+    cache, now, wall, used = SessionCache(6, 3, 15), 0, 100, set()
     for number, (what, *said) in enumerate(history):
         if what == "keep":
             member, trust, until, end, once = said
-            kept.keep(
-                now, wall, session(Under(member, "x", trust, 0), number, now + until, 0, wall + end, once)
+            cache.add(
+                now,
+                wall,
+                session(VerificationScope(member, "x", trust, 0), number, now + until, 0, wall + end, once),
             )
         elif what == "offer":
-            under = Under(said[0], "x", said[1], 0)
-            offered = kept.offer(now, wall, under)
+            scope = VerificationScope(said[0], "x", said[1], 0)
+            offered = cache.offer(now, wall, scope)
             if offered:
-                assert offered.under == under and (under.trust, under.client) == (kept.trust, kept.client)
-                assert now < offered.until and wall < offered.wall_until and offered.ticket not in used
-                if offered.once:
+                assert offered.scope == scope and (scope.trust_generation, scope.key_generation) == (
+                    cache.trust_generation,
+                    cache.key_generation,
+                )
+                assert now < offered.expires_at and wall < offered.valid_until and offered.ticket not in used
+                if offered.single_use:
                     used.add(offered.ticket)
         elif what == "swap":
-            kept.swap(*said)
+            cache.set_generations(*said)
         elif what == "forget":
-            kept.forget(*said)
+            cache.drop_member(*said)
         else:
             now, wall = now + said[0], wall + said[1]
-        assert kept.count == sum(map(len, kept.kept.values())) <= 6 and all(kept.kept.values())
+        assert cache.count == sum(map(len, cache.by_scope.values())) <= 6 and all(cache.by_scope.values())
         for member in range(4):
-            assert sum(len(line) for under, line in kept.kept.items() if under.member == member) <= 3
+            assert sum(len(line) for scope, line in cache.by_scope.items() if scope.member == member) <= 3
 
 
 # The budget
 
 
 def want(ident, server=1, resumable=False, objective=SECOND, until=5 * SECOND):
-    return Want(ident, server, resumable, objective, until)
+    return HandshakeRequested(ident, server, resumable, objective, until)
 
 
 def begun(orders):
-    return [order.id for order in orders if isinstance(order, Begin)]
+    return [order.id for order in orders if isinstance(order, StartHandshake)]
 
 
 def test_500_wanted_at_once_begin_at_the_pace_and_the_rest_is_refused_in_time():
     pace = HandshakePace(rate=20.0, burst=10, at_once=4)
-    doors, now, started, refused = Admission(1, pace), 0, [], []
-    orders = doors.handle(0, [want(ident, until=2 * SECOND) for ident in range(500)])
+    admission, now, started, refused = Admission(1, pace), 0, [], []
+    orders = admission.handle(0, [want(ident, until=2 * SECOND) for ident in range(500)])
     while now < 3 * SECOND:
         for order in orders:
-            if isinstance(order, Begin):
+            if isinstance(order, StartHandshake):
                 started.append((now, order.id))
             else:
                 refused.append((now, order.id))
         now += 10_000
-        orders = doors.handle(now, [Shaken(ident, False) for at, ident in started if at == now - 10_000])
+        orders = admission.handle(
+            now, [HandshakeCompleted(ident, False) for at, ident in started if at == now - 10_000]
+        )
     assert 45 <= len(started) <= 10 + 20 * 2 + 1 and len(started) + len(refused) == 500
     assert all(at <= 2 * SECOND + 10_000 for at, _ in refused)
     assert max(sum(at <= first < at + SECOND for first, _ in started) for at, _ in started) <= 10 + 20 + 1
@@ -169,92 +176,97 @@
 
 def test_the_nearest_objective_goes_first_and_who_can_resume_has_a_head_start_only():
     pace = HandshakePace(rate=1.0, burst=1, at_once=1)
-    doors = Admission(1, pace)
-    doors.handle(0, [want(0, objective=0)])
-    later = doors.handle(
+    admission = Admission(1, pace)
+    admission.handle(0, [want(0, objective=0)])
+    later = admission.handle(
         1,
         [
-            Shaken(0, False),
+            HandshakeCompleted(0, False),
             want(1, objective=900_000),
             want(2, objective=800_000),
             want(3, resumable=True, objective=850_000),
-            want(4, resumable=True, objective=800_001 + HEAD_START),
+            want(4, resumable=True, objective=800_001 + RESUMPTION_ADVANTAGE_US),
         ],
     )
     order = begun(later)
     now = 1
     while now < 8 * SECOND:
         now += SECOND // 2
-        order += begun(doors.handle(now, [Shaken(ident, False) for ident in list(doors.under_way)]))
+        order += begun(
+            admission.handle(now, [HandshakeCompleted(ident, False) for ident in list(admission.in_progress)])
+        )
     assert order == [3, 2, 4, 1]
 
 
 def test_a_resumed_handshake_gives_back_what_it_did_not_cost():
     pace = HandshakePace(rate=1.0, burst=4, at_once=100, resumed_share=0.25)
     full, light = Admission(1, pace), Admission(1, pace)
-    notes = [want(ident) for ident in range(20)]
-    assert len(begun(full.handle(0, notes))) == len(begun(light.handle(0, notes))) == 4
-    assert begun(full.handle(1, [Shaken(ident, False) for ident in range(4)])) == []
-    assert len(begun(light.handle(1, [Shaken(ident, True) for ident in range(4)]))) == 3
+    events = [want(ident) for ident in range(20)]
+    assert len(begun(full.handle(0, events))) == len(begun(light.handle(0, events))) == 4
+    assert begun(full.handle(1, [HandshakeCompleted(ident, False) for ident in range(4)])) == []
+    assert len(begun(light.handle(1, [HandshakeCompleted(ident, True) for ident in range(4)]))) == 3
 
 
 def test_a_server_is_left_alone_longer_each_time_and_returns_slowly():
-    doors, now, spans = Admission(1, HandshakePace(rate=1000.0, burst=1000, at_once=8)), 0, []
+    admission, now, spans = Admission(1, HandshakePace(rate=1000.0, burst=1000, at_once=8)), 0, []
     for turn in range(5):
         ident = 100 * turn
-        orders = doors.handle(now, [want(ident + n, until=now + 100 * SECOND) for n in range(8)])
+        orders = admission.handle(now, [want(ident + n, until=now + 100 * SECOND) for n in range(8)])
         assert len(begun(orders)) == (8 if turn == 0 else 1)
         told = [
             o
-            for o in doors.handle(
-                now, [Broken(o.id, Failure.EXPIRED) for o in orders if isinstance(o, Begin)]
+            for o in admission.handle(
+                now, [HandshakeFailed(o.id, Failure.EXPIRED) for o in orders if isinstance(o, StartHandshake)]
             )
-            if isinstance(o, Told)
+            if isinstance(o, LogServerState)
         ]
         assert len(told) == 1 and told[0].failure == Failure.EXPIRED
-        spans.append(told[0].span)
-        now += told[0].span - 1
-        assert begun(doors.handle(now, [])) == []
+        spans.append(told[0].backoff)
+        now += told[0].backoff - 1
+        assert begun(admission.handle(now, [])) == []
         for n in range(8):
-            doors.handle(now, [Unwanted(ident + n)])
+            admission.handle(now, [HandshakeCancelled(ident + n)])
         now += 1
     assert all(b > a * 1.1 for a, b in pairwise(spans[:4])) and max(spans) <= 60 * SECOND * 1.25
-    orders = doors.handle(now, [want(1000 + n, until=now + 100 * SECOND) for n in range(30)])
+    orders = admission.handle(now, [want(1000 + n, until=now + 100 * SECOND) for n in range(30)])
     grown = []
     for _ in range(4):
         grown.append(len(begun(orders)))
-        orders = doors.handle(now, [Shaken(o.id, False) for o in orders if isinstance(o, Begin)])
+        orders = admission.handle(
+            now, [HandshakeCompleted(o.id, False) for o in orders if isinstance(o, StartHandshake)]
+        )
     assert grown == [1, 2, 4, 8]
 
 
 def test_what_may_pass_is_tried_sooner_and_a_swap_tries_all_again():
-    doors = Admission(1)
+    admission = Admission(1)
     (soon,) = [
         o
-        for o in doors.handle(0, [want(1)]) + doors.handle(0, [Broken(1, Failure.TIMED_OUT)])
-        if isinstance(o, Told)
+        for o in admission.handle(0, [want(1)]) + admission.handle(0, [HandshakeFailed(1, Failure.TIMED_OUT)])
+        if isinstance(o, LogServerState)
     ]
-    assert soon.span <= RetryDelays().passing * 1.25
+    assert soon.backoff <= RetryDelays().passing * 1.25
     (late,) = [
         o
-        for o in doors.handle(0, [want(2, 9)]) + doors.handle(0, [Broken(2, Failure.WRONG_NAME)])
-        if isinstance(o, Told)
+        for o in admission.handle(0, [want(2, 9)])
+        + admission.handle(0, [HandshakeFailed(2, Failure.WRONG_NAME)])
+        if isinstance(o, LogServerState)
     ]
-    assert late.span > 10 * soon.span
-    (refused,) = doors.handle(1, [want(3, 9, until=SECOND)])
-    assert refused == Refuse(3, "left alone")
-    doors.handle(2, [Swapped()])
-    assert begun(doors.handle(3, [want(4, 9)])) == [4]
+    assert late.backoff > 10 * soon.backoff
+    (refused,) = admission.handle(1, [want(3, 9, until=SECOND)])
+    assert refused == RefuseHandshake(3, "server in backoff")
+    admission.handle(2, [KeySetReplaced()])
+    assert begun(admission.handle(3, [want(4, 9)])) == [4]
 
 
 def test_no_handshake_begins_for_a_request_whose_time_ended_while_the_process_stood_still():
-    doors = Admission(0)
-    doors.handle(0, [want(1)])
-    doors.handle(0, [Broken(1, Failure.REFUSED)])
-    (pause_ends,) = [doors.next()]
-    doors.handle(0, [want(2, until=pause_ends + 10_000)])
-    orders = doors.handle(pause_ends + SECOND, [])
-    assert begun(orders) == [] and Refuse(2, "too late") in orders
+    admission = Admission(0)
+    admission.handle(0, [want(1)])
+    admission.handle(0, [HandshakeFailed(1, Failure.REFUSED)])
+    (pause_ends,) = [admission.next()]
+    admission.handle(0, [want(2, until=pause_ends + 10_000)])
+    orders = admission.handle(pause_ends + SECOND, [])
+    assert begun(orders) == [] and RefuseHandshake(2, "deadline passed") in orders
 
 
 @settings(derandomize=True, deadline=None, max_examples=150)
@@ -271,21 +283,23 @@
 )
 def test_the_budget_is_never_overdrawn_and_nobody_waits_for_ever(seed, history):
     pace = HandshakePace(rate=5.0, burst=3, at_once=2, all_rate=8.0, all_burst=4, all_at_once=3)
-    doors, now, ident, out, ended, full, gave_back = Admission(seed, pace), 0, 0, {}, {}, [], 0.0
+    admission, now, ident, out, ended, full, gave_back = Admission(seed, pace), 0, 0, {}, {}, [], 0.0
     waiting = {}
 
-    def hear(*notes):
-        for order in doors.handle(now, notes):
-            if isinstance(order, Begin):
+    def hear(*events):
+        for order in admission.handle(now, events):
+            if isinstance(order, StartHandshake):
                 assert waiting.pop(order.id) > now and order.id not in ended
                 out[order.id] = now
                 full.append(now)
-            elif isinstance(order, Refuse):
+            elif isinstance(order, RefuseHandshake):
                 waiting.pop(order.id)
-                ended[order.id] = order.why
+                ended[order.id] = order.reason
         assert all(until > now for until in waiting.values())
-        assert len(doors.under_way) <= pace.all_at_once
-        assert all(len(server.under_way) <= server.limit <= pace.at_once for server in doors.servers.values())
+        assert len(admission.in_progress) <= pace.all_at_once
+        assert all(
+            len(server.in_progress) <= server.limit <= pace.at_once for server in admission.servers.values()
+        )
         assert len(full) - gave_back <= pace.all_burst + pace.all_rate * now / SECOND + 1e-6
 
     for what, server, span in history:
@@ -295,25 +309,29 @@
             hear(want(ident, server, span % 2 == 0, now + span * 1000, now + span * 10_000))
         elif what == "wait":
             end = now + span * 3000
-            while (due := doors.next()) is not None and due <= end:
+            while (due := admission.next()) is not None and due <= end:
                 now = max(now, due)
                 hear()
             now = end
         elif what == "swapped":
-            hear(Swapped())
+            hear(KeySetReplaced())
         elif what == "unwanted" and waiting:
             gone = min(waiting)
             del waiting[gone]
-            hear(Unwanted(gone))
+            hear(HandshakeCancelled(gone))
         elif out and what in ("shaken", "resumed", "broken"):
             one = min(out)
             del out[one]
             ended[one] = what
             gave_back += (1 - pace.resumed_share) * (what == "resumed")
-            hear(Broken(one, Failure.REFUSED) if what == "broken" else Shaken(one, what == "resumed"))
+            hear(
+                HandshakeFailed(one, Failure.REFUSED)
+                if what == "broken"
+                else HandshakeCompleted(one, what == "resumed")
+            )
     now += 7 * SECOND
     hear()
-    assert not waiting and not doors.wants
+    assert not waiting and not admission.waiting
 
 
 # What fits together
@@ -612,7 +630,7 @@
         out = site.cache.next()
         paths[1].write_bytes(pair.key[:80])
         site.process.send_signal(signal.SIGHUP)
-        assert "the old set stays" in site.heard("event=tls-keys")
+        assert "the previous key set stays in use" in site.heard("event=tls-keys")
         put(issue(clients, ["front-1"], servers.now))
         for _ in range(10):
             site.process.send_signal(signal.SIGHUP)
