--- a/limepath/cli/keys.py
+++ b/limepath/cli/keys.py
@@ -12,9 +12,9 @@
 from limepath.cli.output import STATUS_FAILED, fail
 from limepath.configuration import ini, tls_file
 from limepath.tls import making
-from limepath.tls.files import Trusted, key_set, read, write
+from limepath.tls.files import LoadedTrust, load_key_set, read_file, write_file
 from limepath.tls.making import Made
-from limepath.tls.material import BadMaterial, Chain, certificates, shown
+from limepath.tls.material import Chain, KeyMaterialError, certificate_info, load_certificates
 
 kind_option = click.option(
     "--kind", type=click.Choice(making.KINDS), default="ec", show_default=True, help="Of the key."
@@ -45,8 +45,8 @@
         if os.path.exists(path) and not overwrite:
             fail_keys(f"{path}: is there already; --overwrite replaces it")
     os.makedirs(folder, exist_ok=True)
-    write(paths[1], made.key, secret=True)
-    write(paths[0], made.certificate)
+    write_file(paths[1], made.key, secret=True)
+    write_file(paths[0], made.certificate)
     for path in paths:
         click.echo(path)
 
@@ -75,10 +75,10 @@
     """Issue a certificate for NAMES (DNS names or addresses), signed by the CA in FOLDER."""
     try:
         authority = Made(
-            read(os.path.join(folder, CA), "ca"), read(os.path.join(folder, CA_KEY), "ca key", True)
+            read_file(os.path.join(folder, CA), "ca"), read_file(os.path.join(folder, CA_KEY), "ca key", True)
         )
         made = making.issue(authority, names, unix_clock(), days, kind)
-    except (BadMaterial, ValueError) as error:
+    except (KeyMaterialError, ValueError) as error:
         fail_keys(error)
     write_pair(folder, (stem or names[0]).replace("/", "_").replace("*", "_"), made, overwrite)
 
@@ -89,8 +89,11 @@
 def inspect(file: str, as_json: bool) -> None:
     """Show the certificates in FILE."""
     try:
-        found = [shown(each, unix_clock())._asdict() for each in certificates(read(file, "certificate"))]
-    except BadMaterial as error:
+        found = [
+            certificate_info(each, unix_clock())._asdict()
+            for each in load_certificates(read_file(file, "certificate"))
+        ]
+    except KeyMaterialError as error:
         fail_keys(error)
     if as_json:
         click.echo(json.dumps(found, indent=1))
@@ -120,10 +123,10 @@
     now = unix_clock()
     try:
         settings = tls_file.read(file)
-        found = key_set(settings, now)
+        found = load_key_set(settings, now)
     except ini.SettingError as error:
         fail_keys(error)
-    except BadMaterial as error:
+    except KeyMaterialError as error:
         fail_keys(f"{file}: {error}")
     rows = chain_rows(cast("Chain | None", found.chain), now) + [
         row for trust in found.trusts for row in trust_rows(trust, now)
@@ -145,13 +148,19 @@
     """Return a row for the front's own certificate and for each that it hangs on; none without a key."""
     if not chain:
         return []
-    own = {"what": "[client] certificate"} | shown(chain.leaf, now)._asdict()
-    return [own, *({"what": "  hangs on"} | shown(issuer, now)._asdict() for issuer in chain.above)]
+    own = {"what": "[client] certificate"} | certificate_info(chain.leaf, now)._asdict()
+    return [
+        own,
+        *({"what": "  hangs on"} | certificate_info(issuer, now)._asdict() for issuer in chain.issuers),
+    ]
 
 
-def trust_rows(trust: Trusted, now: int) -> list[dict[str, Any]]:
+def trust_rows(trust: LoadedTrust, now: int) -> list[dict[str, Any]]:
     """Return a row for each root and each revocation list of a trust section."""
-    rows = [{"what": f"[trust {trust.title}] root"} | shown(root, now)._asdict() for root in trust.roots]
+    rows = [
+        {"what": f"[trust {trust.title}] root"} | certificate_info(root, now)._asdict()
+        for root in trust.roots
+    ]
     for revoked in trust.lists:
         rows.append(
             {
--- a/limepath/tls/files.py
+++ b/limepath/tls/files.py
@@ -1,15 +1,20 @@
-"""Key files on the disk: read as a set, written for their owner alone. What fits together is decided in
-`material`.
-"""
+"""Reads the files of a key set, which `material` checks, and writes certificate and key files."""
 
 import os
 from typing import NamedTuple
 
-from limepath.tls.material import BadMaterial, checked_lists, hangs_together, trusted
+from limepath.tls.material import KeyMaterialError, load_chain, load_revocation_lists, load_roots
 
 
-class Trusted(NamedTuple):
-    """One trust entry as read: `stale` where a revocation list is past its next update."""
+class LoadedTrust(NamedTuple):
+    """The files of one trust section.
+
+    Attributes:
+        title: the section's name.
+        roots: the trusted certificates.
+        lists: the revocation lists.
+        stale: whether a revocation list is past its next update.
+    """
 
     title: str
     roots: tuple
@@ -18,7 +23,14 @@
 
 
 class KeySet(NamedTuple):
-    """All that one swap puts in force: taken as a whole or not at all. `chain` None: no key of our own."""
+    """The certificates, keys and roots that are put in force together.
+
+    Attributes:
+        chain: the Chain of the front's own certificate, or None without one.
+        certificate: the PEM file of the front's own certificate, or None.
+        key: the PEM file of its key, or None.
+        trusts: a LoadedTrust for each trust section.
+    """
 
     chain: object
     certificate: bytes
@@ -26,52 +38,60 @@
     trusts: tuple
 
 
-def read(path, what, secret=False):
+def read_file(path, what, secret=False):
+    """Return the bytes of a file; if it is `secret`, only its owner may have access."""
     try:
         with open(path, "rb") as file:
             if secret and os.fstat(file.fileno()).st_mode & 0o077:
-                raise BadMaterial(f"{what}: {path}: open to others; its mode should be 600")
+                raise KeyMaterialError(
+                    f"{what}: {path}: others than the owner have access; set its mode to 600"
+                )
             return file.read(4_000_000)
     except OSError as error:
-        raise BadMaterial(f"{what}: {path}: {error.strerror}") from None
+        raise KeyMaterialError(f"{what}: {path}: {error.strerror}") from None
+
 
+def load_key_set(settings, wall):
+    """Return the KeySet that TlsSettings name, valid at `wall` (Unix microseconds).
 
-def key_set(opening, wall):
-    """The KeySet of a TlsOpening at this moment (Unix microseconds); BadMaterial names the part that won't
-    do.
+    Raises KeyMaterialError with the section and the reason if a part cannot be used.
     """
     chain = certificate = key = None
-    if opening.certificate:
+    if settings.certificate:
         certificate, key = (
-            read(opening.certificate, "[client] certificate"),
-            read(opening.key, "[client] key", True),
+            read_file(settings.certificate, "[client] certificate"),
+            read_file(settings.key, "[client] key", True),
         )
         try:
-            chain = hangs_together(certificate, key, wall=wall)
-        except BadMaterial as error:
-            raise BadMaterial(f"[client] {error}") from None
-    return KeySet(chain, certificate, key, tuple(trusted_of(trust, wall) for trust in opening.trusts))
+            chain = load_chain(certificate, key, wall=wall)
+        except KeyMaterialError as error:
+            raise KeyMaterialError(f"[client] {error}") from None
+    return KeySet(chain, certificate, key, tuple(load_trust(trust, wall) for trust in settings.trusts))
 
 
-def trusted_of(trust, wall):
+def load_trust(trust, wall):
     section = f"[trust {trust.title}]"
-    pem = read(trust.roots, f"{section} roots")
-    lists_pem = read(trust.lists, f"{section} lists") if trust.lists else None
+    pem = read_file(trust.roots, f"{section} roots")
+    lists_pem = read_file(trust.lists, f"{section} lists") if trust.lists else None
     try:
-        roots = trusted(pem, wall)
-        lists, stale = checked_lists(lists_pem, roots, wall) if lists_pem is not None else ((), False)
-    except BadMaterial as error:
-        raise BadMaterial(f"{section} {error}") from None
+        roots = load_roots(pem, wall)
+        lists, stale = load_revocation_lists(lists_pem, roots, wall) if lists_pem is not None else ((), False)
+    except KeyMaterialError as error:
+        raise KeyMaterialError(f"{section} {error}") from None
     if stale and trust.refuse_stale:
-        raise BadMaterial(f"{section} lists: past the next update; renew them, or set stale-lists = warn")
-    return Trusted(trust.title, roots, lists, stale)
+        raise KeyMaterialError(
+            f"{section} lists: past their next update; renew them, or set stale-lists = warn"
+        )
+    return LoadedTrust(trust.title, roots, lists, stale)
 
 
-def write(path, data, secret=False):
-    """Write a whole file in one step: who reads sees the old one or the new one."""
-    part = f"{path}.new-{os.getpid()}"
-    with open(os.open(part, os.O_WRONLY | os.O_CREAT | os.O_EXCL, 0o600 if secret else 0o644), "wb") as file:
+def write_file(path, data, secret=False):
+    """Replace a file atomically; if it is `secret`, only its owner has access."""
+    temporary = f"{path}.new-{os.getpid()}"
+    with open(
+        os.open(temporary, os.O_WRONLY | os.O_CREAT | os.O_EXCL, 0o600 if secret else 0o644), "wb"
+    ) as file:
         file.write(data)
         file.flush()
         os.fsync(file.fileno())
-    os.replace(part, path)
+    os.replace(temporary, path)
--- a/limepath/tls/host.py
+++ b/limepath/tls/host.py
@@ -21,7 +21,7 @@
 from zope.interface import implementer
 
 from limepath.tls.admission import Admission
-from limepath.tls.files import key_set
+from limepath.tls.files import load_key_set
 from limepath.tls.interface import (
     Failure,
     HandshakeCompleted,
@@ -34,7 +34,7 @@
     StartHandshake,
     VerificationScope,
 )
-from limepath.tls.material import BadMaterial, announced, is_revoked, unix
+from limepath.tls.material import KeyMaterialError, expiry_notice, is_revoked, unix_microseconds
 from limepath.tls.sessions import SessionCache
 
 VERSION_BY_NAME = {"1.2": SSL.TLS1_2_VERSION, "1.3": SSL.TLS1_3_VERSION}
@@ -188,8 +188,8 @@
                 one.to_cryptography()
                 for one in connection.get_verified_chain() or [connection.get_peer_certificate()]
             ]
-            valid_from = max(unix(one.not_valid_before_utc) for one in chain)
-            valid_until = min(unix(one.not_valid_after_utc) for one in chain)
+            valid_from = max(unix_microseconds(one.not_valid_before_utc) for one in chain)
+            valid_until = min(unix_microseconds(one.not_valid_after_utc) for one in chain)
         now = clock()
         self.connector.sessions.add(
             now,
@@ -274,7 +274,7 @@
             {},
         )
         self.counts = {"full": 0, "resumed": 0, "swaps": 0} | {failure.value: 0 for failure in Failure}
-        self.keys = key_set(settings, unix_clock())
+        self.keys = load_key_set(settings, unix_clock())
         self.build_contexts()
         for trust in settings.trusts:
             if not trust.verify:
@@ -310,7 +310,7 @@
         context.set_verify(SSL.VERIFY_PEER, verify)
         if self.keys.chain:
             context.use_certificate(crypto.X509.from_cryptography(self.keys.chain.leaf))
-            for one in self.keys.chain.above:
+            for one in self.keys.chain.issuers:
                 context.add_extra_chain_cert(crypto.X509.from_cryptography(one))
             context.use_privatekey(crypto.load_privatekey(crypto.FILETYPE_PEM, self.keys.key))
         return context
@@ -321,8 +321,8 @@
         Returns whether another set is in force.
         """
         try:
-            keys = key_set(self.settings, unix_clock())
-        except BadMaterial as error:
+            keys = load_key_set(self.settings, unix_clock())
+        except KeyMaterialError as error:
             self.log.info("tls-keys", f"{error}; the previous key set stays in use")
             return False
         trust = [
@@ -355,17 +355,18 @@
         return True
 
     def announce(self):
-        """Log certificates that expire soon, at the notice times that `announced` defines."""
+        """Log certificates that expire soon, at the notice times that `expiry_notice` defines."""
         wall, expiries = unix_clock(), {}
         if self.keys.chain:
-            expiries["our certificate"] = self.keys.chain.until
+            expiries["our certificate"] = self.keys.chain.valid_until
         for loaded in self.keys.trusts:
             for root in loaded.roots:
                 expiries[f"root of {loaded.title}"] = min(
-                    unix(root.not_valid_after_utc), expiries.get(f"root of {loaded.title}", 10**18)
+                    unix_microseconds(root.not_valid_after_utc),
+                    expiries.get(f"root of {loaded.title}", 10**18),
                 )
         for what, until in expiries.items():
-            if notice := announced(until, wall, self.announced.get(what)):
+            if notice := expiry_notice(until, wall, self.announced.get(what)):
                 self.announced[what] = notice
                 self.log.info("tls-ends", what=what, left=notice)
 
--- a/limepath/tls/making.py
+++ b/limepath/tls/making.py
@@ -12,7 +12,14 @@
 from cryptography.hazmat.primitives.asymmetric import ec, rsa
 from cryptography.x509.oid import ExtendedKeyUsageOID, NameOID
 
-from limepath.tls.material import BadMaterial, certificates, is_ca, moment, private_key, same_key
+from limepath.tls.material import (
+    KeyMaterialError,
+    is_ca,
+    load_certificates,
+    load_private_key,
+    same_key,
+    utc_datetime,
+)
 
 KINDS = ("ec", "rsa")
 DAY = 86_400_000_000
@@ -46,8 +53,8 @@
         .issuer_name(issuer)
         .public_key(public)
         .serial_number(x509.random_serial_number())
-        .not_valid_before(moment(since))
-        .not_valid_after(moment(until))
+        .not_valid_before(utc_datetime(since))
+        .not_valid_after(utc_datetime(until))
     )
     made = made.add_extension(x509.SubjectKeyIdentifier.from_public_key(public), critical=False)
     made = made.add_extension(
@@ -67,7 +74,7 @@
     key = new_key(kind)
     signer, issuer = key, name(title)
     if above:
-        signer, (parent, *_) = private_key(above.key), certificates(above.certificate)
+        signer, (parent, *_) = load_private_key(above.key), load_certificates(above.certificate)
         issuer = parent.subject
     certificate = built(
         name(title),
@@ -85,12 +92,12 @@
     """A certificate for these names (DNS or addresses), signed by `above`; the chain below the root comes
     with it.
     """
-    chain = certificates(above.certificate)
-    signer = private_key(above.key)
+    chain = load_certificates(above.certificate)
+    signer = load_private_key(above.key)
     if not is_ca(chain[0]) or not same_key(chain[0].public_key(), signer.public_key()):
-        raise BadMaterial("issuer: no CA with its own key")
+        raise KeyMaterialError("issuer: no CA with its own key")
     if not names:
-        raise BadMaterial("names: none")
+        raise KeyMaterialError("names: none")
     key = key or new_key(kind, bits)
     alternatives = []
     for one in names:
@@ -121,15 +128,15 @@
 
 def revoked(above, serials, wall, hours=24.0):
     """A revocation list of `above`, as PEM."""
-    (issuer, *_), signer = certificates(above.certificate), private_key(above.key)
+    (issuer, *_), signer = load_certificates(above.certificate), load_private_key(above.key)
     made = (
         x509.CertificateRevocationListBuilder()
         .issuer_name(issuer.subject)
-        .last_update(moment(min(wall, wall + int(hours * 3600e6)) - 3_600_000_000))
-        .next_update(moment(wall + int(hours * 3600e6)))
+        .last_update(utc_datetime(min(wall, wall + int(hours * 3600e6)) - 3_600_000_000))
+        .next_update(utc_datetime(wall + int(hours * 3600e6)))
     )
     for serial in serials:
         made = made.add_revoked_certificate(
-            x509.RevokedCertificateBuilder().serial_number(serial).revocation_date(moment(wall)).build()
+            x509.RevokedCertificateBuilder().serial_number(serial).revocation_date(utc_datetime(wall)).build()
         )
     return made.sign(signer, hashes.SHA256()).public_bytes(serialization.Encoding.PEM)
--- a/limepath/tls/material.py
+++ b/limepath/tls/material.py
@@ -1,8 +1,7 @@
-"""Whether certificates, keys and trust fit together: bytes in, a checked set out, or the reason why not. Free
-of I/O.
+"""Parses certificates, keys, roots and revocation lists, and checks that they fit together. Does no I/O.
 
-X.509 is read by the library `cryptography`; names are matched by `service_identity` where a handshake runs
-(RFC 6125, 9525).
+The library `cryptography` parses X.509. `host` matches the name of a server with `service_identity`
+(RFC 6125, RFC 9525), because the name is known only in a handshake.
 """
 
 from datetime import UTC, datetime
@@ -14,32 +13,33 @@
 from cryptography.hazmat.primitives import hashes, serialization
 from cryptography.hazmat.primitives.asymmetric import ec, ed25519, rsa
 
-LEAST_RSA, LEAST_CURVE, LONGEST_CHAIN = 2048, 224, 8  # bits, bits, certificates
-ANNOUNCED = (
-    30,
-    14,
-    7,
-    3,
-    2,
-    1,
-)  # days before its end that a certificate is announced, then each hour of the last day
+MIN_RSA_BITS, MIN_CURVE_BITS, MAX_CHAIN_ISSUERS = 2048, 224, 8
+# Days before its expiry when a notice is logged; in the last day there is one every hour.
+EXPIRY_NOTICE_DAYS = (30, 14, 7, 3, 2, 1)
 
 
-class BadMaterial(ValueError):
-    """Its text says which part and why; no path."""
+class KeyMaterialError(ValueError):
+    """A certificate, key or list cannot be used. The text names the part and the reason, without a path."""
 
 
 class Chain(NamedTuple):
-    """A certificate with what it hangs on, up to a trusted root or not; times are Unix microseconds."""
+    """A certificate and its issuers, with or without the root.
+
+    Attributes:
+        leaf: the certificate itself.
+        issuers: each the issuer of the one before it.
+        valid_from: when the last of them becomes valid, in Unix microseconds.
+        valid_until: when the first of them expires, in Unix microseconds.
+    """
 
     leaf: x509.Certificate
-    above: tuple
-    since: int
-    until: int
+    issuers: tuple
+    valid_from: int
+    valid_until: int
 
 
-class Found(NamedTuple):
-    """One certificate as `limepath keys inspect` shows it."""
+class CertificateInfo(NamedTuple):
+    """A certificate as `limepath keys inspect` shows it. The field names are keys of its JSON output."""
 
     subject: str
     issuer: str
@@ -53,65 +53,66 @@
     fingerprint: str
 
 
-def unix(moment):
-    return int(moment.timestamp() * 1_000_000)
+def unix_microseconds(time):
+    return int(time.timestamp() * 1_000_000)
 
 
-def certificates(pem, what="certificate"):
+def load_certificates(pem, what="certificate"):
+    """Return the certificates of a PEM file; `what` names the file's part in errors."""
     try:
-        found = x509.load_pem_x509_certificates(pem)
+        loaded = x509.load_pem_x509_certificates(pem)
     except ValueError:
-        raise BadMaterial(f"{what}: no certificate that can be read") from None
-    if len(found) > 1 and len({one.fingerprint(hashes.SHA256()) for one in found}) < len(found):
-        raise BadMaterial(f"{what}: the same certificate stands twice")
-    return tuple(found)
+        raise KeyMaterialError(f"{what}: no certificate in PEM format found") from None
+    if len(loaded) > 1 and len({one.fingerprint(hashes.SHA256()) for one in loaded}) < len(loaded):
+        raise KeyMaterialError(f"{what}: contains the same certificate twice")
+    return tuple(loaded)
 
 
-def private_key(pem, password=None):
+def load_private_key(pem, password=None):
     try:
         return serialization.load_pem_private_key(pem, password)
     except TypeError:
-        raise BadMaterial("key: it is encrypted; a front can't ask for a password") from None
+        raise KeyMaterialError("key: encrypted with a password; expected a key without one") from None
     except (ValueError, UnsupportedAlgorithm):
-        raise BadMaterial("key: no private key that can be read") from None
+        raise KeyMaterialError("key: no private key in a supported PEM format found") from None
 
 
-def revocations(pem):
-    """{(issuer's name, serial): the list's next update}, and when each list ends, of PEM lists one after
-    another.
-    """
+def parse_revocation_lists(pem):
+    """Return the revocation lists of a PEM file that contains one or more."""
     lists = []
-    mark = b"-----END X509 CRL-----"
-    for part in pem.split(mark)[:-1]:
+    end_line = b"-----END X509 CRL-----"
+    for part in pem.split(end_line)[:-1]:
         try:
-            lists.append(x509.load_pem_x509_crl(part + mark + b"\n"))
+            lists.append(x509.load_pem_x509_crl(part + end_line + b"\n"))
         except ValueError:
-            raise BadMaterial("revocation list: can't be read") from None
+            raise KeyMaterialError("revocation list: not a revocation list in PEM format") from None
     if not lists:
-        raise BadMaterial("revocation list: none that can be read")
+        raise KeyMaterialError("revocation list: none in PEM format found")
     return tuple(lists)
 
 
-def strength(key):
-    """In words; BadMaterial where it is too weak."""
+def describe_key(key):
+    """Return the type and size of a public key; raise KeyMaterialError if it is weak or not supported."""
     if isinstance(key, rsa.RSAPublicKey):
-        if key.key_size < LEAST_RSA:
-            raise BadMaterial(f"weak key: RSA of {key.key_size} bits")
+        if key.key_size < MIN_RSA_BITS:
+            raise KeyMaterialError(f"weak key: RSA of {key.key_size} bits, expected at least {MIN_RSA_BITS}")
         return f"RSA {key.key_size}"
     if isinstance(key, ec.EllipticCurvePublicKey):
-        if key.curve.key_size < LEAST_CURVE:
-            raise BadMaterial(f"weak key: {key.curve.name}")
+        if key.curve.key_size < MIN_CURVE_BITS:
+            raise KeyMaterialError(
+                f"weak key: {key.curve.name} of {key.curve.key_size} bits, expected at least {MIN_CURVE_BITS}"
+            )
         return f"EC {key.curve.name}"
     if isinstance(key, ed25519.Ed25519PublicKey):
         return "Ed25519"
-    raise BadMaterial("key: of a kind that is not taken")
+    raise KeyMaterialError("key: type not supported; expected RSA, EC or Ed25519")
 
 
 def same_key(one, other):
-    def raw(key):
+    def encoded(key):
         return key.public_bytes(serialization.Encoding.DER, serialization.PublicFormat.SubjectPublicKeyInfo)
 
-    return raw(one) == raw(other)
+    return encoded(one) == encoded(other)
 
 
 def is_ca(certificate):
@@ -121,82 +122,92 @@
         return False
 
 
-def issued(above, below):
-    """Whether `above` has signed `below` and may."""
-    if below.issuer != above.subject or not is_ca(above):
+def is_issuer(issuer, certificate):
+    """Whether `issuer` is a CA and has signed `certificate`."""
+    if certificate.issuer != issuer.subject or not is_ca(issuer):
         return False
     try:
-        below.verify_directly_issued_by(above)
+        certificate.verify_directly_issued_by(issuer)
     except (InvalidSignature, ValueError, TypeError):
         return False
     return True
 
 
-def hangs_together(certificate_pem, key_pem, roots=(), wall=None):
-    """The Chain of a certificate file with its key: they fit, each hangs on the next, none is over at `wall`.
+def load_chain(certificate_pem, key_pem, roots=(), wall=None):
+    """Return the Chain of a certificate file, after checking it and its key.
 
-    With `roots` (certificates) the last must hang on one of them or be one.
+    The key must belong to the first certificate, and each further one must be the issuer of the one before
+    it. All must be valid at `wall` (Unix microseconds) unless that is None. If `roots` (certificates) are
+    given, the last must be one of them or be issued by one.
     """
-    leaf, *above = certificates(certificate_pem)
-    key = private_key(key_pem)
+    leaf, *issuers = load_certificates(certificate_pem)
+    key = load_private_key(key_pem)
     if not same_key(leaf.public_key(), key.public_key()):
-        raise BadMaterial("key: it does not fit the certificate")
-    if len(above) > LONGEST_CHAIN:
-        raise BadMaterial(f"certificate: a chain of {len(above) + 1}")
-    for below, one in pairwise((leaf, *above)):
-        if not issued(one, below):
-            raise BadMaterial(f"chain: {subject(below)} does not hang on {subject(one)}")
-    last = above[-1] if above else leaf
-    if roots and not any(last == root or issued(root, last) for root in roots):
-        raise BadMaterial(
-            f"chain: incomplete, or of another root: {subject(last)} hangs on {last.issuer.rfc4514_string()}"
+        raise KeyMaterialError("key: does not fit the certificate")
+    if len(issuers) > MAX_CHAIN_ISSUERS:
+        raise KeyMaterialError(
+            f"certificate: a chain of {len(issuers) + 1}, expected at most {MAX_CHAIN_ISSUERS + 1}"
         )
-    for one in (leaf, *above):
-        strength(one.public_key())
-        in_time(one, wall)
-    whole = (leaf, *above)
+    for certificate, one in pairwise((leaf, *issuers)):
+        if not is_issuer(one, certificate):
+            raise KeyMaterialError(f"chain: {subject_name(certificate)} is not issued by {subject_name(one)}")
+    last = issuers[-1] if issuers else leaf
+    if roots and not any(last == root or is_issuer(root, last) for root in roots):
+        raise KeyMaterialError(
+            f"chain: incomplete, or of another root: the issuer of {subject_name(last)} is "
+            f"{last.issuer.rfc4514_string()}"
+        )
+    for one in (leaf, *issuers):
+        describe_key(one.public_key())
+        check_validity_period(one, wall)
+    chain = (leaf, *issuers)
     return Chain(
         leaf,
-        tuple(above),
-        max(unix(one.not_valid_before_utc) for one in whole),
-        min(unix(one.not_valid_after_utc) for one in whole),
+        tuple(issuers),
+        max(unix_microseconds(one.not_valid_before_utc) for one in chain),
+        min(unix_microseconds(one.not_valid_after_utc) for one in chain),
     )
 
 
-def in_time(certificate, wall):
+def check_validity_period(certificate, wall):
     if wall is None:
         return
-    if wall >= unix(certificate.not_valid_after_utc):
-        raise BadMaterial(
-            f"certificate expired: {subject(certificate)} on {certificate.not_valid_after_utc:%Y-%m-%d %H:%M}"
+    if wall >= unix_microseconds(certificate.not_valid_after_utc):
+        raise KeyMaterialError(
+            f"certificate expired: {subject_name(certificate)} on "
+            f"{certificate.not_valid_after_utc:%Y-%m-%d %H:%M}"
         )
-    if wall < unix(certificate.not_valid_before_utc):
-        raise BadMaterial(
-            f"certificate not yet valid: {subject(certificate)} from "
+    if wall < unix_microseconds(certificate.not_valid_before_utc):
+        raise KeyMaterialError(
+            f"certificate not yet valid: {subject_name(certificate)} from "
             f"{certificate.not_valid_before_utc:%Y-%m-%d %H:%M}"
         )
 
 
-def trusted(pem, wall=None):
-    """The roots of a trust file; each is a CA, strong enough and in its time."""
-    roots = certificates(pem, "trust")
+def load_roots(pem, wall=None):
+    """Return the roots of a trust file; each must be a CA with a strong key, valid at `wall`."""
+    roots = load_certificates(pem, "trust")
     for root in roots:
         if not is_ca(root):
-            raise BadMaterial(f"trust: {subject(root)} is no CA")
-        strength(root.public_key())
-        in_time(root, wall)
+            raise KeyMaterialError(f"trust: {subject_name(root)} is not a CA")
+        describe_key(root.public_key())
+        check_validity_period(root, wall)
     return roots
 
 
-def checked_lists(pem, roots, wall):
-    """(lists, whether one is stale): each signed by one of the roots."""
-    lists = revocations(pem)
+def load_revocation_lists(pem, roots, wall):
+    """Return the revocation lists of a PEM file and whether one is stale; a root must have signed each."""
+    lists = parse_revocation_lists(pem)
     for one in lists:
         if not any(
             one.issuer == root.subject and one.is_signature_valid(root.public_key()) for root in roots
         ):
-            raise BadMaterial(f"revocation list: of {one.issuer.rfc4514_string()}, whom nobody here trusts")
-    stale = any(one.next_update_utc is not None and unix(one.next_update_utc) <= wall for one in lists)
+            raise KeyMaterialError(
+                f"revocation list: not signed by a trusted root: {one.issuer.rfc4514_string()}"
+            )
+    stale = any(
+        one.next_update_utc is not None and unix_microseconds(one.next_update_utc) <= wall for one in lists
+    )
     return lists, stale
 
 
@@ -208,11 +219,11 @@
     )
 
 
-def subject(certificate):
+def subject_name(certificate):
     return certificate.subject.rfc4514_string() or "(no name)"
 
 
-def names_of(certificate):
+def alternative_names(certificate):
     try:
         names = certificate.extensions.get_extension_for_class(x509.SubjectAlternativeName).value
     except x509.ExtensionNotFound:
@@ -220,42 +231,43 @@
     return (*names.get_values_for_type(x509.DNSName), *map(str, names.get_values_for_type(x509.IPAddress)))
 
 
-def shown(certificate, wall):
+def certificate_info(certificate, wall):
     try:
-        key = strength(certificate.public_key())
-    except BadMaterial as error:
+        key = describe_key(certificate.public_key())
+    except KeyMaterialError as error:
         key = str(error)
-    return Found(
-        subject(certificate),
+    return CertificateInfo(
+        subject_name(certificate),
         certificate.issuer.rfc4514_string(),
-        names_of(certificate),
+        alternative_names(certificate),
         certificate.serial_number,
         key,
         f"{certificate.not_valid_before_utc:%Y-%m-%dT%H:%MZ}",
         f"{certificate.not_valid_after_utc:%Y-%m-%dT%H:%MZ}",
-        round((unix(certificate.not_valid_after_utc) - wall) / 86_400e6, 2),
+        round((unix_microseconds(certificate.not_valid_after_utc) - wall) / 86_400e6, 2),
         is_ca(certificate),
         certificate.fingerprint(hashes.SHA256()).hex(),
     )
 
 
-def announced(until, wall, last=None):
-    """The mark of an end that should be announced now, or None: days before, then hours; each mark once
-    (`last`).
+def expiry_notice(valid_until, wall, last=None):
+    """Return the notice of an expiry that should be logged at `wall`, or None if that is `last`.
+
+    The notice is the time left: in days at EXPIRY_NOTICE_DAYS, in hours during the last day, or "over".
     """
-    left = until - wall
+    left = valid_until - wall
     if left <= 0:
-        mark = "over"
+        notice = "over"
     elif left <= 86_400_000_000:
-        mark = f"{-(-left // 3_600_000_000)} hours"
+        notice = f"{-(-left // 3_600_000_000)} hours"
     else:
         days = -(-left // 86_400_000_000)
-        reached = [one for one in ANNOUNCED if days <= one]
+        reached = [one for one in EXPIRY_NOTICE_DAYS if days <= one]
         if not reached:
             return None
-        mark = f"{min(reached)} days"
-    return None if mark == last else mark
+        notice = f"{min(reached)} days"
+    return None if notice == last else notice
 
 
-def moment(wall):
+def utc_datetime(wall):
     return datetime.fromtimestamp(wall / 1e6, UTC)
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -29,14 +29,14 @@
 )
 from limepath.tls.making import DAY, Made, authority, issue, revoked
 from limepath.tls.material import (
-    BadMaterial,
-    announced,
-    certificates,
-    checked_lists,
-    hangs_together,
+    KeyMaterialError,
+    certificate_info,
+    expiry_notice,
     is_revoked,
-    shown,
-    trusted,
+    load_certificates,
+    load_chain,
+    load_revocation_lists,
+    load_roots,
 )
 from limepath.tls.sessions import SessionCache
 from tests.stand_ins import Site
@@ -344,45 +344,48 @@
 
 
 def error_of(certificate, key, roots=(), wall=WALL):
-    with pytest.raises(BadMaterial) as raised:
-        hangs_together(certificate, key, roots, wall)
+    with pytest.raises(KeyMaterialError) as raised:
+        load_chain(certificate, key, roots, wall)
     return str(raised.value)
 
 
 def test_a_set_is_taken_as_a_whole_or_the_part_named(made):
-    roots = trusted(made["root"].certificate, WALL)
+    roots = load_roots(made["root"].certificate, WALL)
     leaf = issue(made["root"], ["c1.example.org", "127.0.0.1"], WALL)
-    chain = hangs_together(leaf.certificate, leaf.key, roots, WALL)
-    assert chain.until == WALL + 90 * DAY and shown(chain.leaf, WALL).names == ("c1.example.org", "127.0.0.1")
+    chain = load_chain(leaf.certificate, leaf.key, roots, WALL)
+    assert chain.valid_until == WALL + 90 * DAY and certificate_info(chain.leaf, WALL).names == (
+        "c1.example.org",
+        "127.0.0.1",
+    )
     below = issue(made["middle"], ["c2"], WALL)
-    assert len(hangs_together(below.certificate, below.key, roots, WALL).above) == 1
+    assert len(load_chain(below.certificate, below.key, roots, WALL).issuers) == 1
     first = below.certificate[: below.certificate.index(b"-----END") + 26]
     assert "chain: incomplete" in error_of(first, below.key, roots)
     assert "does not fit" in error_of(leaf.certificate, below.key, roots)
     assert "expired" in error_of(leaf.certificate, leaf.key, roots, WALL + 91 * DAY)
     assert "not yet valid" in error_of(leaf.certificate, leaf.key, roots, WALL - DAY)
-    assert "another root" in error_of(leaf.certificate, leaf.key, trusted(made["other"].certificate))
-    assert "does not hang on" in error_of(leaf.certificate + made["middle"].certificate, leaf.key)
+    assert "another root" in error_of(leaf.certificate, leaf.key, load_roots(made["other"].certificate))
+    assert "is not issued by" in error_of(leaf.certificate + made["middle"].certificate, leaf.key)
     assert "no private key" in error_of(leaf.certificate, leaf.key[:-60])
     assert "no certificate" in error_of(leaf.certificate[:200], leaf.key)
     weak = issue(made["root"], ["c3"], WALL, kind="rsa", bits=1024)
     assert "weak key: RSA of 1024" in error_of(weak.certificate, weak.key, roots)
-    with pytest.raises(BadMaterial, match="is no CA"):
-        trusted(leaf.certificate)
-    with pytest.raises(BadMaterial, match="no CA with its own key"):
+    with pytest.raises(KeyMaterialError, match="is not a CA"):
+        load_roots(leaf.certificate)
+    with pytest.raises(KeyMaterialError, match="no CA with its own key"):
         issue(Made(made["root"].certificate, made["middle"].key), ["x"], WALL)
 
 
 def test_a_revoked_one_is_known_by_a_list_that_the_root_signed(made):
-    roots = trusted(made["root"].certificate)
-    good, bad = (certificates(issue(made["root"], [name], WALL).certificate)[0] for name in ("a", "b"))
-    lists, stale = checked_lists(revoked(made["root"], [bad.serial_number], WALL), roots, WALL)
+    roots = load_roots(made["root"].certificate)
+    good, bad = (load_certificates(issue(made["root"], [name], WALL).certificate)[0] for name in ("a", "b"))
+    lists, stale = load_revocation_lists(revoked(made["root"], [bad.serial_number], WALL), roots, WALL)
     assert not stale and is_revoked(bad, lists) and not is_revoked(good, lists)
-    assert checked_lists(revoked(made["root"], [], WALL, hours=1), roots, WALL + 2 * 3600 * SECOND)[1]
-    with pytest.raises(BadMaterial, match="nobody here trusts"):
-        checked_lists(revoked(made["other"], [], WALL), roots, WALL)
-    with pytest.raises(BadMaterial, match="none that can be read"):
-        checked_lists(b"noise", roots, WALL)
+    assert load_revocation_lists(revoked(made["root"], [], WALL, hours=1), roots, WALL + 2 * 3600 * SECOND)[1]
+    with pytest.raises(KeyMaterialError, match="not signed by a trusted root"):
+        load_revocation_lists(revoked(made["other"], [], WALL), roots, WALL)
+    with pytest.raises(KeyMaterialError, match="none in PEM format found"):
+        load_revocation_lists(b"noise", roots, WALL)
 
 
 # Files and commands
@@ -446,12 +449,15 @@
     "spoil, says",
     (
         (spoil_key, "[client] key: no private key"),
-        (open_key, "open to others"),
+        (open_key, "others than the owner have access"),
         (swap_pair, "does not fit the certificate"),
-        (stale_list, "past the next update"),
+        (stale_list, "past their next update"),
         (lambda site: (site / "keys/ca.pem").unlink(), "[trust servers] roots"),
-        (lambda site: (site / "keys/ca.pem").write_bytes((site / "keys/front.pem").read_bytes()), "is no CA"),
-        (lambda site: (site / "keys/front.pem").write_bytes(b""), "no certificate that can be read"),
+        (
+            lambda site: (site / "keys/ca.pem").write_bytes((site / "keys/front.pem").read_bytes()),
+            "is not a CA",
+        ),
+        (lambda site: (site / "keys/front.pem").write_bytes(b""), "no certificate in PEM format found"),
     ),
 )
 def test_a_set_that_does_not_fit_is_refused_with_its_part(site, spoil, says):
@@ -571,7 +577,7 @@
     elif what == "revoked":
         made = servers.certify("s-1")
         (servers.folder / "keys/revoked.pem").write_bytes(
-            revoked(servers.root, [certificates(made.certificate)[0].serial_number], servers.now)
+            revoked(servers.root, [load_certificates(made.certificate)[0].serial_number], servers.now)
         )
         text = (servers.folder / "tls.ini").read_text()
         (servers.folder / "tls.ini").write_text(text.replace("[left", "lists = keys/revoked.pem\n[left"))
@@ -646,6 +652,9 @@
 
 def test_an_end_is_announced_days_then_hours_before_each_mark_once():
     day = 86_400_000_000
-    assert announced(10 * day, 3 * day) == "7 days"
-    assert announced(10 * day, 3 * day, last="7 days") is None and announced(60 * day, 0) is None
-    assert announced(10 * day, 10 * day - day // 4) == "6 hours" and announced(10 * day, 11 * day) == "over"
+    assert expiry_notice(10 * day, 3 * day) == "7 days"
+    assert expiry_notice(10 * day, 3 * day, last="7 days") is None and expiry_notice(60 * day, 0) is None
+    assert (
+        expiry_notice(10 * day, 10 * day - day // 4) == "6 hours"
+        and expiry_notice(10 * day, 11 * day) == "over"
+    )
