--- a/limepath/cli/keys.py
+++ b/limepath/cli/keys.py
@@ -13,11 +13,11 @@
 from limepath.configuration import ini, tls_file
 from limepath.tls import making
 from limepath.tls.files import LoadedTrust, load_key_set, read_file, write_file
-from limepath.tls.making import Made
+from limepath.tls.making import CertificateAndKey
 from limepath.tls.material import Chain, KeyMaterialError, certificate_info, load_certificates
 
 kind_option = click.option(
-    "--kind", type=click.Choice(making.KINDS), default="ec", show_default=True, help="Of the key."
+    "--kind", type=click.Choice(making.KEY_TYPES), default="ec", show_default=True, help="Of the key."
 )
 CA, CA_KEY = "ca.pem", "ca.key"
 SECONDS_A_DAY = 86_400
@@ -38,7 +38,7 @@
     """Certificates and keys: make, inspect, check. Private keys are readable by their owner only."""
 
 
-def write_pair(folder: str, stem: str, made: Made, overwrite: bool) -> None:
+def write_pair(folder: str, stem: str, made: CertificateAndKey, overwrite: bool) -> None:
     """Write a certificate and its key, the key first and for its owner only; print both paths."""
     paths = [os.path.join(folder, f"{stem}.pem"), os.path.join(folder, f"{stem}.key")]
     for path in paths:
@@ -59,7 +59,7 @@
 @click.option("--overwrite", is_flag=True)
 def make_ca(folder: str, name: str, days: int, kind: str, overwrite: bool) -> None:
     """Make a certificate authority in FOLDER: ca.pem (for roots =) and ca.key (keep it off the fronts)."""
-    write_pair(folder, "ca", making.authority(name, unix_clock(), days, kind), overwrite)
+    write_pair(folder, "ca", making.create_ca(name, unix_clock(), days, kind), overwrite)
 
 
 @command.command("issue")
@@ -74,7 +74,7 @@
 ) -> None:
     """Issue a certificate for NAMES (DNS names or addresses), signed by the CA in FOLDER."""
     try:
-        authority = Made(
+        authority = CertificateAndKey(
             read_file(os.path.join(folder, CA), "ca"), read_file(os.path.join(folder, CA_KEY), "ca key", True)
         )
         made = making.issue(authority, names, unix_clock(), days, kind)
--- a/limepath/tls/making.py
+++ b/limepath/tls/making.py
@@ -1,7 +1,6 @@
-"""Certificates and keys made here: for installations without an authority of their own, and for our
-stand-ins.
+"""Creates certificates, keys and revocation lists, for installations without a CA of their own and for tests.
 
-Nothing is written: PEM bytes come back. Serial numbers are drawn by the library.
+The functions return PEM bytes and write no files. The library `cryptography` draws the serial numbers.
 """
 
 import ipaddress
@@ -21,11 +20,13 @@
     utc_datetime,
 )
 
-KINDS = ("ec", "rsa")
-DAY = 86_400_000_000
+KEY_TYPES = ("ec", "rsa")
+DAY_US = 86_400_000_000
 
 
-class Made(NamedTuple):
+class CertificateAndKey(NamedTuple):
+    """A certificate, which its issuers may follow, and its private key, both as PEM."""
+
     certificate: bytes
     key: bytes
 
@@ -36,68 +37,69 @@
     return ec.generate_private_key(ec.SECP256R1())
 
 
-def pem_of(key):
+def private_key_pem(key):
     return key.private_bytes(
         serialization.Encoding.PEM, serialization.PrivateFormat.PKCS8, serialization.NoEncryption()
     )
 
 
-def name(text):
+def common_name(text):
     return x509.Name([x509.NameAttribute(NameOID.COMMON_NAME, text)])
 
 
-def built(subject, issuer, public, signer, since, until, extensions):
-    made = (
+def build_certificate(subject, issuer, public_key, signer, valid_from, valid_until, extensions):
+    builder = (
         x509.CertificateBuilder()
         .subject_name(subject)
         .issuer_name(issuer)
-        .public_key(public)
+        .public_key(public_key)
         .serial_number(x509.random_serial_number())
-        .not_valid_before(utc_datetime(since))
-        .not_valid_after(utc_datetime(until))
+        .not_valid_before(utc_datetime(valid_from))
+        .not_valid_after(utc_datetime(valid_until))
     )
-    made = made.add_extension(x509.SubjectKeyIdentifier.from_public_key(public), critical=False)
-    made = made.add_extension(
+    builder = builder.add_extension(x509.SubjectKeyIdentifier.from_public_key(public_key), critical=False)
+    builder = builder.add_extension(
         x509.AuthorityKeyIdentifier.from_issuer_public_key(signer.public_key()), critical=False
     )
     for extension, critical in extensions:
-        made = made.add_extension(extension, critical)
-    return made.sign(signer, hashes.SHA256())
+        builder = builder.add_extension(extension, critical)
+    return builder.sign(signer, hashes.SHA256())
 
 
-def usage(ca):
+def key_usage(ca):
     return x509.KeyUsage(not ca, False, False, False, False, ca, ca, False, False)
 
 
-def authority(title, wall, days=3650, kind="ec", above=None, since=None):
-    """A CA: of itself, or under `above` (a Made)."""
+def create_ca(title, wall, days=3650, kind="ec", issuer=None, valid_from=None):
+    """Return the CertificateAndKey of a CA, signed by the CA `issuer`, or by itself without one."""
     key = new_key(kind)
-    signer, issuer = key, name(title)
-    if above:
-        signer, (parent, *_) = load_private_key(above.key), load_certificates(above.certificate)
-        issuer = parent.subject
-    certificate = built(
-        name(title),
-        issuer,
+    signer, issuer_name = key, common_name(title)
+    if issuer:
+        signer, (issuer_certificate, *_) = load_private_key(issuer.key), load_certificates(issuer.certificate)
+        issuer_name = issuer_certificate.subject
+    certificate = build_certificate(
+        common_name(title),
+        issuer_name,
         key.public_key(),
         signer,
-        wall - DAY // 24 if since is None else since,
-        wall + days * DAY,
-        ((x509.BasicConstraints(True, None), True), (usage(True), True)),
+        wall - DAY_US // 24 if valid_from is None else valid_from,
+        wall + days * DAY_US,
+        ((x509.BasicConstraints(True, None), True), (key_usage(True), True)),
     )
-    return Made(certificate.public_bytes(serialization.Encoding.PEM), pem_of(key))
+    return CertificateAndKey(certificate.public_bytes(serialization.Encoding.PEM), private_key_pem(key))
+
 
+def issue(issuer, names, wall, days=90, kind="ec", valid_from=None, client=True, key=None, bits=None):
+    """Return a certificate for DNS names or addresses, signed by the CA `issuer`, and its key.
 
-def issue(above, names, wall, days=90, kind="ec", since=None, client=True, key=None, bits=None):
-    """A certificate for these names (DNS or addresses), signed by `above`; the chain below the root comes
-    with it.
+    The certificates of the intermediate CAs follow it in the PEM text; the root is left out.
     """
-    chain = load_certificates(above.certificate)
-    signer = load_private_key(above.key)
+    chain = load_certificates(issuer.certificate)
+    signer = load_private_key(issuer.key)
     if not is_ca(chain[0]) or not same_key(chain[0].public_key(), signer.public_key()):
-        raise KeyMaterialError("issuer: no CA with its own key")
+        raise KeyMaterialError("issuer: expected the certificate of a CA and the key that belongs to it")
     if not names:
-        raise KeyMaterialError("names: none")
+        raise KeyMaterialError("names: none given; expected at least one")
     key = key or new_key(kind, bits)
     alternatives = []
     for one in names:
@@ -106,37 +108,37 @@
         except ValueError:
             alternatives.append(x509.DNSName(one))
     purposes = [ExtendedKeyUsageOID.SERVER_AUTH] + [ExtendedKeyUsageOID.CLIENT_AUTH] * client
-    until = wall + int(days * DAY)
-    certificate = built(
-        name(names[0][:64]),
+    valid_until = wall + int(days * DAY_US)
+    certificate = build_certificate(
+        common_name(names[0][:64]),
         chain[0].subject,
         key.public_key(),
         signer,
-        min(wall, until) - DAY // 24 if since is None else since,
-        until,
+        min(wall, valid_until) - DAY_US // 24 if valid_from is None else valid_from,
+        valid_until,
         (
             (x509.BasicConstraints(False, None), True),
-            (usage(False), True),
+            (key_usage(False), True),
             (x509.ExtendedKeyUsage(purposes), False),
             (x509.SubjectAlternativeName(alternatives), False),
         ),
     )
-    below_root = [one for one in chain if one.subject != one.issuer]
-    whole = b"".join(one.public_bytes(serialization.Encoding.PEM) for one in (certificate, *below_root))
-    return Made(whole, pem_of(key))
+    intermediates = [one for one in chain if one.subject != one.issuer]
+    pem = b"".join(one.public_bytes(serialization.Encoding.PEM) for one in (certificate, *intermediates))
+    return CertificateAndKey(pem, private_key_pem(key))
 
 
-def revoked(above, serials, wall, hours=24.0):
-    """A revocation list of `above`, as PEM."""
-    (issuer, *_), signer = load_certificates(above.certificate), load_private_key(above.key)
-    made = (
+def create_revocation_list(issuer, serials, wall, hours=24.0):
+    """Return a revocation list of the CA `issuer`, as PEM, with its next update in `hours`."""
+    (certificate, *_), signer = load_certificates(issuer.certificate), load_private_key(issuer.key)
+    builder = (
         x509.CertificateRevocationListBuilder()
-        .issuer_name(issuer.subject)
+        .issuer_name(certificate.subject)
         .last_update(utc_datetime(min(wall, wall + int(hours * 3600e6)) - 3_600_000_000))
         .next_update(utc_datetime(wall + int(hours * 3600e6)))
     )
     for serial in serials:
-        made = made.add_revoked_certificate(
+        builder = builder.add_revoked_certificate(
             x509.RevokedCertificateBuilder().serial_number(serial).revocation_date(utc_datetime(wall)).build()
         )
-    return made.sign(signer, hashes.SHA256()).public_bytes(serialization.Encoding.PEM)
+    return builder.sign(signer, hashes.SHA256()).public_bytes(serialization.Encoding.PEM)
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -27,7 +27,7 @@
     StartHandshake,
     VerificationScope,
 )
-from limepath.tls.making import DAY, Made, authority, issue, revoked
+from limepath.tls.making import DAY_US, CertificateAndKey, create_ca, create_revocation_list, issue
 from limepath.tls.material import (
     KeyMaterialError,
     certificate_info,
@@ -339,8 +339,8 @@
 
 @pytest.fixture(scope="module")
 def made():
-    root = authority("root", WALL)
-    return {"root": root, "middle": authority("middle", WALL, above=root), "other": authority("root", WALL)}
+    root = create_ca("root", WALL)
+    return {"root": root, "middle": create_ca("middle", WALL, issuer=root), "other": create_ca("root", WALL)}
 
 
 def error_of(certificate, key, roots=(), wall=WALL):
@@ -353,7 +353,7 @@
     roots = load_roots(made["root"].certificate, WALL)
     leaf = issue(made["root"], ["c1.example.org", "127.0.0.1"], WALL)
     chain = load_chain(leaf.certificate, leaf.key, roots, WALL)
-    assert chain.valid_until == WALL + 90 * DAY and certificate_info(chain.leaf, WALL).names == (
+    assert chain.valid_until == WALL + 90 * DAY_US and certificate_info(chain.leaf, WALL).names == (
         "c1.example.org",
         "127.0.0.1",
     )
@@ -362,8 +362,8 @@
     first = below.certificate[: below.certificate.index(b"-----END") + 26]
     assert "chain: incomplete" in error_of(first, below.key, roots)
     assert "does not fit" in error_of(leaf.certificate, below.key, roots)
-    assert "expired" in error_of(leaf.certificate, leaf.key, roots, WALL + 91 * DAY)
-    assert "not yet valid" in error_of(leaf.certificate, leaf.key, roots, WALL - DAY)
+    assert "expired" in error_of(leaf.certificate, leaf.key, roots, WALL + 91 * DAY_US)
+    assert "not yet valid" in error_of(leaf.certificate, leaf.key, roots, WALL - DAY_US)
     assert "another root" in error_of(leaf.certificate, leaf.key, load_roots(made["other"].certificate))
     assert "is not issued by" in error_of(leaf.certificate + made["middle"].certificate, leaf.key)
     assert "no private key" in error_of(leaf.certificate, leaf.key[:-60])
@@ -372,18 +372,24 @@
     assert "weak key: RSA of 1024" in error_of(weak.certificate, weak.key, roots)
     with pytest.raises(KeyMaterialError, match="is not a CA"):
         load_roots(leaf.certificate)
-    with pytest.raises(KeyMaterialError, match="no CA with its own key"):
-        issue(Made(made["root"].certificate, made["middle"].key), ["x"], WALL)
+    with pytest.raises(
+        KeyMaterialError, match="expected the certificate of a CA and the key that belongs to it"
+    ):
+        issue(CertificateAndKey(made["root"].certificate, made["middle"].key), ["x"], WALL)
 
 
 def test_a_revoked_one_is_known_by_a_list_that_the_root_signed(made):
     roots = load_roots(made["root"].certificate)
     good, bad = (load_certificates(issue(made["root"], [name], WALL).certificate)[0] for name in ("a", "b"))
-    lists, stale = load_revocation_lists(revoked(made["root"], [bad.serial_number], WALL), roots, WALL)
+    lists, stale = load_revocation_lists(
+        create_revocation_list(made["root"], [bad.serial_number], WALL), roots, WALL
+    )
     assert not stale and is_revoked(bad, lists) and not is_revoked(good, lists)
-    assert load_revocation_lists(revoked(made["root"], [], WALL, hours=1), roots, WALL + 2 * 3600 * SECOND)[1]
+    assert load_revocation_lists(
+        create_revocation_list(made["root"], [], WALL, hours=1), roots, WALL + 2 * 3600 * SECOND
+    )[1]
     with pytest.raises(KeyMaterialError, match="not signed by a trusted root"):
-        load_revocation_lists(revoked(made["other"], [], WALL), roots, WALL)
+        load_revocation_lists(create_revocation_list(made["other"], [], WALL), roots, WALL)
     with pytest.raises(KeyMaterialError, match="none in PEM format found"):
         load_revocation_lists(b"noise", roots, WALL)
 
@@ -439,8 +445,10 @@
 
 
 def stale_list(site):
-    above = Made((site / "keys/ca.pem").read_bytes(), (site / "keys/ca.key").read_bytes())
-    (site / "keys/revoked.pem").write_bytes(revoked(above, [5], time.time_ns() // 1000, hours=-1))
+    issuer = CertificateAndKey((site / "keys/ca.pem").read_bytes(), (site / "keys/ca.key").read_bytes())
+    (site / "keys/revoked.pem").write_bytes(
+        create_revocation_list(issuer, [5], time.time_ns() // 1000, hours=-1)
+    )
     text = (site / "tls.ini").read_text()
     (site / "tls.ini").write_text(text.replace("; lists", "lists"))
 
@@ -497,7 +505,7 @@
 
     def __init__(self, folder):
         self.folder, self.now = folder, time.time_ns() // 1000
-        self.root, self.contexts = authority("root", self.now), {}
+        self.root, self.contexts = create_ca("root", self.now), {}
         (folder / "keys").mkdir()
         (folder / "keys/ca.pem").write_bytes(self.root.certificate)
         (folder / "tls.ini").write_text(
@@ -507,8 +515,8 @@
         )
         self.words = ("run", "--tls", str(folder / "tls.ini"))
 
-    def certify(self, member, names=None, above=None, version=None, client=None, **told):
-        made = issue(above or self.root, names or [f"{member}.cajas.example.org"], self.now, **told)
+    def certify(self, member, names=None, issuer=None, version=None, client=None, **told):
+        made = issue(issuer or self.root, names or [f"{member}.cajas.example.org"], self.now, **told)
         context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
         context.set_ciphers("DEFAULT@SECLEVEL=0")
         context.maximum_version = version or ssl.TLSVersion.TLSv1_3
@@ -559,15 +567,15 @@
 def spoilt(servers, what):
     """Give the s-1 of the stand-ins a certificate that must not be taken."""
     if what == "expired":
-        servers.certify("s-1", days=-1, since=servers.now - 5 * DAY)
+        servers.certify("s-1", days=-1, valid_from=servers.now - 5 * DAY_US)
     elif what == "not yet valid":
-        servers.certify("s-1", since=servers.now + DAY)
+        servers.certify("s-1", valid_from=servers.now + DAY_US)
     elif what == "wrong name":
         servers.certify("s-1", names=["s-2.cajas.example.org"])
     elif what == "unknown issuer":
-        servers.certify("s-1", above=authority("root", servers.now))
+        servers.certify("s-1", issuer=create_ca("root", servers.now))
     elif what == "missing link":
-        made = servers.certify("s-1", above=authority("middle", servers.now, above=servers.root))
+        made = servers.certify("s-1", issuer=create_ca("middle", servers.now, issuer=servers.root))
         first = made.certificate[: made.certificate.index(b"-----END") + 26]
         (servers.folder / "s-1.pem").write_bytes(first)
         servers.contexts["s-1"] = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
@@ -577,7 +585,9 @@
     elif what == "revoked":
         made = servers.certify("s-1")
         (servers.folder / "keys/revoked.pem").write_bytes(
-            revoked(servers.root, [load_certificates(made.certificate)[0].serial_number], servers.now)
+            create_revocation_list(
+                servers.root, [load_certificates(made.certificate)[0].serial_number], servers.now
+            )
         )
         text = (servers.folder / "tls.ini").read_text()
         (servers.folder / "tls.ini").write_text(text.replace("[left", "lists = keys/revoked.pem\n[left"))
@@ -615,7 +625,7 @@
 
 
 def test_keys_swap_as_a_whole_under_sighup_and_a_half_written_one_is_refused(servers):
-    clients = authority("clients", servers.now)
+    clients = create_ca("clients", servers.now)
     for member in ("s-1", "p-1", "o-1"):
         servers.certify(member, client=clients)
     pair = issue(clients, ["front-1"], servers.now)
