--- a/limepath/cli/keys.py
+++ b/limepath/cli/keys.py
@@ -11,13 +11,13 @@
 
 from limepath.cli.output import STATUS_FAILED, fail
 from limepath.configuration import ini, tls_file
-from limepath.tls import making
+from limepath.tls import issuance
 from limepath.tls.files import LoadedTrust, load_key_set, read_file, write_file
-from limepath.tls.making import CertificateAndKey
+from limepath.tls.issuance import CertificateAndKey
 from limepath.tls.material import Chain, KeyMaterialError, certificate_info, load_certificates
 
 kind_option = click.option(
-    "--kind", type=click.Choice(making.KEY_TYPES), default="ec", show_default=True, help="Of the key."
+    "--kind", type=click.Choice(issuance.KEY_TYPES), default="ec", show_default=True, help="Of the key."
 )
 CA, CA_KEY = "ca.pem", "ca.key"
 SECONDS_A_DAY = 86_400
@@ -59,7 +59,7 @@
 @click.option("--overwrite", is_flag=True)
 def make_ca(folder: str, name: str, days: int, kind: str, overwrite: bool) -> None:
     """Make a certificate authority in FOLDER: ca.pem (for roots =) and ca.key (keep it off the fronts)."""
-    write_pair(folder, "ca", making.create_ca(name, unix_clock(), days, kind), overwrite)
+    write_pair(folder, "ca", issuance.create_ca(name, unix_clock(), days, kind), overwrite)
 
 
 @command.command("issue")
@@ -77,7 +77,7 @@
         authority = CertificateAndKey(
             read_file(os.path.join(folder, CA), "ca"), read_file(os.path.join(folder, CA_KEY), "ca key", True)
         )
-        made = making.issue(authority, names, unix_clock(), days, kind)
+        made = issuance.issue(authority, names, unix_clock(), days, kind)
     except (KeyMaterialError, ValueError) as error:
         fail_keys(error)
     write_pair(folder, (stem or names[0]).replace("/", "_").replace("*", "_"), made, overwrite)
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -27,7 +27,7 @@
     StartHandshake,
     VerificationScope,
 )
-from limepath.tls.making import DAY_US, CertificateAndKey, create_ca, create_revocation_list, issue
+from limepath.tls.issuance import DAY_US, CertificateAndKey, create_ca, create_revocation_list, issue
 from limepath.tls.material import (
     KeyMaterialError,
     certificate_info,
