--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -1,7 +1,7 @@
-"""An import goes down only: the layers of `limepath/`, checked on the syntax tree of each module.
+"""Checks that modules of `limepath/` import only from lower layers.
 
-Imports inside functions and under `TYPE_CHECKING` count too. Within a package, and among the modules of the
-lowest layer, imports are free.
+The check reads syntax trees, so it covers imports inside functions and under `TYPE_CHECKING`. Modules of one
+package, and modules of the lowest layer, may import each other.
 """
 
 import ast
@@ -31,13 +31,15 @@
 LOWEST = len(LAYERS) - 1
 LAYER_OF = {name: number for number, names in enumerate(LAYERS) for name in names}
 
-CLOCK = "the monotonic clock stands in the front; it should be handed in, or move to the lowest layer"
-CHANGELOG = "it replaces the front's own change log and extends it; what both share should move down"
-STARTED_BY_DISCOVERY = "the host of discovery starts what needs a shared list; `front.start` should start it"
-DECODES_MESSAGES = "one table decodes the datagrams of all parts; each part should register its own messages"
-PLAYS_PROCESSES = "it starts real processes with the testbed's tools; the testbed imports nothing of scale"
+CLOCK = "the monotonic clock is in the front; it should be a parameter or move to the lowest layer"
+CHANGELOG = "it extends the front's change log; the code that both share should move to a lower layer"
+STARTED_BY_DISCOVERY = (
+    "the discovery host starts the users of the shared list; `front.start` should start them"
+)
+DECODES_MESSAGES = "one table decodes the messages of all packages; each package should register its own"
+USES_TESTBED = "it starts processes with the tools of the testbed, which imports nothing from scale"
 
-# Imports that go up today, with the reason. The test fails for a line that is no longer needed.
+# Existing imports from higher layers, with the reason. A test fails for an entry that is no longer needed.
 ALLOWED_UPWARD = {
     ("limepath.connection_pacing.host", "limepath.front.clock"): CLOCK,
     ("limepath.discovery.host", "limepath.front.endpoint_watch"): CHANGELOG,
@@ -47,24 +49,24 @@
     ("limepath.discovery.host", "limepath.frequency_exchange.host"): STARTED_BY_DISCOVERY,
     ("limepath.duties.host", "limepath.discovery.interface"): DECODES_MESSAGES,
     ("limepath.duties.host", "limepath.frequency_exchange.interface"): DECODES_MESSAGES,
-    ("limepath.scale.fleet", "limepath.testbed.regions"): PLAYS_PROCESSES,
-    ("limepath.scale.hollow_process", "limepath.testbed.process"): PLAYS_PROCESSES,
-    ("limepath.scale.processes", "limepath.testbed.process"): PLAYS_PROCESSES,
-    ("limepath.scale.roles_data", "limepath.testbed.process"): PLAYS_PROCESSES,
-    ("limepath.scale.roles_idle", "limepath.testbed.process"): PLAYS_PROCESSES,
-    ("limepath.scale.run", "limepath.testbed.process"): PLAYS_PROCESSES,
-    ("limepath.scale.run", "limepath.testbed.regions"): PLAYS_PROCESSES,
-    ("limepath.scale.service", "limepath.testbed.coldstart"): PLAYS_PROCESSES,
-    ("limepath.scale.service", "limepath.testbed.process"): PLAYS_PROCESSES,
-    ("limepath.scale.service", "limepath.testbed.regions"): PLAYS_PROCESSES,
-    ("limepath.scale.service", "limepath.testbed.stand_ins"): PLAYS_PROCESSES,
-    ("limepath.scale.settings", "limepath.testbed.duties"): PLAYS_PROCESSES,
-    ("limepath.scale.settings", "limepath.testbed.process"): PLAYS_PROCESSES,
+    ("limepath.scale.fleet", "limepath.testbed.regions"): USES_TESTBED,
+    ("limepath.scale.hollow_process", "limepath.testbed.process"): USES_TESTBED,
+    ("limepath.scale.processes", "limepath.testbed.process"): USES_TESTBED,
+    ("limepath.scale.roles_data", "limepath.testbed.process"): USES_TESTBED,
+    ("limepath.scale.roles_idle", "limepath.testbed.process"): USES_TESTBED,
+    ("limepath.scale.run", "limepath.testbed.process"): USES_TESTBED,
+    ("limepath.scale.run", "limepath.testbed.regions"): USES_TESTBED,
+    ("limepath.scale.service", "limepath.testbed.coldstart"): USES_TESTBED,
+    ("limepath.scale.service", "limepath.testbed.process"): USES_TESTBED,
+    ("limepath.scale.service", "limepath.testbed.regions"): USES_TESTBED,
+    ("limepath.scale.service", "limepath.testbed.stand_ins"): USES_TESTBED,
+    ("limepath.scale.settings", "limepath.testbed.duties"): USES_TESTBED,
+    ("limepath.scale.settings", "limepath.testbed.process"): USES_TESTBED,
 }
 
 
 class Import(NamedTuple):
-    """One module of `limepath` that names another."""
+    """An import of one module of `limepath` by another."""
 
     importer: str
     imported: str
@@ -85,7 +87,7 @@
 
 
 def imported_names(node: ast.AST, importer: str, is_package: bool, known: dict[str, Path]) -> list[str]:
-    """Return the modules that one import statement names; none for any other node."""
+    """Return the modules that an import statement names, or an empty list for any other node."""
     if isinstance(node, ast.Import):
         return [alias.name for alias in node.names]
     if not isinstance(node, ast.ImportFrom):
@@ -93,8 +95,8 @@
     base = node.module or ""
     if node.level:
         parents = importer.split(".")
-        above = parents[: len(parents) - node.level + is_package]
-        base = ".".join([*above, base] if base else above)
+        base_package = parents[: len(parents) - node.level + is_package]
+        base = ".".join([*base_package, base] if base else base_package)
     submodules = [f"{base}.{alias.name}" for alias in node.names]
     return [name if name in known else base for name in submodules]
 
@@ -112,32 +114,37 @@
     return found
 
 
-def upward(found: set[Import]) -> set[Import]:
-    """Return the imports that do not go down: to a higher layer, or beside it above the lowest."""
-    wrong = set()
-    for one in found:
-        above, below = LAYER_OF[component(one.importer)], LAYER_OF[component(one.imported)]
-        if below <= above and not above == below == LOWEST:
-            wrong.add(one)
-    return wrong
+def upward_imports(found: set[Import]) -> set[Import]:
+    """Return the imports from a higher layer, or from the same layer unless that is the lowest."""
+    disallowed = set()
+    for entry in found:
+        importer_layer, imported_layer = (
+            LAYER_OF[component(entry.importer)],
+            LAYER_OF[component(entry.imported)],
+        )
+        if imported_layer <= importer_layer and not importer_layer == imported_layer == LOWEST:
+            disallowed.add(entry)
+    return disallowed
 
 
 def test_every_package_and_module_has_a_layer():
     components = {component(name) for name in modules(ROOT)} - {""}
-    assert components <= set(LAYER_OF), "give each new package or module a line in LAYERS"
+    assert components <= set(LAYER_OF), "a package or module is missing in LAYERS"
 
 
-def test_no_import_goes_up():
-    new = upward(imports(ROOT)) - set(ALLOWED_UPWARD)
-    assert not new, "\n".join(f"{importer} imports {imported}, which is higher" for importer, imported in new)
+def test_modules_import_only_from_lower_layers():
+    new = upward_imports(imports(ROOT)) - set(ALLOWED_UPWARD)
+    assert not new, "\n".join(
+        f"{importer} imports {imported}, which is not in a lower layer" for importer, imported in new
+    )
 
 
-def test_the_list_of_allowed_imports_holds_no_line_too_many():
-    gone = set(ALLOWED_UPWARD) - upward(imports(ROOT))
-    assert not gone, f"no longer imported or no longer upward, take them out: {sorted(gone)}"
+def test_each_allowed_upward_import_still_exists():
+    obsolete = set(ALLOWED_UPWARD) - upward_imports(imports(ROOT))
+    assert not obsolete, f"no longer an upward import, remove from ALLOWED_UPWARD: {sorted(obsolete)}"
 
 
-def test_upward_imports_are_found_in_every_form(tmp_path):
+def test_all_forms_of_import_statements_are_found(tmp_path):
     texts = {
         "__init__": "",
         "log": "from limepath import front\nfrom limepath.hashing import mix64\n",
@@ -156,7 +163,7 @@
         path = tmp_path / "limepath" / f"{name}.py"
         path.parent.mkdir(exist_ok=True, parents=True)
         path.write_text(text)
-    assert upward(imports(tmp_path)) == {
+    assert upward_imports(imports(tmp_path)) == {
         ("limepath.log", "limepath.front"),
         ("limepath.hashing", "limepath.front.start"),
         ("limepath.front.start", "limepath.cli.run"),
--- a/tests/test_pages.py
+++ b/tests/test_pages.py
@@ -1,4 +1,4 @@
-"""What the pages name exists: files of the program on the architecture page, tests in the audit's table."""
+"""Checks that files named in docs/architecture.md and tests named in docs/terms-audit.md exist."""
 
 import ast
 import re
@@ -8,25 +8,25 @@
 
 ROOT = Path(__file__).parents[1]
 ARCHITECTURE, AUDIT = ROOT / "docs/architecture.md", ROOT / "docs/terms-audit.md"
-MOST_LINES = 200
+MAX_LINES = 200
 CODE = re.compile(r"`([^`\n]+)`")
-# A path of a file or folder: `store.py`, `front/start.py`, `discovery/`, also with `limepath/` before it.
+# The path of a file or folder, with or without `limepath/`: `store.py`, `front/start.py`, `discovery/`.
 FILE = re.compile(r"(?<![\w/.-])((?:[a-z_]+/)*[a-z_]+\.(?:py|ini|toml|md)|(?:[a-z_]+/)+)(?![\w/])")
 
-# A test file, a test with its file before it, or a test of the file that was named last in the line.
+# A test file, a test after its file, or a test of the last file named in the same line.
 TEST = re.compile(r"\b(?:(test_\w+)::)?(test_\w+)")
 
 
 def paths_named(text: str) -> set[str]:
-    """Return the paths in backticks and in drawings, which are lines that are indented by four spaces."""
-    drawings = [line for line in text.splitlines() if line.startswith("    ")]
-    return {path for part in [*CODE.findall(text), *drawings] for path in FILE.findall(part)}
+    """Return the paths in backticks and in diagrams, which are lines indented by four spaces."""
+    diagrams = [line for line in text.splitlines() if line.startswith("    ")]
+    return {path for part in [*CODE.findall(text), *diagrams] for path in FILE.findall(part)}
 
 
 def exists(path: str, root: Path = ROOT) -> bool:
-    """Whether a path is there, below limepath/ or from the root.
+    """Whether a path exists below limepath/ or below the root.
 
-    The files of `decisions/` are checked like all others from the moment that the package is there.
+    Paths in `decisions/` count as existing as long as that package does not exist.
     """
     if path.startswith("decisions/") and not (root / "limepath/decisions").is_dir():
         return True
@@ -35,9 +35,9 @@
 
 def test_each_file_on_the_architecture_page_exists():
     named = paths_named(ARCHITECTURE.read_text(encoding="utf-8"))
-    assert len(named) > 50, "the page names its files in backticks"
+    assert len(named) > 50, "expected more than 50 paths in backticks or diagrams"
     missing = sorted(path for path in named if not exists(path))
-    assert not missing, f"docs/architecture.md names what is not there: {missing}"
+    assert not missing, f"docs/architecture.md names paths that do not exist: {missing}"
 
 
 def test_the_architecture_page_names_each_package():
@@ -46,8 +46,8 @@
     assert packages <= named
 
 
-def test_the_architecture_page_stays_one_page():
-    assert len(ARCHITECTURE.read_text(encoding="utf-8").splitlines()) < MOST_LINES
+def test_the_architecture_page_is_limited_in_length():
+    assert len(ARCHITECTURE.read_text(encoding="utf-8").splitlines()) < MAX_LINES
 
 
 @pytest.mark.parametrize(
@@ -59,11 +59,11 @@
         ("a word, and front/start.py without backticks", set()),
     ],
 )
-def test_paths_are_found_in_backticks_and_drawings(text, paths):
+def test_paths_are_found_in_backticks_and_diagrams(text, paths):
     assert paths_named(text) == paths
 
 
-def test_a_path_that_is_not_there_is_noticed(tmp_path):
+def test_a_missing_path_is_detected(tmp_path):
     (tmp_path / "limepath/decisions").mkdir(parents=True)
     (tmp_path / "limepath/store.py").write_text("")
     assert exists("store.py", tmp_path)
@@ -72,7 +72,7 @@
 
 
 def names_by_file(folder: Path) -> dict[str, set[str]]:
-    """Return the names of all tests by the name of their file."""
+    """Return the names of the tests of each test file, by the file's name."""
     return {
         path.stem: {
             node.name
@@ -84,7 +84,7 @@
 
 
 def missing_tests(text: str, tests: dict[str, set[str]]) -> list[str]:
-    """Return each test that a page names and that is not there, as "line: name"."""
+    """Return the tests that a page names but that do not exist, each as "line: file::name"."""
     missing = []
     for number, line in enumerate(text.splitlines(), 1):
         file = ""
@@ -99,7 +99,7 @@
 
 def test_each_test_in_the_audit_exists():
     text = AUDIT.read_text(encoding="utf-8")
-    assert len(TEST.findall(text)) > 100, "the page names its tests"
+    assert len(TEST.findall(text)) > 100, "expected more than 100 names of tests"
     assert missing_tests(text, names_by_file(ROOT / "tests")) == []
 
 
@@ -116,5 +116,5 @@
         ("test_gone (all)", ["1: ::test_gone"]),
     ],
 )
-def test_a_test_that_is_not_there_is_noticed(line, missing):
+def test_a_missing_test_is_detected(line, missing):
     assert missing_tests(line, {"test_front": {"test_a", "test_b"}, "test_tls": {"test_c"}}) == missing
