--- a/limepath/tls/files.py
+++ b/limepath/tls/files.py
@@ -38,17 +38,20 @@
     trusts: tuple
 
 
-def read_file(path, what, secret=False):
-    """Return the bytes of a file; if it is `secret`, only its owner may have access."""
+def read_file(path, label, secret=False):
+    """Return the bytes of a file, or raise an error that starts with `label`.
+
+    A secret file to which others than its owner have access is refused.
+    """
     try:
         with open(path, "rb") as file:
             if secret and os.fstat(file.fileno()).st_mode & 0o077:
                 raise KeyMaterialError(
-                    f"{what}: {path}: others than the owner have access; set its mode to 600"
+                    f"{label}: {path}: others than the owner have access; set its mode to 600"
                 )
             return file.read(4_000_000)
     except OSError as error:
-        raise KeyMaterialError(f"{what}: {path}: {error.strerror}") from None
+        raise KeyMaterialError(f"{label}: {path}: {error.strerror}") from None
 
 
 def load_key_set(settings, wall):
@@ -70,6 +73,7 @@
 
 
 def load_trust(trust, wall):
+    """Return the LoadedTrust of a Trust; raise KeyMaterialError if a file cannot be used."""
     section = f"[trust {trust.title}]"
     pem = read_file(trust.roots, f"{section} roots")
     lists_pem = read_file(trust.lists, f"{section} lists") if trust.lists else None
@@ -86,7 +90,7 @@
 
 
 def write_file(path, data, secret=False):
-    """Replace a file atomically; if it is `secret`, only its owner has access."""
+    """Replace a file atomically. Only the owner has access to a secret file."""
     temporary = f"{path}.new-{os.getpid()}"
     with open(
         os.open(temporary, os.O_WRONLY | os.O_CREAT | os.O_EXCL, 0o600 if secret else 0o644), "wb"
--- a/limepath/tls/host.py
+++ b/limepath/tls/host.py
@@ -91,7 +91,7 @@
 
 @implementer(IHandshakeListener)
 class TlsConnection(Protocol):
-    """A connection from the start of its handshake; afterwards it passes data to the front's protocol.
+    """A connection to a server, which passes data to the front's protocol once the handshake is complete.
 
     Attributes:
         inner: the front's protocol.
@@ -171,7 +171,7 @@
         except (VerificationError, CertificateError, ValueError):  # another name, no name, or malformed
             return Failure.WRONG_NAME
         chain = connection.get_verified_chain() or [connection.get_peer_certificate()]
-        if any(is_revoked(one.to_cryptography(), self.lists) for one in chain if one):
+        if any(is_revoked(certificate.to_cryptography(), self.lists) for certificate in chain if certificate):
             return Failure.REVOKED
         return None
 
@@ -185,11 +185,11 @@
             valid_from, valid_until = self.offered_session.valid_from, self.offered_session.valid_until
         else:
             chain = [
-                one.to_cryptography()
-                for one in connection.get_verified_chain() or [connection.get_peer_certificate()]
+                certificate.to_cryptography()
+                for certificate in connection.get_verified_chain() or [connection.get_peer_certificate()]
             ]
-            valid_from = max(unix_microseconds(one.not_valid_before_utc) for one in chain)
-            valid_until = min(unix_microseconds(one.not_valid_after_utc) for one in chain)
+            valid_from = max(unix_microseconds(certificate.not_valid_before_utc) for certificate in chain)
+            valid_until = min(unix_microseconds(certificate.not_valid_after_utc) for certificate in chain)
         now = clock()
         self.connector.sessions.add(
             now,
@@ -224,7 +224,7 @@
         if not isinstance(reason.value, SSL.Error):
             return Failure.CONNECTION_LOST
         text = " ".join(
-            str(one) for part in reason.value.args for one in (part if isinstance(part, list) else [part])
+            str(item) for part in reason.value.args for item in (part if isinstance(part, list) else [part])
         ).lower()
         if "alert" in text and ("certificate" in text or "unknown ca" in text or "access denied" in text):
             return Failure.CLIENT_KEY_REFUSED
@@ -233,6 +233,7 @@
         return Failure.PROTOCOL if text else Failure.CONNECTION_LOST
 
     def fail(self, failure, lost=False):
+        """Report a failed handshake once, and close the connection unless it is already `lost`."""
         if self.failed or self.is_open and lost:
             return
         self.failed = True
@@ -252,7 +253,7 @@
         trust_generation: the generation of the trusted roots and revocation lists.
         key_generation: the generation of the client's certificate and key.
         handshakes: the connections that are waiting or in their handshake, by handshake.
-        contexts: (OpenSSL context, revocation lists, whether servers are verified) by title of the Trust.
+        contexts: (OpenSSL context, revocation lists, whether servers are verified) by the title of the Trust.
         open_connections: the connections whose handshake is complete.
         announced: the last expiry notice that was logged for each certificate.
         counts: handshakes by result, and replacements of the key set.
@@ -310,8 +311,8 @@
         context.set_verify(SSL.VERIFY_PEER, verify)
         if self.keys.chain:
             context.use_certificate(crypto.X509.from_cryptography(self.keys.chain.leaf))
-            for one in self.keys.chain.issuers:
-                context.add_extra_chain_cert(crypto.X509.from_cryptography(one))
+            for issuer in self.keys.chain.issuers:
+                context.add_extra_chain_cert(crypto.X509.from_cryptography(issuer))
             context.use_privatekey(crypto.load_privatekey(crypto.FILETYPE_PEM, self.keys.key))
         return context
 
@@ -325,16 +326,16 @@
         except KeyMaterialError as error:
             self.log.info("tls-keys", f"{error}; the previous key set stays in use")
             return False
-        trust = [
-            (one.roots, tuple(x.fingerprint(x.signature_hash_algorithm) for x in one.lists))
-            for one in keys.trusts
+        new_trust = [
+            (loaded.roots, tuple(item.fingerprint(item.signature_hash_algorithm) for item in loaded.lists))
+            for loaded in keys.trusts
         ]
         old_trust = [
-            (one.roots, tuple(x.fingerprint(x.signature_hash_algorithm) for x in one.lists))
-            for one in self.keys.trusts
+            (loaded.roots, tuple(item.fingerprint(item.signature_hash_algorithm) for item in loaded.lists))
+            for loaded in self.keys.trusts
         ]
         trust_changed, key_changed = (
-            trust != old_trust,
+            new_trust != old_trust,
             (keys.certificate, keys.key) != (self.keys.certificate, self.keys.key),
         )
         if not (trust_changed or key_changed):
@@ -396,6 +397,7 @@
         return tls_connection.when_connected
 
     def execute(self, commands):
+        """Execute the commands of `admission` and set the timer for its next call."""
         for command in commands:
             if isinstance(command, StartHandshake):
                 self.start_handshake(self.handshakes[command.id])
--- a/limepath/tls/issuance.py
+++ b/limepath/tls/issuance.py
@@ -101,12 +101,12 @@
     if not names:
         raise KeyMaterialError("names: none given; expected at least one")
     key = key or new_key(kind, bits)
-    alternatives = []
-    for one in names:
+    alternative_names = []
+    for name in names:
         try:
-            alternatives.append(x509.IPAddress(ipaddress.ip_address(one)))
+            alternative_names.append(x509.IPAddress(ipaddress.ip_address(name)))
         except ValueError:
-            alternatives.append(x509.DNSName(one))
+            alternative_names.append(x509.DNSName(name))
     purposes = [ExtendedKeyUsageOID.SERVER_AUTH] + [ExtendedKeyUsageOID.CLIENT_AUTH] * client
     valid_until = wall + int(days * DAY_US)
     certificate = build_certificate(
@@ -120,11 +120,11 @@
             (x509.BasicConstraints(False, None), True),
             (key_usage(False), True),
             (x509.ExtendedKeyUsage(purposes), False),
-            (x509.SubjectAlternativeName(alternatives), False),
+            (x509.SubjectAlternativeName(alternative_names), False),
         ),
     )
-    intermediates = [one for one in chain if one.subject != one.issuer]
-    pem = b"".join(one.public_bytes(serialization.Encoding.PEM) for one in (certificate, *intermediates))
+    intermediates = [entry for entry in chain if entry.subject != entry.issuer]
+    pem = b"".join(entry.public_bytes(serialization.Encoding.PEM) for entry in (certificate, *intermediates))
     return CertificateAndKey(pem, private_key_pem(key))
 
 
--- a/limepath/tls/material.py
+++ b/limepath/tls/material.py
@@ -14,7 +14,7 @@
 from cryptography.hazmat.primitives.asymmetric import ec, ed25519, rsa
 
 MIN_RSA_BITS, MIN_CURVE_BITS, MAX_CHAIN_ISSUERS = 2048, 224, 8
-# Days before its expiry when a notice is logged; in the last day there is one every hour.
+# Days before an expiry at which a notice is logged. During the last day a notice is logged every hour.
 EXPIRY_NOTICE_DAYS = (30, 14, 7, 3, 2, 1)
 
 
@@ -27,9 +27,9 @@
 
     Attributes:
         leaf: the certificate itself.
-        issuers: each the issuer of the one before it.
-        valid_from: when the last of them becomes valid, in Unix microseconds.
-        valid_until: when the first of them expires, in Unix microseconds.
+        issuers: the CA certificates above it, starting with its own issuer.
+        valid_from: the latest start of validity in the chain, in Unix microseconds.
+        valid_until: the earliest expiry in the chain, in Unix microseconds.
     """
 
     leaf: x509.Certificate
@@ -53,18 +53,20 @@
     fingerprint: str
 
 
-def unix_microseconds(time):
-    return int(time.timestamp() * 1_000_000)
+def unix_microseconds(when):
+    return int(when.timestamp() * 1_000_000)
 
 
-def load_certificates(pem, what="certificate"):
-    """Return the certificates of a PEM file; `what` names the file's part in errors."""
+def load_certificates(pem, label="certificate"):
+    """Return the certificates of a PEM file; errors start with `label`."""
     try:
         loaded = x509.load_pem_x509_certificates(pem)
     except ValueError:
-        raise KeyMaterialError(f"{what}: no certificate in PEM format found") from None
-    if len(loaded) > 1 and len({one.fingerprint(hashes.SHA256()) for one in loaded}) < len(loaded):
-        raise KeyMaterialError(f"{what}: contains the same certificate twice")
+        raise KeyMaterialError(f"{label}: no certificate in PEM format found") from None
+    if len(loaded) > 1 and len({certificate.fingerprint(hashes.SHA256()) for certificate in loaded}) < len(
+        loaded
+    ):
+        raise KeyMaterialError(f"{label}: contains the same certificate twice")
     return tuple(loaded)
 
 
@@ -108,11 +110,11 @@
     raise KeyMaterialError("key: type not supported; expected RSA, EC or Ed25519")
 
 
-def same_key(one, other):
+def same_key(first, second):
     def encoded(key):
         return key.public_bytes(serialization.Encoding.DER, serialization.PublicFormat.SubjectPublicKeyInfo)
 
-    return encoded(one) == encoded(other)
+    return encoded(first) == encoded(second)
 
 
 def is_ca(certificate):
@@ -148,28 +150,31 @@
         raise KeyMaterialError(
             f"certificate: a chain of {len(issuers) + 1}, expected at most {MAX_CHAIN_ISSUERS + 1}"
         )
-    for certificate, one in pairwise((leaf, *issuers)):
-        if not is_issuer(one, certificate):
-            raise KeyMaterialError(f"chain: {subject_name(certificate)} is not issued by {subject_name(one)}")
+    for issued, certificate in pairwise((leaf, *issuers)):
+        if not is_issuer(certificate, issued):
+            raise KeyMaterialError(
+                f"chain: {subject_name(issued)} is not issued by {subject_name(certificate)}"
+            )
     last = issuers[-1] if issuers else leaf
     if roots and not any(last == root or is_issuer(root, last) for root in roots):
         raise KeyMaterialError(
             f"chain: incomplete, or of another root: the issuer of {subject_name(last)} is "
             f"{last.issuer.rfc4514_string()}"
         )
-    for one in (leaf, *issuers):
-        describe_key(one.public_key())
-        check_validity_period(one, wall)
+    for certificate in (leaf, *issuers):
+        describe_key(certificate.public_key())
+        check_validity_period(certificate, wall)
     chain = (leaf, *issuers)
     return Chain(
         leaf,
         tuple(issuers),
-        max(unix_microseconds(one.not_valid_before_utc) for one in chain),
-        min(unix_microseconds(one.not_valid_after_utc) for one in chain),
+        max(unix_microseconds(certificate.not_valid_before_utc) for certificate in chain),
+        min(unix_microseconds(certificate.not_valid_after_utc) for certificate in chain),
     )
 
 
 def check_validity_period(certificate, wall):
+    """Raise KeyMaterialError if a certificate is not valid at `wall`; None skips the check."""
     if wall is None:
         return
     if wall >= unix_microseconds(certificate.not_valid_after_utc):
@@ -198,24 +203,27 @@
 def load_revocation_lists(pem, roots, wall):
     """Return the revocation lists of a PEM file and whether one is stale; a root must have signed each."""
     lists = parse_revocation_lists(pem)
-    for one in lists:
+    for revocation_list in lists:
         if not any(
-            one.issuer == root.subject and one.is_signature_valid(root.public_key()) for root in roots
+            revocation_list.issuer == root.subject and revocation_list.is_signature_valid(root.public_key())
+            for root in roots
         ):
             raise KeyMaterialError(
-                f"revocation list: not signed by a trusted root: {one.issuer.rfc4514_string()}"
+                f"revocation list: not signed by a trusted root: {revocation_list.issuer.rfc4514_string()}"
             )
     stale = any(
-        one.next_update_utc is not None and unix_microseconds(one.next_update_utc) <= wall for one in lists
+        revocation_list.next_update_utc is not None
+        and unix_microseconds(revocation_list.next_update_utc) <= wall
+        for revocation_list in lists
     )
     return lists, stale
 
 
 def is_revoked(certificate, lists):
     return any(
-        one.issuer == certificate.issuer
-        and one.get_revoked_certificate_by_serial_number(certificate.serial_number) is not None
-        for one in lists
+        revocation_list.issuer == certificate.issuer
+        and revocation_list.get_revoked_certificate_by_serial_number(certificate.serial_number) is not None
+        for revocation_list in lists
     )
 
 
@@ -232,6 +240,7 @@
 
 
 def certificate_info(certificate, wall):
+    """Return the CertificateInfo of a certificate, with the days left at `wall` (Unix microseconds)."""
     try:
         key = describe_key(certificate.public_key())
     except KeyMaterialError as error:
@@ -255,19 +264,19 @@
 
     The notice is the time left: in days at EXPIRY_NOTICE_DAYS, in hours during the last day, or "over".
     """
-    left = valid_until - wall
-    if left <= 0:
+    time_left = valid_until - wall
+    if time_left <= 0:
         notice = "over"
-    elif left <= 86_400_000_000:
-        notice = f"{-(-left // 3_600_000_000)} hours"
+    elif time_left <= 86_400_000_000:
+        notice = f"{-(-time_left // 3_600_000_000)} hours"
     else:
-        days = -(-left // 86_400_000_000)
-        reached = [one for one in EXPIRY_NOTICE_DAYS if days <= one]
+        days = -(-time_left // 86_400_000_000)
+        reached = [limit for limit in EXPIRY_NOTICE_DAYS if days <= limit]
         if not reached:
             return None
         notice = f"{min(reached)} days"
     return None if notice == last else notice
 
 
-def utc_datetime(wall):
-    return datetime.fromtimestamp(wall / 1e6, UTC)
+def utc_datetime(unix_us):
+    return datetime.fromtimestamp(unix_us / 1e6, UTC)
--- a/limepath/tls/sessions.py
+++ b/limepath/tls/sessions.py
@@ -84,7 +84,7 @@
         ) and any(self.is_valid(now, wall, session) for session in self.by_scope.get(scope, ()))
 
     def drop_member(self, member):
-        """Drop all sessions of a server, because it has lost its ticket keys if it rejects a session."""
+        """Drop all sessions of a server that rejected one, because it has lost its ticket keys."""
         for scope in [scope for scope in self.by_scope if scope.member == member]:
             self.drop_scope(scope)
 
