--- a/limepath/cli/keys.py
+++ b/limepath/cli/keys.py
@@ -11,13 +11,13 @@
 
 from limepath.cli.output import STATUS_FAILED, fail
 from limepath.configuration import ini, tls_file
-from limepath.tls import making
-from limepath.tls.files import Trusted, key_set, read, write
-from limepath.tls.making import Made
-from limepath.tls.material import BadMaterial, Chain, certificates, shown
+from limepath.tls import issuance
+from limepath.tls.files import LoadedTrust, load_key_set, read_file, write_file
+from limepath.tls.issuance import CertificateAndKey
+from limepath.tls.material import Chain, KeyMaterialError, certificate_info, load_certificates
 
 kind_option = click.option(
-    "--kind", type=click.Choice(making.KINDS), default="ec", show_default=True, help="Of the key."
+    "--kind", type=click.Choice(issuance.KEY_TYPES), default="ec", show_default=True, help="Of the key."
 )
 CA, CA_KEY = "ca.pem", "ca.key"
 SECONDS_A_DAY = 86_400
@@ -38,15 +38,15 @@
     """Certificates and keys: make, inspect, check. Private keys are readable by their owner only."""
 
 
-def write_pair(folder: str, stem: str, made: Made, overwrite: bool) -> None:
+def write_pair(folder: str, stem: str, made: CertificateAndKey, overwrite: bool) -> None:
     """Write a certificate and its key, the key first and for its owner only; print both paths."""
     paths = [os.path.join(folder, f"{stem}.pem"), os.path.join(folder, f"{stem}.key")]
     for path in paths:
         if os.path.exists(path) and not overwrite:
             fail_keys(f"{path}: is there already; --overwrite replaces it")
     os.makedirs(folder, exist_ok=True)
-    write(paths[1], made.key, secret=True)
-    write(paths[0], made.certificate)
+    write_file(paths[1], made.key, secret=True)
+    write_file(paths[0], made.certificate)
     for path in paths:
         click.echo(path)
 
@@ -59,7 +59,7 @@
 @click.option("--overwrite", is_flag=True)
 def make_ca(folder: str, name: str, days: int, kind: str, overwrite: bool) -> None:
     """Make a certificate authority in FOLDER: ca.pem (for roots =) and ca.key (keep it off the fronts)."""
-    write_pair(folder, "ca", making.authority(name, unix_clock(), days, kind), overwrite)
+    write_pair(folder, "ca", issuance.create_ca(name, unix_clock(), days, kind), overwrite)
 
 
 @command.command("issue")
@@ -74,11 +74,11 @@
 ) -> None:
     """Issue a certificate for NAMES (DNS names or addresses), signed by the CA in FOLDER."""
     try:
-        authority = Made(
-            read(os.path.join(folder, CA), "ca"), read(os.path.join(folder, CA_KEY), "ca key", True)
+        authority = CertificateAndKey(
+            read_file(os.path.join(folder, CA), "ca"), read_file(os.path.join(folder, CA_KEY), "ca key", True)
         )
-        made = making.issue(authority, names, unix_clock(), days, kind)
-    except (BadMaterial, ValueError) as error:
+        made = issuance.issue(authority, names, unix_clock(), days, kind)
+    except (KeyMaterialError, ValueError) as error:
         fail_keys(error)
     write_pair(folder, (stem or names[0]).replace("/", "_").replace("*", "_"), made, overwrite)
 
@@ -89,8 +89,11 @@
 def inspect(file: str, as_json: bool) -> None:
     """Show the certificates in FILE."""
     try:
-        found = [shown(each, unix_clock())._asdict() for each in certificates(read(file, "certificate"))]
-    except BadMaterial as error:
+        found = [
+            certificate_info(each, unix_clock())._asdict()
+            for each in load_certificates(read_file(file, "certificate"))
+        ]
+    except KeyMaterialError as error:
         fail_keys(error)
     if as_json:
         click.echo(json.dumps(found, indent=1))
@@ -120,10 +123,10 @@
     now = unix_clock()
     try:
         settings = tls_file.read(file)
-        found = key_set(settings, now)
+        found = load_key_set(settings, now)
     except ini.SettingError as error:
         fail_keys(error)
-    except BadMaterial as error:
+    except KeyMaterialError as error:
         fail_keys(f"{file}: {error}")
     rows = chain_rows(cast("Chain | None", found.chain), now) + [
         row for trust in found.trusts for row in trust_rows(trust, now)
@@ -145,13 +148,19 @@
     """Return a row for the front's own certificate and for each that it hangs on; none without a key."""
     if not chain:
         return []
-    own = {"what": "[client] certificate"} | shown(chain.leaf, now)._asdict()
-    return [own, *({"what": "  hangs on"} | shown(issuer, now)._asdict() for issuer in chain.above)]
+    own = {"what": "[client] certificate"} | certificate_info(chain.leaf, now)._asdict()
+    return [
+        own,
+        *({"what": "  hangs on"} | certificate_info(issuer, now)._asdict() for issuer in chain.issuers),
+    ]
 
 
-def trust_rows(trust: Trusted, now: int) -> list[dict[str, Any]]:
+def trust_rows(trust: LoadedTrust, now: int) -> list[dict[str, Any]]:
     """Return a row for each root and each revocation list of a trust section."""
-    rows = [{"what": f"[trust {trust.title}] root"} | shown(root, now)._asdict() for root in trust.roots]
+    rows = [
+        {"what": f"[trust {trust.title}] root"} | certificate_info(root, now)._asdict()
+        for root in trust.roots
+    ]
     for revoked in trust.lists:
         rows.append(
             {
