--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -671,7 +671,7 @@
     )
     with servers.site() as site:
         viewer = site.viewer().send()
-        in_fresumed_only = site.cache.next()
+        in_flight = site.cache.next()
         paths[1].write_bytes(pair.key[:80])
         site.process.send_signal(signal.SIGHUP)
         assert "the previous key set stays in use" in site.heard("event=tls-keys")
@@ -679,9 +679,9 @@
         for _ in range(10):
             site.process.send_signal(signal.SIGHUP)
         assert "swapped" in site.heard("event=tls-keys")
-        in_fresumed_only.answer("DONE", COPY, b"x")  # a request in fresumed_only completes on its connection
+        in_flight.answer("DONE", COPY, b"x")  # a request in flight completes on its connection
         assert viewer.answer()[::2] == (200, b"x")
-        in_fresumed_only.hang_up()
+        in_flight.hang_up()
         viewer.send(txn="00000000000000fe")
         site.cache.next().answer("DONE", COPY, b"y")
         assert viewer.answer()[::2] == (200, b"y")
