--- a/tests/stand_ins.py
+++ b/tests/stand_ins.py
@@ -197,7 +197,7 @@
             except TimeoutError:
                 return
 
-    def called_in_vain(self):
+    def wait_for_connect_attempt(self):
         """Wait until somebody's connection to the crowded listener is under way: the system shows its first
         packet as sent.
         """
--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -127,7 +127,7 @@
         asked = site.cache.next()
         site.cache.crowd()
         waiting = site.viewer().send(txn="00000000000000aa")
-        site.cache.called_in_vain()
+        site.cache.wait_for_connect_attempt()
         suspend_front(site)
         asked.answer("DONE", COPY_FIELDS, b"x")  # read before the FIN, in the same iteration
         disconnect_for_long(waiting)
@@ -146,7 +146,7 @@
         )
         member.crowd()
         waiting = site.viewer().send(target, body, txn="00000000000000aa")
-        member.called_in_vain()
+        member.wait_for_connect_attempt()
         suspend_front(site)
         crowding_ports = {f":{connection.getsockname()[1]:04X}" for connection in member.crowding}
         port = f":{member.listener.getsockname()[1]:04X}"
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -91,7 +91,7 @@
     with Site(settings=with_write_settings(LONG_WAIT, idempotency=effect)) as site:
         site.origin.crowd()
         viewer = site.viewer().send("/invoke/tarea/0000000000000001", b"left")
-        site.origin.called_in_vain()
+        site.origin.wait_for_connect_attempt()
         viewer.close()
         assert site.health()[0] == 200  # a later connection was served, so the disconnect has been read
         site.origin.uncrowd()
@@ -107,7 +107,7 @@
     with Site(settings=settings) as site:
         site.cache.crowd()
         viewer = site.viewer().send()
-        site.cache.called_in_vain()
+        site.cache.wait_for_connect_attempt()
         viewer.close()
         assert site.health()[0] == 200
         site.cache.uncrowd()
@@ -124,7 +124,7 @@
         site.cache.asked = site.parent.asked = queue.Queue()  # one queue for both, to learn which is asked
         site.cache.crowd()
         viewer = site.viewer().send()
-        site.cache.called_in_vain()
+        site.cache.wait_for_connect_attempt()
         site.log.tell(
             2, fleet={"revision": 2, "complete": False, "members": [site.cache.entry("terminating")]}
         )
@@ -146,7 +146,7 @@
         lookup = site.cache.next()
         site.cache.crowd()
         lookup.answer("LACK")  # the fill needs another connection: a tag is sent once per connection
-        site.cache.called_in_vain()
+        site.cache.wait_for_connect_attempt()
         site.log.tell(
             2, fleet={"revision": 2, "complete": False, "members": [site.parent.entry("terminating")]}
         )
@@ -167,7 +167,7 @@
         site.log.called()
         site.cache.crowd()
         viewer = site.viewer().send()
-        site.cache.called_in_vain()
+        site.cache.wait_for_connect_attempt()
         now = int(time.time() * 1000)
         site.log.tell(2, invalidate={"bucket": 4, "time": now})  # sets the reference clock
         site.log.tell(3, invalidate={"bucket": 17, "time": now - 60_000})
@@ -190,7 +190,7 @@
         asked, received_at = site.origin.next(), time.monotonic()
         site.origin.crowd()
         asked.hang_up()  # the write may have run; its retry has no connection
-        site.origin.called_in_vain()
+        site.origin.wait_for_connect_attempt()
         until(lambda: time.monotonic() - received_at > 0.95)
         site.origin.uncrowd()  # the retry could be sent now, but its window has passed
         assert viewer.answer()[0] == 503  # the key is valid at all endpoints, so the client may retry
