--- a/tests/stand_ins.py
+++ b/tests/stand_ins.py
@@ -70,7 +70,7 @@
     return f"127.0.0.1:{listener.getsockname()[1]}"
 
 
-def until(holds):
+def wait_for(holds):
     """Wait until it holds."""
     end = time.monotonic() + BOUND
     while not holds():
@@ -205,7 +205,7 @@
             f":{self.listener.getsockname()[1]:04X}",
             {f":{one.getsockname()[1]:04X}" for one in self.crowding},
         )
-        until(
+        wait_for(
             lambda: any(
                 words[2].endswith(port) and words[3] == "02" and words[1][-5:] not in own
                 for words in connections()
@@ -431,7 +431,7 @@
         self.faults = self.faults | faults
         self.write_faults()
         self.process.send_signal(signal.SIGUSR1)
-        until(lambda: self.injected("applied") > applied)
+        wait_for(lambda: self.injected("applied") > applied)
 
     def injected(self, kind):
         """How often a fault of this kind took effect."""
--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -23,7 +23,7 @@
 from limepath.front.clock import clock
 from limepath.interface.events import EndpointState
 from limepath.log import Log
-from tests.stand_ins import BOUND, Site, Viewer, connections, listening, until
+from tests.stand_ins import BOUND, Site, Viewer, connections, listening, wait_for
 from tests.test_endings import (
     COPY_FIELDS,
     LONG_WAIT,
@@ -43,7 +43,7 @@
     """Disconnect the client and return once its FIN or reset has waited at the front for LATE seconds."""
     client_port = f":{viewer.socket.getsockname()[1]:04X}"
     (disconnect or viewer.close)()
-    until(
+    wait_for(
         lambda: (
             not any(
                 words[2].endswith(client_port) and words[3] == "01"  # TCP_ESTABLISHED
@@ -52,7 +52,7 @@
         )
     )
     since = time.monotonic()
-    until(lambda: time.monotonic() - since > LATE)
+    wait_for(lambda: time.monotonic() - since > LATE)
 
 
 def first_request_id(site, server):
@@ -151,7 +151,7 @@
         crowding_ports = {f":{connection.getsockname()[1]:04X}" for connection in member.crowding}
         port = f":{member.listener.getsockname()[1]:04X}"
         member.uncrowd()
-        until(
+        wait_for(
             lambda: any(  # established in the kernel, unknown to the front
                 words[2].endswith(port) and words[3] == "01" and words[1][-5:] not in crowding_ports
                 for words in connections()
@@ -174,11 +174,11 @@
         answer = b"%s DONE %s %d\r\n%s\r\n" % (asked.id.encode(), COPY_FIELDS.encode(), len(body), body)
         asked.connection.sendall(answer[:-2])
         cache_port = asked.connection.getsockname()[1]
-        until(lambda: unread_bytes(cache_port) == 0)
+        wait_for(lambda: unread_bytes(cache_port) == 0)
         suspend_front(site)
         asked.connection.sendall(answer[-2:])  # completes the answer, which blocks the output to the client
         viewer.send(txn="00000000000000aa")  # read in the same iteration
-        until(lambda: unread_bytes(viewer.socket.getsockname()[1]) > 0)
+        wait_for(lambda: unread_bytes(viewer.socket.getsockname()[1]) > 0)
         resume_front(site)
         viewer.socket.recv(1, socket.MSG_PEEK)
         assert site.health()[0] == 200
@@ -250,7 +250,7 @@
                 self.reactor.doIteration(0.01)
             return held
 
-        until(passed)
+        wait_for(passed)
 
     def attempts(self):
         """Return the attempts in flight."""
@@ -344,8 +344,8 @@
         assert not client_disconnects.has_ended(far)
         before = clock()
         near.shutdown(socket.SHUT_WR)
-        until(lambda: client_disconnects.has_ended(far))
-        until(lambda: clock() - before > 150_000)
+        wait_for(lambda: client_disconnects.has_ended(far))
+        wait_for(lambda: clock() - before > 150_000)
         ago = client_disconnects.since_last_packet(far)
         assert (
             150_000 - client_disconnects.RESOLUTION <= ago <= clock() - before + client_disconnects.RESOLUTION
@@ -367,8 +367,8 @@
         )
         before = clock()
         near.close()
-        until(lambda: client_disconnects.has_ended(far))
-        until(lambda: clock() - before > 150_000)
+        wait_for(lambda: client_disconnects.has_ended(far))
+        wait_for(lambda: clock() - before > 150_000)
         connection.request = SimpleNamespace(
             id=1,
             transaction_id=b"aa",
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -14,7 +14,7 @@
     available_descriptors,
     plan_limits,
 )
-from tests.stand_ins import BOUND, Site, StandInCache, accepting, until
+from tests.stand_ins import BOUND, Site, StandInCache, accepting, wait_for
 from tests.test_client_disconnects import driven  # noqa: F401 (a fixture)
 from tests.test_endings import COPY_FIELDS, resume_front, suspend_front
 
@@ -90,8 +90,8 @@
         clients = connect_clients(site, sends_request)
         if burst and not sends_request:
             resume_front(site)
-        until(lambda: site.health()[0] == 200)  # accepted after all of them
-        until(lambda: count_open(clients) <= CLIENTS)
+        wait_for(lambda: site.health()[0] == 200)  # accepted after all of them
+        wait_for(lambda: count_open(clients) <= CLIENTS)
         assert site.health()[0] == 200  # two more iterations, so that the excess is closed
         assert site.health()[0] == 200
         assert count_open(clients) >= CLIENTS - ACCEPTED_AT_ONCE  # not many more were closed than necessary
@@ -123,7 +123,7 @@
         site.log.called()
         log_address = stop_change_log(site.log)
         clients = connect_clients(site, sends_request=False)
-        until(lambda: site.health()[0] == 200)
+        wait_for(lambda: site.health()[0] == 200)
         assert max_logged_clients(site) <= CLIENTS + ACCEPTED_AT_ONCE
         restart_change_log(site, log_address)
         assert site.log.called() == 1
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -48,7 +48,7 @@
     configuration,
     free_address,
     listening,
-    until,
+    wait_for,
 )
 
 COPY_FIELDS = "rev=4be0c1927d55a6f3,since=1764576000123"
@@ -69,7 +69,7 @@
     """Stop the front's process with SIGSTOP until `resume_front`."""
     site.process.send_signal(signal.SIGSTOP)
     with open(f"/proc/{site.process.pid}/stat", encoding="ascii") as file:
-        until(lambda: file.seek(0) or file.read().rpartition(")")[2].split()[0] == "T")
+        wait_for(lambda: file.seek(0) or file.read().rpartition(")")[2].split()[0] == "T")
 
 
 def resume_front(site):
@@ -191,7 +191,7 @@
         site.origin.crowd()
         asked.hang_up()  # the write may have run; its retry has no connection
         site.origin.wait_for_connect_attempt()
-        until(lambda: time.monotonic() - received_at > 0.95)
+        wait_for(lambda: time.monotonic() - received_at > 0.95)
         site.origin.uncrowd()  # the retry could be sent now, but its window has passed
         assert viewer.answer()[0] == 503  # the key is valid at all endpoints, so the client may retry
         assert site.origin.asked.empty()
@@ -448,7 +448,7 @@
         resume_front(site)
         viewer.socket.recv(1, socket.MSG_PEEK)  # the response has begun; most of it is buffered
         viewer.raw("GET /invoke/video/1 HTTP/1.1\r\n")  # bytes unread at the close would reset the connection
-        until(lambda: site.health()[0] == 200)
+        wait_for(lambda: site.health()[0] == 200)
         assert viewer.answer()[2] == b"z" * 240_000 and viewer.ended()
 
 
@@ -478,14 +478,14 @@
         asked.answer("DONE", COPY_FIELDS, b"z" * 240_000)
         viewer.socket.recv(1, socket.MSG_PEEK)
         viewer.socket.shutdown(socket.SHUT_WR)
-        until(lambda: site.health()[0] == 200)
+        wait_for(lambda: site.health()[0] == 200)
         assert viewer.answer()[2] == b"z" * 240_000
 
 
 def test_slow_senders_do_not_exhaust_the_connections_of_other_clients():
     with Site(limits={"sockets": 100}) as site:  # 40 connections of clients
         slow_senders = [site.viewer().raw("GET /invoke/video/1 HTTP/1.1\r\n") for _ in range(40)]
-        until(lambda: established(site.where) >= 40)
+        wait_for(lambda: established(site.where) >= 40)
         time.sleep(0.4)  # the connections with the oldest incomplete requests are closed first
         others = []
         for number in range(20):
@@ -506,7 +506,7 @@
             pass
         suspend_front(site)
         viewer, before = site.viewer().send("/invoke/tarea/1", b"mine"), time.monotonic()
-        until(lambda: time.monotonic() - before > 0.4)  # `leaving_ms` has passed when the front resumes
+        wait_for(lambda: time.monotonic() - before > 0.4)  # `leaving_ms` has passed when the front resumes
         resume_front(site)
         site.origin.next().answer("DONE")
         assert viewer.answer()[0] == 200
@@ -540,7 +540,7 @@
         for number in (signal.SIGTERM, signal.SIGHUP, signal.SIGTERM):
             site.process.send_signal(number)
         resume_front(site)
-        until(lambda: any("event=leaving" in line for line in site.said))
+        wait_for(lambda: any("event=leaving" in line for line in site.said))
         asked.answer("DONE", COPY_FIELDS, b"x")
         assert viewer.answer()[2] == b"x"
         assert site.process.wait(BOUND) == 0
--- a/tests/test_terms_clock.py
+++ b/tests/test_terms_clock.py
@@ -6,7 +6,7 @@
 import threading
 import time
 
-from tests.stand_ins import BOUND, MS, SETTINGS, Site, until
+from tests.stand_ins import BOUND, MS, SETTINGS, Site, wait_for
 
 HOUR = 3600
 STEPS = (HOUR, 3, -3, -HOUR)
@@ -89,7 +89,7 @@
         """Send a purge as this event and wait until it takes effect, as then all earlier events have."""
         self.site.log.tell(number, invalidate={"bucket": 18, "time": milliseconds()})
         viewer = self.site.viewer()
-        until(lambda: "cap" in self.ask(viewer, X_Family=18).fields)
+        wait_for(lambda: "cap" in self.ask(viewer, X_Family=18).fields)
 
     def ask(self, viewer, **fields):
         assert viewer.send(txn=next(TXNS), **fields).answer()[0] == 200
--- a/tests/test_terms_discovery.py
+++ b/tests/test_terms_discovery.py
@@ -11,7 +11,7 @@
 from itertools import count
 
 from limepath.front.server_sent_events import EventReader
-from tests.stand_ins import BOUND, Site, accepting, address, listening, until
+from tests.stand_ins import BOUND, Site, accepting, address, listening, wait_for
 from tests.test_endings import COPY_FIELDS
 
 
@@ -28,7 +28,7 @@
 
     def answer_late(self, connection):
         started_at = time.monotonic()
-        until(lambda: time.monotonic() - started_at > self.seconds)
+        wait_for(lambda: time.monotonic() - started_at > self.seconds)
         try:
             connection.sendall(self.answer)
             while connection.recv(4096):
--- a/tests/test_terms_shutdown.py
+++ b/tests/test_terms_shutdown.py
@@ -8,7 +8,7 @@
 import time
 
 from limepath.configuration.platform import front_settings
-from tests.stand_ins import BOUND, MS, SETTINGS, Site, configuration, until
+from tests.stand_ins import BOUND, MS, SETTINGS, Site, configuration, wait_for
 from tests.test_endings import COPY_FIELDS
 
 ARRIVAL_PERIOD = 600_000  # microseconds after SIGTERM: 0.4 s for new connections, 0.2 s more on open ones
@@ -21,7 +21,7 @@
 
 
 def wait_until(since, seconds):
-    until(lambda: time.monotonic() - since >= seconds)
+    wait_for(lambda: time.monotonic() - since >= seconds)
 
 
 def test_front_stops_accepting_before_it_may_be_killed():
--- a/tests/test_terms_standstill.py
+++ b/tests/test_terms_standstill.py
@@ -20,7 +20,7 @@
 from limepath.front.endpoint_watch import EndpointWatch
 from limepath.front.poll_times import measure_read_delay
 from limepath.interface.events import AttemptEnded, AttemptOutcome, PurgeAnnounced, RequestArrived
-from tests.stand_ins import SETTINGS, Site, StandInChangeLog, until
+from tests.stand_ins import SETTINGS, Site, StandInChangeLog, wait_for
 from tests.test_client_disconnects import driven  # noqa: F401 (a fixture)
 from tests.test_endings import (
     COPY_FIELDS,
@@ -35,7 +35,7 @@
 
 
 def wait_until_elapsed(since, seconds):
-    until(lambda: time.monotonic() - since >= seconds)
+    wait_for(lambda: time.monotonic() - since >= seconds)
 
 
 def budget_of(asked):
@@ -170,10 +170,10 @@
     viewer = front.viewer()
     front.passes_until(lambda: front.clients.connections)
     viewer.send(ttl=5000)
-    until(lambda: front.reactor.doIteration(0.01) or front.clients.requests)
+    wait_for(lambda: front.reactor.doIteration(0.01) or front.clients.requests)
     began = time.monotonic()
     log.tell(1, invalidate={"bucket": 17, "time": 1})
-    until(lambda: select.select([watch.stream.transport.socket], [], [], 0)[0])
+    wait_for(lambda: select.select([watch.stream.transport.socket], [], [], 0)[0])
     wait_until_elapsed(began, 0.1)
     front.passes_until(
         lambda: any(isinstance(event, RequestArrived) for event in front.front.received_events)
@@ -223,7 +223,7 @@
         front.passes_until(lambda: select.select([idle_clients[-1].socket], [], [], 0)[0])
         assert idle_clients[-1].answer()[0] == 200
     newcomers = [front.viewer() for _ in range(2)]
-    until(
+    wait_for(
         lambda: front.reactor.doIteration(0.01) or len(front.clients.connections) > limits.client_connections
     )
     idle_clients[0].send(ttl=5000)
@@ -265,7 +265,7 @@
         viewer, connection = connect_idle(front, asked=reason != "silent too long")
         close_idle(front, connection, reason)
         # Without an iteration of the front:
-        until(lambda viewer=viewer: select.select([viewer.socket], [], [], 0)[0])
+        wait_for(lambda viewer=viewer: select.select([viewer.socket], [], [], 0)[0])
         assert viewer.ended()
         if reason in ("idle too long", "shutdown"):  # lingering: a request that crosses the close is read
             viewer.send(ttl=5000)
@@ -280,7 +280,7 @@
         front = driven()
         viewer, connection = connect_idle(front, asked=reason != "silent too long")
         viewer.send(ttl=5000)
-        until(lambda connection=connection: select.select([connection.transport.socket], [], [], 0)[0])
+        wait_for(lambda connection=connection: select.select([connection.transport.socket], [], [], 0)[0])
         close_idle(front, connection, reason)
         front.passes_until(lambda front=front: front.clients.requests)
 
