--- a/tests/stand_ins.py
+++ b/tests/stand_ins.py
@@ -62,7 +62,7 @@
 }
 
 
-def listening():
+def open_listener():
     return socket.create_server(("127.0.0.1", 0))
 
 
@@ -135,7 +135,7 @@
     def __init__(self, name, kind, zone, tls=None):
         """`tls(name)` gives the server's ssl.SSLContext."""
         self.name, self.kind, self.zone, self.tls, self.reused = name, kind, zone, tls, []
-        self.listener, self.asked, self.deaf, self.connected = listening(), queue.Queue(), False, 0
+        self.listener, self.asked, self.deaf, self.connected = open_listener(), queue.Queue(), False, 0
         self.cut_off, self.crowding, self.crowded = set(), [], False
         self.accepted_last = threading.Event()
         stamp_arrivals(self.listener)
@@ -232,7 +232,7 @@
     """Keeps the calls that come; tells events on the newest."""
 
     def __init__(self):
-        self.listener, self.calls, self.stream = listening(), queue.Queue(), None
+        self.listener, self.calls, self.stream = open_listener(), queue.Queue(), None
         accepting(self.listener, self.serve)
 
     def serve(self, connection):
--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -23,7 +23,7 @@
 from limepath.front.clock import clock
 from limepath.interface.events import EndpointState
 from limepath.log import Log
-from tests.stand_ins import BOUND, Site, Viewer, connections, listening, wait_for
+from tests.stand_ins import BOUND, Site, Viewer, connections, open_listener, wait_for
 from tests.test_endings import (
     COPY_FIELDS,
     LONG_WAIT,
@@ -331,7 +331,7 @@
 
 
 def connected_pair():
-    with listening() as listener:
+    with open_listener() as listener:
         near = socket.create_connection(listener.getsockname())
         far, _ = listener.accept()
     return near, far
--- a/tests/test_cold_ramp.py
+++ b/tests/test_cold_ramp.py
@@ -19,7 +19,7 @@
     Viewer,
     address,
     configuration,
-    listening,
+    open_listener,
     started,
 )
 
@@ -142,7 +142,11 @@
     safety = SETTINGS["safety"] | {"cold": cold_for, "overload-factor": 6}
     settings = SETTINGS | {"replicas-of-me": processes, "safety": safety}
     allowed = 6 * 0.2 * DEFAULT_CONCURRENCY * 1.0 / 0.6  # N: factor x share x concurrency x window / mean
-    cache, parent, log = StandInCache("s-1", "box", "sur"), StandInCache("p-1", "parent", "hub"), listening()
+    cache, parent, log = (
+        StandInCache("s-1", "box", "sur"),
+        StandInCache("p-1", "parent", "hub"),
+        open_listener(),
+    )
     began = int(time.time() * 1000)
     members = [cache.entry(up_since_ms=began), parent.entry()]
     known = {"seq": 1, "results": [{"seq": 1, "fleet": {"revision": 1, "members": members}}]}
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -47,7 +47,7 @@
     address,
     configuration,
     free_address,
-    listening,
+    open_listener,
     wait_for,
 )
 
@@ -518,7 +518,7 @@
     assert settings.limits.last_call == max(service.deadline for service in settings.arguments["services"])
     reactor, clients, _, _ = build_front(ForwardingDecisions(), last_call=5_000_000)
     clients.listener.port = SimpleNamespace(
-        doRead=lambda: None, stopListening=lambda: None, socket=listening()
+        doRead=lambda: None, stopListening=lambda: None, socket=open_listener()
     )
     slow = ClientConnection(clients)  # its response is buffered
     slow.state = ConnectionState.LINGERING
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -37,7 +37,7 @@
     address,
     configuration,
     free_address,
-    listening,
+    open_listener,
     started,
 )
 
@@ -531,7 +531,7 @@
 
 def test_invalid_configuration_is_reported_in_one_line_with_the_key():
     whole = configuration(free_address())
-    taken = listening()
+    taken = open_listener()
     less = {key: value for key, value in SETTINGS.items() if key != "safety"}
     fleet = {"seq": 1, "fleet": {"complete": True, "members": [{"id": "s-1", "host_port": "nowhere"}]}}
     cases = [
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -21,7 +21,7 @@
     Request,
     Told,
 )
-from tests.stand_ins import SETTINGS, listening
+from tests.stand_ins import SETTINGS, open_listener
 
 SEEDS = range(1, 9)
 LATE = 0.3  # seconds by which a reader is late here
@@ -39,7 +39,7 @@
 
 def connected():
     """Both ends of a TCP connection: one that sends and one whose arrivals are stamped."""
-    with listening() as listener:
+    with open_listener() as listener:
         stamp_arrivals(listener)
         sender = socket.create_connection(listener.getsockname())
         receiver, _ = listener.accept()
--- a/tests/test_terms_discovery.py
+++ b/tests/test_terms_discovery.py
@@ -11,7 +11,7 @@
 from itertools import count
 
 from limepath.front.server_sent_events import EventReader
-from tests.stand_ins import BOUND, Site, accepting, address, listening, wait_for
+from tests.stand_ins import BOUND, Site, accepting, address, open_listener, wait_for
 from tests.test_endings import COPY_FIELDS
 
 
@@ -19,7 +19,7 @@
     """Accepts connections immediately, and sends `answer` to each after `seconds` if it is still open."""
 
     def __init__(self, seconds, answer):
-        self.seconds, self.answer, self.listener, self.calls = seconds, answer, listening(), queue.Queue()
+        self.seconds, self.answer, self.listener, self.calls = seconds, answer, open_listener(), queue.Queue()
         accepting(self.listener, self.serve)
 
     def serve(self, connection):
