--- a/tests/stand_ins.py
+++ b/tests/stand_ins.py
@@ -84,7 +84,7 @@
         return [line.split() for line in file.readlines()[1:]]
 
 
-def listens_at(process, where):
+def holds_listener(process, where):
     """Whether this process holds a listener at this address."""
     port = f":{int(where.rpartition(':')[2]):04X}"
     inodes = {words[9] for words in connections() if words[1].endswith(port) and words[3] == LISTEN}
@@ -401,7 +401,9 @@
         threading.Thread(target=self.listen, daemon=True).start()
         end = time.monotonic() + BOUND
         while time.monotonic() < end and self.process.poll() is None:
-            if listens_at(self.process, self.where):  # not another test's front: that would answer as well
+            if holds_listener(
+                self.process, self.where
+            ):  # not another test's front: that would answer as well
                 return self.health()[0] == 200
             time.sleep(0.02)
 
