--- a/tests/stand_ins.py
+++ b/tests/stand_ins.py
@@ -96,7 +96,7 @@
     return any(f"socket:[{inode}]" in held for inode in inodes)
 
 
-def accepting(listener, serve):
+def accept_in_thread(listener, serve):
     """Hand each connection that comes to `serve`, until that says to accept no more."""
 
     def run():
@@ -139,7 +139,7 @@
         self.cut_off, self.crowding, self.crowded = set(), [], False
         self.accepted_last = threading.Event()
         stamp_arrivals(self.listener)
-        accepting(self.listener, self.serve)
+        accept_in_thread(self.listener, self.serve)
 
     def entry(self, phase="in_service", **changes):
         return {
@@ -220,7 +220,7 @@
         self.listener.listen(128)
         for one in self.crowding:
             one.close()
-        accepting(self.listener, self.serve)
+        accept_in_thread(self.listener, self.serve)
 
     def next(self, word="ASK"):
         asked = self.asked.get(timeout=BOUND)
@@ -233,7 +233,7 @@
 
     def __init__(self):
         self.listener, self.calls, self.stream = open_listener(), queue.Queue(), None
-        accepting(self.listener, self.serve)
+        accept_in_thread(self.listener, self.serve)
 
     def serve(self, connection):
         head = b""
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -14,7 +14,7 @@
     available_descriptors,
     plan_limits,
 )
-from tests.stand_ins import BOUND, Site, StandInCache, accepting, wait_for
+from tests.stand_ins import BOUND, Site, StandInCache, accept_in_thread, wait_for
 from tests.test_client_disconnects import driven  # noqa: F401 (a fixture)
 from tests.test_endings import COPY_FIELDS, resume_front, suspend_front
 
@@ -35,7 +35,7 @@
 def restart_change_log(site, where):
     """Restart the change log at its address."""
     site.log.listener = socket.create_server(where)
-    accepting(site.log.listener, site.log.serve)
+    accept_in_thread(site.log.listener, site.log.serve)
 
 
 def connect_clients(site, sends_request):
--- a/tests/test_terms_discovery.py
+++ b/tests/test_terms_discovery.py
@@ -11,7 +11,7 @@
 from itertools import count
 
 from limepath.front.server_sent_events import EventReader
-from tests.stand_ins import BOUND, Site, accepting, address, open_listener, wait_for
+from tests.stand_ins import BOUND, Site, accept_in_thread, address, open_listener, wait_for
 from tests.test_endings import COPY_FIELDS
 
 
@@ -20,7 +20,7 @@
 
     def __init__(self, seconds, answer):
         self.seconds, self.answer, self.listener, self.calls = seconds, answer, open_listener(), queue.Queue()
-        accepting(self.listener, self.serve)
+        accept_in_thread(self.listener, self.serve)
 
     def serve(self, connection):
         self.calls.put(connection.recv(4096))
