--- a/tests/soak.py
+++ b/tests/soak.py
@@ -226,7 +226,7 @@
             answer = viewer.answer()
         except (OSError, AssertionError, ValueError):
             answer = None
-        request.ended = viewer.answered_at() if answer else time.monotonic()
+        request.ended = viewer.last_arrival() if answer else time.monotonic()
         if answer is None:
             return False
         request.status, told, request.got = answer
--- a/tests/stand_ins.py
+++ b/tests/stand_ins.py
@@ -312,7 +312,7 @@
         assert len(body) == size, "a short body"
         return status, fields, body
 
-    def answered_at(self):
+    def last_arrival(self):
         """When the last byte that was read arrived, on the monotonic clock."""
         return self.stamps.latest
 
--- a/tests/test_terms_standstill.py
+++ b/tests/test_terms_standstill.py
@@ -83,7 +83,7 @@
                 assert budget_of(site.cache.next()) <= 2000 - 1000 * suspended_for + SLACK_MS
             viewer.socket.settimeout(5)
             assert viewer.answer()[0] in (502, 503, 504)
-            assert viewer.answered_at() - sent < 2 + 0.5, case  # a later response would be lost
+            assert viewer.last_arrival() - sent < 2 + 0.5, case  # a later response would be lost
 
 
 def test_an_unread_request_prevents_the_idle_timeout():
