--- a/tests/stand_ins.py
+++ b/tests/stand_ins.py
@@ -412,7 +412,7 @@
             self.said.append(line)
             self.lines.put(line)
 
-    def heard(self, word):
+    def next_log_line(self, word):
         """The next line of the front's log that holds the word."""
         while word not in (line := self.lines.get(timeout=BOUND)):
             pass
--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -391,6 +391,6 @@
         suspend_front(site)
         disconnect_for_long(site.viewer().send())
         resume_front(site)
-        line = site.heard("event=client-gone")
+        line = site.next_log_line("event=client-gone")
         assert "attempt=first" in line and "begun=no" in line
         assert int(line.partition("late_ms=")[2].split()[0]) >= 1000 * LATE - 10
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -84,7 +84,7 @@
     with Site(descriptors=SOCKETS, limits={"sockets": SOCKETS}) as site:
         site.log.called()
         log_address = stop_change_log(site.log)
-        site.heard("event=changelog")
+        site.next_log_line("event=changelog")
         if burst and not sends_request:
             suspend_front(site)
         clients = connect_clients(site, sends_request)
@@ -194,7 +194,9 @@
         clients[0].send()
         site.cache.next().answer("DONE", COPY_FIELDS, b"x")
         assert clients[0].answer()[2] == b"x"
-        counts = re.findall(r"(\w+)=(\d+)", site.heard("event=descriptors-by-use").partition("event=")[2])
+        counts = re.findall(
+            r"(\w+)=(\d+)", site.next_log_line("event=descriptors-by-use").partition("event=")[2]
+        )
         use = {name: int(value) for name, value in counts}
         assert (use["clients"], use["caches"]) == (CLIENTS, 1)
         assert use["clients"] + use["caches"] + use["other"] == descriptors(site)
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -206,11 +206,11 @@
         site.log.tell(2, invalidate={"bucket": 3, "time": int(time.time() * 1000)})
         for flawed in ("{", json.dumps(site.configuration | {"changelog": "nowhere"})):
             site.reload(flawed)
-            assert site.heard("event=reload ").endswith('the running values stay"')
+            assert site.next_log_line("event=reload ").endswith('the running values stay"')
         old, site.log = site.log, StandInChangeLog()
         site.reload(json.dumps(site.configuration | {"changelog": address(site.log.listener), "seed": "1"}))
         # SIGHUP without a handler would terminate the front.
-        assert "seed" in site.heard("event=reload ") and site.log.called() == 2
+        assert "seed" in site.next_log_line("event=reload ") and site.log.called() == 2
         for _ in range(2):
             site.reload(json.dumps(site.configuration | {"changelog": address(site.log.listener)}))
             assert site.log.called() == 2 and old.calls.empty()
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -133,7 +133,7 @@
                 | {"changelog": "127.0.0.1:9", "settings": SETTINGS | {"replicas-of-me": 0}}
             )
         )
-        line = site.heard("event=reload ")
+        line = site.next_log_line("event=reload ")
         assert "settings.replicas-of-me" in line and "the running values stay" in line
         viewer = site.viewer().send()
         site.cache.next().answer("DONE", "rev=4be0,since=1764576000123", b"x")
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -578,7 +578,7 @@
         direct = site.parent.next()  # the cache is proven not to have run it: straight to the parent
         direct.answer("DONE", COPY, b"elsewhere")
         assert viewer.answer()[::2] == (200, b"elsewhere")
-        line = site.heard("event=tls-server")
+        line = site.next_log_line("event=tls-server")
         assert f'why="{why}"' in line or f"why={why}" in line
         assert "server=s-1" in line and site.cache.asked.empty()
 
@@ -612,11 +612,11 @@
         out = site.cache.next()
         paths[1].write_bytes(pair.key[:80])
         site.process.send_signal(signal.SIGHUP)
-        assert "the old set stays" in site.heard("event=tls-keys")
+        assert "the old set stays" in site.next_log_line("event=tls-keys")
         put(issue(clients, ["front-1"], servers.now))
         for _ in range(10):
             site.process.send_signal(signal.SIGHUP)
-        assert "swapped" in site.heard("event=tls-keys")
+        assert "swapped" in site.next_log_line("event=tls-keys")
         out.answer("DONE", COPY, b"x")  # what was out finishes on its connection
         assert viewer.answer()[::2] == (200, b"x")
         out.hang_up()
