--- a/tests/stand_ins.py
+++ b/tests/stand_ins.py
@@ -212,7 +212,7 @@
             )
         )
 
-    def uncrowd(self):
+    def resume_accepting(self):
         """Accept again. Who called meanwhile comes up when the system sends its first packet again, a second
         after the first.
         """
--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -150,7 +150,7 @@
         suspend_front(site)
         crowding_ports = {f":{connection.getsockname()[1]:04X}" for connection in member.crowding}
         port = f":{member.listener.getsockname()[1]:04X}"
-        member.uncrowd()
+        member.resume_accepting()
         wait_for(
             lambda: any(  # established in the kernel, unknown to the front
                 words[2].endswith(port) and words[3] == "01" and words[1][-5:] not in crowding_ports
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -94,7 +94,7 @@
         site.origin.wait_for_connect_attempt()
         viewer.close()
         assert site.health()[0] == 200  # a later connection was served, so the disconnect has been read
-        site.origin.uncrowd()
+        site.origin.resume_accepting()
         stays = site.viewer().send("/invoke/tarea/0000000000000002", b"stays", txn="00000000000000fe")
         asked = site.origin.next()
         assert (asked.id, asked.body) == ("00000000000000fe", b"stays")
@@ -110,7 +110,7 @@
         site.cache.wait_for_connect_attempt()
         viewer.close()
         assert site.health()[0] == 200
-        site.cache.uncrowd()
+        site.cache.resume_accepting()
         stays = site.viewer().send(txn="00000000000000fe")
         asked = site.cache.next()
         assert asked.id == "00000000000000fe"
@@ -131,7 +131,7 @@
         # The gap makes the front reconnect, which shows that it has read the drain.
         site.log.tell(9, invalidate={"bucket": 3, "time": 0})
         assert site.log.called() == 2
-        site.cache.uncrowd()
+        site.cache.resume_accepting()
         asked = site.cache.next()
         # By the old command, it would reach the draining cache a second after the drain was published.
         assert asked.cache == "p-1"
@@ -152,7 +152,7 @@
         )
         site.log.tell(9, invalidate={"bucket": 3, "time": 0})
         assert site.log.called() == 2
-        site.cache.uncrowd()
+        site.cache.resume_accepting()
         again = site.cache.next()
         assert "up" not in again.fields  # a new decision: a lookup, not the fill by the old command
         again.answer("LACK")
@@ -173,7 +173,7 @@
         site.log.tell(3, invalidate={"bucket": 17, "time": now - 60_000})
         site.log.tell(9, invalidate={"bucket": 3, "time": 0})
         assert site.log.called() == 3
-        site.cache.uncrowd()
+        site.cache.resume_accepting()
         site.parent.asked = site.cache.asked
         asked = site.cache.next()
         assert 60_000 <= int(asked.fields["cap"]) < 70_000
@@ -192,7 +192,7 @@
         asked.hang_up()  # the write may have run; its retry has no connection
         site.origin.wait_for_connect_attempt()
         wait_for(lambda: time.monotonic() - received_at > 0.95)
-        site.origin.uncrowd()  # the retry could be sent now, but its window has passed
+        site.origin.resume_accepting()  # the retry could be sent now, but its window has passed
         assert viewer.answer()[0] == 503  # the key is valid at all endpoints, so the client may retry
         assert site.origin.asked.empty()
 
