--- a/tests/stand_ins.py
+++ b/tests/stand_ins.py
@@ -135,7 +135,12 @@
     def __init__(self, name, kind, zone, tls=None):
         """`tls(name)` gives the server's ssl.SSLContext."""
         self.name, self.kind, self.zone, self.tls, self.reused = name, kind, zone, tls, []
-        self.listener, self.asked, self.deaf, self.connected = open_listener(), queue.Queue(), False, 0
+        self.listener, self.asked, self.ignores_probes, self.connected = (
+            open_listener(),
+            queue.Queue(),
+            False,
+            0,
+        )
         self.cut_off, self.crowding, self.crowded = set(), [], False
         self.accepted_last = threading.Event()
         stamp_arrivals(self.listener)
@@ -173,7 +178,7 @@
                 asked = Asked(self.name, connection, *command)
                 if asked.word not in ("INFO", "NOOP"):
                     self.asked.put(asked)
-                elif not (self.deaf or connection in self.cut_off):
+                elif not (self.ignores_probes or connection in self.cut_off):
                     asked.answer("FIT", "use=inflight:1;util:0.1")
         except OSError:
             pass
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -549,7 +549,7 @@
 
 def test_a_hanging_cache_does_not_delay_shutdown_and_retries_are_answered():
     with Site(limits={"leaving_ms": 2000}) as site:
-        site.cache.deaf = site.parent.deaf = True
+        site.cache.ignores_probes = site.parent.ignores_probes = True
         viewer = site.viewer().send(ttl=1500)
         site.cache.next()
         site.terminate()
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -314,7 +314,7 @@
 
 def test_request_ends_at_its_deadline_if_no_server_answers():
     with Site() as site:
-        site.cache.deaf = site.parent.deaf = True
+        site.cache.ignores_probes = site.parent.ignores_probes = True
         viewer = site.viewer().send(ttl=1500)
         site.cache.next()
         assert viewer.answer()[0] == 503
--- a/tests/test_terms_answers.py
+++ b/tests/test_terms_answers.py
@@ -98,7 +98,7 @@
         first, second = site.caches
         first.asked = second.asked
         for cache in site.caches:
-            cache.deaf = True
+            cache.ignores_probes = True
         viewer = site.viewer().send()
         unanswered, later_commands = first.asked.get(timeout=10), []
         while (asked := first.asked.get(timeout=10)).word != "ASK":
