--- a/tests/stand_ins.py
+++ b/tests/stand_ins.py
@@ -141,7 +141,7 @@
             False,
             0,
         )
-        self.cut_off, self.crowding, self.crowded = set(), [], False
+        self.unanswered_connections, self.crowding, self.crowded = set(), [], False
         self.accepted_last = threading.Event()
         stamp_arrivals(self.listener)
         accept_in_thread(self.listener, self.serve)
@@ -178,7 +178,7 @@
                 asked = Asked(self.name, connection, *command)
                 if asked.word not in ("INFO", "NOOP"):
                     self.asked.put(asked)
-                elif not (self.ignores_probes or connection in self.cut_off):
+                elif not (self.ignores_probes or connection in self.unanswered_connections):
                     asked.answer("FIT", "use=inflight:1;util:0.1")
         except OSError:
             pass
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -326,7 +326,9 @@
 def test_silent_connection_is_closed_once_a_probe_on_another_is_answered():
     with Site() as site:
         viewer = site.viewer().send()
-        site.cache.cut_off.add(site.cache.next().connection)  # a probe on another connection will be answered
+        site.cache.unanswered_connections.add(
+            site.cache.next().connection
+        )  # a probe on another connection will be answered
         site.cache.next().answer("DONE", NOW, b"x")  # long before the deadline of the request
         assert viewer.answer()[::2] == (200, b"x")
 
