--- a/tests/stand_ins.py
+++ b/tests/stand_ins.py
@@ -187,7 +187,7 @@
         self.listener.shutdown(socket.SHUT_RDWR)
         self.listener.close()
 
-    def crowd(self):
+    def fill_accept_queue(self):
         """Stop accepting and fill the queue of the listener, so that no connection comes up any more."""
         self.crowded = True
         self.crowding.append(socket.create_connection(self.listener.getsockname()))  # the last accepted
--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -125,7 +125,7 @@
     with Site(settings=LONG_WAIT) as site:
         first = site.viewer().send()
         asked = site.cache.next()
-        site.cache.crowd()
+        site.cache.fill_accept_queue()
         waiting = site.viewer().send(txn="00000000000000aa")
         site.cache.wait_for_connect_attempt()
         suspend_front(site)
@@ -144,7 +144,7 @@
             if effect == "free"
             else ("/invoke/tarea/1", site.origin, b"mine")
         )
-        member.crowd()
+        member.fill_accept_queue()
         waiting = site.viewer().send(target, body, txn="00000000000000aa")
         member.wait_for_connect_attempt()
         suspend_front(site)
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -89,7 +89,7 @@
 @pytest.mark.parametrize("effect", ["single_shot", "guarded"])
 def test_a_queued_put_is_not_sent_after_its_client_disconnects(effect):
     with Site(settings=with_write_settings(LONG_WAIT, idempotency=effect)) as site:
-        site.origin.crowd()
+        site.origin.fill_accept_queue()
         viewer = site.viewer().send("/invoke/tarea/0000000000000001", b"left")
         site.origin.wait_for_connect_attempt()
         viewer.close()
@@ -105,7 +105,7 @@
 def test_a_queued_get_is_not_sent_after_its_client_disconnects_without_cancellation():
     settings = LONG_WAIT | {"limits": LONG_WAIT["limits"] | {"cancel": False}}
     with Site(settings=settings) as site:
-        site.cache.crowd()
+        site.cache.fill_accept_queue()
         viewer = site.viewer().send()
         site.cache.wait_for_connect_attempt()
         viewer.close()
@@ -122,7 +122,7 @@
     with Site(settings=LONG_WAIT) as site:
         site.log.called()
         site.cache.asked = site.parent.asked = queue.Queue()  # one queue for both, to learn which is asked
-        site.cache.crowd()
+        site.cache.fill_accept_queue()
         viewer = site.viewer().send()
         site.cache.wait_for_connect_attempt()
         site.log.tell(
@@ -144,7 +144,7 @@
         site.log.called()
         viewer = site.viewer().send()
         lookup = site.cache.next()
-        site.cache.crowd()
+        site.cache.fill_accept_queue()
         lookup.answer("LACK")  # the fill needs another connection: a tag is sent once per connection
         site.cache.wait_for_connect_attempt()
         site.log.tell(
@@ -165,7 +165,7 @@
 def test_a_purge_limits_the_age_of_a_get_that_was_queued_before_it():
     with Site(settings=LONG_WAIT) as site:
         site.log.called()
-        site.cache.crowd()
+        site.cache.fill_accept_queue()
         viewer = site.viewer().send()
         site.cache.wait_for_connect_attempt()
         now = int(time.time() * 1000)
@@ -188,7 +188,7 @@
     with Site(settings=settings) as site:
         viewer = site.viewer().send("/invoke/tarea/0000000000000001", b"once", ttl=4000, X_Txn_Key="91e82ce1")
         asked, received_at = site.origin.next(), time.monotonic()
-        site.origin.crowd()
+        site.origin.fill_accept_queue()
         asked.hang_up()  # the write may have run; its retry has no connection
         site.origin.wait_for_connect_attempt()
         wait_for(lambda: time.monotonic() - received_at > 0.95)
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -335,7 +335,7 @@
 
 def test_attempt_without_a_connection_counts_as_not_sent():
     with Site() as site:
-        site.cache.crowd()
+        site.cache.fill_accept_queue()
         viewer = site.viewer().send(ttl=100)  # less than the wait for a connection
         assert viewer.answer()[0] == 503
         viewer.send(txn="00000000000000ff")
