--- a/tests/stand_ins.py
+++ b/tests/stand_ins.py
@@ -141,7 +141,7 @@
             False,
             0,
         )
-        self.unanswered_connections, self.crowding, self.crowded = set(), [], False
+        self.unanswered_connections, self.queued_connections, self.accept_queue_full = set(), [], False
         self.accepted_last = threading.Event()
         stamp_arrivals(self.listener)
         accept_in_thread(self.listener, self.serve)
@@ -159,7 +159,7 @@
         } | changes
 
     def serve(self, connection):
-        if self.crowded:
+        if self.accept_queue_full:
             self.accepted_last.set()
             return True
         self.connected += 1
@@ -189,14 +189,16 @@
 
     def fill_accept_queue(self):
         """Stop accepting and fill the queue of the listener, so that no connection comes up any more."""
-        self.crowded = True
-        self.crowding.append(socket.create_connection(self.listener.getsockname()))  # the last accepted
+        self.accept_queue_full = True
+        self.queued_connections.append(
+            socket.create_connection(self.listener.getsockname())
+        )  # the last accepted
         self.accepted_last.wait(BOUND)
         self.listener.listen(0)
         while True:
             one = socket.socket()
             one.settimeout(0.3)
-            self.crowding.append(one)
+            self.queued_connections.append(one)
             try:
                 one.connect(self.listener.getsockname())
             except TimeoutError:
@@ -208,7 +210,7 @@
         """
         port, own = (
             f":{self.listener.getsockname()[1]:04X}",
-            {f":{one.getsockname()[1]:04X}" for one in self.crowding},
+            {f":{one.getsockname()[1]:04X}" for one in self.queued_connections},
         )
         wait_for(
             lambda: any(
@@ -221,9 +223,9 @@
         """Accept again. Who called meanwhile comes up when the system sends its first packet again, a second
         after the first.
         """
-        self.crowded = False
+        self.accept_queue_full = False
         self.listener.listen(128)
-        for one in self.crowding:
+        for one in self.queued_connections:
             one.close()
         accept_in_thread(self.listener, self.serve)
 
--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -148,7 +148,7 @@
         waiting = site.viewer().send(target, body, txn="00000000000000aa")
         member.wait_for_connect_attempt()
         suspend_front(site)
-        crowding_ports = {f":{connection.getsockname()[1]:04X}" for connection in member.crowding}
+        crowding_ports = {f":{connection.getsockname()[1]:04X}" for connection in member.queued_connections}
         port = f":{member.listener.getsockname()[1]:04X}"
         member.resume_accepting()
         wait_for(
