--- a/tests/stand_ins.py
+++ b/tests/stand_ins.py
@@ -353,7 +353,7 @@
     } | changes
 
 
-def started(told, words=(), descriptors=None, program=("-m", "limepath")):
+def start_program(told, words=(), descriptors=None, program=("-m", "limepath")):
     """Start the program with this configuration (text or an object) and words; give the process. It has so
     many descriptors, where that is told.
     """
@@ -404,7 +404,7 @@
         self.configuration = configuration(self.where, **self.told)
         if self.faults is not None:
             self.write_faults()
-        self.process = started(self.configuration, self.words, self.descriptors, self.program)
+        self.process = start_program(self.configuration, self.words, self.descriptors, self.program)
         threading.Thread(target=self.listen, daemon=True).start()
         end = time.monotonic() + BOUND
         while time.monotonic() < end and self.process.poll() is None:
--- a/tests/test_cold_ramp.py
+++ b/tests/test_cold_ramp.py
@@ -20,7 +20,7 @@
     address,
     configuration,
     open_listener,
-    started,
+    start_program,
 )
 
 SIZES = (2, 20, 30, 200)
@@ -170,7 +170,7 @@
                 seed=f"{number + 1:x}",
                 settings=settings,
             )
-            fronts.append((where, started(front_configuration)))
+            fronts.append((where, start_program(front_configuration)))
         for _, process in fronts:
             while "event=ready" not in process.stderr.readline():
                 assert process.poll() is None
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -38,7 +38,7 @@
     configuration,
     free_address,
     open_listener,
-    started,
+    start_program,
 )
 
 NOW = "rev=4be0c1927d55a6f3,since=1764576000123"
@@ -559,7 +559,7 @@
         (whole | {"known": {"seq": 1, "results": [fleet]}}, "known.results"),
         (whole | {"known": {"results": []}}, "known.seq"),
     ]
-    processes = [(started(told), key) for told, key in cases]
+    processes = [(start_program(told), key) for told, key in cases]
     for process, key in processes:
         _, errors = process.communicate(timeout=BOUND)
         assert process.returncode == 2 and key in errors and errors.count("\n") == 1, (key, errors)
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -16,7 +16,7 @@
 from limepath.log import Log
 from limepath.testbed.process import free_ports
 from tests.fake_host import FakeHost
-from tests.stand_ins import BOUND, SETTINGS, StandInChangeLog, address, configuration, started
+from tests.stand_ins import BOUND, SETTINGS, StandInChangeLog, address, configuration, start_program
 
 # READY_WITHIN: seconds, for nine of ten fronts that start at once.
 MEMBERS, STARTS, READY_WITHIN = 1400, 12, 10
@@ -59,7 +59,9 @@
         for port in free_ports(socket.SOCK_STREAM, STARTS):
             listen_address = f"127.0.0.1:{port}"
             processes.append(
-                started(configuration(listen_address, known=known_list, changelog=address(log.listener)))
+                start_program(
+                    configuration(listen_address, known=known_list, changelog=address(log.listener))
+                )
             )
             arguments = (processes[-1], time.monotonic())
             threading.Thread(target=wait_for_ready, args=arguments, daemon=True).start()
