--- a/tests/stand_ins.py
+++ b/tests/stand_ins.py
@@ -260,7 +260,7 @@
         (last,) = [line.split(b":")[1] for line in head.split(b"\r\n") if line.startswith(b"Last-Event-ID")]
         self.calls.put(int(last))
 
-    def called(self):
+    def next_call(self):
         return self.calls.get(timeout=BOUND)
 
     def tell(self, seq, **told):
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -82,7 +82,7 @@
 @pytest.mark.parametrize("burst", [False, True])
 def test_idle_clients_fill_their_descriptors_while_the_list_service_is_down(sends_request, burst):
     with Site(descriptors=SOCKETS, limits={"sockets": SOCKETS}) as site:
-        site.log.called()
+        site.log.next_call()
         log_address = stop_change_log(site.log)
         site.next_log_line("event=changelog")
         if burst and not sends_request:
@@ -97,12 +97,12 @@
         assert count_open(clients) >= CLIENTS - ACCEPTED_AT_ONCE  # not many more were closed than necessary
         assert max_logged_clients(site) <= CLIENTS + ACCEPTED_AT_ONCE
         restart_change_log(site, log_address)
-        assert site.log.called() == 1
+        assert site.log.next_call() == 1
         site.log.tell(
             2, fleet={"revision": 2, "complete": False, "members": [site.parent.entry("terminating")]}
         )
         site.log.tell(9, invalidate={"bucket": 3, "time": 0})  # a gap causes a reconnect; the drain was read
-        assert site.log.called() == 2
+        assert site.log.next_call() == 2
         assert site.health()[0] == 200
         viewer = site.viewer().send()
         site.cache.next().answer("LACK")
@@ -120,13 +120,13 @@
     soft, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
     assert available_descriptors(soft + 1) == soft and available_descriptors(64) == 64
     with Site(descriptors=SOCKETS, limits={"sockets": 5000}) as site:
-        site.log.called()
+        site.log.next_call()
         log_address = stop_change_log(site.log)
         clients = connect_clients(site, sends_request=False)
         wait_for(lambda: site.health()[0] == 200)
         assert max_logged_clients(site) <= CLIENTS + ACCEPTED_AT_ONCE
         restart_change_log(site, log_address)
-        assert site.log.called() == 1
+        assert site.log.next_call() == 1
         viewer = site.viewer().send()
         site.cache.next().answer("DONE", COPY_FIELDS, b"x")
         assert viewer.answer()[2] == b"x"
@@ -189,7 +189,7 @@
 
 def test_the_front_counts_its_descriptors_by_use():
     with Site(descriptors=SOCKETS, limits={"sockets": SOCKETS}) as site:
-        site.log.called()
+        site.log.next_call()
         clients = [site.viewer() for _ in range(CLIENTS)]
         clients[0].send()
         site.cache.next().answer("DONE", COPY_FIELDS, b"x")
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -120,7 +120,7 @@
 
 def test_a_queued_get_is_not_sent_to_an_endpoint_that_begins_to_drain():
     with Site(settings=LONG_WAIT) as site:
-        site.log.called()
+        site.log.next_call()
         site.cache.asked = site.parent.asked = queue.Queue()  # one queue for both, to learn which is asked
         site.cache.fill_accept_queue()
         viewer = site.viewer().send()
@@ -130,7 +130,7 @@
         )
         # The gap makes the front reconnect, which shows that it has read the drain.
         site.log.tell(9, invalidate={"bucket": 3, "time": 0})
-        assert site.log.called() == 2
+        assert site.log.next_call() == 2
         site.cache.resume_accepting()
         asked = site.cache.next()
         # By the old command, it would reach the draining cache a second after the drain was published.
@@ -141,7 +141,7 @@
 
 def test_a_queued_get_is_decided_again_when_its_fill_source_drains():
     with Site(settings=LONG_WAIT) as site:
-        site.log.called()
+        site.log.next_call()
         viewer = site.viewer().send()
         lookup = site.cache.next()
         site.cache.fill_accept_queue()
@@ -151,7 +151,7 @@
             2, fleet={"revision": 2, "complete": False, "members": [site.parent.entry("terminating")]}
         )
         site.log.tell(9, invalidate={"bucket": 3, "time": 0})
-        assert site.log.called() == 2
+        assert site.log.next_call() == 2
         site.cache.resume_accepting()
         again = site.cache.next()
         assert "up" not in again.fields  # a new decision: a lookup, not the fill by the old command
@@ -164,7 +164,7 @@
 
 def test_a_purge_limits_the_age_of_a_get_that_was_queued_before_it():
     with Site(settings=LONG_WAIT) as site:
-        site.log.called()
+        site.log.next_call()
         site.cache.fill_accept_queue()
         viewer = site.viewer().send()
         site.cache.wait_for_connect_attempt()
@@ -172,7 +172,7 @@
         site.log.tell(2, invalidate={"bucket": 4, "time": now})  # sets the reference clock
         site.log.tell(3, invalidate={"bucket": 17, "time": now - 60_000})
         site.log.tell(9, invalidate={"bucket": 3, "time": 0})
-        assert site.log.called() == 3
+        assert site.log.next_call() == 3
         site.cache.resume_accepting()
         site.parent.asked = site.cache.asked
         asked = site.cache.next()
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -152,7 +152,7 @@
 def test_drains_and_purges_take_effect():
     with Site(("s-1", "s-2")) as site:
         site.cache.asked = site.caches[1].asked  # a common queue
-        site.log.called()
+        site.log.next_call()
         viewer, now = site.viewer(), int(time.time() * 1000)
 
         def asked_for(number, **fields):
@@ -182,25 +182,25 @@
 
 def test_change_log_is_reconnected_after_a_break_a_gap_and_an_invalid_event():
     with Site() as site:
-        assert site.log.called() == 1
+        assert site.log.next_call() == 1
         site.log.hang_up()
-        assert site.log.called() == 1
+        assert site.log.next_call() == 1
         site.log.tell(2, invalidate={"object": "00000000000000aa", "time": int(time.time() * 1000)})
         site.log.tell(4, invalidate={"bucket": 3, "time": int(time.time() * 1000)})  # 3 is missing
-        assert site.log.called() == 2
+        assert site.log.next_call() == 2
         site.log.tell(3, invalidate={"bucket": 17, "time": int(time.time() * 1000)})
         site.log.raw(4, '{"seq":4,"fleet":{"members":[{"id":"s-9"}]}}')
-        assert site.log.called() == 3
+        assert site.log.next_call() == 3
         site.log.raw(4, '{"seq":4,"fleet":{"members":[{"id":"s-9"}]}}')  # invalid again: skipped
         site.log.tell(5, invalidate={"bucket": 17, "time": int(time.time() * 1000)})
         site.log.raw(6, "no event")
-        assert site.log.called() == 5
+        assert site.log.next_call() == 5
         assert site.health()[0] == 200
 
 
 def test_reload_moves_to_another_change_log_without_disturbing_requests():
     with Site() as site:
-        assert site.log.called() == 1
+        assert site.log.next_call() == 1
         viewer = site.viewer().send()
         asked = site.cache.next()
         site.log.tell(2, invalidate={"bucket": 3, "time": int(time.time() * 1000)})
@@ -210,10 +210,10 @@
         old, site.log = site.log, StandInChangeLog()
         site.reload(json.dumps(site.configuration | {"changelog": address(site.log.listener), "seed": "1"}))
         # SIGHUP without a handler would terminate the front.
-        assert "seed" in site.next_log_line("event=reload ") and site.log.called() == 2
+        assert "seed" in site.next_log_line("event=reload ") and site.log.next_call() == 2
         for _ in range(2):
             site.reload(json.dumps(site.configuration | {"changelog": address(site.log.listener)}))
-            assert site.log.called() == 2 and old.calls.empty()
+            assert site.log.next_call() == 2 and old.calls.empty()
         now = int(time.time() * 1000)
         site.log.tell(3, invalidate={"bucket": 17, "time": now})
         asked.answer("DONE", NOW, b"x")
@@ -229,7 +229,7 @@
 
 def test_silent_change_log_is_reconnected():
     with Site() as site:
-        assert [site.log.called(), site.log.called()] == [1, 1]
+        assert [site.log.next_call(), site.log.next_call()] == [1, 1]
 
 
 def test_two_resets_skip_a_cache_and_a_refused_connection_sheds_a_write():
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -126,7 +126,7 @@
 
 def test_a_reload_with_settings_that_cannot_be_used_changes_nothing():
     with Site() as site:
-        assert site.log.called() == 1
+        assert site.log.next_call() == 1
         site.reload(
             json.dumps(
                 site.configuration
--- a/tests/test_terms_discovery.py
+++ b/tests/test_terms_discovery.py
@@ -69,7 +69,7 @@
 def test_a_malformed_entry_does_not_hide_the_drain_of_another_endpoint():
     """An event with an entry of an unknown zone, beside drains, is received twice."""
     with Site(("s-1", "s-2")) as site:
-        site.log.called()
+        site.log.next_call()
         site.cache.asked = site.caches[1].asked
         site.parent.asked = site.origin.asked = site.cache.asked
         malformed = site.caches[1].entry(id="s-9", locality="luna")
@@ -79,7 +79,7 @@
         started_at, numbers = time.monotonic(), count()
         while endpoint_asked(site, next(numbers)) not in ("p-1", "o-1"):
             if not site.log.calls.empty():
-                assert site.log.called() == 1
+                assert site.log.next_call() == 1
                 site.log.tell(2, fleet=update)
             assert time.monotonic() - started_at < 5
 
--- a/tests/test_terms_standstill.py
+++ b/tests/test_terms_standstill.py
@@ -107,7 +107,7 @@
 def test_a_drain_received_while_suspended_applies_to_later_requests():
     """The front is suspended for longer than the limit on silence and the grace period of drains."""
     with Site(("s-1", "s-2")) as site:
-        site.log.called()
+        site.log.next_call()
         site.cache.asked = site.caches[1].asked  # one queue for both
         viewers = [site.viewer() for _ in range(8)]
         for number, viewer in enumerate(viewers):
--- a/tests/test_terms_system_calls.py
+++ b/tests/test_terms_system_calls.py
@@ -119,7 +119,7 @@
         call = "socket" if error == "ENFILE" else "connect_ex"
         site.inject(fail={call: [error, 3]}, ports=[other.listener.getsockname()[1]])
         site.reload(json.dumps(site.configuration | {"changelog": address(other.listener)}))
-        assert other.called() == 1
+        assert other.next_call() == 1
         assert site.injected(call) == 3
 
 
