--- a/tests/stand_ins.py
+++ b/tests/stand_ins.py
@@ -263,7 +263,7 @@
     def next_call(self):
         return self.calls.get(timeout=BOUND)
 
-    def tell(self, seq, **told):
+    def send_event(self, seq, **told):
         self.raw(seq, json.dumps({"seq": seq} | told))
 
     def raw(self, seq, text):
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -98,10 +98,12 @@
         assert max_logged_clients(site) <= CLIENTS + ACCEPTED_AT_ONCE
         restart_change_log(site, log_address)
         assert site.log.next_call() == 1
-        site.log.tell(
+        site.log.send_event(
             2, fleet={"revision": 2, "complete": False, "members": [site.parent.entry("terminating")]}
         )
-        site.log.tell(9, invalidate={"bucket": 3, "time": 0})  # a gap causes a reconnect; the drain was read
+        site.log.send_event(
+            9, invalidate={"bucket": 3, "time": 0}
+        )  # a gap causes a reconnect; the drain was read
         assert site.log.next_call() == 2
         assert site.health()[0] == 200
         viewer = site.viewer().send()
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -125,11 +125,11 @@
         site.cache.fill_accept_queue()
         viewer = site.viewer().send()
         site.cache.wait_for_connect_attempt()
-        site.log.tell(
+        site.log.send_event(
             2, fleet={"revision": 2, "complete": False, "members": [site.cache.entry("terminating")]}
         )
         # The gap makes the front reconnect, which shows that it has read the drain.
-        site.log.tell(9, invalidate={"bucket": 3, "time": 0})
+        site.log.send_event(9, invalidate={"bucket": 3, "time": 0})
         assert site.log.next_call() == 2
         site.cache.resume_accepting()
         asked = site.cache.next()
@@ -147,10 +147,10 @@
         site.cache.fill_accept_queue()
         lookup.answer("LACK")  # the fill needs another connection: a tag is sent once per connection
         site.cache.wait_for_connect_attempt()
-        site.log.tell(
+        site.log.send_event(
             2, fleet={"revision": 2, "complete": False, "members": [site.parent.entry("terminating")]}
         )
-        site.log.tell(9, invalidate={"bucket": 3, "time": 0})
+        site.log.send_event(9, invalidate={"bucket": 3, "time": 0})
         assert site.log.next_call() == 2
         site.cache.resume_accepting()
         again = site.cache.next()
@@ -169,9 +169,9 @@
         viewer = site.viewer().send()
         site.cache.wait_for_connect_attempt()
         now = int(time.time() * 1000)
-        site.log.tell(2, invalidate={"bucket": 4, "time": now})  # sets the reference clock
-        site.log.tell(3, invalidate={"bucket": 17, "time": now - 60_000})
-        site.log.tell(9, invalidate={"bucket": 3, "time": 0})
+        site.log.send_event(2, invalidate={"bucket": 4, "time": now})  # sets the reference clock
+        site.log.send_event(3, invalidate={"bucket": 17, "time": now - 60_000})
+        site.log.send_event(9, invalidate={"bucket": 3, "time": 0})
         assert site.log.next_call() == 3
         site.cache.resume_accepting()
         site.parent.asked = site.cache.asked
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -164,13 +164,15 @@
 
         assert {asked_for(number).cache for number in range(40)} == {"s-1", "s-2"}
         # The timestamp sets the reference clock, from which ages are computed.
-        site.log.tell(2, invalidate={"bucket": 4, "time": int(time.time() * 1000)})
-        site.log.tell(
+        site.log.send_event(2, invalidate={"bucket": 4, "time": int(time.time() * 1000)})
+        site.log.send_event(
             3, fleet={"revision": 2, "complete": False, "members": [site.cache.entry("terminating")]}
         )
-        site.log.tell(4, invalidate={"bucket": 17, "time": now - 100})
-        site.log.tell(4, invalidate={"bucket": 17, "time": now - 90_000})  # a repeated number is ignored
-        site.log.tell(5, invalidate={"object": "00000000000000aa", "time": now - 40_000})
+        site.log.send_event(4, invalidate={"bucket": 17, "time": now - 100})
+        site.log.send_event(
+            4, invalidate={"bucket": 17, "time": now - 90_000}
+        )  # a repeated number is ignored
+        site.log.send_event(5, invalidate={"object": "00000000000000aa", "time": now - 40_000})
         while "cap" not in asked_for(0xAA, X_Family=3).fields:
             pass
         seen = [asked_for(number) for number in range(40)]
@@ -185,14 +187,14 @@
         assert site.log.next_call() == 1
         site.log.hang_up()
         assert site.log.next_call() == 1
-        site.log.tell(2, invalidate={"object": "00000000000000aa", "time": int(time.time() * 1000)})
-        site.log.tell(4, invalidate={"bucket": 3, "time": int(time.time() * 1000)})  # 3 is missing
+        site.log.send_event(2, invalidate={"object": "00000000000000aa", "time": int(time.time() * 1000)})
+        site.log.send_event(4, invalidate={"bucket": 3, "time": int(time.time() * 1000)})  # 3 is missing
         assert site.log.next_call() == 2
-        site.log.tell(3, invalidate={"bucket": 17, "time": int(time.time() * 1000)})
+        site.log.send_event(3, invalidate={"bucket": 17, "time": int(time.time() * 1000)})
         site.log.raw(4, '{"seq":4,"fleet":{"members":[{"id":"s-9"}]}}')
         assert site.log.next_call() == 3
         site.log.raw(4, '{"seq":4,"fleet":{"members":[{"id":"s-9"}]}}')  # invalid again: skipped
-        site.log.tell(5, invalidate={"bucket": 17, "time": int(time.time() * 1000)})
+        site.log.send_event(5, invalidate={"bucket": 17, "time": int(time.time() * 1000)})
         site.log.raw(6, "no event")
         assert site.log.next_call() == 5
         assert site.health()[0] == 200
@@ -203,7 +205,7 @@
         assert site.log.next_call() == 1
         viewer = site.viewer().send()
         asked = site.cache.next()
-        site.log.tell(2, invalidate={"bucket": 3, "time": int(time.time() * 1000)})
+        site.log.send_event(2, invalidate={"bucket": 3, "time": int(time.time() * 1000)})
         for flawed in ("{", json.dumps(site.configuration | {"changelog": "nowhere"})):
             site.reload(flawed)
             assert site.next_log_line("event=reload ").endswith('the running values stay"')
@@ -215,7 +217,7 @@
             site.reload(json.dumps(site.configuration | {"changelog": address(site.log.listener)}))
             assert site.log.next_call() == 2 and old.calls.empty()
         now = int(time.time() * 1000)
-        site.log.tell(3, invalidate={"bucket": 17, "time": now})
+        site.log.send_event(3, invalidate={"bucket": 17, "time": now})
         asked.answer("DONE", NOW, b"x")
         assert viewer.answer()[::2] == (200, b"x")
         while "cap" not in (asked := viewer.send() and site.cache.next()).fields:
--- a/tests/test_terms_clock.py
+++ b/tests/test_terms_clock.py
@@ -60,7 +60,7 @@
             for number, step in enumerate((at_start, *STEPS), 2):
                 site.inject(wall_step=step)
                 told_at = milliseconds()
-                site.log.tell(number, invalidate={"bucket": 17, "time": told_at})
+                site.log.send_event(number, invalidate={"bucket": 17, "time": told_at})
                 viewer, end = site.viewer(), time.monotonic() + 5
                 while int(serve(site, viewer, milliseconds()).fields["cap"]) > milliseconds() - told_at:
                     assert time.monotonic() < end, (at_start, step)
@@ -87,7 +87,7 @@
 
     def wait_until_heard(self, number):
         """Send a purge as this event and wait until it takes effect, as then all earlier events have."""
-        self.site.log.tell(number, invalidate={"bucket": 18, "time": milliseconds()})
+        self.site.log.send_event(number, invalidate={"bucket": 18, "time": milliseconds()})
         viewer = self.site.viewer()
         wait_for(lambda: "cap" in self.ask(viewer, X_Family=18).fields)
 
@@ -105,7 +105,7 @@
             answering, viewer = Answering(site), site.viewer()
             site.inject(wall_step=HOUR)
             entry = site.cache.entry(up_since_ms=milliseconds())
-            site.log.tell(2, fleet={"revision": 2, "complete": False, "members": [entry]})
+            site.log.send_event(2, fleet={"revision": 2, "complete": False, "members": [entry]})
             answering.wait_until_heard(3)
             for _ in range(30):
                 answering.ask(viewer)
--- a/tests/test_terms_discovery.py
+++ b/tests/test_terms_discovery.py
@@ -75,12 +75,12 @@
         malformed = site.caches[1].entry(id="s-9", locality="luna")
         update = {"revision": 2, "complete": False, "members": [malformed]}
         update["members"] += [member.entry("terminating") for member in site.caches]
-        site.log.tell(2, fleet=update)
+        site.log.send_event(2, fleet=update)
         started_at, numbers = time.monotonic(), count()
         while endpoint_asked(site, next(numbers)) not in ("p-1", "o-1"):
             if not site.log.calls.empty():
                 assert site.log.next_call() == 1
-                site.log.tell(2, fleet=update)
+                site.log.send_event(2, fleet=update)
             assert time.monotonic() - started_at < 5
 
 
--- a/tests/test_terms_standstill.py
+++ b/tests/test_terms_standstill.py
@@ -117,7 +117,7 @@
         suspend_front(site)
         began = time.monotonic()
         drained = [site.cache.entry("terminating")]
-        site.log.tell(2, fleet={"revision": 2, "complete": False, "members": drained})
+        site.log.send_event(2, fleet={"revision": 2, "complete": False, "members": drained})
         wait_until_elapsed(began, 2.9)
         for number, viewer in enumerate(viewers):
             viewer.send(f"/invoke/video/{number}", txn=f"{number + 100:016x}")
@@ -172,7 +172,7 @@
     viewer.send(ttl=5000)
     wait_for(lambda: front.reactor.doIteration(0.01) or front.clients.requests)
     began = time.monotonic()
-    log.tell(1, invalidate={"bucket": 17, "time": 1})
+    log.send_event(1, invalidate={"bucket": 17, "time": 1})
     wait_for(lambda: select.select([watch.stream.transport.socket], [], [], 0)[0])
     wait_until_elapsed(began, 0.1)
     front.passes_until(
