--- a/tests/stand_ins.py
+++ b/tests/stand_ins.py
@@ -323,7 +323,7 @@
         """When the last byte that was read arrived, on the monotonic clock."""
         return self.stamps.latest
 
-    def ended(self):
+    def closed_by_server(self):
         try:
             return self.stream.read() == b""
         except ConnectionResetError:
--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -204,7 +204,7 @@
         viewer = site.viewer().send()
         disconnect_for_long(viewer, lambda: viewer.socket.shutdown(socket.SHUT_WR))
         resume_front(site)
-        assert viewer.ended()  # no answer, although the client could still read one
+        assert viewer.closed_by_server()  # no answer, although the client could still read one
         assert first_request_id(site, site.cache) == OTHER_ID
 
 
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -449,7 +449,7 @@
         viewer.socket.recv(1, socket.MSG_PEEK)  # the response has begun; most of it is buffered
         viewer.raw("GET /invoke/video/1 HTTP/1.1\r\n")  # bytes unread at the close would reset the connection
         wait_for(lambda: site.health()[0] == 200)
-        assert viewer.answer()[2] == b"z" * 240_000 and viewer.ended()
+        assert viewer.answer()[2] == b"z" * 240_000 and viewer.closed_by_server()
 
 
 def test_a_request_that_crosses_the_close_of_its_connection_is_not_forwarded():
@@ -493,7 +493,7 @@
             site.cache.next().answer("DONE", COPY_FIELDS, b"x")
             assert viewer.answer()[2] == b"x"
             others.append(viewer)
-        assert slow_senders[0].ended()
+        assert slow_senders[0].closed_by_server()
 
 
 # Shutdown and startup of the process
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -361,10 +361,10 @@
         assert health[1]["connection"] == "close"
         late.send(txn="00000000000000ff")
         site.cache.next().answer("DONE", NOW, b"late")
-        assert late.answer()[1]["connection"] == "close" and late.ended()
-        assert idle.ended() and site.process.poll() is None
+        assert late.answer()[1]["connection"] == "close" and late.closed_by_server()
+        assert idle.closed_by_server() and site.process.poll() is None
         asked.answer("DONE", NOW, OBJECT)
-        assert open_one.answer()[2] == OBJECT and open_one.ended()
+        assert open_one.answer()[2] == OBJECT and open_one.closed_by_server()
         assert site.process.wait(BOUND) == 0
 
 
@@ -372,7 +372,7 @@
     with Site() as site:  # a producer that stayed registered once kept this connection open forever
         viewer = site.viewer().send(Connection="close")
         site.cache.next().answer("DONE", NOW, b"z" * 240_000)
-        assert viewer.answer()[2] == b"z" * 240_000 and viewer.ended()
+        assert viewer.answer()[2] == b"z" * 240_000 and viewer.closed_by_server()
 
 
 def test_invalid_requests_are_rejected_without_affecting_others():
@@ -410,7 +410,7 @@
             viewer = site.viewer().raw(text)
             answer = viewer.answer()
             assert answer[0] == status and answer[1]["connection"] == "close", (text[:80], answer)
-            assert viewer.ended()
+            assert viewer.closed_by_server()
         asked = site.cache.next()
         assert asked.id == "00000000000000ff" and site.cache.asked.empty() and site.origin.asked.empty()
         asked.answer("DONE", NOW, b"x")
@@ -429,12 +429,12 @@
         viewer = site.viewer().send()
         asked = site.cache.next()
         double = site.viewer().send("/invoke/video/1")
-        assert double.answer()[0] == 409 and double.ended()
+        assert double.answer()[0] == 409 and double.closed_by_server()
         asked.answer("DONE", NOW, b"x")
         assert viewer.answer()[::2] == (200, b"x")
         asked = viewer.send() and site.cache.next()  # the id can be used again
         viewer.raw("x")  # one byte after the end of the request
-        assert viewer.answer()[0] == 400 and viewer.ended()
+        assert viewer.answer()[0] == 400 and viewer.closed_by_server()
         assert site.cache.next("QUIT").id == asked.id
 
 
@@ -452,7 +452,7 @@
         assert sent < 30_000_000  # such a client was once read for 10 s
         site.cache.next().answer("DONE", NOW)
         assert after.answer()[0] == 200
-        assert silent.ended() and half.ended() and after.ended()
+        assert silent.closed_by_server() and half.closed_by_server() and after.closed_by_server()
 
 
 def test_request_read_during_a_lingering_close_is_not_accepted():
@@ -528,7 +528,7 @@
         busy = site.viewer().send()
         asked = site.cache.next()
         crowd = [site.viewer() for _ in range(60)]
-        assert crowd[0].ended()
+        assert crowd[0].closed_by_server()
         asked.answer("DONE", NOW, b"x")
         assert busy.answer()[2] == b"x"
 
--- a/tests/test_terms_standstill.py
+++ b/tests/test_terms_standstill.py
@@ -266,7 +266,7 @@
         close_idle(front, connection, reason)
         # Without an iteration of the front:
         wait_for(lambda viewer=viewer: select.select([viewer.socket], [], [], 0)[0])
-        assert viewer.ended()
+        assert viewer.closed_by_server()
         if reason in ("idle too long", "shutdown"):  # lingering: a request that crosses the close is read
             viewer.send(ttl=5000)
             iterations = iter(range(5))
