--- a/tests/stand_ins.py
+++ b/tests/stand_ins.py
@@ -135,7 +135,7 @@
     def __init__(self, name, kind, zone, tls=None):
         """`tls(name)` gives the server's ssl.SSLContext."""
         self.name, self.kind, self.zone, self.tls, self.reused = name, kind, zone, tls, []
-        self.listener, self.asked, self.ignores_probes, self.connected = (
+        self.listener, self.asked, self.ignores_probes, self.connection_count = (
             open_listener(),
             queue.Queue(),
             False,
@@ -162,7 +162,7 @@
         if self.accept_queue_full:
             self.accepted_last.set()
             return True
-        self.connected += 1
+        self.connection_count += 1
         threading.Thread(target=self.read, args=(connection,), daemon=True).start()
 
     def read(self, connection):
--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -73,7 +73,7 @@
     for asked in [member.next() for _ in viewers]:
         asked.answer("DONE", COPY_FIELDS if body is None else "-")
     assert [viewer.answer()[0] for viewer in viewers] == [200] * number
-    assert member.connected == number
+    assert member.connection_count == number
 
 
 @pytest.mark.parametrize("connected", [True, False])
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -77,7 +77,7 @@
         assert direct.fields["up"] == "o-1"
         direct.answer("DONE", NOW, b"y")
         # Each connection carries an id only once.
-        assert viewer.answer()[::2] == (200, b"y") and site.cache.connected == 3
+        assert viewer.answer()[::2] == (200, b"y") and site.cache.connection_count == 3
 
 
 def test_copy_of_a_client_is_revalidated():
@@ -146,7 +146,7 @@
         again = site.cache.next()
         asked.answer("DONE", NOW, b"late")
         again.answer("DONE", NOW, b"new")
-        assert viewer.answer()[::2] == (200, b"new") and site.cache.connected == 2
+        assert viewer.answer()[::2] == (200, b"new") and site.cache.connection_count == 2
 
 
 def test_drains_and_purges_take_effect():
