--- a/tests/soak.py
+++ b/tests/soak.py
@@ -266,7 +266,7 @@
             self.end()
             for client in clients:
                 client.join(self.longest / 1000 + LATE_ANSWER + 1)
-            return self.judge.broken(self.told_to_end, self.killed_at, self.site.said)
+            return self.judge.broken(self.told_to_end, self.killed_at, self.site.log_lines)
 
     def crowd(self):
         """Idle clients fill the descriptors; new connections may be shut unread then."""
--- a/tests/stand_ins.py
+++ b/tests/stand_ins.py
@@ -400,7 +400,7 @@
 
     def start(self):
         """Whether the front came up; its port may have been taken since it was found free."""
-        self.where, self.said, self.lines = free_address(), [], queue.Queue()
+        self.where, self.log_lines, self.lines = free_address(), [], queue.Queue()
         self.configuration = configuration(self.where, **self.told)
         if self.faults is not None:
             self.write_faults()
@@ -416,7 +416,7 @@
 
     def listen(self):
         for line in self.process.stderr:
-            self.said.append(line)
+            self.log_lines.append(line)
             self.lines.put(line)
 
     def next_log_line(self, word):
@@ -448,7 +448,7 @@
             return json.load(file).get(kind, 0)
 
     def __enter__(self):
-        assert any(self.start() for _ in range(3)), f"the front did not start: {self.said}"
+        assert any(self.start() for _ in range(3)), f"the front did not start: {self.log_lines}"
         return self
 
     def viewer(self):
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -70,7 +70,7 @@
 
 def max_logged_clients(site):
     """Return the maximum number of client connections that the front has logged."""
-    matches = [re.search(r"event=descriptors clients=(\d+)", line) for line in site.said]
+    matches = [re.search(r"event=descriptors clients=(\d+)", line) for line in site.log_lines]
     return max(int(match[1]) for match in matches if match)
 
 
@@ -113,7 +113,9 @@
         fill.answer("DONE", COPY_FIELDS, b"x")
         assert viewer.answer()[2] == b"x"
         assert descriptors(site) <= SOCKETS
-        assert not [line for line in site.said if "fault" in line or "EMFILE" in line or "open files" in line]
+        assert not [
+            line for line in site.log_lines if "fault" in line or "EMFILE" in line or "open files" in line
+        ]
         for client in clients:
             client.close()
 
@@ -132,7 +134,7 @@
         viewer = site.viewer().send()
         site.cache.next().answer("DONE", COPY_FIELDS, b"x")
         assert viewer.answer()[2] == b"x"
-        assert not [line for line in site.said if "open files" in line or "EMFILE" in line]
+        assert not [line for line in site.log_lines if "open files" in line or "EMFILE" in line]
         for client in clients:
             client.close()
 
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -540,11 +540,11 @@
         for number in (signal.SIGTERM, signal.SIGHUP, signal.SIGTERM):
             site.process.send_signal(number)
         resume_front(site)
-        wait_for(lambda: any("event=leaving" in line for line in site.said))
+        wait_for(lambda: any("event=leaving" in line for line in site.log_lines))
         asked.answer("DONE", COPY_FIELDS, b"x")
         assert viewer.answer()[2] == b"x"
         assert site.process.wait(BOUND) == 0
-        assert not [line for line in site.said if "fault" in line]
+        assert not [line for line in site.log_lines if "fault" in line]
 
 
 def test_a_hanging_cache_does_not_delay_shutdown_and_retries_are_answered():
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -343,7 +343,7 @@
         viewer.send(txn="00000000000000ff")
         site.parent.next().answer("DONE", NOW, b"x")
         assert viewer.answer()[::2] == (200, b"x")
-        assert not [line for line in site.said if "fault" in line], site.said
+        assert not [line for line in site.log_lines if "fault" in line], site.log_lines
 
 
 def test_wait_for_a_connection_is_limited_by_heed_within():
