--- a/tests/soak.py
+++ b/tests/soak.py
@@ -82,16 +82,16 @@
 
     def __init__(self, site, chance, judge):
         self.site, self.chance, self.judge = site, chance, judge
-        self.asked, self.later, self.serial, self.hanging = queue.Queue(), [], 0, set()
+        self.commands, self.later, self.serial, self.hanging = queue.Queue(), [], 0, set()
         for member in site.members:
-            member.asked = self.asked
+            member.commands = self.commands
         threading.Thread(target=self.run, daemon=True).start()
 
     def run(self):
         while True:
             wait = max(0, self.later[0][0] - time.monotonic()) if self.later else 1
             try:
-                self.take(self.asked.get(timeout=wait))
+                self.take(self.commands.get(timeout=wait))
             except queue.Empty:
                 pass
             while self.later and self.later[0][0] <= time.monotonic():
@@ -108,35 +108,35 @@
         except OSError:  # the front has closed the connection
             pass
 
-    def take(self, asked):
-        if asked.word != "ASK":
+    def take(self, command):
+        if command.word != "ASK":
             return
-        attempt = Attempt(asked.arrival, asked.cache, asked.fields)
-        self.judge.attempted(asked.id, attempt)
-        name = f"{asked.fields['queue']}/{asked.fields['path']}"
+        attempt = Attempt(command.arrival, command.cache, command.fields)
+        self.judge.attempted(command.id, attempt)
+        name = f"{command.fields['queue']}/{command.fields['path']}"
         tag, body = body_of(name)
         since = int(time.time() * 1000) - 5
         copy = f"rev={tag},since={since}"
-        if asked.cache in self.hanging:
+        if command.cache in self.hanging:
             return
 
         def done():
-            if asked.fields.get("inm") == tag:
+            if command.fields.get("inm") == tag:
                 attempt.named.add(tag)
-                asked.answer("KEEP", copy)
+                command.answer("KEEP", copy)
             else:
-                asked.answer("DONE", copy, body)
+                command.answer("DONE", copy, body)
 
         def never_ran(word):
             attempt.never_ran = True
-            asked.answer(word)
+            command.answer(word)
 
         def spoilt():
-            asked.connection.sendall(
-                asked.id.encode() + self.chance.choice((b" DO", b" WHAT - 0\r\n\r\n", b"\r\n"))
+            command.connection.sendall(
+                command.id.encode() + self.chance.choice((b" DO", b" WHAT - 0\r\n\r\n", b"\r\n"))
             )
 
-        look = "up" not in asked.fields and asked.fields["queue"] == "video"
+        look = "up" not in command.fields and command.fields["queue"] == "video"
         draw = self.chance.random()
         if look and draw < 0.25:
             self.attempted(lambda: never_ran("LACK"))
@@ -147,10 +147,10 @@
                 (
                     lambda: never_ran("WAIT"),
                     lambda: never_ran("PAST"),
-                    lambda: asked.answer("BROKE"),
-                    lambda: asked.answer("KEEP", f"rev={tag[::-1]},since={since}"),
-                    asked.hang_up,
-                    lambda: [done(), asked.hang_up()],
+                    lambda: command.answer("BROKE"),
+                    lambda: command.answer("KEEP", f"rev={tag[::-1]},since={since}"),
+                    command.hang_up,
+                    lambda: [done(), command.hang_up()],
                     lambda: self.after(self.chance.random(), done),
                     lambda: [done(), self.after(self.chance.random() * 0.05, done)],
                     spoilt,
@@ -340,7 +340,7 @@
     def join(self):
         """A new cache, that starts late."""
         member = StandInCache(f"s-{len(self.site.members)}-new", "box", "sur")
-        member.asked = self.caches.asked
+        member.commands = self.caches.commands
         self.site.members.append(member)
         self.names.append(member.name)
         self.tell_of(member.entry(up_since_ms=int(time.time() * 1000)), Told())
--- a/tests/stand_ins.py
+++ b/tests/stand_ins.py
@@ -111,8 +111,8 @@
     threading.Thread(target=run, daemon=True).start()
 
 
-class Asked:
-    """One command that a cache got."""
+class Command:
+    """A command that a cache received."""
 
     def __init__(self, cache, connection, words, body, arrival):
         self.cache, self.connection, self.body, self.arrival = cache, connection, body, arrival
@@ -135,7 +135,7 @@
     def __init__(self, name, kind, zone, tls=None):
         """`tls(name)` gives the server's ssl.SSLContext."""
         self.name, self.kind, self.zone, self.tls, self.reused = name, kind, zone, tls, []
-        self.listener, self.asked, self.ignores_probes, self.connection_count = (
+        self.listener, self.commands, self.ignores_probes, self.connection_count = (
             open_listener(),
             queue.Queue(),
             False,
@@ -173,13 +173,13 @@
                 return
             self.reused.append(connection.session_reused)
         try:
-            commands = CommandReader(connection)
-            while command := commands.next():
-                asked = Asked(self.name, connection, *command)
-                if asked.word not in ("INFO", "NOOP"):
-                    self.asked.put(asked)
+            reader = CommandReader(connection)
+            while received := reader.next():
+                command = Command(self.name, connection, *received)
+                if command.word not in ("INFO", "NOOP"):
+                    self.commands.put(command)
                 elif not (self.ignores_probes or connection in self.unanswered_connections):
-                    asked.answer("FIT", "use=inflight:1;util:0.1")
+                    command.answer("FIT", "use=inflight:1;util:0.1")
         except OSError:
             pass
 
@@ -230,9 +230,9 @@
         accept_in_thread(self.listener, self.serve)
 
     def next(self, word="ASK"):
-        asked = self.asked.get(timeout=BOUND)
-        assert asked.word == word, (asked.word, asked.fields)
-        return asked
+        command = self.commands.get(timeout=BOUND)
+        assert command.word == word, (command.word, command.fields)
+        return command
 
 
 class StandInChangeLog:
--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -58,10 +58,10 @@
 def first_request_id(site, server):
     """Return the id of the first request that this server receives, after another client sent OTHER_ID."""
     other_client = site.viewer().send(txn=OTHER_ID)
-    asked = server.next()
-    asked.answer("DONE", COPY_FIELDS, b"x")
+    command = server.next()
+    command.answer("DONE", COPY_FIELDS, b"x")
     assert other_client.answer()[2] == b"x"
-    return asked.id
+    return command.id
 
 
 def open_idle_connections(site, member, target, body=None, number=1):
@@ -70,8 +70,8 @@
         site.viewer().send(target, body, txn=f"{i:016x}")  # an id can be used once per connection
         for i in range(number)
     ]
-    for asked in [member.next() for _ in viewers]:
-        asked.answer("DONE", COPY_FIELDS if body is None else "-")
+    for command in [member.next() for _ in viewers]:
+        command.answer("DONE", COPY_FIELDS if body is None else "-")
     assert [viewer.answer()[0] for viewer in viewers] == [200] * number
     assert member.connection_count == number
 
@@ -92,7 +92,7 @@
         disconnect_for_long(viewer)
         resume_front(site)
         assert first_request_id(site, site.cache) == OTHER_ID
-        assert site.cache.asked.empty()
+        assert site.cache.commands.empty()
 
 
 def test_put_and_disconnect_are_read_in_one_late_iteration():
@@ -103,19 +103,19 @@
         disconnect_for_long(viewer)
         resume_front(site)
         other_client = site.viewer().send("/invoke/tarea/0000000000000002", b"stays", txn=OTHER_ID)
-        asked = site.origin.next()
-        assert asked.id == OTHER_ID
-        asked.answer("DONE")
-        assert other_client.answer()[0] == 200 and site.origin.asked.empty()
+        command = site.origin.next()
+        assert command.id == OTHER_ID
+        command.answer("DONE")
+        assert other_client.answer()[0] == 200 and site.origin.commands.empty()
 
 
 def test_miss_and_disconnect_are_read_in_one_late_iteration():
     with Site() as site:
         open_idle_connections(site, site.cache, "/invoke/video/1", number=2)
         viewer = site.viewer().send()
-        asked = site.cache.next()
+        command = site.cache.next()
         suspend_front(site)
-        asked.answer("LACK")  # leads to a fill
+        command.answer("LACK")  # leads to a fill
         disconnect_for_long(viewer)
         resume_front(site)
         assert first_request_id(site, site.cache) == OTHER_ID
@@ -124,12 +124,12 @@
 def test_connection_is_freed_for_a_request_whose_client_has_disconnected():
     with Site(settings=LONG_WAIT) as site:
         first = site.viewer().send()
-        asked = site.cache.next()
+        command = site.cache.next()
         site.cache.fill_accept_queue()
         waiting = site.viewer().send(txn="00000000000000aa")
         site.cache.wait_for_connect_attempt()
         suspend_front(site)
-        asked.answer("DONE", COPY_FIELDS, b"x")  # read before the FIN, in the same iteration
+        command.answer("DONE", COPY_FIELDS, b"x")  # read before the FIN, in the same iteration
         disconnect_for_long(waiting)
         resume_front(site)
         assert first.answer()[2] == b"x"
@@ -160,29 +160,29 @@
         disconnect_for_long(waiting)
         resume_front(site)
         other_client = site.viewer().send(target, body, txn=OTHER_ID)
-        asked = member.next()
-        assert asked.id == OTHER_ID
-        asked.answer("DONE", COPY_FIELDS if effect == "free" else "-", b"")
-        assert other_client.answer()[0] == 200 and member.asked.empty()
+        command = member.next()
+        assert command.id == OTHER_ID
+        command.answer("DONE", COPY_FIELDS if effect == "free" else "-", b"")
+        assert other_client.answer()[0] == 200 and member.commands.empty()
 
 
 def test_request_is_not_opened_while_output_is_blocked():
     body = b"z" * 240_000
     with Site() as site:
         viewer = slow_reader(site)
-        asked = site.cache.next()
-        answer = b"%s DONE %s %d\r\n%s\r\n" % (asked.id.encode(), COPY_FIELDS.encode(), len(body), body)
-        asked.connection.sendall(answer[:-2])
-        cache_port = asked.connection.getsockname()[1]
+        command = site.cache.next()
+        answer = b"%s DONE %s %d\r\n%s\r\n" % (command.id.encode(), COPY_FIELDS.encode(), len(body), body)
+        command.connection.sendall(answer[:-2])
+        cache_port = command.connection.getsockname()[1]
         wait_for(lambda: unread_bytes(cache_port) == 0)
         suspend_front(site)
-        asked.connection.sendall(answer[-2:])  # completes the answer, which blocks the output to the client
+        command.connection.sendall(answer[-2:])  # completes the answer, which blocks the output to the client
         viewer.send(txn="00000000000000aa")  # read in the same iteration
         wait_for(lambda: unread_bytes(viewer.socket.getsockname()[1]) > 0)
         resume_front(site)
         viewer.socket.recv(1, socket.MSG_PEEK)
         assert site.health()[0] == 200
-        assert site.cache.asked.empty()  # the request waits while a disconnect would go unnoticed
+        assert site.cache.commands.empty()  # the request waits while a disconnect would go unnoticed
         assert viewer.answer()[2] == body
         again = site.cache.next()
         assert again.id == "00000000000000aa"
--- a/tests/test_cold_ramp.py
+++ b/tests/test_cold_ramp.py
@@ -154,9 +154,9 @@
 
     def serve(member, times):
         while True:
-            asked = member.asked.get()
+            command = member.commands.get()
             times.append(time.monotonic())
-            asked.answer("DONE", "rev=4be0c1927d55a6f3,since=1764576000123", b"x")
+            command.answer("DONE", "rev=4be0c1927d55a6f3,since=1764576000123", b"x")
 
     for member_, times in ((cache, arrivals), (parent, [])):
         threading.Thread(target=serve, args=(member_, times), daemon=True).start()
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -179,7 +179,7 @@
         def all_asked():
             nonlocal most
             most = max(most, front.servers.connection_count)
-            return cache.asked.qsize() == number
+            return cache.commands.qsize() == number
 
         front.passes_until(all_asked)
         cache.answer_all(number)
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -96,10 +96,10 @@
         assert site.health()[0] == 200  # a later connection was served, so the disconnect has been read
         site.origin.resume_accepting()
         stays = site.viewer().send("/invoke/tarea/0000000000000002", b"stays", txn="00000000000000fe")
-        asked = site.origin.next()
-        assert (asked.id, asked.body) == ("00000000000000fe", b"stays")
-        asked.answer("DONE")
-        assert stays.answer()[0] == 200 and site.origin.asked.empty()
+        command = site.origin.next()
+        assert (command.id, command.body) == ("00000000000000fe", b"stays")
+        command.answer("DONE")
+        assert stays.answer()[0] == 200 and site.origin.commands.empty()
 
 
 def test_a_queued_get_is_not_sent_after_its_client_disconnects_without_cancellation():
@@ -112,16 +112,18 @@
         assert site.health()[0] == 200
         site.cache.resume_accepting()
         stays = site.viewer().send(txn="00000000000000fe")
-        asked = site.cache.next()
-        assert asked.id == "00000000000000fe"
-        asked.answer("DONE", COPY_FIELDS, b"x")
+        command = site.cache.next()
+        assert command.id == "00000000000000fe"
+        command.answer("DONE", COPY_FIELDS, b"x")
         assert stays.answer()[2] == b"x"
 
 
 def test_a_queued_get_is_not_sent_to_an_endpoint_that_begins_to_drain():
     with Site(settings=LONG_WAIT) as site:
         site.log.next_call()
-        site.cache.asked = site.parent.asked = queue.Queue()  # one queue for both, to learn which is asked
+        site.cache.commands = site.parent.commands = (
+            queue.Queue()
+        )  # one queue for both, to learn which is asked
         site.cache.fill_accept_queue()
         viewer = site.viewer().send()
         site.cache.wait_for_connect_attempt()
@@ -132,10 +134,10 @@
         site.log.send_event(9, invalidate={"bucket": 3, "time": 0})
         assert site.log.next_call() == 2
         site.cache.resume_accepting()
-        asked = site.cache.next()
+        command = site.cache.next()
         # By the old command, it would reach the draining cache a second after the drain was published.
-        assert asked.cache == "p-1"
-        asked.answer("DONE", COPY_FIELDS, b"x")
+        assert command.cache == "p-1"
+        command.answer("DONE", COPY_FIELDS, b"x")
         assert viewer.answer()[2] == b"x"
 
 
@@ -156,9 +158,9 @@
         again = site.cache.next()
         assert "up" not in again.fields  # a new decision: a lookup, not the fill by the old command
         again.answer("LACK")
-        asked = site.cache.next()
-        assert asked.fields["up"] == "o-1"
-        asked.answer("DONE", COPY_FIELDS, b"x")
+        command = site.cache.next()
+        assert command.fields["up"] == "o-1"
+        command.answer("DONE", COPY_FIELDS, b"x")
         assert viewer.answer()[2] == b"x"
 
 
@@ -174,10 +176,10 @@
         site.log.send_event(9, invalidate={"bucket": 3, "time": 0})
         assert site.log.next_call() == 3
         site.cache.resume_accepting()
-        site.parent.asked = site.cache.asked
-        asked = site.cache.next()
-        assert 60_000 <= int(asked.fields["cap"]) < 70_000
-        asked.answer("DONE", f"rev=4be0,since={int(time.time() * 1000)}", b"x")
+        site.parent.commands = site.cache.commands
+        command = site.cache.next()
+        assert 60_000 <= int(command.fields["cap"]) < 70_000
+        command.answer("DONE", f"rev=4be0,since={int(time.time() * 1000)}", b"x")
         assert viewer.answer()[2] == b"x"
 
 
@@ -187,14 +189,14 @@
     )
     with Site(settings=settings) as site:
         viewer = site.viewer().send("/invoke/tarea/0000000000000001", b"once", ttl=4000, X_Txn_Key="91e82ce1")
-        asked, received_at = site.origin.next(), time.monotonic()
+        command, received_at = site.origin.next(), time.monotonic()
         site.origin.fill_accept_queue()
-        asked.hang_up()  # the write may have run; its retry has no connection
+        command.hang_up()  # the write may have run; its retry has no connection
         site.origin.wait_for_connect_attempt()
         wait_for(lambda: time.monotonic() - received_at > 0.95)
         site.origin.resume_accepting()  # the retry could be sent now, but its window has passed
         assert viewer.answer()[0] == 503  # the key is valid at all endpoints, so the client may retry
-        assert site.origin.asked.empty()
+        assert site.origin.commands.empty()
 
 
 def test_a_retry_by_idempotency_key_is_sent_within_its_window():
@@ -205,17 +207,17 @@
         viewer = site.viewer().send(
             "/invoke/tarea/0000000000000001", b"once", X_Txn_Key="91e82ce155b7e128e0c16bd0886c0fa7"
         )
-        asked = site.origin.next()
+        command = site.origin.next()
         # Without the key, the origin could not recognize the retry.
-        assert asked.fields["uniq"] == "91e82ce155b7e128e0c16bd0886c0fa7"
-        asked.hang_up()
-        asked = site.origin.next()
-        assert (asked.id, asked.body, asked.fields["uniq"]) == (
+        assert command.fields["uniq"] == "91e82ce155b7e128e0c16bd0886c0fa7"
+        command.hang_up()
+        command = site.origin.next()
+        assert (command.id, command.body, command.fields["uniq"]) == (
             "9b1f03aa5c7e2d41",
             b"once",
             "91e82ce155b7e128e0c16bd0886c0fa7",
         )
-        asked.answer("DONE")
+        command.answer("DONE")
         assert viewer.answer()[0] == 200
 
 
@@ -225,10 +227,10 @@
     )
     with Site(settings=settings) as site:
         viewer = site.viewer().send("/invoke/tarea/0000000000000001", b"once")
-        asked = site.origin.next()
-        assert "uniq" not in asked.fields
-        asked.hang_up()
-        assert viewer.answer()[0] == 502 and site.origin.asked.empty()
+        command = site.origin.next()
+        assert "uniq" not in command.fields
+        command.hang_up()
+        assert viewer.answer()[0] == 502 and site.origin.commands.empty()
         viewer.send("/invoke/tarea/0000000000000001", b"once", txn="00000000000000fe", X_Txn_Key="a,b=c")
         assert viewer.answer()[0] == 400
 
@@ -385,13 +387,13 @@
 def test_a_connection_with_a_truncated_answer_is_not_reused(partial_answer):
     with Site() as site:
         viewer = site.viewer().send(ttl=300)
-        asked = site.cache.next()
-        asked.connection.sendall(partial_answer.replace(b"ID", asked.id.encode()))
+        command = site.cache.next()
+        command.connection.sendall(partial_answer.replace(b"ID", command.id.encode()))
         assert viewer.answer()[0] == 503
         other = site.viewer().send(txn="00000000000000fe")
-        while (again := site.cache.asked.get(timeout=BOUND)).word != "ASK":
+        while (again := site.cache.commands.get(timeout=BOUND)).word != "ASK":
             pass
-        assert again.connection is not asked.connection
+        assert again.connection is not command.connection
         again.answer("DONE", COPY_FIELDS, b"mine")
         assert other.answer()[2] == b"mine"
 
@@ -399,13 +401,13 @@
 def test_a_connection_with_stray_bytes_is_not_used_for_a_later_put():
     with Site() as site:
         viewer = site.viewer().send("/invoke/tarea/0000000000000001", b"mine")
-        asked = site.origin.next()
+        command = site.origin.next()
         # A complete answer, and the beginning of a second one.
-        asked.connection.sendall(b"%s DONE - 0\r\n\r\nID DO" % asked.id.encode())
+        command.connection.sendall(b"%s DONE - 0\r\n\r\nID DO" % command.id.encode())
         assert viewer.answer()[0] == 200
         viewer.send("/invoke/tarea/0000000000000001", b"next", txn="00000000000000fe")
         again = site.origin.next()
-        assert again.connection is not asked.connection
+        assert again.connection is not command.connection
         again.answer("DONE")
         # On the first connection, the stray bytes would corrupt the answer, and the client would get 502.
         assert viewer.answer()[0] == 200
@@ -414,10 +416,10 @@
 def test_an_answer_read_together_with_the_end_of_the_connection_counts():
     with Site() as site:
         viewer = site.viewer().send("/invoke/tarea/0000000000000001", b"mine")
-        asked = site.origin.next()
+        command = site.origin.next()
         suspend_front(site)
-        asked.answer("DONE")
-        asked.hang_up()
+        command.answer("DONE")
+        command.hang_up()
         resume_front(site)
         assert viewer.answer()[0] == 200
 
@@ -442,9 +444,9 @@
 def test_bytes_received_after_the_last_request_do_not_truncate_its_response():
     with Site() as site:
         viewer = slow_reader(site, Connection="close")
-        asked = site.cache.next()
+        command = site.cache.next()
         suspend_front(site)
-        asked.answer("DONE", COPY_FIELDS, b"z" * 240_000)
+        command.answer("DONE", COPY_FIELDS, b"z" * 240_000)
         resume_front(site)
         viewer.socket.recv(1, socket.MSG_PEEK)  # the response has begun; most of it is buffered
         viewer.raw("GET /invoke/video/1 HTTP/1.1\r\n")  # bytes unread at the close would reset the connection
@@ -460,22 +462,22 @@
         )
         site.cache.next().answer("DONE", COPY_FIELDS)
         assert idle.answer()[0] == 200
-        asked = site.origin.next()  # keeps the front running
+        command = site.origin.next()  # keeps the front running
         site.terminate()
         assert idle.stream.read() == b""  # the front has closed its side
         # Neither a reset nor a response, so that the client may retry elsewhere.
         idle.send("/invoke/tarea/1", b"y", txn="00000000000000ff")
         idle.socket.shutdown(socket.SHUT_WR)
-        asked.answer("DONE")
+        command.answer("DONE")
         assert busy.answer()[0] == 200
-        assert site.process.wait(BOUND) == 0 and site.origin.asked.empty()
+        assert site.process.wait(BOUND) == 0 and site.origin.commands.empty()
 
 
 def test_a_half_closed_client_receives_its_buffered_response():
     with Site() as site:
         viewer = slow_reader(site)
-        asked = site.cache.next()
-        asked.answer("DONE", COPY_FIELDS, b"z" * 240_000)
+        command = site.cache.next()
+        command.answer("DONE", COPY_FIELDS, b"z" * 240_000)
         viewer.socket.recv(1, socket.MSG_PEEK)
         viewer.socket.shutdown(socket.SHUT_WR)
         wait_for(lambda: site.health()[0] == 200)
@@ -535,13 +537,13 @@
 def test_repeated_sigterm_and_sighup_shut_down_once_without_faults():
     with Site(limits={"leaving_ms": 300}) as site:
         viewer = site.viewer().send()
-        asked = site.cache.next()
+        command = site.cache.next()
         suspend_front(site)
         for number in (signal.SIGTERM, signal.SIGHUP, signal.SIGTERM):
             site.process.send_signal(number)
         resume_front(site)
         wait_for(lambda: any("event=leaving" in line for line in site.log_lines))
-        asked.answer("DONE", COPY_FIELDS, b"x")
+        command.answer("DONE", COPY_FIELDS, b"x")
         assert viewer.answer()[2] == b"x"
         assert site.process.wait(BOUND) == 0
         assert not [line for line in site.log_lines if "fault" in line]
@@ -583,10 +585,10 @@
     with Site(limits={"leaving_ms": 300, "last_answer_ms": 600}) as site:
         viewer = site.viewer().send("/invoke/tarea/7f3a9c21e0b4d655", body=b"essay")
         viewer.socket.settimeout(BOUND / 2)  # the request itself has BOUND seconds
-        asked = site.origin.next()
+        command = site.origin.next()
         site.terminate()
         assert viewer.answer()[0] == 502
-        assert asked.id == "9b1f03aa5c7e2d41"
+        assert command.id == "9b1f03aa5c7e2d41"
         assert site.process.wait(BOUND) == 0
 
 
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -48,18 +48,18 @@
 def test_get_returns_the_object_unchanged():
     with Site() as site:
         viewer = site.viewer().send()
-        asked = site.cache.next()
-        assert asked.id == "9b1f03aa5c7e2d41" and asked.body == b""
-        budget = int(asked.fields.pop("budget"))
+        command = site.cache.next()
+        assert command.id == "9b1f03aa5c7e2d41" and command.body == b""
+        budget = int(command.fields.pop("budget"))
         assert 0 < budget <= 1000 * BOUND
-        assert asked.fields == {"queue": "video", "path": "7f3a9c21e0b4d655", "blk": "3", "store": "1"}
-        asked.answer("DONE", NOW, OBJECT)
+        assert command.fields == {"queue": "video", "path": "7f3a9c21e0b4d655", "blk": "3", "store": "1"}
+        command.answer("DONE", NOW, OBJECT)
         status, fields, body = viewer.answer()
         assert (status, fields["etag"], body) == (200, '"4be0c1927d55a6f3"', OBJECT)
         viewer.send(target="/invoke/video/00000000000000aa", txn="00000000000000ff")  # on the same connection
-        asked = site.cache.next()
-        assert "blk" not in asked.fields
-        asked.answer("DONE", NOW)
+        command = site.cache.next()
+        assert "blk" not in command.fields
+        command.answer("DONE", NOW)
         assert viewer.answer()[::2] == (200, b"")
 
 
@@ -83,20 +83,20 @@
 def test_copy_of_a_client_is_revalidated():
     with Site() as site:
         viewer = site.viewer().send(If_None_Match='"4be0c1927d55a6f3"')
-        asked = site.cache.next()
-        assert asked.fields["inm"] == "4be0c1927d55a6f3"
-        asked.answer("KEEP", NOW)
+        command = site.cache.next()
+        assert command.fields["inm"] == "4be0c1927d55a6f3"
+        command.answer("KEEP", NOW)
         assert viewer.answer()[0] == 304
         # Forwarded, this tag would corrupt the fields of the request.
         viewer.send(If_None_Match='"a,b=c"', txn="00000000000000ff")
-        asked = site.cache.next()
+        command = site.cache.next()
         other = site.viewer().send(If_None_Match='"%s"' % ("a" * 5000), txn="00000000000000fe")
         longer = site.cache.next()  # a cache would close the connection at a line that long
         assert "inm" not in longer.fields
         longer.answer("DONE", NOW)
         assert other.answer()[0] == 200
-        assert "inm" not in asked.fields
-        asked.answer("KEEP", NOW)  # invalid without a copy of the client, so another attempt follows
+        assert "inm" not in command.fields
+        command.answer("KEEP", NOW)  # invalid without a copy of the client, so another attempt follows
         site.cache.next().answer("DONE", NOW, b"x")
         assert viewer.answer()[::2] == (200, b"x")
 
@@ -104,9 +104,9 @@
 def test_put_takes_effect_at_most_once():
     with Site() as site:
         viewer = site.viewer().send("/invoke/tarea/0000000000000001", b"mine" * 12_000)
-        asked = site.origin.next()
-        assert asked.body == b"mine" * 12_000 and "up" not in asked.fields
-        asked.answer("DONE")  # without a tag
+        command = site.origin.next()
+        assert command.body == b"mine" * 12_000 and "up" not in command.fields
+        command.answer("DONE")  # without a tag
         assert viewer.answer()[0] == 200
         viewer.send("/invoke/tarea/0000000000000001", b"again")
         site.origin.next().hang_up()
@@ -123,9 +123,9 @@
         )
         assert viewer.answer()[0] == 100
         viewer.raw("mine")
-        asked = site.origin.next()
-        asked.answer("DONE")
-        assert asked.body == b"mine" and viewer.answer()[0] == 200
+        command = site.origin.next()
+        command.answer("DONE")
+        assert command.body == b"mine" and viewer.answer()[0] == 200
 
 
 def test_write_refused_by_the_origin_is_shed_with_a_retry_time():
@@ -139,28 +139,28 @@
 def test_attempt_is_cancelled_when_its_client_disconnects():
     with Site() as site:
         viewer = site.viewer().send()
-        asked = site.cache.next()
+        command = site.cache.next()
         viewer.close()
-        assert site.cache.next("QUIT").id == asked.id
+        assert site.cache.next("QUIT").id == command.id
         viewer = site.viewer().send()  # the same id: the late answer to the first must not be used
         again = site.cache.next()
-        asked.answer("DONE", NOW, b"late")
+        command.answer("DONE", NOW, b"late")
         again.answer("DONE", NOW, b"new")
         assert viewer.answer()[::2] == (200, b"new") and site.cache.connection_count == 2
 
 
 def test_drains_and_purges_take_effect():
     with Site(("s-1", "s-2")) as site:
-        site.cache.asked = site.caches[1].asked  # a common queue
+        site.cache.commands = site.caches[1].commands  # a common queue
         site.log.next_call()
         viewer, now = site.viewer(), int(time.time() * 1000)
 
         def asked_for(number, **fields):
             viewer.send(f"/invoke/video/{number:016x}", txn=f"{number:016x}", **fields)
-            asked = site.cache.next()
-            asked.answer("DONE", f"rev=4be0,since={int(time.time() * 1000)}")
+            command = site.cache.next()
+            command.answer("DONE", f"rev=4be0,since={int(time.time() * 1000)}")
             assert viewer.answer()[0] == 200
-            return asked
+            return command
 
         assert {asked_for(number).cache for number in range(40)} == {"s-1", "s-2"}
         # The timestamp sets the reference clock, from which ages are computed.
@@ -176,9 +176,9 @@
         while "cap" not in asked_for(0xAA, X_Family=3).fields:
             pass
         seen = [asked_for(number) for number in range(40)]
-        assert {asked.cache for asked in seen} == {"s-2"}
+        assert {command.cache for command in seen} == {"s-2"}
         spent = int(time.time() * 1000) - now
-        assert all(100 <= int(asked.fields["cap"]) <= 100 + spent for asked in seen)
+        assert all(100 <= int(command.fields["cap"]) <= 100 + spent for command in seen)
         assert 40_000 <= int(asked_for(0xAA, X_Family=3).fields["cap"]) < 90_000
 
 
@@ -204,7 +204,7 @@
     with Site() as site:
         assert site.log.next_call() == 1
         viewer = site.viewer().send()
-        asked = site.cache.next()
+        command = site.cache.next()
         site.log.send_event(2, invalidate={"bucket": 3, "time": int(time.time() * 1000)})
         for flawed in ("{", json.dumps(site.configuration | {"changelog": "nowhere"})):
             site.reload(flawed)
@@ -218,14 +218,14 @@
             assert site.log.next_call() == 2 and old.calls.empty()
         now = int(time.time() * 1000)
         site.log.send_event(3, invalidate={"bucket": 17, "time": now})
-        asked.answer("DONE", NOW, b"x")
+        command.answer("DONE", NOW, b"x")
         assert viewer.answer()[::2] == (200, b"x")
-        while "cap" not in (asked := viewer.send() and site.cache.next()).fields:
-            asked.answer("DONE", NOW)
+        while "cap" not in (command := viewer.send() and site.cache.next()).fields:
+            command.answer("DONE", NOW)
             assert viewer.answer()[0] == 200
-        asked.answer("DONE", f"rev=4be0,since={now - 60_000}", b"old")  # older than the purge
-        asked = site.cache.next()
-        asked.answer("DONE", f"rev=4be0,since={now}", b"new")
+        command.answer("DONE", f"rev=4be0,since={now - 60_000}", b"old")  # older than the purge
+        command = site.cache.next()
+        command.answer("DONE", f"rev=4be0,since={now}", b"new")
         assert viewer.answer()[::2] == (200, b"new")
 
 
@@ -263,10 +263,10 @@
         asked_for_other = site.cache.next()
         for number, answer in enumerate(malformed):
             viewer = site.viewer().send(txn=f"{number:016x}")
-            asked = site.cache.next()
-            asked.connection.sendall(answer.replace(b"ID", asked.id.encode()))
-            asked = site.cache.next()  # retried there on another connection
-            asked.answer("DONE", NOW, b"x")
+            command = site.cache.next()
+            command.connection.sendall(answer.replace(b"ID", command.id.encode()))
+            command = site.cache.next()  # retried there on another connection
+            command.answer("DONE", NOW, b"x")
             assert viewer.answer()[::2] == (200, b"x"), answer[:60]
         asked_for_other.answer("DONE", NOW, b"mine")
         assert other.answer()[::2] == (200, b"mine")
@@ -275,12 +275,12 @@
 def test_duplicate_and_unexpected_answers_are_ignored():
     with Site() as site:
         viewer = site.viewer().send()
-        asked = site.cache.next()
-        asked.connection.sendall(b"00000000000000aa DONE rev=4b,since=1 1\r\nz\r\n")
-        asked.answer("LACK")
-        asked.answer("LACK")  # must not be used for the next attempt with this id
+        command = site.cache.next()
+        command.connection.sendall(b"00000000000000aa DONE rev=4b,since=1 1\r\nz\r\n")
+        command.answer("LACK")
+        command.answer("LACK")  # must not be used for the next attempt with this id
         fill = site.cache.next()
-        assert fill.connection is not asked.connection
+        assert fill.connection is not command.connection
         fill.answer("DONE", NOW, b"x")
         fill.answer("DONE", NOW, b"x")
         assert viewer.answer()[::2] == (200, b"x")
@@ -354,7 +354,7 @@
 def test_sigterm_answers_all_requests_and_exits_with_status_0():
     with Site(limits={"leaving_ms": 3000}) as site:
         open_one, late, idle = site.viewer().send(), site.viewer(), site.viewer()
-        asked = site.cache.next()
+        command = site.cache.next()
         site.terminate()
         while (health := site.health())[0] == 200:
             pass
@@ -363,7 +363,7 @@
         site.cache.next().answer("DONE", NOW, b"late")
         assert late.answer()[1]["connection"] == "close" and late.closed_by_server()
         assert idle.closed_by_server() and site.process.poll() is None
-        asked.answer("DONE", NOW, OBJECT)
+        command.answer("DONE", NOW, OBJECT)
         assert open_one.answer()[2] == OBJECT and open_one.closed_by_server()
         assert site.process.wait(BOUND) == 0
 
@@ -411,9 +411,11 @@
             answer = viewer.answer()
             assert answer[0] == status and answer[1]["connection"] == "close", (text[:80], answer)
             assert viewer.closed_by_server()
-        asked = site.cache.next()
-        assert asked.id == "00000000000000ff" and site.cache.asked.empty() and site.origin.asked.empty()
-        asked.answer("DONE", NOW, b"x")
+        command = site.cache.next()
+        assert (
+            command.id == "00000000000000ff" and site.cache.commands.empty() and site.origin.commands.empty()
+        )
+        command.answer("DONE", NOW, b"x")
         assert other.answer()[::2] == (200, b"x")
         spare = site.viewer().raw("\r\n" + head.replace("/invoke", "http://app.svc/invoke") + "\r\n")
         # A request may follow an empty line and have an absolute target.
@@ -427,15 +429,15 @@
 def test_bytes_after_an_open_request_abort_it_and_an_open_id_is_rejected():
     with Site() as site:
         viewer = site.viewer().send()
-        asked = site.cache.next()
+        command = site.cache.next()
         double = site.viewer().send("/invoke/video/1")
         assert double.answer()[0] == 409 and double.closed_by_server()
-        asked.answer("DONE", NOW, b"x")
+        command.answer("DONE", NOW, b"x")
         assert viewer.answer()[::2] == (200, b"x")
-        asked = viewer.send() and site.cache.next()  # the id can be used again
+        command = viewer.send() and site.cache.next()  # the id can be used again
         viewer.raw("x")  # one byte after the end of the request
         assert viewer.answer()[0] == 400 and viewer.closed_by_server()
-        assert site.cache.next("QUIT").id == asked.id
+        assert site.cache.next("QUIT").id == command.id
 
 
 def test_silent_and_endless_clients_are_closed_soon():
@@ -473,10 +475,10 @@
 def test_request_over_max_open_is_shed_with_a_retry_time():
     with Site(settings=SETTINGS | {"limits": SETTINGS["limits"] | {"max-open": 1}}) as site:
         first = site.viewer().send()
-        asked = site.cache.next()
+        command = site.cache.next()
         status, fields, _ = site.viewer().send(txn="00000000000000ff").answer()
         assert (status, fields["x-throttle-ms"]) == (503, "100")
-        asked.answer("DONE", NOW)
+        command.answer("DONE", NOW)
         assert first.answer()[0] == 200
 
 
@@ -526,10 +528,10 @@
 def test_excess_connections_close_idle_ones_and_keep_open_requests():
     with Site(limits={"sockets": 100}) as site:
         busy = site.viewer().send()
-        asked = site.cache.next()
+        command = site.cache.next()
         crowd = [site.viewer() for _ in range(60)]
         assert crowd[0].closed_by_server()
-        asked.answer("DONE", NOW, b"x")
+        command.answer("DONE", NOW, b"x")
         assert busy.answer()[2] == b"x"
 
 
--- a/tests/test_stand_ins.py
+++ b/tests/test_stand_ins.py
@@ -14,7 +14,7 @@
             assert site.where != other.where
             viewer = site.viewer().send()
             site.cache.next().answer("DONE", "rev=4be0c1927d55a6f3,since=1764576000123", b"x")
-            assert viewer.answer()[2] == b"x" and other.cache.asked.empty()
+            assert viewer.answer()[2] == b"x" and other.cache.commands.empty()
 
 
 class LetGo:
--- a/tests/test_terms_answers.py
+++ b/tests/test_terms_answers.py
@@ -20,9 +20,9 @@
         with Site() as site:
             viewer = site.viewer().send(If_None_Match=f'"{TAG}"')
             for _ in range(2):
-                asked = site.cache.asked.get(timeout=10)
-                assert asked.fields["inm"] == TAG
-                asked.answer("KEEP", f"rev={tag},since=1764576000123")
+                command = site.cache.commands.get(timeout=10)
+                assert command.fields["inm"] == TAG
+                command.answer("KEEP", f"rev={tag},since=1764576000123")
             fill = site.parent.next()  # after two corrupt answers, the cache is bypassed
             fill.answer("KEEP", f"rev={TAG},since=1764576000123")
             status, fields, body = viewer.answer()
@@ -38,12 +38,12 @@
         site.cache.next().answer("DONE", COPY_FIELDS, answer)
         assert viewer.answer()[2] == answer
         viewer.send("/invoke/tarea/1", write, txn="00000000000000ab")
-        asked = site.origin.next()
-        assert asked.body == write
-        asked.answer("DONE", "-", answer)
+        command = site.origin.next()
+        assert command.body == write
+        command.answer("DONE", "-", answer)
         assert viewer.answer()[::2] == (200, answer)
         too_large = site.viewer().send("/invoke/tarea/1", write + b"x", txn="00000000000000ac")
-        assert too_large.answer()[0] == 413 and site.origin.asked.empty()
+        assert too_large.answer()[0] == 413 and site.origin.commands.empty()
 
 
 def test_answers_and_writes_are_complete_with_short_reads_and_writes():
@@ -54,9 +54,9 @@
         site.cache.next().answer("DONE", COPY_FIELDS, answer)
         assert viewer.answer()[2] == answer
         viewer.send("/invoke/tarea/1", write, txn="00000000000000ab")
-        asked = site.origin.next()
-        assert asked.body == write
-        asked.answer("DONE", "-", b"taken")
+        command = site.origin.next()
+        assert command.body == write
+        command.answer("DONE", "-", b"taken")
         assert viewer.answer()[::2] == (200, b"taken")
 
 
@@ -66,22 +66,22 @@
     with Site() as site:
         for number, reset in enumerate((False, True)):
             viewer = site.viewer().send("/invoke/tarea/1", b"once", txn=f"{number:016x}")
-            asked = site.origin.next()
-            asked.connection.sendall(truncated_answer.replace(b"ID", asked.id.encode()))
+            command = site.origin.next()
+            command.connection.sendall(truncated_answer.replace(b"ID", command.id.encode()))
             if reset:
-                asked.connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
-                asked.connection.shutdown(socket.SHUT_RD)
-            asked.hang_up()
+                command.connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
+                command.connection.shutdown(socket.SHUT_RD)
+            command.hang_up()
             assert viewer.answer()[0] == 502
-            assert site.origin.asked.empty()
+            assert site.origin.commands.empty()
 
 
-def is_cancelled(asked, later_commands):
+def is_cancelled(command, later_commands):
     """Return whether the cache has received a cancel command or the end of the connection."""
-    if ("QUIT", asked.cache) in later_commands:
+    if ("QUIT", command.cache) in later_commands:
         return True
     try:
-        return asked.connection.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT) == b""
+        return command.connection.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT) == b""
     except BlockingIOError:
         return False
     except OSError:  # the connection was reset
@@ -96,13 +96,13 @@
     """
     with Site(("s-1", "s-2")) as site:
         first, second = site.caches
-        first.asked = second.asked
+        first.commands = second.commands
         for cache in site.caches:
             cache.ignores_probes = True
         viewer = site.viewer().send()
-        unanswered, later_commands = first.asked.get(timeout=10), []
-        while (asked := first.asked.get(timeout=10)).word != "ASK":
-            later_commands.append((asked.word, asked.cache))
-        assert is_cancelled(unanswered, later_commands) and asked.cache != unanswered.cache
-        asked.answer("DONE", COPY_FIELDS, b"x")
+        unanswered, later_commands = first.commands.get(timeout=10), []
+        while (command := first.commands.get(timeout=10)).word != "ASK":
+            later_commands.append((command.word, command.cache))
+        assert is_cancelled(unanswered, later_commands) and command.cache != unanswered.cache
+        command.answer("DONE", COPY_FIELDS, b"x")
         assert viewer.answer()[::2] == (200, b"x")
--- a/tests/test_terms_clock.py
+++ b/tests/test_terms_clock.py
@@ -24,16 +24,16 @@
 def serve(site, viewer, since, body=b"x"):
     """Send a request that a cache answers with a copy of the time `since`; return what the cache received."""
     viewer.send(txn=next(TXNS), ttl=10_000)
-    asked = site.cache.next()
-    asked.answer("DONE", f"rev=4be0,since={since}", body)
+    command = site.cache.next()
+    command.answer("DONE", f"rev=4be0,since={since}", body)
     assert viewer.answer()[::2] == (200, body)
-    return asked
+    return command
 
 
 def next_request(cache):
-    while (asked := cache.asked.get(timeout=BOUND)).word != "ASK":  # skips cancellations
+    while (command := cache.commands.get(timeout=BOUND)).word != "ASK":  # skips cancellations
         pass
-    return asked
+    return command
 
 
 def test_wall_clock_steps_do_not_change_request_deadlines():
@@ -67,19 +67,19 @@
 
 
 class Answering:
-    """Lets all servers answer immediately with a current copy; records the requests in `asked`."""
+    """Lets all servers answer immediately with a current copy; records the requests in `commands`."""
 
     def __init__(self, site):
-        self.site, self.asked, self.times = site, [], {}
+        self.site, self.commands, self.times = site, [], {}
         for member in site.members:
             threading.Thread(target=self.answer, args=(member,), daemon=True).start()
 
     def answer(self, member):
-        while asked := member.asked.get():
-            if asked.word == "ASK":
-                self.asked.append(asked)
-                self.times.setdefault(asked.cache, []).append(time.monotonic())
-                asked.answer("DONE", f"rev=4be0,since={milliseconds()}", b"x")
+        while command := member.commands.get():
+            if command.word == "ASK":
+                self.commands.append(command)
+                self.times.setdefault(command.cache, []).append(time.monotonic())
+                command.answer("DONE", f"rev=4be0,since={milliseconds()}", b"x")
 
     def most_in_a_second(self, name):
         times = self.times[name]
@@ -93,7 +93,7 @@
 
     def ask(self, viewer, **fields):
         assert viewer.send(txn=next(TXNS), **fields).answer()[0] == 200
-        return self.asked[-1]
+        return self.commands[-1]
 
 
 def test_new_member_counts_as_cold_despite_wall_clock_steps():
--- a/tests/test_terms_discovery.py
+++ b/tests/test_terms_discovery.py
@@ -44,17 +44,17 @@
 def endpoint_asked(site, number):
     """Request an object, and return the name of the endpoint that receives the attempt."""
     viewer = site.viewer().send("/invoke/video/1", txn=f"{number:016x}")
-    asked = site.cache.asked.get(timeout=BOUND)
-    asked.answer("DONE", COPY_FIELDS, b"x")
+    command = site.cache.commands.get(timeout=BOUND)
+    command.answer("DONE", COPY_FIELDS, b"x")
     assert viewer.answer()[0] == 200
     viewer.close()
-    return asked.cache
+    return command.cache
 
 
 def test_events_of_a_slow_list_service_are_applied():
     """Each response is later than the limit on silence, so that reconnecting alone never succeeds."""
     with Site() as site:
-        site.parent.asked = site.origin.asked = site.cache.asked
+        site.parent.commands = site.origin.commands = site.cache.commands
         event = json.dumps({"seq": 2, "fleet": drain_update(site)}).encode()
         head = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n"
         slow = SlowListService(3.5, head + b"id: 2\ndata: " + event + b"\n\n")
@@ -70,8 +70,8 @@
     """An event with an entry of an unknown zone, beside drains, is received twice."""
     with Site(("s-1", "s-2")) as site:
         site.log.next_call()
-        site.cache.asked = site.caches[1].asked
-        site.parent.asked = site.origin.asked = site.cache.asked
+        site.cache.commands = site.caches[1].commands
+        site.parent.commands = site.origin.commands = site.cache.commands
         malformed = site.caches[1].entry(id="s-9", locality="luna")
         update = {"revision": 2, "complete": False, "members": [malformed]}
         update["members"] += [member.entry("terminating") for member in site.caches]
@@ -98,7 +98,7 @@
         log = SlowListService(0, head + chunks)
         site.reload(json.dumps(site.configuration | {"changelog": address(log.listener)}))
         log.calls.get(timeout=BOUND)
-        site.parent.asked = site.cache.asked
+        site.parent.commands = site.cache.commands
         number = 0
         while endpoint_asked(site, number) == "s-1":
             number += 1
--- a/tests/test_terms_standstill.py
+++ b/tests/test_terms_standstill.py
@@ -38,8 +38,8 @@
     wait_for(lambda: time.monotonic() - since >= seconds)
 
 
-def budget_of(asked):
-    return int(asked.fields["budget"])
+def budget_of(command):
+    return int(command.fields["budget"])
 
 
 def connect_and_warm_up(site):
@@ -76,10 +76,10 @@
     for case in ("kept connection", "new connection", "in two pieces", "further attempt"):
         with Site() as site:
             viewer, sent, suspended_for = send_while_suspended(site, connect_and_warm_up(site), case)
-            asked = site.cache.next()
-            assert budget_of(asked) <= 2000 - 1000 * suspended_for + SLACK_MS, case
+            command = site.cache.next()
+            assert budget_of(command) <= 2000 - 1000 * suspended_for + SLACK_MS, case
             if case == "further attempt":
-                asked.answer("LACK")
+                command.answer("LACK")
                 assert budget_of(site.cache.next()) <= 2000 - 1000 * suspended_for + SLACK_MS
             viewer.socket.settimeout(5)
             assert viewer.answer()[0] in (502, 503, 504)
@@ -108,7 +108,7 @@
     """The front is suspended for longer than the limit on silence and the grace period of drains."""
     with Site(("s-1", "s-2")) as site:
         site.log.next_call()
-        site.cache.asked = site.caches[1].asked  # one queue for both
+        site.cache.commands = site.caches[1].commands  # one queue for both
         viewers = [site.viewer() for _ in range(8)]
         for number, viewer in enumerate(viewers):
             viewer.send(f"/invoke/video/{number}", txn=f"{number:016x}")
@@ -123,9 +123,9 @@
             viewer.send(f"/invoke/video/{number}", txn=f"{number + 100:016x}")
         resume_front(site)
         for _ in viewers:
-            asked = site.cache.next()
-            assert asked.cache == "s-2"
-            asked.answer("DONE", COPY_FIELDS, b"x")
+            command = site.cache.next()
+            assert command.cache == "s-2"
+            command.answer("DONE", COPY_FIELDS, b"x")
 
 
 def test_without_socket_times_a_late_iteration_counts_against_the_deadline(
--- a/tests/test_terms_system_calls.py
+++ b/tests/test_terms_system_calls.py
@@ -41,7 +41,7 @@
             if times == 1:
                 site.origin.next().answer("DONE", "-", b"taken")
             assert viewer.answer()[0] == (200 if times == 1 else 503)
-            assert site.origin.asked.empty() and site.injected("connect_ex") == times
+            assert site.origin.commands.empty() and site.injected("connect_ex") == times
 
 
 @pytest.mark.parametrize("error", ["ENFILE", "ENOBUFS", "ENOMEM", "EMFILE"])
@@ -51,7 +51,7 @@
         viewer = put(site, 1)
         site.origin.next().answer("DONE", "-", b"taken")
         assert viewer.answer()[::2] == (200, b"taken")
-        assert site.injected("socket") == 1 and site.origin.asked.empty()
+        assert site.injected("socket") == 1 and site.origin.commands.empty()
 
 
 @pytest.mark.parametrize(
@@ -72,19 +72,19 @@
     """A read is retried, a write is failed, and both get an answer."""
     with Site(faults={}) as site:
         viewer = site.viewer().send()
-        asked = site.cache.next()
+        command = site.cache.next()
         site.inject(fail={"recv": [error, 1]})
-        asked.answer("DONE", COPY_FIELDS, b"lost on the way")
+        command.answer("DONE", COPY_FIELDS, b"lost on the way")
         again = site.cache.next()
-        assert again.connection is not asked.connection
+        assert again.connection is not command.connection
         again.answer("DONE", COPY_FIELDS, b"x")
         assert viewer.answer()[::2] == (200, b"x")
         write = put(site, 2)
-        asked = site.origin.next()
+        command = site.origin.next()
         site.inject(fail={"recv": [error, 1]})
-        asked.answer("DONE", "-", b"lost on the way")
+        command.answer("DONE", "-", b"lost on the way")
         assert write.answer()[0] == 502
-        assert site.origin.asked.empty() and site.injected("recv") == 2
+        assert site.origin.commands.empty() and site.injected("recv") == 2
 
 
 @pytest.mark.parametrize("error", ["EHOSTUNREACH", "ETIMEDOUT", "EPIPE", "ENOBUFS"])
@@ -96,7 +96,7 @@
             viewer = put(site, number)
             site.origin.next().answer("DONE", "-", b"taken")
             assert viewer.answer()[::2] == (200, b"taken")
-            assert site.origin.asked.empty() and site.injected("send") == 2 * (number + 1)
+            assert site.origin.commands.empty() and site.injected("send") == 2 * (number + 1)
 
 
 def test_interrupted_waits_lose_no_request():
@@ -105,9 +105,9 @@
         for number in range(30):
             site.process.send_signal(signal.SIGUSR1)
             viewer.send(txn=f"{number:016x}")
-            asked = site.cache.next()
+            command = site.cache.next()
             site.process.send_signal(signal.SIGUSR1)
-            asked.answer("DONE", COPY_FIELDS, b"x" * 100_000)
+            command.answer("DONE", COPY_FIELDS, b"x" * 100_000)
             assert viewer.answer()[2] == b"x" * 100_000
 
 
@@ -129,4 +129,4 @@
         site.inject(fail={"connect_ex": ["EADDRNOTAVAIL", 1]}, ports=[port_of(site.origin)])
         viewer = site.viewer().send("/invoke/tarea/1", b"once", X_Txn_Key="91e8")
         site.origin.next().answer("DONE", "-", b"taken")
-        assert viewer.answer()[::2] == (200, b"taken") and site.origin.asked.empty()
+        assert viewer.answer()[::2] == (200, b"taken") and site.origin.commands.empty()
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -525,8 +525,8 @@
         ):  # the second of two at once needs a connection of its own
             for viewer in asking:
                 viewer.send(txn=f"0000000000000f{number}{viewers.index(viewer)}")
-            for asked in [site.cache.next() for _ in asking]:
-                asked.answer("DONE", COPY, b"over tls" * 1000)
+            for command in [site.cache.next() for _ in asking]:
+                command.answer("DONE", COPY, b"over tls" * 1000)
             for viewer in asking:
                 assert viewer.answer()[::2] == (200, b"over tls" * 1000)
         assert site.cache.reused == [False, True]
@@ -580,14 +580,14 @@
         assert viewer.answer()[::2] == (200, b"elsewhere")
         line = site.next_log_line("event=tls-server")
         assert f'why="{why}"' in line or f"why={why}" in line
-        assert "server=s-1" in line and site.cache.asked.empty()
+        assert "server=s-1" in line and site.cache.commands.empty()
 
 
 def test_a_put_to_a_server_that_is_not_believed_is_shed_for_it_has_not_run(servers):
     servers.certify("o-1", names=["other.example.org"])
     with servers.site() as site:
         viewer = site.viewer().send("/invoke/tarea/0000000000000001", b"mine")
-        assert viewer.answer()[0] == 503 and site.origin.asked.empty()
+        assert viewer.answer()[0] == 503 and site.origin.commands.empty()
 
 
 def test_keys_swap_as_a_whole_under_sighup_and_a_half_written_one_is_refused(servers):
