--- a/tests/soak.py
+++ b/tests/soak.py
@@ -19,7 +19,7 @@
 from random import Random
 
 from tests.soak_rules import Attempt, Judge, Request, Told
-from tests.stand_ins import MS, SETTINGS, Site, StandInCache, StandInChangeLog, Viewer, address
+from tests.stand_ins import MS, SETTINGS, Site, StandInCache, StandInChangeLog, HttpClient, address
 
 CLIENTS, CROWD, SOCKETS = 12, 130, 256
 LASTS = 4.0  # seconds of troubles before SIGTERM
@@ -177,16 +177,16 @@
             ):
                 return
             try:
-                viewer = Viewer(self.soak.site.where)
+                client = HttpClient(self.soak.site.where)
             except OSError:
                 time.sleep(0.02)
                 continue
-            viewer.answered = 0
-            while self.exchange(viewer):
-                viewer.answered += 1
-            viewer.close()
+            client.answered = 0
+            while self.exchange(client):
+                client.answered += 1
+            client.close()
 
-    def exchange(self, viewer):
+    def exchange(self, client):
         """One request; whether the connection may be used for another."""
         time.sleep(self.chance.random() * 0.08)
         self.sent += 1
@@ -205,28 +205,28 @@
         try:
             put = {} if service == "video" else {"body": b"w" * self.chance.randrange(2000)}
             if self.chance.random() < 0.1:
-                viewer.raw("\r\n")  # an empty line before a head says nothing; the head comes in its time
+                client.raw("\r\n")  # an empty line before a head says nothing; the head comes in its time
                 time.sleep(self.chance.random() * 0.1)
-            viewer.send(f"/invoke/{service}/{name}", txn=txn, ttl=ttl, **fields, **put)
+            client.send(f"/invoke/{service}/{name}", txn=txn, ttl=ttl, **fields, **put)
         except OSError:
             return False  # closed before all of it was written
         request.sent = time.monotonic()
-        request.first = not viewer.answered
+        request.first = not client.answered
         self.soak.judge.sent(txn, request)
         if self.chance.random() < 0.06:
             time.sleep(self.chance.random() * 0.2)
-            viewer.close()
+            client.close()
             request.left = time.monotonic()  # before the close it had not gone, however long that took
             return False
-        return self.answer(viewer, request)
+        return self.answer(client, request)
 
-    def answer(self, viewer, request):
-        viewer.socket.settimeout(request.ttl + LATE_ANSWER)
+    def answer(self, client, request):
+        client.socket.settimeout(request.ttl + LATE_ANSWER)
         try:
-            answer = viewer.answer()
+            answer = client.answer()
         except (OSError, AssertionError, ValueError):
             answer = None
-        request.ended = viewer.last_arrival() if answer else time.monotonic()
+        request.ended = client.last_arrival() if answer else time.monotonic()
         if answer is None:
             return False
         request.status, told, request.got = answer
@@ -274,7 +274,7 @@
         self.idle = []
         for _ in range(CROWD):
             try:
-                self.idle.append(Viewer(self.site.where))
+                self.idle.append(HttpClient(self.site.where))
             except OSError:
                 pass
 
--- a/tests/stand_ins.py
+++ b/tests/stand_ins.py
@@ -274,7 +274,7 @@
         self.stream.close()
 
 
-class Viewer:
+class HttpClient:
     """One client's connection."""
 
     def __init__(self, where):
@@ -451,11 +451,11 @@
         assert any(self.start() for _ in range(3)), f"the front did not start: {self.log_lines}"
         return self
 
-    def viewer(self):
-        return Viewer(self.where)
+    def open_client(self):
+        return HttpClient(self.where)
 
     def health(self):
-        return self.viewer().raw("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n").answer()
+        return self.open_client().raw("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n").answer()
 
     def terminate(self):
         self.process.send_signal(signal.SIGTERM)
--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -23,7 +23,7 @@
 from limepath.front.clock import clock
 from limepath.interface.events import EndpointState
 from limepath.log import Log
-from tests.stand_ins import BOUND, Site, Viewer, connections, open_listener, wait_for
+from tests.stand_ins import BOUND, Site, HttpClient, connections, open_listener, wait_for
 from tests.test_endings import (
     COPY_FIELDS,
     LONG_WAIT,
@@ -39,10 +39,10 @@
 OTHER_ID = "00000000000000fe"
 
 
-def disconnect_for_long(viewer, disconnect=None):
+def disconnect_for_long(client, disconnect=None):
     """Disconnect the client and return once its FIN or reset has waited at the front for LATE seconds."""
-    client_port = f":{viewer.socket.getsockname()[1]:04X}"
-    (disconnect or viewer.close)()
+    client_port = f":{client.socket.getsockname()[1]:04X}"
+    (disconnect or client.close)()
     wait_for(
         lambda: (
             not any(
@@ -57,7 +57,7 @@
 
 def first_request_id(site, server):
     """Return the id of the first request that this server receives, after another client sent OTHER_ID."""
-    other_client = site.viewer().send(txn=OTHER_ID)
+    other_client = site.open_client().send(txn=OTHER_ID)
     command = server.next()
     command.answer("DONE", COPY_FIELDS, b"x")
     assert other_client.answer()[2] == b"x"
@@ -66,13 +66,13 @@
 
 def open_idle_connections(site, member, target, body=None, number=1):
     """Give the front this number of idle connections to a server, so that no attempt waits for one."""
-    viewers = [
-        site.viewer().send(target, body, txn=f"{i:016x}")  # an id can be used once per connection
+    clients = [
+        site.open_client().send(target, body, txn=f"{i:016x}")  # an id can be used once per connection
         for i in range(number)
     ]
-    for command in [member.next() for _ in viewers]:
+    for command in [member.next() for _ in clients]:
         command.answer("DONE", COPY_FIELDS if body is None else "-")
-    assert [viewer.answer()[0] for viewer in viewers] == [200] * number
+    assert [client.answer()[0] for client in clients] == [200] * number
     assert member.connection_count == number
 
 
@@ -81,15 +81,15 @@
 def test_request_and_disconnect_are_read_in_one_late_iteration(connected, reset):
     with Site() as site:
         open_idle_connections(site, site.cache, "/invoke/video/1")
-        viewer = site.viewer() if connected else None
+        client = site.open_client() if connected else None
         if connected:
-            assert viewer.raw("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n").answer()[0] == 200
+            assert client.raw("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n").answer()[0] == 200
         suspend_front(site)
-        viewer = viewer or site.viewer()  # accepted by the kernel while the front is stopped
+        client = client or site.open_client()  # accepted by the kernel while the front is stopped
         if reset:
-            viewer.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
-        viewer.send()
-        disconnect_for_long(viewer)
+            client.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
+        client.send()
+        disconnect_for_long(client)
         resume_front(site)
         assert first_request_id(site, site.cache) == OTHER_ID
         assert site.cache.commands.empty()
@@ -99,10 +99,10 @@
     with Site() as site:
         open_idle_connections(site, site.origin, "/invoke/tarea/1", b"x")
         suspend_front(site)
-        viewer = site.viewer().send("/invoke/tarea/0000000000000001", b"mine")
-        disconnect_for_long(viewer)
+        client = site.open_client().send("/invoke/tarea/0000000000000001", b"mine")
+        disconnect_for_long(client)
         resume_front(site)
-        other_client = site.viewer().send("/invoke/tarea/0000000000000002", b"stays", txn=OTHER_ID)
+        other_client = site.open_client().send("/invoke/tarea/0000000000000002", b"stays", txn=OTHER_ID)
         command = site.origin.next()
         assert command.id == OTHER_ID
         command.answer("DONE")
@@ -112,21 +112,21 @@
 def test_miss_and_disconnect_are_read_in_one_late_iteration():
     with Site() as site:
         open_idle_connections(site, site.cache, "/invoke/video/1", number=2)
-        viewer = site.viewer().send()
+        client = site.open_client().send()
         command = site.cache.next()
         suspend_front(site)
         command.answer("LACK")  # leads to a fill
-        disconnect_for_long(viewer)
+        disconnect_for_long(client)
         resume_front(site)
         assert first_request_id(site, site.cache) == OTHER_ID
 
 
 def test_connection_is_freed_for_a_request_whose_client_has_disconnected():
     with Site(settings=LONG_WAIT) as site:
-        first = site.viewer().send()
+        first = site.open_client().send()
         command = site.cache.next()
         site.cache.fill_accept_queue()
-        waiting = site.viewer().send(txn="00000000000000aa")
+        waiting = site.open_client().send(txn="00000000000000aa")
         site.cache.wait_for_connect_attempt()
         suspend_front(site)
         command.answer("DONE", COPY_FIELDS, b"x")  # read before the FIN, in the same iteration
@@ -145,7 +145,7 @@
             else ("/invoke/tarea/1", site.origin, b"mine")
         )
         member.fill_accept_queue()
-        waiting = site.viewer().send(target, body, txn="00000000000000aa")
+        waiting = site.open_client().send(target, body, txn="00000000000000aa")
         member.wait_for_connect_attempt()
         suspend_front(site)
         crowding_ports = {f":{connection.getsockname()[1]:04X}" for connection in member.queued_connections}
@@ -159,7 +159,7 @@
         )
         disconnect_for_long(waiting)
         resume_front(site)
-        other_client = site.viewer().send(target, body, txn=OTHER_ID)
+        other_client = site.open_client().send(target, body, txn=OTHER_ID)
         command = member.next()
         assert command.id == OTHER_ID
         command.answer("DONE", COPY_FIELDS if effect == "free" else "-", b"")
@@ -169,7 +169,7 @@
 def test_request_is_not_opened_while_output_is_blocked():
     body = b"z" * 240_000
     with Site() as site:
-        viewer = slow_reader(site)
+        client = slow_reader(site)
         command = site.cache.next()
         answer = b"%s DONE %s %d\r\n%s\r\n" % (command.id.encode(), COPY_FIELDS.encode(), len(body), body)
         command.connection.sendall(answer[:-2])
@@ -177,16 +177,16 @@
         wait_for(lambda: unread_bytes(cache_port) == 0)
         suspend_front(site)
         command.connection.sendall(answer[-2:])  # completes the answer, which blocks the output to the client
-        viewer.send(txn="00000000000000aa")  # read in the same iteration
-        wait_for(lambda: unread_bytes(viewer.socket.getsockname()[1]) > 0)
+        client.send(txn="00000000000000aa")  # read in the same iteration
+        wait_for(lambda: unread_bytes(client.socket.getsockname()[1]) > 0)
         resume_front(site)
-        viewer.socket.recv(1, socket.MSG_PEEK)
+        client.socket.recv(1, socket.MSG_PEEK)
         assert site.health()[0] == 200
         assert site.cache.commands.empty()  # the request waits while a disconnect would go unnoticed
-        assert viewer.answer()[2] == body
+        assert client.answer()[2] == body
         again = site.cache.next()
         assert again.id == "00000000000000aa"
-        viewer.close()
+        client.close()
         assert site.cache.next("QUIT").id == again.id
 
 
@@ -201,10 +201,10 @@
     with Site() as site:
         open_idle_connections(site, site.cache, "/invoke/video/1")
         suspend_front(site)
-        viewer = site.viewer().send()
-        disconnect_for_long(viewer, lambda: viewer.socket.shutdown(socket.SHUT_WR))
+        client = site.open_client().send()
+        disconnect_for_long(client, lambda: client.socket.shutdown(socket.SHUT_WR))
         resume_front(site)
-        assert viewer.closed_by_server()  # no answer, although the client could still read one
+        assert client.closed_by_server()  # no answer, although the client could still read one
         assert first_request_id(site, site.cache) == OTHER_ID
 
 
@@ -239,8 +239,8 @@
         self.servers.update_endpoint(1, "s-1", self.listener.getsockname(), 0, EndpointState.READY)
         self.clients.listen(TCP4ServerEndpoint(self.reactor, 0, interface="127.0.0.1"))
 
-    def viewer(self):
-        return Viewer(f"127.0.0.1:{self.clients.listener.port.getHost().port}")
+    def open_client(self):
+        return HttpClient(f"127.0.0.1:{self.clients.listener.port.getHost().port}")
 
     def passes_until(self, holds):
         def passed():
@@ -282,7 +282,7 @@
 
 def test_attempt_is_written_in_the_same_step_as_the_disconnect_check(driven):
     front = driven()
-    first = front.viewer().send(ttl=5000)
+    first = front.open_client().send(ttl=5000)
     cache = front.accept()
     front.passes_until(lambda: select.select([cache], [], [], 0)[0])
     cache.recv(4096)
@@ -290,9 +290,9 @@
     front.passes_until(lambda: not front.clients.requests)
     front.passes_until(lambda: select.select([first.socket], [], [], 0)[0])
     assert first.answer()[0] == 200
-    viewer = front.viewer().send(txn="00000000000000aa", ttl=5000)
+    client = front.open_client().send(txn="00000000000000aa", ttl=5000)
     front.passes_until(front.attempts)  # the commands were executed; the iteration has not ended
-    disconnect_for_long(viewer)
+    disconnect_for_long(client)
     cache.setblocking(False)
     assert cache.recv(4096).startswith(b"ASK 00000000000000aa ")  # it started before the disconnect
 
@@ -301,17 +301,17 @@
     front = driven(cache_connections=1, wait=5_000_000)
     body, sent, cache = b"z" * 40_000, [], None
     while cache is None or not front.servers.endpoints[1].connections[0].unsent_bytes():
-        sent.append(front.viewer().send("/invoke/tarea/1", body, txn=f"{len(sent):016x}", ttl=5000))
+        sent.append(front.open_client().send("/invoke/tarea/1", body, txn=f"{len(sent):016x}", ttl=5000))
         cache = cache or front.accept()  # does not read
         front.passes_until(lambda: len(front.attempts()) == len(sent))
         for _ in range(5):
             front.reactor.iterate(0)
         assert len(sent) < 9
-    viewer = front.viewer().send("/invoke/tarea/2", b"mine", txn="00000000000000aa", ttl=5000)
+    client = front.open_client().send("/invoke/tarea/2", b"mine", txn="00000000000000aa", ttl=5000)
     front.passes_until(lambda: len(front.attempts()) == len(sent) + 1)
-    other_client = front.viewer().send("/invoke/tarea/3", b"stays", txn="00000000000000bb", ttl=5000)
+    other_client = front.open_client().send("/invoke/tarea/3", b"stays", txn="00000000000000bb", ttl=5000)
     front.passes_until(lambda: len(front.attempts()) == len(sent) + 2)
-    disconnect_for_long(viewer)
+    disconnect_for_long(client)
     cache.setblocking(False)
     cache.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1 << 20)  # now it reads
     read = bytearray()
@@ -389,7 +389,7 @@
 def test_prevented_attempt_is_counted_and_logged():
     with Site() as site:
         suspend_front(site)
-        disconnect_for_long(site.viewer().send())
+        disconnect_for_long(site.open_client().send())
         resume_front(site)
         line = site.next_log_line("event=client-gone")
         assert "attempt=first" in line and "begun=no" in line
--- a/tests/test_cold_ramp.py
+++ b/tests/test_cold_ramp.py
@@ -16,7 +16,7 @@
 from tests.stand_ins import (
     SETTINGS,
     StandInCache,
-    Viewer,
+    HttpClient,
     address,
     configuration,
     open_listener,
@@ -150,7 +150,7 @@
     began = int(time.time() * 1000)
     members = [cache.entry(up_since_ms=began), parent.entry()]
     known = {"seq": 1, "results": [{"seq": 1, "fleet": {"revision": 1, "members": members}}]}
-    arrivals, fronts, viewers = [], [], []
+    arrivals, fronts, clients = [], [], []
 
     def serve(member, times):
         while True:
@@ -176,10 +176,10 @@
                 assert process.poll() is None
         for number in range(3):  # three concurrent requests at each front, for three objects
             for where, _ in fronts:
-                viewers.append(
-                    Viewer(where).send(f"/invoke/video/{number + 1:016x}", txn=f"{number + 1:016x}")
+                clients.append(
+                    HttpClient(where).send(f"/invoke/video/{number + 1:016x}", txn=f"{number + 1:016x}")
                 )
-        answers = [viewer.answer()[0] for viewer in viewers]
+        answers = [client.answer()[0] for client in clients]
     finally:
         for _, process in fronts:
             process.kill()
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -106,12 +106,12 @@
         )  # a gap causes a reconnect; the drain was read
         assert site.log.next_call() == 2
         assert site.health()[0] == 200
-        viewer = site.viewer().send()
+        client = site.open_client().send()
         site.cache.next().answer("LACK")
         fill = site.cache.next()
         assert fill.fields["up"] == "o-1"
         fill.answer("DONE", COPY_FIELDS, b"x")
-        assert viewer.answer()[2] == b"x"
+        assert client.answer()[2] == b"x"
         assert descriptors(site) <= SOCKETS
         assert not [
             line for line in site.log_lines if "fault" in line or "EMFILE" in line or "open files" in line
@@ -131,9 +131,9 @@
         assert max_logged_clients(site) <= CLIENTS + ACCEPTED_AT_ONCE
         restart_change_log(site, log_address)
         assert site.log.next_call() == 1
-        viewer = site.viewer().send()
+        client = site.open_client().send()
         site.cache.next().answer("DONE", COPY_FIELDS, b"x")
-        assert viewer.answer()[2] == b"x"
+        assert client.answer()[2] == b"x"
         assert not [line for line in site.log_lines if "open files" in line or "EMFILE" in line]
         for client in clients:
             client.close()
@@ -166,14 +166,14 @@
     front.clients.services[b"video"] = (0, False, BOUND * 1_000_000)
     front.servers.limits = front.servers.limits._replace(all_cache_connections=number)
     first, second = Answering("s-1"), Answering("s-2")
-    clients, most = [front.viewer() for _ in range(number)], 0
+    clients, most = [front.open_client() for _ in range(number)], 0
 
     def ask(member, cache, start):
         nonlocal most
         front.front.member = member
         front.servers.update_endpoint(member, cache.name, cache.listener.getsockname(), 0, front.ready)
-        for i, viewer in enumerate(clients):
-            viewer.send(txn=f"{start + i:016x}", ttl=BOUND * 1000)
+        for i, client in enumerate(clients):
+            client.send(txn=f"{start + i:016x}", ttl=BOUND * 1000)
         front.passes_until(lambda: len(front.clients.requests) == number)
 
         def all_asked():
@@ -194,7 +194,7 @@
 def test_the_front_counts_its_descriptors_by_use():
     with Site(descriptors=SOCKETS, limits={"sockets": SOCKETS}) as site:
         site.log.next_call()
-        clients = [site.viewer() for _ in range(CLIENTS)]
+        clients = [site.open_client() for _ in range(CLIENTS)]
         clients[0].send()
         site.cache.next().answer("DONE", COPY_FIELDS, b"x")
         assert clients[0].answer()[2] == b"x"
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -43,7 +43,7 @@
     SETTINGS,
     Site,
     StandInChangeLog,
-    Viewer,
+    HttpClient,
     address,
     configuration,
     free_address,
@@ -90,12 +90,12 @@
 def test_a_queued_put_is_not_sent_after_its_client_disconnects(effect):
     with Site(settings=with_write_settings(LONG_WAIT, idempotency=effect)) as site:
         site.origin.fill_accept_queue()
-        viewer = site.viewer().send("/invoke/tarea/0000000000000001", b"left")
+        client = site.open_client().send("/invoke/tarea/0000000000000001", b"left")
         site.origin.wait_for_connect_attempt()
-        viewer.close()
+        client.close()
         assert site.health()[0] == 200  # a later connection was served, so the disconnect has been read
         site.origin.resume_accepting()
-        stays = site.viewer().send("/invoke/tarea/0000000000000002", b"stays", txn="00000000000000fe")
+        stays = site.open_client().send("/invoke/tarea/0000000000000002", b"stays", txn="00000000000000fe")
         command = site.origin.next()
         assert (command.id, command.body) == ("00000000000000fe", b"stays")
         command.answer("DONE")
@@ -106,12 +106,12 @@
     settings = LONG_WAIT | {"limits": LONG_WAIT["limits"] | {"cancel": False}}
     with Site(settings=settings) as site:
         site.cache.fill_accept_queue()
-        viewer = site.viewer().send()
+        client = site.open_client().send()
         site.cache.wait_for_connect_attempt()
-        viewer.close()
+        client.close()
         assert site.health()[0] == 200
         site.cache.resume_accepting()
-        stays = site.viewer().send(txn="00000000000000fe")
+        stays = site.open_client().send(txn="00000000000000fe")
         command = site.cache.next()
         assert command.id == "00000000000000fe"
         command.answer("DONE", COPY_FIELDS, b"x")
@@ -125,7 +125,7 @@
             queue.Queue()
         )  # one queue for both, to learn which is asked
         site.cache.fill_accept_queue()
-        viewer = site.viewer().send()
+        client = site.open_client().send()
         site.cache.wait_for_connect_attempt()
         site.log.send_event(
             2, fleet={"revision": 2, "complete": False, "members": [site.cache.entry("terminating")]}
@@ -138,13 +138,13 @@
         # By the old command, it would reach the draining cache a second after the drain was published.
         assert command.cache == "p-1"
         command.answer("DONE", COPY_FIELDS, b"x")
-        assert viewer.answer()[2] == b"x"
+        assert client.answer()[2] == b"x"
 
 
 def test_a_queued_get_is_decided_again_when_its_fill_source_drains():
     with Site(settings=LONG_WAIT) as site:
         site.log.next_call()
-        viewer = site.viewer().send()
+        client = site.open_client().send()
         lookup = site.cache.next()
         site.cache.fill_accept_queue()
         lookup.answer("LACK")  # the fill needs another connection: a tag is sent once per connection
@@ -161,14 +161,14 @@
         command = site.cache.next()
         assert command.fields["up"] == "o-1"
         command.answer("DONE", COPY_FIELDS, b"x")
-        assert viewer.answer()[2] == b"x"
+        assert client.answer()[2] == b"x"
 
 
 def test_a_purge_limits_the_age_of_a_get_that_was_queued_before_it():
     with Site(settings=LONG_WAIT) as site:
         site.log.next_call()
         site.cache.fill_accept_queue()
-        viewer = site.viewer().send()
+        client = site.open_client().send()
         site.cache.wait_for_connect_attempt()
         now = int(time.time() * 1000)
         site.log.send_event(2, invalidate={"bucket": 4, "time": now})  # sets the reference clock
@@ -180,7 +180,7 @@
         command = site.cache.next()
         assert 60_000 <= int(command.fields["cap"]) < 70_000
         command.answer("DONE", f"rev=4be0,since={int(time.time() * 1000)}", b"x")
-        assert viewer.answer()[2] == b"x"
+        assert client.answer()[2] == b"x"
 
 
 def test_a_queued_retry_by_idempotency_key_is_not_sent_after_its_window():
@@ -188,14 +188,16 @@
         LONG_WAIT, idempotency="guarded", **{"repeat-window": 900 * MS, "key-scope": "all"}
     )
     with Site(settings=settings) as site:
-        viewer = site.viewer().send("/invoke/tarea/0000000000000001", b"once", ttl=4000, X_Txn_Key="91e82ce1")
+        client = site.open_client().send(
+            "/invoke/tarea/0000000000000001", b"once", ttl=4000, X_Txn_Key="91e82ce1"
+        )
         command, received_at = site.origin.next(), time.monotonic()
         site.origin.fill_accept_queue()
         command.hang_up()  # the write may have run; its retry has no connection
         site.origin.wait_for_connect_attempt()
         wait_for(lambda: time.monotonic() - received_at > 0.95)
         site.origin.resume_accepting()  # the retry could be sent now, but its window has passed
-        assert viewer.answer()[0] == 503  # the key is valid at all endpoints, so the client may retry
+        assert client.answer()[0] == 503  # the key is valid at all endpoints, so the client may retry
         assert site.origin.commands.empty()
 
 
@@ -204,7 +206,7 @@
         SETTINGS, idempotency="guarded", **{"repeat-window": 60_000 * MS, "key-scope": "all"}
     )
     with Site(settings=settings) as site:
-        viewer = site.viewer().send(
+        client = site.open_client().send(
             "/invoke/tarea/0000000000000001", b"once", X_Txn_Key="91e82ce155b7e128e0c16bd0886c0fa7"
         )
         command = site.origin.next()
@@ -218,7 +220,7 @@
             "91e82ce155b7e128e0c16bd0886c0fa7",
         )
         command.answer("DONE")
-        assert viewer.answer()[0] == 200
+        assert client.answer()[0] == 200
 
 
 def test_a_write_without_idempotency_key_is_not_retried_if_it_may_have_run():
@@ -226,13 +228,13 @@
         SETTINGS, idempotency="guarded", **{"repeat-window": 60_000 * MS, "key-scope": "all"}
     )
     with Site(settings=settings) as site:
-        viewer = site.viewer().send("/invoke/tarea/0000000000000001", b"once")
+        client = site.open_client().send("/invoke/tarea/0000000000000001", b"once")
         command = site.origin.next()
         assert "uniq" not in command.fields
         command.hang_up()
-        assert viewer.answer()[0] == 502 and site.origin.commands.empty()
-        viewer.send("/invoke/tarea/0000000000000001", b"once", txn="00000000000000fe", X_Txn_Key="a,b=c")
-        assert viewer.answer()[0] == 400
+        assert client.answer()[0] == 502 and site.origin.commands.empty()
+        client.send("/invoke/tarea/0000000000000001", b"once", txn="00000000000000fe", X_Txn_Key="a,b=c")
+        assert client.answer()[0] == 400
 
 
 class ForwardingDecisions:
@@ -386,11 +388,11 @@
 )
 def test_a_connection_with_a_truncated_answer_is_not_reused(partial_answer):
     with Site() as site:
-        viewer = site.viewer().send(ttl=300)
+        client = site.open_client().send(ttl=300)
         command = site.cache.next()
         command.connection.sendall(partial_answer.replace(b"ID", command.id.encode()))
-        assert viewer.answer()[0] == 503
-        other = site.viewer().send(txn="00000000000000fe")
+        assert client.answer()[0] == 503
+        other = site.open_client().send(txn="00000000000000fe")
         while (again := site.cache.commands.get(timeout=BOUND)).word != "ASK":
             pass
         assert again.connection is not command.connection
@@ -400,28 +402,28 @@
 
 def test_a_connection_with_stray_bytes_is_not_used_for_a_later_put():
     with Site() as site:
-        viewer = site.viewer().send("/invoke/tarea/0000000000000001", b"mine")
+        client = site.open_client().send("/invoke/tarea/0000000000000001", b"mine")
         command = site.origin.next()
         # A complete answer, and the beginning of a second one.
         command.connection.sendall(b"%s DONE - 0\r\n\r\nID DO" % command.id.encode())
-        assert viewer.answer()[0] == 200
-        viewer.send("/invoke/tarea/0000000000000001", b"next", txn="00000000000000fe")
+        assert client.answer()[0] == 200
+        client.send("/invoke/tarea/0000000000000001", b"next", txn="00000000000000fe")
         again = site.origin.next()
         assert again.connection is not command.connection
         again.answer("DONE")
         # On the first connection, the stray bytes would corrupt the answer, and the client would get 502.
-        assert viewer.answer()[0] == 200
+        assert client.answer()[0] == 200
 
 
 def test_an_answer_read_together_with_the_end_of_the_connection_counts():
     with Site() as site:
-        viewer = site.viewer().send("/invoke/tarea/0000000000000001", b"mine")
+        client = site.open_client().send("/invoke/tarea/0000000000000001", b"mine")
         command = site.origin.next()
         suspend_front(site)
         command.answer("DONE")
         command.hang_up()
         resume_front(site)
-        assert viewer.answer()[0] == 200
+        assert client.answer()[0] == 200
 
 
 # Connections of clients
@@ -430,35 +432,35 @@
 def slow_reader(site, **fields):
     """Return a client with small receive buffers that has sent a GET."""
     host, port = site.where.split(":")
-    viewer = Viewer.__new__(Viewer)
-    viewer.socket = socket.socket()
-    viewer.socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
+    client = HttpClient.__new__(HttpClient)
+    client.socket = socket.socket()
+    client.socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     # With the default segment size, the sender's buffer takes a megabyte.
-    viewer.socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_MAXSEG, 536)
-    viewer.socket.settimeout(BOUND)
-    viewer.socket.connect((host, int(port)))
-    viewer.stream = viewer.socket.makefile("rb")
-    return viewer.send(**fields)
+    client.socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_MAXSEG, 536)
+    client.socket.settimeout(BOUND)
+    client.socket.connect((host, int(port)))
+    client.stream = client.socket.makefile("rb")
+    return client.send(**fields)
 
 
 def test_bytes_received_after_the_last_request_do_not_truncate_its_response():
     with Site() as site:
-        viewer = slow_reader(site, Connection="close")
+        client = slow_reader(site, Connection="close")
         command = site.cache.next()
         suspend_front(site)
         command.answer("DONE", COPY_FIELDS, b"z" * 240_000)
         resume_front(site)
-        viewer.socket.recv(1, socket.MSG_PEEK)  # the response has begun; most of it is buffered
-        viewer.raw("GET /invoke/video/1 HTTP/1.1\r\n")  # bytes unread at the close would reset the connection
+        client.socket.recv(1, socket.MSG_PEEK)  # the response has begun; most of it is buffered
+        client.raw("GET /invoke/video/1 HTTP/1.1\r\n")  # bytes unread at the close would reset the connection
         wait_for(lambda: site.health()[0] == 200)
-        assert viewer.answer()[2] == b"z" * 240_000 and viewer.closed_by_server()
+        assert client.answer()[2] == b"z" * 240_000 and client.closed_by_server()
 
 
 def test_a_request_that_crosses_the_close_of_its_connection_is_not_forwarded():
     with Site(limits={"leaving_ms": 200}) as site:
         idle, busy = (
-            site.viewer().send(),
-            site.viewer().send("/invoke/tarea/1", b"x", txn="00000000000000fe"),
+            site.open_client().send(),
+            site.open_client().send("/invoke/tarea/1", b"x", txn="00000000000000fe"),
         )
         site.cache.next().answer("DONE", COPY_FIELDS)
         assert idle.answer()[0] == 200
@@ -475,26 +477,26 @@
 
 def test_a_half_closed_client_receives_its_buffered_response():
     with Site() as site:
-        viewer = slow_reader(site)
+        client = slow_reader(site)
         command = site.cache.next()
         command.answer("DONE", COPY_FIELDS, b"z" * 240_000)
-        viewer.socket.recv(1, socket.MSG_PEEK)
-        viewer.socket.shutdown(socket.SHUT_WR)
+        client.socket.recv(1, socket.MSG_PEEK)
+        client.socket.shutdown(socket.SHUT_WR)
         wait_for(lambda: site.health()[0] == 200)
-        assert viewer.answer()[2] == b"z" * 240_000
+        assert client.answer()[2] == b"z" * 240_000
 
 
 def test_slow_senders_do_not_exhaust_the_connections_of_other_clients():
     with Site(limits={"sockets": 100}) as site:  # 40 connections of clients
-        slow_senders = [site.viewer().raw("GET /invoke/video/1 HTTP/1.1\r\n") for _ in range(40)]
+        slow_senders = [site.open_client().raw("GET /invoke/video/1 HTTP/1.1\r\n") for _ in range(40)]
         wait_for(lambda: established(site.where) >= 40)
         time.sleep(0.4)  # the connections with the oldest incomplete requests are closed first
         others = []
         for number in range(20):
-            viewer = site.viewer().send(txn=f"{number:016x}")
+            client = site.open_client().send(txn=f"{number:016x}")
             site.cache.next().answer("DONE", COPY_FIELDS, b"x")
-            assert viewer.answer()[2] == b"x"
-            others.append(viewer)
+            assert client.answer()[2] == b"x"
+            others.append(client)
         assert slow_senders[0].closed_by_server()
 
 
@@ -507,11 +509,11 @@
         while site.health()[0] == 200:
             pass
         suspend_front(site)
-        viewer, before = site.viewer().send("/invoke/tarea/1", b"mine"), time.monotonic()
+        client, before = site.open_client().send("/invoke/tarea/1", b"mine"), time.monotonic()
         wait_for(lambda: time.monotonic() - before > 0.4)  # `leaving_ms` has passed when the front resumes
         resume_front(site)
         site.origin.next().answer("DONE")
-        assert viewer.answer()[0] == 200
+        assert client.answer()[0] == 200
         assert site.process.wait(BOUND) == 0
 
 
@@ -536,7 +538,7 @@
 
 def test_repeated_sigterm_and_sighup_shut_down_once_without_faults():
     with Site(limits={"leaving_ms": 300}) as site:
-        viewer = site.viewer().send()
+        client = site.open_client().send()
         command = site.cache.next()
         suspend_front(site)
         for number in (signal.SIGTERM, signal.SIGHUP, signal.SIGTERM):
@@ -544,7 +546,7 @@
         resume_front(site)
         wait_for(lambda: any("event=leaving" in line for line in site.log_lines))
         command.answer("DONE", COPY_FIELDS, b"x")
-        assert viewer.answer()[2] == b"x"
+        assert client.answer()[2] == b"x"
         assert site.process.wait(BOUND) == 0
         assert not [line for line in site.log_lines if "fault" in line]
 
@@ -552,13 +554,13 @@
 def test_a_hanging_cache_does_not_delay_shutdown_and_retries_are_answered():
     with Site(limits={"leaving_ms": 2000}) as site:
         site.cache.ignores_probes = site.parent.ignores_probes = True
-        viewer = site.viewer().send(ttl=1500)
+        client = site.open_client().send(ttl=1500)
         site.cache.next()
         site.terminate()
         while site.health()[0] == 200:
             pass
-        repeat = site.viewer().send(txn="00000000000000fe", ttl=1500)
-        for answer in (viewer.answer(), repeat.answer()):
+        repeat = site.open_client().send(txn="00000000000000fe", ttl=1500)
+        for answer in (client.answer(), repeat.answer()):
             assert answer[0] == 503 and answer[1]["connection"] == "close"
         assert site.process.wait(BOUND) == 0
 
@@ -567,37 +569,37 @@
     """Two requests with a minute left at a hanging cache: one sent before SIGTERM and one after it."""
     assert front_settings(configuration("127.0.0.1:1", limits={}), {}).limits.last_answer == 3_600_000
     with Site(limits={"leaving_ms": 500, "sockets": 256}) as site:
-        viewers = [site.viewer().send(), site.viewer()]
-        for viewer in viewers:
-            viewer.socket.settimeout(BOUND / 2)  # their own time is BOUND
+        clients = [site.open_client().send(), site.open_client()]
+        for client in clients:
+            client.socket.settimeout(BOUND / 2)  # their own time is BOUND
         site.cache.next()
         site.terminate()
         while site.health()[0] == 200:
             pass
-        viewers[1].send(txn="00000000000000fe")
+        clients[1].send(txn="00000000000000fe")
         site.cache.next()
-        answers = [viewer.answer() for viewer in viewers]
+        answers = [client.answer() for client in clients]
         assert [answer[0] for answer in answers] == [503, 503]
         assert site.process.wait(BOUND) == 0
 
 
 def test_a_write_that_may_have_run_is_failed_not_shed_at_shutdown():
     with Site(limits={"leaving_ms": 300, "last_answer_ms": 600}) as site:
-        viewer = site.viewer().send("/invoke/tarea/7f3a9c21e0b4d655", body=b"essay")
-        viewer.socket.settimeout(BOUND / 2)  # the request itself has BOUND seconds
+        client = site.open_client().send("/invoke/tarea/7f3a9c21e0b4d655", body=b"essay")
+        client.socket.settimeout(BOUND / 2)  # the request itself has BOUND seconds
         command = site.origin.next()
         site.terminate()
-        assert viewer.answer()[0] == 502
+        assert client.answer()[0] == 502
         assert command.id == "9b1f03aa5c7e2d41"
         assert site.process.wait(BOUND) == 0
 
 
 def test_shutdown_does_not_extend_shorter_deadlines():
     with Site(limits={"leaving_ms": 300, "last_answer_ms": 1000 * BOUND}) as site:
-        viewer = site.viewer().send(ttl=700)
+        client = site.open_client().send(ttl=700)
         site.cache.next()
         site.terminate()
-        assert viewer.answer()[0] == 503
+        assert client.answer()[0] == 503
         assert site.process.wait(BOUND) == 0
 
 
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -47,50 +47,50 @@
 
 def test_get_returns_the_object_unchanged():
     with Site() as site:
-        viewer = site.viewer().send()
+        client = site.open_client().send()
         command = site.cache.next()
         assert command.id == "9b1f03aa5c7e2d41" and command.body == b""
         budget = int(command.fields.pop("budget"))
         assert 0 < budget <= 1000 * BOUND
         assert command.fields == {"queue": "video", "path": "7f3a9c21e0b4d655", "blk": "3", "store": "1"}
         command.answer("DONE", NOW, OBJECT)
-        status, fields, body = viewer.answer()
+        status, fields, body = client.answer()
         assert (status, fields["etag"], body) == (200, '"4be0c1927d55a6f3"', OBJECT)
-        viewer.send(target="/invoke/video/00000000000000aa", txn="00000000000000ff")  # on the same connection
+        client.send(target="/invoke/video/00000000000000aa", txn="00000000000000ff")  # on the same connection
         command = site.cache.next()
         assert "blk" not in command.fields
         command.answer("DONE", NOW)
-        assert viewer.answer()[::2] == (200, b"")
+        assert client.answer()[::2] == (200, b"")
 
 
 def test_miss_is_filled_and_a_full_cache_is_skipped():
     with Site() as site:
-        viewer = site.viewer().send()
+        client = site.open_client().send()
         site.cache.next().answer("LACK")
         fill = site.cache.next()
         assert fill.fields["up"] == "p-1"
         fill.answer("DONE", NOW, b"x")
-        assert viewer.answer()[::2] == (200, b"x")
-        viewer.send()
+        assert client.answer()[::2] == (200, b"x")
+        client.send()
         site.cache.next().answer("WAIT")  # was once rejected as an answer to ASK, which closed the connection
         direct = site.parent.next()
         assert direct.fields["up"] == "o-1"
         direct.answer("DONE", NOW, b"y")
         # Each connection carries an id only once.
-        assert viewer.answer()[::2] == (200, b"y") and site.cache.connection_count == 3
+        assert client.answer()[::2] == (200, b"y") and site.cache.connection_count == 3
 
 
 def test_copy_of_a_client_is_revalidated():
     with Site() as site:
-        viewer = site.viewer().send(If_None_Match='"4be0c1927d55a6f3"')
+        client = site.open_client().send(If_None_Match='"4be0c1927d55a6f3"')
         command = site.cache.next()
         assert command.fields["inm"] == "4be0c1927d55a6f3"
         command.answer("KEEP", NOW)
-        assert viewer.answer()[0] == 304
+        assert client.answer()[0] == 304
         # Forwarded, this tag would corrupt the fields of the request.
-        viewer.send(If_None_Match='"a,b=c"', txn="00000000000000ff")
+        client.send(If_None_Match='"a,b=c"', txn="00000000000000ff")
         command = site.cache.next()
-        other = site.viewer().send(If_None_Match='"%s"' % ("a" * 5000), txn="00000000000000fe")
+        other = site.open_client().send(If_None_Match='"%s"' % ("a" * 5000), txn="00000000000000fe")
         longer = site.cache.next()  # a cache would close the connection at a line that long
         assert "inm" not in longer.fields
         longer.answer("DONE", NOW)
@@ -98,68 +98,68 @@
         assert "inm" not in command.fields
         command.answer("KEEP", NOW)  # invalid without a copy of the client, so another attempt follows
         site.cache.next().answer("DONE", NOW, b"x")
-        assert viewer.answer()[::2] == (200, b"x")
+        assert client.answer()[::2] == (200, b"x")
 
 
 def test_put_takes_effect_at_most_once():
     with Site() as site:
-        viewer = site.viewer().send("/invoke/tarea/0000000000000001", b"mine" * 12_000)
+        client = site.open_client().send("/invoke/tarea/0000000000000001", b"mine" * 12_000)
         command = site.origin.next()
         assert command.body == b"mine" * 12_000 and "up" not in command.fields
         command.answer("DONE")  # without a tag
-        assert viewer.answer()[0] == 200
-        viewer.send("/invoke/tarea/0000000000000001", b"again")
+        assert client.answer()[0] == 200
+        client.send("/invoke/tarea/0000000000000001", b"again")
         site.origin.next().hang_up()
-        assert viewer.answer()[0] == 502
-        viewer.send("/invoke/tarea/0000000000000001", b"third")
+        assert client.answer()[0] == 502
+        client.send("/invoke/tarea/0000000000000001", b"third")
         assert site.origin.next().body == b"third"  # the second write was not repeated
 
 
 def test_expect_100_continue_is_answered_before_the_body():
     with Site() as site:
-        viewer = site.viewer().raw(
+        client = site.open_client().raw(
             "PUT /invoke/tarea/1 HTTP/1.1\r\nX-Txn: 9b1f03aa5c7e2d41\r\nX-Ttl-Ms: 900\r\nX-Family: 1\r\n"
             "Content-Length: 4\r\nExpect: 100-continue\r\n\r\n"
         )
-        assert viewer.answer()[0] == 100
-        viewer.raw("mine")
+        assert client.answer()[0] == 100
+        client.raw("mine")
         command = site.origin.next()
         command.answer("DONE")
-        assert command.body == b"mine" and viewer.answer()[0] == 200
+        assert command.body == b"mine" and client.answer()[0] == 200
 
 
 def test_write_refused_by_the_origin_is_shed_with_a_retry_time():
     with Site() as site:
-        viewer = site.viewer().send("/invoke/tarea/0000000000000001", b"mine")
+        client = site.open_client().send("/invoke/tarea/0000000000000001", b"mine")
         site.origin.next().answer("WAIT")
-        status, fields, _ = viewer.answer()
+        status, fields, _ = client.answer()
         assert status == 503 and 50 <= int(fields["x-throttle-ms"]) <= 150
 
 
 def test_attempt_is_cancelled_when_its_client_disconnects():
     with Site() as site:
-        viewer = site.viewer().send()
+        client = site.open_client().send()
         command = site.cache.next()
-        viewer.close()
+        client.close()
         assert site.cache.next("QUIT").id == command.id
-        viewer = site.viewer().send()  # the same id: the late answer to the first must not be used
+        client = site.open_client().send()  # the same id: the late answer to the first must not be used
         again = site.cache.next()
         command.answer("DONE", NOW, b"late")
         again.answer("DONE", NOW, b"new")
-        assert viewer.answer()[::2] == (200, b"new") and site.cache.connection_count == 2
+        assert client.answer()[::2] == (200, b"new") and site.cache.connection_count == 2
 
 
 def test_drains_and_purges_take_effect():
     with Site(("s-1", "s-2")) as site:
         site.cache.commands = site.caches[1].commands  # a common queue
         site.log.next_call()
-        viewer, now = site.viewer(), int(time.time() * 1000)
+        client, now = site.open_client(), int(time.time() * 1000)
 
         def asked_for(number, **fields):
-            viewer.send(f"/invoke/video/{number:016x}", txn=f"{number:016x}", **fields)
+            client.send(f"/invoke/video/{number:016x}", txn=f"{number:016x}", **fields)
             command = site.cache.next()
             command.answer("DONE", f"rev=4be0,since={int(time.time() * 1000)}")
-            assert viewer.answer()[0] == 200
+            assert client.answer()[0] == 200
             return command
 
         assert {asked_for(number).cache for number in range(40)} == {"s-1", "s-2"}
@@ -203,7 +203,7 @@
 def test_reload_moves_to_another_change_log_without_disturbing_requests():
     with Site() as site:
         assert site.log.next_call() == 1
-        viewer = site.viewer().send()
+        client = site.open_client().send()
         command = site.cache.next()
         site.log.send_event(2, invalidate={"bucket": 3, "time": int(time.time() * 1000)})
         for flawed in ("{", json.dumps(site.configuration | {"changelog": "nowhere"})):
@@ -219,14 +219,14 @@
         now = int(time.time() * 1000)
         site.log.send_event(3, invalidate={"bucket": 17, "time": now})
         command.answer("DONE", NOW, b"x")
-        assert viewer.answer()[::2] == (200, b"x")
-        while "cap" not in (command := viewer.send() and site.cache.next()).fields:
+        assert client.answer()[::2] == (200, b"x")
+        while "cap" not in (command := client.send() and site.cache.next()).fields:
             command.answer("DONE", NOW)
-            assert viewer.answer()[0] == 200
+            assert client.answer()[0] == 200
         command.answer("DONE", f"rev=4be0,since={now - 60_000}", b"old")  # older than the purge
         command = site.cache.next()
         command.answer("DONE", f"rev=4be0,since={now}", b"new")
-        assert viewer.answer()[::2] == (200, b"new")
+        assert client.answer()[::2] == (200, b"new")
 
 
 def test_silent_change_log_is_reconnected():
@@ -236,13 +236,13 @@
 
 def test_two_resets_skip_a_cache_and_a_refused_connection_sheds_a_write():
     with Site() as site:
-        viewer = site.viewer().send()
+        client = site.open_client().send()
         site.cache.next().hang_up()
         site.cache.next().hang_up()  # after one reset the same cache is tried again
         site.parent.next().answer("DONE", NOW, b"x")
-        assert viewer.answer()[::2] == (200, b"x")
+        assert client.answer()[::2] == (200, b"x")
         site.origin.stop()
-        assert viewer.send("/invoke/tarea/0000000000000001", b"mine").answer()[0] == 503
+        assert client.send("/invoke/tarea/0000000000000001", b"mine").answer()[0] == 503
 
 
 def test_malformed_answer_is_never_passed_on_and_affects_one_request():
@@ -259,22 +259,22 @@
         b"ID DONE rev=4b,since=%d 3000000000\r\nx" % now,
     ]
     with Site() as site:
-        other = site.viewer().send("/invoke/video/1", txn="00000000000000fe")
+        other = site.open_client().send("/invoke/video/1", txn="00000000000000fe")
         asked_for_other = site.cache.next()
         for number, answer in enumerate(malformed):
-            viewer = site.viewer().send(txn=f"{number:016x}")
+            client = site.open_client().send(txn=f"{number:016x}")
             command = site.cache.next()
             command.connection.sendall(answer.replace(b"ID", command.id.encode()))
             command = site.cache.next()  # retried there on another connection
             command.answer("DONE", NOW, b"x")
-            assert viewer.answer()[::2] == (200, b"x"), answer[:60]
+            assert client.answer()[::2] == (200, b"x"), answer[:60]
         asked_for_other.answer("DONE", NOW, b"mine")
         assert other.answer()[::2] == (200, b"mine")
 
 
 def test_duplicate_and_unexpected_answers_are_ignored():
     with Site() as site:
-        viewer = site.viewer().send()
+        client = site.open_client().send()
         command = site.cache.next()
         command.connection.sendall(b"00000000000000aa DONE rev=4b,since=1 1\r\nz\r\n")
         command.answer("LACK")
@@ -283,10 +283,10 @@
         assert fill.connection is not command.connection
         fill.answer("DONE", NOW, b"x")
         fill.answer("DONE", NOW, b"x")
-        assert viewer.answer()[::2] == (200, b"x")
-        viewer.send("/invoke/video/1", txn="00000000000000ff")
+        assert client.answer()[::2] == (200, b"x")
+        client.send("/invoke/video/1", txn="00000000000000ff")
         site.cache.next().answer("DONE", NOW, b"y")
-        assert viewer.answer()[::2] == (200, b"y")
+        assert client.answer()[::2] == (200, b"y")
 
 
 def test_partially_written_attempt_counts_as_not_sent():
@@ -317,32 +317,32 @@
 def test_request_ends_at_its_deadline_if_no_server_answers():
     with Site() as site:
         site.cache.ignores_probes = site.parent.ignores_probes = True
-        viewer = site.viewer().send(ttl=1500)
+        client = site.open_client().send(ttl=1500)
         site.cache.next()
-        assert viewer.answer()[0] == 503
-        viewer.send("/invoke/tarea/0000000000000001", b"mine", ttl=1500)
+        assert client.answer()[0] == 503
+        client.send("/invoke/tarea/0000000000000001", b"mine", ttl=1500)
         site.origin.next()
-        assert viewer.answer()[0] == 502  # it may have been executed
+        assert client.answer()[0] == 502  # it may have been executed
 
 
 def test_silent_connection_is_closed_once_a_probe_on_another_is_answered():
     with Site() as site:
-        viewer = site.viewer().send()
+        client = site.open_client().send()
         site.cache.unanswered_connections.add(
             site.cache.next().connection
         )  # a probe on another connection will be answered
         site.cache.next().answer("DONE", NOW, b"x")  # long before the deadline of the request
-        assert viewer.answer()[::2] == (200, b"x")
+        assert client.answer()[::2] == (200, b"x")
 
 
 def test_attempt_without_a_connection_counts_as_not_sent():
     with Site() as site:
         site.cache.fill_accept_queue()
-        viewer = site.viewer().send(ttl=100)  # less than the wait for a connection
-        assert viewer.answer()[0] == 503
-        viewer.send(txn="00000000000000ff")
+        client = site.open_client().send(ttl=100)  # less than the wait for a connection
+        assert client.answer()[0] == 503
+        client.send(txn="00000000000000ff")
         site.parent.next().answer("DONE", NOW, b"x")
-        assert viewer.answer()[::2] == (200, b"x")
+        assert client.answer()[::2] == (200, b"x")
         assert not [line for line in site.log_lines if "fault" in line], site.log_lines
 
 
@@ -353,7 +353,7 @@
 
 def test_sigterm_answers_all_requests_and_exits_with_status_0():
     with Site(limits={"leaving_ms": 3000}) as site:
-        open_one, late, idle = site.viewer().send(), site.viewer(), site.viewer()
+        open_one, late, idle = site.open_client().send(), site.open_client(), site.open_client()
         command = site.cache.next()
         site.terminate()
         while (health := site.health())[0] == 200:
@@ -370,9 +370,9 @@
 
 def test_large_last_answer_is_sent_completely_before_the_close():
     with Site() as site:  # a producer that stayed registered once kept this connection open forever
-        viewer = site.viewer().send(Connection="close")
+        client = site.open_client().send(Connection="close")
         site.cache.next().answer("DONE", NOW, b"z" * 240_000)
-        assert viewer.answer()[2] == b"z" * 240_000 and viewer.closed_by_server()
+        assert client.answer()[2] == b"z" * 240_000 and client.closed_by_server()
 
 
 def test_invalid_requests_are_rejected_without_affecting_others():
@@ -405,19 +405,19 @@
         head.replace("HTTP/1.1", "HTTP/2.0") + "\r\n": 505,
     }
     with Site() as site:
-        other, half = site.viewer().send(txn="00000000000000ff"), site.viewer().raw(head)
+        other, half = site.open_client().send(txn="00000000000000ff"), site.open_client().raw(head)
         for text, status in cases.items():
-            viewer = site.viewer().raw(text)
-            answer = viewer.answer()
+            client = site.open_client().raw(text)
+            answer = client.answer()
             assert answer[0] == status and answer[1]["connection"] == "close", (text[:80], answer)
-            assert viewer.closed_by_server()
+            assert client.closed_by_server()
         command = site.cache.next()
         assert (
             command.id == "00000000000000ff" and site.cache.commands.empty() and site.origin.commands.empty()
         )
         command.answer("DONE", NOW, b"x")
         assert other.answer()[::2] == (200, b"x")
-        spare = site.viewer().raw("\r\n" + head.replace("/invoke", "http://app.svc/invoke") + "\r\n")
+        spare = site.open_client().raw("\r\n" + head.replace("/invoke", "http://app.svc/invoke") + "\r\n")
         # A request may follow an empty line and have an absolute target.
         site.cache.next().answer("DONE", NOW, b"z")
         assert spare.answer()[::2] == (200, b"z")
@@ -428,15 +428,15 @@
 
 def test_bytes_after_an_open_request_abort_it_and_an_open_id_is_rejected():
     with Site() as site:
-        viewer = site.viewer().send()
+        client = site.open_client().send()
         command = site.cache.next()
-        double = site.viewer().send("/invoke/video/1")
+        double = site.open_client().send("/invoke/video/1")
         assert double.answer()[0] == 409 and double.closed_by_server()
         command.answer("DONE", NOW, b"x")
-        assert viewer.answer()[::2] == (200, b"x")
-        command = viewer.send() and site.cache.next()  # the id can be used again
-        viewer.raw("x")  # one byte after the end of the request
-        assert viewer.answer()[0] == 400 and viewer.closed_by_server()
+        assert client.answer()[::2] == (200, b"x")
+        command = client.send() and site.cache.next()  # the id can be used again
+        client.raw("x")  # one byte after the end of the request
+        assert client.answer()[0] == 400 and client.closed_by_server()
         assert site.cache.next("QUIT").id == command.id
 
 
@@ -444,8 +444,12 @@
     limits = plan_limits(256, 64, 32, open_requests=9)
     assert max(limits.slow, limits.linger) + 2 * limits.sweep < 3_000_000  # the longest time until the close
     with Site() as site:
-        silent, half, after = site.viewer(), site.viewer().raw("GET /inv"), site.viewer().send()
-        endless = site.viewer().raw("PUT /invoke/tarea/1 HTTP/1.1\r\nContent-Length: 60000000\r\n\r\n")
+        silent, half, after = (
+            site.open_client(),
+            site.open_client().raw("GET /inv"),
+            site.open_client().send(),
+        )
+        endless = site.open_client().raw("PUT /invoke/tarea/1 HTTP/1.1\r\nContent-Length: 60000000\r\n\r\n")
         sent = 0
         assert endless.answer()[0] == 413
         with contextlib.suppress(OSError):
@@ -474,9 +478,9 @@
 
 def test_request_over_max_open_is_shed_with_a_retry_time():
     with Site(settings=SETTINGS | {"limits": SETTINGS["limits"] | {"max-open": 1}}) as site:
-        first = site.viewer().send()
+        first = site.open_client().send()
         command = site.cache.next()
-        status, fields, _ = site.viewer().send(txn="00000000000000ff").answer()
+        status, fields, _ = site.open_client().send(txn="00000000000000ff").answer()
         assert (status, fields["x-throttle-ms"]) == (503, "100")
         command.answer("DONE", NOW)
         assert first.answer()[0] == 200
@@ -527,9 +531,9 @@
 
 def test_excess_connections_close_idle_ones_and_keep_open_requests():
     with Site(limits={"sockets": 100}) as site:
-        busy = site.viewer().send()
+        busy = site.open_client().send()
         command = site.cache.next()
-        crowd = [site.viewer() for _ in range(60)]
+        crowd = [site.open_client() for _ in range(60)]
         assert crowd[0].closed_by_server()
         command.answer("DONE", NOW, b"x")
         assert busy.answer()[2] == b"x"
--- a/tests/test_log.py
+++ b/tests/test_log.py
@@ -6,7 +6,7 @@
 import subprocess
 import sys
 
-from tests.stand_ins import Viewer, configuration, free_address, wait_for
+from tests.stand_ins import HttpClient, configuration, free_address, wait_for
 
 SHORTEST_LINE = 60  # bytes; no line of the log is shorter
 SMALLEST_PIPE = 4096  # bytes; the minimum capacity of a pipe
@@ -14,7 +14,7 @@
 
 def accepts_connections(address):
     try:
-        Viewer(address).close()
+        HttpClient(address).close()
     except ConnectionRefusedError:
         return False
     return True
@@ -34,7 +34,7 @@
     try:
         wait_for(lambda: accepts_connections(document["listen"]))
         for _ in range(5):  # each logs a line
-            client = Viewer(document["listen"]).raw("GET /nowhere HTTP/1.1\r\n\r\n")
+            client = HttpClient(document["listen"]).raw("GET /nowhere HTTP/1.1\r\n\r\n")
             client.socket.settimeout(10)
             assert client.answer()[0] == 404
     finally:
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -135,9 +135,9 @@
         )
         line = site.next_log_line("event=reload ")
         assert "settings.replicas-of-me" in line and "the running values stay" in line
-        viewer = site.viewer().send()
+        client = site.open_client().send()
         site.cache.next().answer("DONE", "rev=4be0,since=1764576000123", b"x")
-        assert viewer.answer()[2] == b"x" and site.log.calls.empty()
+        assert client.answer()[2] == b"x" and site.log.calls.empty()
 
 
 def test_an_address_has_a_host_and_a_port():
--- a/tests/test_stand_ins.py
+++ b/tests/test_stand_ins.py
@@ -12,9 +12,9 @@
         monkeypatch.setattr(stand_ins, "free_address", lambda: next(addresses, None) or free_address())
         with Site() as site:
             assert site.where != other.where
-            viewer = site.viewer().send()
+            client = site.open_client().send()
             site.cache.next().answer("DONE", "rev=4be0c1927d55a6f3,since=1764576000123", b"x")
-            assert viewer.answer()[2] == b"x" and other.cache.commands.empty()
+            assert client.answer()[2] == b"x" and other.cache.commands.empty()
 
 
 class LetGo:
--- a/tests/test_terms_answers.py
+++ b/tests/test_terms_answers.py
@@ -18,14 +18,14 @@
     """The cache answers KEEP with the tag of another copy on two attempts in a row."""
     for tag in ("4be0c1927d55a6f4", "4BE0C1927D55A6F3", "4be0c1927d55a6f"):
         with Site() as site:
-            viewer = site.viewer().send(If_None_Match=f'"{TAG}"')
+            client = site.open_client().send(If_None_Match=f'"{TAG}"')
             for _ in range(2):
                 command = site.cache.commands.get(timeout=10)
                 assert command.fields["inm"] == TAG
                 command.answer("KEEP", f"rev={tag},since=1764576000123")
             fill = site.parent.next()  # after two corrupt answers, the cache is bypassed
             fill.answer("KEEP", f"rev={TAG},since=1764576000123")
-            status, fields, body = viewer.answer()
+            status, fields, body = client.answer()
             assert (status, fields["etag"], body) == (304, f'"{TAG}"', b"")
 
 
@@ -34,15 +34,15 @@
     answer, write = bytes(range(256)) * 937 + bytes(128), bytes(range(255, -1, -1)) * 187 + bytes(128)
     assert (len(answer), len(write)) == (240_000, 48_000)
     with Site() as site:
-        viewer = site.viewer().send()
+        client = site.open_client().send()
         site.cache.next().answer("DONE", COPY_FIELDS, answer)
-        assert viewer.answer()[2] == answer
-        viewer.send("/invoke/tarea/1", write, txn="00000000000000ab")
+        assert client.answer()[2] == answer
+        client.send("/invoke/tarea/1", write, txn="00000000000000ab")
         command = site.origin.next()
         assert command.body == write
         command.answer("DONE", "-", answer)
-        assert viewer.answer()[::2] == (200, answer)
-        too_large = site.viewer().send("/invoke/tarea/1", write + b"x", txn="00000000000000ac")
+        assert client.answer()[::2] == (200, answer)
+        too_large = site.open_client().send("/invoke/tarea/1", write + b"x", txn="00000000000000ac")
         assert too_large.answer()[0] == 413 and site.origin.commands.empty()
 
 
@@ -50,14 +50,14 @@
     """All socket calls of the front move at most 7 bytes."""
     answer, write = bytes(range(256)) * 100, bytes(range(256)) * 20
     with Site(faults={"short": 7}) as site:
-        viewer = site.viewer().send()
+        client = site.open_client().send()
         site.cache.next().answer("DONE", COPY_FIELDS, answer)
-        assert viewer.answer()[2] == answer
-        viewer.send("/invoke/tarea/1", write, txn="00000000000000ab")
+        assert client.answer()[2] == answer
+        client.send("/invoke/tarea/1", write, txn="00000000000000ab")
         command = site.origin.next()
         assert command.body == write
         command.answer("DONE", "-", b"taken")
-        assert viewer.answer()[::2] == (200, b"taken")
+        assert client.answer()[::2] == (200, b"taken")
 
 
 @pytest.mark.parametrize("truncated_answer", [b"", b"ID DO", b"ID DONE rev=4b,since=1764576000123 9\r\nabc"])
@@ -65,14 +65,14 @@
     """The write may have run, whether its connection ends with FIN or with a reset."""
     with Site() as site:
         for number, reset in enumerate((False, True)):
-            viewer = site.viewer().send("/invoke/tarea/1", b"once", txn=f"{number:016x}")
+            client = site.open_client().send("/invoke/tarea/1", b"once", txn=f"{number:016x}")
             command = site.origin.next()
             command.connection.sendall(truncated_answer.replace(b"ID", command.id.encode()))
             if reset:
                 command.connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
                 command.connection.shutdown(socket.SHUT_RD)
             command.hang_up()
-            assert viewer.answer()[0] == 502
+            assert client.answer()[0] == 502
             assert site.origin.commands.empty()
 
 
@@ -99,10 +99,10 @@
         first.commands = second.commands
         for cache in site.caches:
             cache.ignores_probes = True
-        viewer = site.viewer().send()
+        client = site.open_client().send()
         unanswered, later_commands = first.commands.get(timeout=10), []
         while (command := first.commands.get(timeout=10)).word != "ASK":
             later_commands.append((command.word, command.cache))
         assert is_cancelled(unanswered, later_commands) and command.cache != unanswered.cache
         command.answer("DONE", COPY_FIELDS, b"x")
-        assert viewer.answer()[::2] == (200, b"x")
+        assert client.answer()[::2] == (200, b"x")
--- a/tests/test_terms_clock.py
+++ b/tests/test_terms_clock.py
@@ -21,12 +21,12 @@
     return int(time.time() * 1000)
 
 
-def serve(site, viewer, since, body=b"x"):
+def serve(site, client, since, body=b"x"):
     """Send a request that a cache answers with a copy of the time `since`; return what the cache received."""
-    viewer.send(txn=next(TXNS), ttl=10_000)
+    client.send(txn=next(TXNS), ttl=10_000)
     command = site.cache.next()
     command.answer("DONE", f"rev=4be0,since={since}", body)
-    assert viewer.answer()[::2] == (200, body)
+    assert client.answer()[::2] == (200, body)
     return command
 
 
@@ -40,7 +40,7 @@
     """Two requests per step: one that is open when the clock is stepped, and one that arrives later."""
     with Site(faults={}) as site:
         for step in (-HOUR, -3, HOUR):
-            open_one, later = site.viewer().send(txn=next(TXNS), ttl=1500), site.viewer()
+            open_one, later = site.open_client().send(txn=next(TXNS), ttl=1500), site.open_client()
             began = time.monotonic()
             next_request(site.cache)
             site.inject(wall_step=step)
@@ -61,8 +61,8 @@
                 site.inject(wall_step=step)
                 told_at = milliseconds()
                 site.log.send_event(number, invalidate={"bucket": 17, "time": told_at})
-                viewer, end = site.viewer(), time.monotonic() + 5
-                while int(serve(site, viewer, milliseconds()).fields["cap"]) > milliseconds() - told_at:
+                client, end = site.open_client(), time.monotonic() + 5
+                while int(serve(site, client, milliseconds()).fields["cap"]) > milliseconds() - told_at:
                     assert time.monotonic() < end, (at_start, step)
 
 
@@ -88,11 +88,11 @@
     def wait_until_heard(self, number):
         """Send a purge as this event and wait until it takes effect, as then all earlier events have."""
         self.site.log.send_event(number, invalidate={"bucket": 18, "time": milliseconds()})
-        viewer = self.site.viewer()
-        wait_for(lambda: "cap" in self.ask(viewer, X_Family=18).fields)
+        client = self.site.open_client()
+        wait_for(lambda: "cap" in self.ask(client, X_Family=18).fields)
 
-    def ask(self, viewer, **fields):
-        assert viewer.send(txn=next(TXNS), **fields).answer()[0] == 200
+    def ask(self, client, **fields):
+        assert client.send(txn=next(TXNS), **fields).answer()[0] == 200
         return self.commands[-1]
 
 
@@ -102,13 +102,13 @@
     """
     for at_start in (0, HOUR):
         with Site(faults={"wall_step": at_start}) as site:
-            answering, viewer = Answering(site), site.viewer()
+            answering, client = Answering(site), site.open_client()
             site.inject(wall_step=HOUR)
             entry = site.cache.entry(up_since_ms=milliseconds())
             site.log.send_event(2, fleet={"revision": 2, "complete": False, "members": [entry]})
             answering.wait_until_heard(3)
             for _ in range(30):
-                answering.ask(viewer)
+                answering.ask(client)
             assert answering.most_in_a_second("s-1") <= 12, at_start
 
 
@@ -120,4 +120,4 @@
             for step in (at_start, *STEPS):
                 site.inject(wall_step=step)
                 for _ in range(3):
-                    assert answering.ask(site.viewer()).fields["cap"] == "8000"
+                    assert answering.ask(site.open_client()).fields["cap"] == "8000"
--- a/tests/test_terms_discovery.py
+++ b/tests/test_terms_discovery.py
@@ -43,11 +43,11 @@
 
 def endpoint_asked(site, number):
     """Request an object, and return the name of the endpoint that receives the attempt."""
-    viewer = site.viewer().send("/invoke/video/1", txn=f"{number:016x}")
+    client = site.open_client().send("/invoke/video/1", txn=f"{number:016x}")
     command = site.cache.commands.get(timeout=BOUND)
     command.answer("DONE", COPY_FIELDS, b"x")
-    assert viewer.answer()[0] == 200
-    viewer.close()
+    assert client.answer()[0] == 200
+    client.close()
     return command.cache
 
 
--- a/tests/test_terms_shutdown.py
+++ b/tests/test_terms_shutdown.py
@@ -37,30 +37,30 @@
     """Idle clients send one after another until the earliest possible SIGKILL; the caches do not answer."""
     deadline = 0.3
     with Site(settings=with_deadline(300), limits={"sockets": 256}) as site:
-        viewers = [site.viewer() for _ in range(40)]
-        assert all(viewer.raw("GET /_health HTTP/1.1\r\n\r\n").answer()[0] == 200 for viewer in viewers)
+        clients = [site.open_client() for _ in range(40)]
+        assert all(client.raw("GET /_health HTTP/1.1\r\n\r\n").answer()[0] == 200 for client in clients)
         site.terminate()
         terminated_at, sent_times, first_close_at = time.monotonic(), {}, None
-        for number, viewer in enumerate(viewers):
-            wait_until(terminated_at, number * (deadline + 0.7 - 0.02) / len(viewers))
-            if not select.select([viewer.socket], [], [], 0)[0]:
-                viewer.send(txn=f"{number:016x}", ttl=300)
-                sent_times[viewer] = time.monotonic()
+        for number, client in enumerate(clients):
+            wait_until(terminated_at, number * (deadline + 0.7 - 0.02) / len(clients))
+            if not select.select([client.socket], [], [], 0)[0]:
+                client.send(txn=f"{number:016x}", ttl=300)
+                sent_times[client] = time.monotonic()
             elif first_close_at is None:  # closed by the front while it was idle
                 first_close_at = time.monotonic()
         wait_until(terminated_at, deadline + 0.7)
         site.process.kill()
         site.process.wait()
         assert first_close_at
-        for viewer, sent_at in sent_times.items():
-            assert answer_unless_reset(viewer) or abs(first_close_at - sent_at) < CLOSE_RACE, (
+        for client, sent_at in sent_times.items():
+            assert answer_unless_reset(client) or abs(first_close_at - sent_at) < CLOSE_RACE, (
                 sent_at - terminated_at
             )
 
 
-def answer_unless_reset(viewer):
+def answer_unless_reset(client):
     try:
-        return viewer.answer()
+        return client.answer()
     except ConnectionResetError:
         return None
 
@@ -70,13 +70,13 @@
     for error in ("ECONNABORTED", "ENFILE"):
         with Site(faults={}, limits={"leaving_ms": 700, "last_answer_ms": 1000 * BOUND}) as site:
             site.inject(fail={"accept": [error, 10**9]})
-            viewers = [site.viewer().send(txn=f"{number:016x}") for number in range(3)]
+            clients = [site.open_client().send(txn=f"{number:016x}") for number in range(3)]
             site.terminate()
             terminated_at = time.monotonic()
             wait_until(terminated_at, 1.0)
             assert site.injected("accept") > 2
             site.inject(fail={})
-            for _ in viewers:
+            for _ in clients:
                 site.cache.next().answer("DONE", COPY_FIELDS, b"x")
-            assert [viewer.answer()[::2] for viewer in viewers] == [(200, b"x")] * 3, error
+            assert [client.answer()[::2] for client in clients] == [(200, b"x")] * 3, error
             assert site.process.wait(BOUND) == 0
--- a/tests/test_terms_standstill.py
+++ b/tests/test_terms_standstill.py
@@ -44,13 +44,13 @@
 
 def connect_and_warm_up(site):
     """Return a client's connection that was answered, so that the front is connected to the cache."""
-    viewer = site.viewer().send(txn="00000000000000aa")
+    client = site.open_client().send(txn="00000000000000aa")
     site.cache.next().answer("DONE", COPY_FIELDS, b"x")
-    assert viewer.answer()[0] == 200
-    return viewer
+    assert client.answer()[0] == 200
+    return client
 
 
-def send_while_suspended(site, viewer, case):
+def send_while_suspended(site, client, case):
     """Send a request to the suspended front, and resume the front after a second.
 
     Return the client, when the request was sent, and for how many seconds the front was suspended after that.
@@ -58,32 +58,32 @@
     head = "GET /invoke/video/2 HTTP/1.1\r\nX-Txn: 00000000000000ab\r\nX-Ttl-Ms: 2000\r\n"
     if case == "in two pieces":
         # With Nagle's algorithm, the second piece waits for the acknowledgement of the first, after `sent`.
-        viewer.socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        viewer.raw(head)
+        client.socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+        client.raw(head)
     suspend_front(site)
     if case == "new connection":
-        viewer = site.viewer()
-    viewer.raw("X-Family: 17\r\n\r\n" if case == "in two pieces" else head + "X-Family: 17\r\n\r\n")
+        client = site.open_client()
+    client.raw("X-Family: 17\r\n\r\n" if case == "in two pieces" else head + "X-Family: 17\r\n\r\n")
     sent = time.monotonic()
     wait_until_elapsed(sent, 1)
     suspended_for = time.monotonic() - sent
     resume_front(site)
-    return viewer, sent, suspended_for
+    return client, sent, suspended_for
 
 
 def test_the_budget_sent_to_a_server_excludes_the_time_the_front_was_suspended():
     """In all cases, and the response arrives within the client's deadline."""
     for case in ("kept connection", "new connection", "in two pieces", "further attempt"):
         with Site() as site:
-            viewer, sent, suspended_for = send_while_suspended(site, connect_and_warm_up(site), case)
+            client, sent, suspended_for = send_while_suspended(site, connect_and_warm_up(site), case)
             command = site.cache.next()
             assert budget_of(command) <= 2000 - 1000 * suspended_for + SLACK_MS, case
             if case == "further attempt":
                 command.answer("LACK")
                 assert budget_of(site.cache.next()) <= 2000 - 1000 * suspended_for + SLACK_MS
-            viewer.socket.settimeout(5)
-            assert viewer.answer()[0] in (502, 503, 504)
-            assert viewer.last_arrival() - sent < 2 + 0.5, case  # a later response would be lost
+            client.socket.settimeout(5)
+            assert client.answer()[0] in (502, 503, 504)
+            assert client.last_arrival() - sent < 2 + 0.5, case  # a later response would be lost
 
 
 def test_an_unread_request_prevents_the_idle_timeout():
@@ -93,15 +93,15 @@
     """
     for asked_before in (False, True):
         with Site() as site:
-            viewer = connect_and_warm_up(site) if asked_before else site.viewer()
+            client = connect_and_warm_up(site) if asked_before else site.open_client()
             connected = time.monotonic()
             wait_until_elapsed(connected, 3 if asked_before else 0.3)
             suspend_front(site)
-            viewer.send(txn="00000000000000ab")
+            client.send(txn="00000000000000ab")
             wait_until_elapsed(connected, 5.4 if asked_before else 2.6)
             resume_front(site)
             site.cache.next().answer("DONE", COPY_FIELDS, b"y")
-            assert viewer.answer()[::2] == (200, b"y"), asked_before
+            assert client.answer()[::2] == (200, b"y"), asked_before
 
 
 def test_a_drain_received_while_suspended_applies_to_later_requests():
@@ -109,20 +109,20 @@
     with Site(("s-1", "s-2")) as site:
         site.log.next_call()
         site.cache.commands = site.caches[1].commands  # one queue for both
-        viewers = [site.viewer() for _ in range(8)]
-        for number, viewer in enumerate(viewers):
-            viewer.send(f"/invoke/video/{number}", txn=f"{number:016x}")
+        http_clients = [site.open_client() for _ in range(8)]
+        for number, client in enumerate(http_clients):
+            client.send(f"/invoke/video/{number}", txn=f"{number:016x}")
             site.cache.next().answer("DONE", COPY_FIELDS, b"x")
-            assert viewer.answer()[0] == 200
+            assert client.answer()[0] == 200
         suspend_front(site)
         began = time.monotonic()
         drained = [site.cache.entry("terminating")]
         site.log.send_event(2, fleet={"revision": 2, "complete": False, "members": drained})
         wait_until_elapsed(began, 2.9)
-        for number, viewer in enumerate(viewers):
-            viewer.send(f"/invoke/video/{number}", txn=f"{number + 100:016x}")
+        for number, client in enumerate(http_clients):
+            client.send(f"/invoke/video/{number}", txn=f"{number + 100:016x}")
         resume_front(site)
-        for _ in viewers:
+        for _ in http_clients:
             command = site.cache.next()
             assert command.cache == "s-2"
             command.answer("DONE", COPY_FIELDS, b"x")
@@ -136,15 +136,15 @@
     for connected in (True, False):
         front = driven()
         front.clients.read_delay = measure_read_delay(front.reactor)
-        viewers = []
+        http_clients = []
         if connected:
-            viewers.append(front.viewer())
+            http_clients.append(front.open_client())
             front.passes_until(lambda front=front: front.clients.connections)
 
-        def delay_iteration(front=front, viewers=viewers):
+        def delay_iteration(front=front, http_clients=http_clients):
             began = time.monotonic()
-            viewers[:] = viewers or [front.viewer()]
-            viewers[0].send(ttl=2000)
+            http_clients[:] = http_clients or [front.open_client()]
+            http_clients[0].send(ttl=2000)
             wait_until_elapsed(began, 0.5)
 
         front.reactor.callLater(0, delay_iteration)
@@ -167,9 +167,9 @@
     )
     watch.follow(*log.listener.getsockname())
     front.passes_until(lambda: watch.stream and watch.stream.is_accepted)
-    viewer = front.viewer()
+    client = front.open_client()
     front.passes_until(lambda: front.clients.connections)
-    viewer.send(ttl=5000)
+    client.send(ttl=5000)
     wait_for(lambda: front.reactor.doIteration(0.01) or front.clients.requests)
     began = time.monotonic()
     log.send_event(1, invalidate={"bucket": 17, "time": 1})
@@ -219,10 +219,10 @@
     front.clients.limits = limits
     idle_clients = []
     for _ in range(limits.client_connections):
-        idle_clients.append(front.viewer().raw("GET /_health HTTP/1.1\r\n\r\n"))
+        idle_clients.append(front.open_client().raw("GET /_health HTTP/1.1\r\n\r\n"))
         front.passes_until(lambda: select.select([idle_clients[-1].socket], [], [], 0)[0])
         assert idle_clients[-1].answer()[0] == 200
-    newcomers = [front.viewer() for _ in range(2)]
+    newcomers = [front.open_client() for _ in range(2)]
     wait_for(
         lambda: front.reactor.doIteration(0.01) or len(front.clients.connections) > limits.client_connections
     )
@@ -234,14 +234,14 @@
 
 def connect_idle(front, asked):
     """Return a client with an idle connection, and the front's ClientConnection for it."""
-    viewer = front.viewer()
+    client = front.open_client()
     front.passes_until(lambda: front.clients.connections)
     if asked:
-        viewer.raw("GET /_health HTTP/1.1\r\n\r\n")
-        front.passes_until(lambda: select.select([viewer.socket], [], [], 0)[0])
-        assert viewer.answer()[0] == 200
+        client.raw("GET /_health HTTP/1.1\r\n\r\n")
+        front.passes_until(lambda: select.select([client.socket], [], [], 0)[0])
+        assert client.answer()[0] == 200
     (connection,) = front.clients.connections
-    return viewer, connection
+    return client, connection
 
 
 CLOSE_REASONS = ("connection limit", "idle too long", "silent too long", "shutdown")
@@ -262,24 +262,24 @@
     """Not an iteration later, because a request that arrives during a long iteration would be lost."""
     for reason in CLOSE_REASONS:
         front = driven()
-        viewer, connection = connect_idle(front, asked=reason != "silent too long")
+        client, connection = connect_idle(front, asked=reason != "silent too long")
         close_idle(front, connection, reason)
         # Without an iteration of the front:
-        wait_for(lambda viewer=viewer: select.select([viewer.socket], [], [], 0)[0])
-        assert viewer.closed_by_server()
+        wait_for(lambda client=client: select.select([client.socket], [], [], 0)[0])
+        assert client.closed_by_server()
         if reason in ("idle too long", "shutdown"):  # lingering: a request that crosses the close is read
-            viewer.send(ttl=5000)
+            client.send(ttl=5000)
             iterations = iter(range(5))
             front.passes_until(lambda iterations=iterations: next(iterations, None) is None)
             assert connection in front.clients.connections and connection.discarded_bytes
-            viewer.socket.shutdown(socket.SHUT_WR)  # no reset
+            client.socket.shutdown(socket.SHUT_WR)  # no reset
 
 
 def test_an_unread_request_keeps_its_idle_connection_open(driven):  # noqa: F811
     for reason in CLOSE_REASONS[1:]:
         front = driven()
-        viewer, connection = connect_idle(front, asked=reason != "silent too long")
-        viewer.send(ttl=5000)
+        client, connection = connect_idle(front, asked=reason != "silent too long")
+        client.send(ttl=5000)
         wait_for(lambda connection=connection: select.select([connection.transport.socket], [], [], 0)[0])
         close_idle(front, connection, reason)
         front.passes_until(lambda front=front: front.clients.requests)
@@ -292,9 +292,9 @@
 
     monkeypatch.setattr(client_connection, "since_last_data", suspend_after_reading)
     front = driven()
-    viewer = front.viewer()
+    client = front.open_client()
     front.passes_until(lambda: front.clients.connections)
-    viewer.send(ttl=2000)
+    client.send(ttl=2000)
     front.passes_until(lambda: front.clients.requests)
     (request,) = front.clients.requests.values()
     assert request.event.time_left <= 1_700_000
--- a/tests/test_terms_system_calls.py
+++ b/tests/test_terms_system_calls.py
@@ -28,7 +28,7 @@
 
 
 def put(site, number):
-    return site.viewer().send("/invoke/tarea/1", b"once", txn=f"{number:016x}", ttl=BOUND * 1000)
+    return site.open_client().send("/invoke/tarea/1", b"once", txn=f"{number:016x}", ttl=BOUND * 1000)
 
 
 @pytest.mark.parametrize("error", CONNECT_ERRORS)
@@ -37,10 +37,10 @@
     for times in (1, 2):
         with Site(faults={}) as site:
             site.inject(fail={"connect_ex": [error, times]}, ports=[port_of(site.origin)])
-            viewer = put(site, 1)
+            client = put(site, 1)
             if times == 1:
                 site.origin.next().answer("DONE", "-", b"taken")
-            assert viewer.answer()[0] == (200 if times == 1 else 503)
+            assert client.answer()[0] == (200 if times == 1 else 503)
             assert site.origin.commands.empty() and site.injected("connect_ex") == times
 
 
@@ -48,9 +48,9 @@
 def test_temporary_socket_error_counts_as_not_sent(error):
     with Site(faults={}) as site:
         site.inject(fail={"socket": [error, 1]})
-        viewer = put(site, 1)
+        client = put(site, 1)
         site.origin.next().answer("DONE", "-", b"taken")
-        assert viewer.answer()[::2] == (200, b"taken")
+        assert client.answer()[::2] == (200, b"taken")
         assert site.injected("socket") == 1 and site.origin.commands.empty()
 
 
@@ -60,10 +60,10 @@
 def test_temporary_accept_error_loses_no_connection(error):
     with Site(faults={}) as site:
         site.inject(fail={"accept": [error, 3]})
-        viewers = [site.viewer().send(txn=f"{number:016x}") for number in range(3)]
-        for _ in viewers:
+        clients = [site.open_client().send(txn=f"{number:016x}") for number in range(3)]
+        for _ in clients:
             site.cache.next().answer("DONE", COPY_FIELDS, b"x")
-        assert [viewer.answer()[::2] for viewer in viewers] == [(200, b"x")] * 3
+        assert [client.answer()[::2] for client in clients] == [(200, b"x")] * 3
         assert site.injected("accept") == 3
 
 
@@ -71,14 +71,14 @@
 def test_request_on_a_broken_connection_counts_as_possibly_executed(error):
     """A read is retried, a write is failed, and both get an answer."""
     with Site(faults={}) as site:
-        viewer = site.viewer().send()
+        client = site.open_client().send()
         command = site.cache.next()
         site.inject(fail={"recv": [error, 1]})
         command.answer("DONE", COPY_FIELDS, b"lost on the way")
         again = site.cache.next()
         assert again.connection is not command.connection
         again.answer("DONE", COPY_FIELDS, b"x")
-        assert viewer.answer()[::2] == (200, b"x")
+        assert client.answer()[::2] == (200, b"x")
         write = put(site, 2)
         command = site.origin.next()
         site.inject(fail={"recv": [error, 1]})
@@ -93,22 +93,22 @@
     with Site(faults={}) as site:
         for number in range(2):
             site.inject(fail={"send": [error, 2]})
-            viewer = put(site, number)
+            client = put(site, number)
             site.origin.next().answer("DONE", "-", b"taken")
-            assert viewer.answer()[::2] == (200, b"taken")
+            assert client.answer()[::2] == (200, b"taken")
             assert site.origin.commands.empty() and site.injected("send") == 2 * (number + 1)
 
 
 def test_interrupted_waits_lose_no_request():
     with Site(faults={}) as site:
-        viewer = site.viewer()
+        client = site.open_client()
         for number in range(30):
             site.process.send_signal(signal.SIGUSR1)
-            viewer.send(txn=f"{number:016x}")
+            client.send(txn=f"{number:016x}")
             command = site.cache.next()
             site.process.send_signal(signal.SIGUSR1)
             command.answer("DONE", COPY_FIELDS, b"x" * 100_000)
-            assert viewer.answer()[2] == b"x" * 100_000
+            assert client.answer()[2] == b"x" * 100_000
 
 
 @pytest.mark.parametrize("error", ["ENETUNREACH", "EADDRNOTAVAIL", "ENFILE"])
@@ -127,6 +127,6 @@
     video, tarea = SETTINGS["classes"]
     with Site(faults={}, settings=SETTINGS | {"classes": [video, tarea | KEYED]}) as site:
         site.inject(fail={"connect_ex": ["EADDRNOTAVAIL", 1]}, ports=[port_of(site.origin)])
-        viewer = site.viewer().send("/invoke/tarea/1", b"once", X_Txn_Key="91e8")
+        client = site.open_client().send("/invoke/tarea/1", b"once", X_Txn_Key="91e8")
         site.origin.next().answer("DONE", "-", b"taken")
-        assert viewer.answer()[::2] == (200, b"taken") and site.origin.commands.empty()
+        assert client.answer()[::2] == (200, b"taken") and site.origin.commands.empty()
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -519,16 +519,16 @@
 def test_a_get_goes_over_verified_tls_and_the_next_connection_resumes(servers, version):
     servers.certify("s-1", version=version)
     with servers.site() as site:
-        viewers = [site.viewer(), site.viewer()]
+        clients = [site.open_client(), site.open_client()]
         for number, asking in enumerate(
-            (viewers[:1], viewers)
+            (clients[:1], clients)
         ):  # the second of two at once needs a connection of its own
-            for viewer in asking:
-                viewer.send(txn=f"0000000000000f{number}{viewers.index(viewer)}")
+            for client in asking:
+                client.send(txn=f"0000000000000f{number}{clients.index(client)}")
             for command in [site.cache.next() for _ in asking]:
                 command.answer("DONE", COPY, b"over tls" * 1000)
-            for viewer in asking:
-                assert viewer.answer()[::2] == (200, b"over tls" * 1000)
+            for client in asking:
+                assert client.answer()[::2] == (200, b"over tls" * 1000)
         assert site.cache.reused == [False, True]
 
 
@@ -574,10 +574,10 @@
 def test_a_server_that_must_not_be_believed_gets_nothing_and_the_get_goes_elsewhere(servers, what, why):
     spoilt(servers, what)
     with servers.site() as site:
-        viewer = site.viewer().send()
+        client = site.open_client().send()
         direct = site.parent.next()  # the cache is proven not to have run it: straight to the parent
         direct.answer("DONE", COPY, b"elsewhere")
-        assert viewer.answer()[::2] == (200, b"elsewhere")
+        assert client.answer()[::2] == (200, b"elsewhere")
         line = site.next_log_line("event=tls-server")
         assert f'why="{why}"' in line or f"why={why}" in line
         assert "server=s-1" in line and site.cache.commands.empty()
@@ -586,8 +586,8 @@
 def test_a_put_to_a_server_that_is_not_believed_is_shed_for_it_has_not_run(servers):
     servers.certify("o-1", names=["other.example.org"])
     with servers.site() as site:
-        viewer = site.viewer().send("/invoke/tarea/0000000000000001", b"mine")
-        assert viewer.answer()[0] == 503 and site.origin.commands.empty()
+        client = site.open_client().send("/invoke/tarea/0000000000000001", b"mine")
+        assert client.answer()[0] == 503 and site.origin.commands.empty()
 
 
 def test_keys_swap_as_a_whole_under_sighup_and_a_half_written_one_is_refused(servers):
@@ -608,7 +608,7 @@
         "[client]\ncertificate = keys/front.pem\nkey = keys/front.key\n" + text
     )
     with servers.site() as site:
-        viewer = site.viewer().send()
+        client = site.open_client().send()
         out = site.cache.next()
         paths[1].write_bytes(pair.key[:80])
         site.process.send_signal(signal.SIGHUP)
@@ -618,11 +618,11 @@
             site.process.send_signal(signal.SIGHUP)
         assert "swapped" in site.next_log_line("event=tls-keys")
         out.answer("DONE", COPY, b"x")  # what was out finishes on its connection
-        assert viewer.answer()[::2] == (200, b"x")
+        assert client.answer()[::2] == (200, b"x")
         out.hang_up()
-        viewer.send(txn="00000000000000fe")
+        client.send(txn="00000000000000fe")
         site.cache.next().answer("DONE", COPY, b"y")
-        assert viewer.answer()[::2] == (200, b"y")
+        assert client.answer()[::2] == (200, b"y")
         assert site.cache.reused == [False, False]  # no session outlives the key that it was made with
 
 
