--- a/tests/soak.py
+++ b/tests/soak.py
@@ -19,7 +19,7 @@
 from random import Random
 
 from tests.soak_rules import Attempt, Judge, Request, Told
-from tests.stand_ins import MS, SETTINGS, Site, StandInCache, StandInChangeLog, HttpClient, address
+from tests.stand_ins import MS, SETTINGS, HttpClient, Site, StandInCache, StandInChangeLog, address
 
 CLIENTS, CROWD, SOCKETS = 12, 130, 256
 LASTS = 4.0  # seconds of troubles before SIGTERM
--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -23,7 +23,7 @@
 from limepath.front.clock import clock
 from limepath.interface.events import EndpointState
 from limepath.log import Log
-from tests.stand_ins import BOUND, Site, HttpClient, connections, open_listener, wait_for
+from tests.stand_ins import BOUND, HttpClient, Site, connections, open_listener, wait_for
 from tests.test_endings import (
     COPY_FIELDS,
     LONG_WAIT,
--- a/tests/test_cold_ramp.py
+++ b/tests/test_cold_ramp.py
@@ -15,8 +15,8 @@
 from tests.fake_host import SECOND, FakeHost, make_endpoint, make_service
 from tests.stand_ins import (
     SETTINGS,
-    StandInCache,
     HttpClient,
+    StandInCache,
     address,
     configuration,
     open_listener,
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -106,12 +106,12 @@
         )  # a gap causes a reconnect; the drain was read
         assert site.log.next_call() == 2
         assert site.health()[0] == 200
-        client = site.open_client().send()
+        other_client = site.open_client().send()
         site.cache.next().answer("LACK")
         fill = site.cache.next()
         assert fill.fields["up"] == "o-1"
         fill.answer("DONE", COPY_FIELDS, b"x")
-        assert client.answer()[2] == b"x"
+        assert other_client.answer()[2] == b"x"
         assert descriptors(site) <= SOCKETS
         assert not [
             line for line in site.log_lines if "fault" in line or "EMFILE" in line or "open files" in line
@@ -131,9 +131,9 @@
         assert max_logged_clients(site) <= CLIENTS + ACCEPTED_AT_ONCE
         restart_change_log(site, log_address)
         assert site.log.next_call() == 1
-        client = site.open_client().send()
+        other_client = site.open_client().send()
         site.cache.next().answer("DONE", COPY_FIELDS, b"x")
-        assert client.answer()[2] == b"x"
+        assert other_client.answer()[2] == b"x"
         assert not [line for line in site.log_lines if "open files" in line or "EMFILE" in line]
         for client in clients:
             client.close()
