--- a/tests/stand_ins.py
+++ b/tests/stand_ins.py
@@ -190,9 +190,8 @@
     def fill_accept_queue(self):
         """Stop accepting and fill the queue of the listener, so that no connection comes up any more."""
         self.accept_queue_full = True
-        self.queued_connections.append(
-            socket.create_connection(self.listener.getsockname())
-        )  # the last accepted
+        # The last connection that the thread accepts.
+        self.queued_connections.append(socket.create_connection(self.listener.getsockname()))
         self.accepted_last.wait(BOUND)
         self.listener.listen(0)
         while True:
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -101,9 +101,8 @@
         site.log.send_event(
             2, fleet={"revision": 2, "complete": False, "members": [site.parent.entry("terminating")]}
         )
-        site.log.send_event(
-            9, invalidate={"bucket": 3, "time": 0}
-        )  # a gap causes a reconnect; the drain was read
+        # A gap causes a reconnect; the drain was read.
+        site.log.send_event(9, invalidate={"bucket": 3, "time": 0})
         assert site.log.next_call() == 2
         assert site.health()[0] == 200
         other_client = site.open_client().send()
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -121,9 +121,8 @@
 def test_a_queued_get_is_not_sent_to_an_endpoint_that_begins_to_drain():
     with Site(settings=LONG_WAIT) as site:
         site.log.next_call()
-        site.cache.commands = site.parent.commands = (
-            queue.Queue()
-        )  # one queue for both, to learn which is asked
+        # One queue for both, to see which of them receives the command.
+        site.cache.commands = site.parent.commands = queue.Queue()
         site.cache.fill_accept_queue()
         client = site.open_client().send()
         site.cache.wait_for_connect_attempt()
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -169,9 +169,8 @@
             3, fleet={"revision": 2, "complete": False, "members": [site.cache.entry("terminating")]}
         )
         site.log.send_event(4, invalidate={"bucket": 17, "time": now - 100})
-        site.log.send_event(
-            4, invalidate={"bucket": 17, "time": now - 90_000}
-        )  # a repeated number is ignored
+        # A repeated number is ignored.
+        site.log.send_event(4, invalidate={"bucket": 17, "time": now - 90_000})
         site.log.send_event(5, invalidate={"object": "00000000000000aa", "time": now - 40_000})
         while "cap" not in asked_for(0xAA, X_Family=3).fields:
             pass
@@ -328,9 +327,8 @@
 def test_silent_connection_is_closed_once_a_probe_on_another_is_answered():
     with Site() as site:
         client = site.open_client().send()
-        site.cache.unanswered_connections.add(
-            site.cache.next().connection
-        )  # a probe on another connection will be answered
+        # A probe on another connection will be answered.
+        site.cache.unanswered_connections.add(site.cache.next().connection)
         site.cache.next().answer("DONE", NOW, b"x")  # long before the deadline of the request
         assert client.answer()[::2] == (200, b"x")
 
