--- a/tests/soak.py
+++ b/tests/soak.py
@@ -177,7 +177,7 @@
             ):
                 return
             try:
-                client = HttpClient(self.soak.site.where)
+                client = HttpClient(self.soak.site.listen_address)
             except OSError:
                 time.sleep(0.02)
                 continue
@@ -274,7 +274,7 @@
         self.idle = []
         for _ in range(CROWD):
             try:
-                self.idle.append(HttpClient(self.site.where))
+                self.idle.append(HttpClient(self.site.listen_address))
             except OSError:
                 pass
 
--- a/tests/stand_ins.py
+++ b/tests/stand_ins.py
@@ -399,8 +399,8 @@
 
     def start(self):
         """Whether the front came up; its port may have been taken since it was found free."""
-        self.where, self.log_lines, self.lines = free_address(), [], queue.Queue()
-        self.configuration = configuration(self.where, **self.told)
+        self.listen_address, self.log_lines, self.lines = free_address(), [], queue.Queue()
+        self.configuration = configuration(self.listen_address, **self.told)
         if self.faults is not None:
             self.write_faults()
         self.process = start_program(self.configuration, self.words, self.descriptors, self.program)
@@ -408,7 +408,7 @@
         end = time.monotonic() + BOUND
         while time.monotonic() < end and self.process.poll() is None:
             if holds_listener(
-                self.process, self.where
+                self.process, self.listen_address
             ):  # not another test's front: that would answer as well
                 return self.health()[0] == 200
             time.sleep(0.02)
@@ -451,7 +451,7 @@
         return self
 
     def open_client(self):
-        return HttpClient(self.where)
+        return HttpClient(self.listen_address)
 
     def health(self):
         return self.open_client().raw("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n").answer()
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -40,7 +40,7 @@
 
 def connect_clients(site, sends_request):
     """Return FLOOD clients that stay connected; with `sends_request`, each has had one answer."""
-    host, port = site.where.split(":")
+    host, port = site.listen_address.split(":")
     clients = []
     for _ in range(FLOOD):
         client = socket.socket()
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -430,7 +430,7 @@
 
 def slow_reader(site, **fields):
     """Return a client with small receive buffers that has sent a GET."""
-    host, port = site.where.split(":")
+    host, port = site.listen_address.split(":")
     client = HttpClient.__new__(HttpClient)
     client.socket = socket.socket()
     client.socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
@@ -488,7 +488,7 @@
 def test_slow_senders_do_not_exhaust_the_connections_of_other_clients():
     with Site(limits={"sockets": 100}) as site:  # 40 connections of clients
         slow_senders = [site.open_client().raw("GET /invoke/video/1 HTTP/1.1\r\n") for _ in range(40)]
-        wait_for(lambda: established(site.where) >= 40)
+        wait_for(lambda: established(site.listen_address) >= 40)
         time.sleep(0.4)  # the connections with the oldest incomplete requests are closed first
         others = []
         for number in range(20):
--- a/tests/test_stand_ins.py
+++ b/tests/test_stand_ins.py
@@ -8,10 +8,10 @@
     """The port that was found free has gone to another's front before this one's could listen there."""
     free_address = stand_ins.free_address
     with Site() as other:
-        addresses = iter((other.where,))
+        addresses = iter((other.listen_address,))
         monkeypatch.setattr(stand_ins, "free_address", lambda: next(addresses, None) or free_address())
         with Site() as site:
-            assert site.where != other.where
+            assert site.listen_address != other.listen_address
             client = site.open_client().send()
             site.cache.next().answer("DONE", "rev=4be0c1927d55a6f3,since=1764576000123", b"x")
             assert client.answer()[2] == b"x" and other.cache.commands.empty()
