--- a/tests/stand_ins.py
+++ b/tests/stand_ins.py
@@ -1,4 +1,4 @@
-"""Stand-ins for all that a real front speaks to: caches, the change log and clients, on loopback sockets."""
+"""Stand-ins for the peers of a real front: caches, the change log and clients, on loopback sockets."""
 
 import io
 import json
@@ -15,10 +15,10 @@
 from limepath.testbed.process import free_ports
 from tests.arrival_times import CommandReader, StampedStream, stamp_arrivals
 
-BOUND = 60  # seconds that anything may take before a story has failed
+BOUND = 60  # seconds after which a wait fails the test
 MS = 1_000_000
-LISTEN = "0A"  # tcp_states.h, as /proc/net/tcp shows it
-# The program itself writes the counts of injected faults; on a disk, a slow write would stop the program.
+LISTEN = "0A"  # the state TCP_LISTEN (tcp_states.h) as /proc/net/tcp shows it
+# The program under test writes the counts of injected faults; a slow write to a disk would block it.
 MEMORY_FOLDER = "/dev/shm" if os.path.isdir("/dev/shm") else None
 SETTINGS = {
     "az": 0,
@@ -70,34 +70,34 @@
     return f"127.0.0.1:{listener.getsockname()[1]}"
 
 
-def wait_for(holds):
-    """Wait until it holds."""
+def wait_for(condition):
+    """Wait until `condition()` is true; fail after BOUND."""
     end = time.monotonic() + BOUND
-    while not holds():
-        assert time.monotonic() < end, "it never held"
+    while not condition():
+        assert time.monotonic() < end, f"the condition was not met within {BOUND} s"
         time.sleep(0.005)
 
 
 def connections():
-    """The system's TCP connections, their columns as proc(5) tells: local and remote address, state, ..."""
+    """Return the rows of /proc/net/tcp as columns: local and remote address, state, ... (proc(5))."""
     with open("/proc/net/tcp", encoding="ascii") as file:
         return [line.split() for line in file.readlines()[1:]]
 
 
-def holds_listener(process, where):
-    """Whether this process holds a listener at this address."""
-    port = f":{int(where.rpartition(':')[2]):04X}"
-    inodes = {words[9] for words in connections() if words[1].endswith(port) and words[3] == LISTEN}
+def holds_listener(process, listen_address):
+    """Return whether the process has a listening socket at the address."""
+    port = f":{int(listen_address.rpartition(':')[2]):04X}"
+    inodes = {columns[9] for columns in connections() if columns[1].endswith(port) and columns[3] == LISTEN}
     descriptors = f"/proc/{process.pid}/fd"
     try:
         held = {os.readlink(f"{descriptors}/{number}") for number in os.listdir(descriptors)}
-    except OSError:  # it opens and closes files meanwhile, or has ended
+    except OSError:  # the process has closed a file during the listing, or has ended
         return False
     return any(f"socket:[{inode}]" in held for inode in inodes)
 
 
 def accept_in_thread(listener, serve):
-    """Hand each connection that comes to `serve`, until that says to accept no more."""
+    """Accept connections in a thread and pass each to `serve`, until `serve` returns a true value."""
 
     def run():
         while True:
@@ -117,8 +117,8 @@
     def __init__(self, cache, connection, words, body, arrival):
         self.cache, self.connection, self.body, self.arrival = cache, connection, body, arrival
         self.word, self.id = words[:2]
-        told = words[2] if len(words) > 2 else "-"
-        self.fields = dict(field.split("=") for field in told.split(",")) if told != "-" else {}
+        fields = words[2] if len(words) > 2 else "-"
+        self.fields = dict(field.split("=") for field in fields.split(",")) if fields != "-" else {}
 
     def answer(self, word, fields="-", body=b""):
         self.connection.sendall(
@@ -130,10 +130,10 @@
 
 
 class StandInCache:
-    """Keeps the commands that come for the story to answer; answers probes by itself unless deaf."""
+    """Queues the commands that it receives for the test to answer; answers probes unless `ignores_probes`."""
 
     def __init__(self, name, kind, zone, tls=None):
-        """`tls(name)` gives the server's ssl.SSLContext."""
+        """`tls(name)` returns the server's ssl.SSLContext."""
         self.name, self.kind, self.zone, self.tls, self.reused = name, kind, zone, tls, []
         self.listener, self.commands, self.ignores_probes, self.connection_count = (
             open_listener(),
@@ -188,44 +188,46 @@
         self.listener.close()
 
     def fill_accept_queue(self):
-        """Stop accepting and fill the queue of the listener, so that no connection comes up any more."""
+        """Stop accepting and fill the listener's queue, so that no further connection is established."""
         self.accept_queue_full = True
         # The last connection that the thread accepts.
         self.queued_connections.append(socket.create_connection(self.listener.getsockname()))
         self.accepted_last.wait(BOUND)
         self.listener.listen(0)
         while True:
-            one = socket.socket()
-            one.settimeout(0.3)
-            self.queued_connections.append(one)
+            connection = socket.socket()
+            connection.settimeout(0.3)
+            self.queued_connections.append(connection)
             try:
-                one.connect(self.listener.getsockname())
+                connection.connect(self.listener.getsockname())
             except TimeoutError:
                 return
 
     def wait_for_connect_attempt(self):
-        """Wait until somebody's connection to the crowded listener is under way: the system shows its first
-        packet as sent.
+        """Wait until another process connects to the listener while its queue is full.
+
+        The system then shows the connection as SYN_SENT.
         """
         port, own = (
             f":{self.listener.getsockname()[1]:04X}",
-            {f":{one.getsockname()[1]:04X}" for one in self.queued_connections},
+            {f":{connection.getsockname()[1]:04X}" for connection in self.queued_connections},
         )
         wait_for(
             lambda: any(
-                words[2].endswith(port) and words[3] == "02" and words[1][-5:] not in own
-                for words in connections()
+                columns[2].endswith(port) and columns[3] == "02" and columns[1][-5:] not in own
+                for columns in connections()
             )
         )
 
     def resume_accepting(self):
-        """Accept again. Who called meanwhile comes up when the system sends its first packet again, a second
-        after the first.
+        """Accept connections again.
+
+        A connection attempted meanwhile is established by the second SYN, 1 s after the first.
         """
         self.accept_queue_full = False
         self.listener.listen(128)
-        for one in self.queued_connections:
-            one.close()
+        for connection in self.queued_connections:
+            connection.close()
         accept_in_thread(self.listener, self.serve)
 
     def next(self, word="ASK"):
@@ -235,7 +237,7 @@
 
 
 class StandInChangeLog:
-    """Keeps the calls that come; tells events on the newest."""
+    """Queues the last event number of each request; sends events on the newest connection."""
 
     def __init__(self):
         self.listener, self.calls, self.stream = open_listener(), queue.Queue(), None
@@ -249,12 +251,12 @@
             except ConnectionResetError:
                 data = b""
             if not data:
-                return  # the front has let it go
+                return  # the front has closed the connection
             head += data
         try:
             connection.sendall(b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n: here\n\n")
         except (BrokenPipeError, ConnectionResetError):
-            return  # it has let it go meanwhile
+            return  # the front has closed the connection meanwhile
         self.stream = connection
         (last,) = [line.split(b":")[1] for line in head.split(b"\r\n") if line.startswith(b"Last-Event-ID")]
         self.calls.put(int(last))
@@ -262,8 +264,8 @@
     def next_call(self):
         return self.calls.get(timeout=BOUND)
 
-    def send_event(self, seq, **told):
-        self.raw(seq, json.dumps({"seq": seq} | told))
+    def send_event(self, seq, **event):
+        self.raw(seq, json.dumps({"seq": seq} | event))
 
     def raw(self, seq, text):
         self.stream.sendall(b"id: %d\ndata: %s\n\n" % (seq, text.encode()))
@@ -274,7 +276,7 @@
 
 
 class HttpClient:
-    """One client's connection."""
+    """A client's HTTP connection to the front."""
 
     def __init__(self, where):
         host, port = where.split(":")
@@ -290,14 +292,14 @@
         ttl=1000 * BOUND,
         **fields,
     ):
-        told = {"Host": "app.svc", "X-Txn": txn, "X-Ttl-Ms": ttl, "X-Family": 17} | {
+        headers = {"Host": "app.svc", "X-Txn": txn, "X-Ttl-Ms": ttl, "X-Family": 17} | {
             name.replace("_", "-"): value for name, value in fields.items()
         }
         if body is not None:
-            told["Content-Length"] = len(body)
+            headers["Content-Length"] = len(body)
         method = "GET" if body is None else "PUT"
-        headers = "".join(f"{name}: {value}\r\n" for name, value in told.items())
-        self.raw(f"{method} {target} HTTP/1.1\r\n{headers}\r\n", body or b"")
+        lines = "".join(f"{name}: {value}\r\n" for name, value in headers.items())
+        self.raw(f"{method} {target} HTTP/1.1\r\n{lines}\r\n", body or b"")
         return self
 
     def raw(self, head, body=b""):
@@ -305,7 +307,7 @@
         return self
 
     def answer(self):
-        """Give (status, fields, body) of one whole answer."""
+        """Return (status, fields, body) of one complete response, or None at the end of the connection."""
         line = self.stream.readline()
         if not line:
             return None
@@ -315,11 +317,11 @@
             fields[name.lower()] = value.strip()
         status, size = int(line.split()[1]), int(fields.get("content-length", 0))
         body = self.stream.read(size)
-        assert len(body) == size, "a short body"
+        assert len(body) == size, f"the body ended after {len(body)} of {size} bytes"
         return status, fields, body
 
     def last_arrival(self):
-        """When the last byte that was read arrived, on the monotonic clock."""
+        """Return when the last byte that was read arrived, in seconds of the monotonic clock."""
         return self.stamps.latest
 
     def closed_by_server(self):
@@ -334,16 +336,17 @@
 
 
 def free_address():
-    """An address that nobody holds, with a port that the system gives to nobody by itself: tests beside this
-    one let it choose theirs.
+    """Return a free loopback address.
+
+    Its port is outside the range that the system assigns to sockets of tests that run in parallel.
     """
     return f"127.0.0.1:{free_ports(socket.SOCK_STREAM, 1)[0]}"
 
 
-def configuration(where, **changes):
+def configuration(listen_address, **changes):
     return {
         "name": "n1",
-        "listen": where,
+        "listen": listen_address,
         "seed": "8c1f30d27a5be964",
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256, "last_answer_ms": 1000 * BOUND},
         "changelog": "127.0.0.1:9",
@@ -352,16 +355,17 @@
     } | changes
 
 
-def start_program(told, words=(), descriptors=None, program=("-m", "limepath")):
-    """Start the program with this configuration (text or an object) and words; give the process. It has so
-    many descriptors, where that is told.
+def start_program(configuration, arguments=(), descriptors=None, program=("-m", "limepath")):
+    """Start the program and return its process.
+
+    `configuration` is a text or an object; `descriptors` is the limit of open descriptors, if any.
     """
     limited = ["sh", "-c", f'ulimit -Sn {descriptors}; exec "$@"', "sh"] if descriptors else []
     file = tempfile.NamedTemporaryFile("w", suffix=".json", dir=MEMORY_FOLDER)
-    file.write(told if isinstance(told, str) else json.dumps(told))
+    file.write(configuration if isinstance(configuration, str) else json.dumps(configuration))
     file.flush()
     process = subprocess.Popen(
-        [*limited, sys.executable, *program, *words],
+        [*limited, sys.executable, *program, *arguments],
         stderr=subprocess.PIPE,
         text=True,
         env=os.environ | {"ROUTER_CONFIG": file.name},
@@ -371,12 +375,12 @@
 
 
 class Site:
-    """A front started as `run` starts it, with a cache, a parent, the origin and a change log around it."""
+    """A real front process with stand-ins for its caches, a parent, the origin and the change log."""
 
-    def __init__(self, caches=("s-1",), words=(), tls=None, descriptors=None, faults=None, **changes):
-        """With `faults` the system fails for it as tests.faulty_system tells; more with `inject`."""
-        self.words, self.descriptors, self.faults, self.program = (
-            words,
+    def __init__(self, caches=("s-1",), arguments=(), tls=None, descriptors=None, faults=None, **changes):
+        """With `faults`, system calls of the front fail as tests.faulty_system describes; see `inject`."""
+        self.arguments, self.descriptors, self.faults, self.program = (
+            arguments,
             descriptors,
             faults,
             ("-m", "limepath"),
@@ -392,24 +396,22 @@
         )
         self.members, self.log = [*self.caches, self.parent, self.origin], StandInChangeLog()
         fleet = {"revision": 1, "complete": True, "members": [member.entry() for member in self.members]}
-        self.told = {
+        self.changes = {
             "changelog": address(self.log.listener),
             "known": {"seq": 1, "results": [{"seq": 1, "fleet": fleet}]},
         } | changes
 
     def start(self):
-        """Whether the front came up; its port may have been taken since it was found free."""
+        """Start the front; return whether it is ready, as its port may have been taken meanwhile."""
         self.listen_address, self.log_lines, self.lines = free_address(), [], queue.Queue()
-        self.configuration = configuration(self.listen_address, **self.told)
+        self.configuration = configuration(self.listen_address, **self.changes)
         if self.faults is not None:
             self.write_faults()
-        self.process = start_program(self.configuration, self.words, self.descriptors, self.program)
+        self.process = start_program(self.configuration, self.arguments, self.descriptors, self.program)
         threading.Thread(target=self.listen, daemon=True).start()
         end = time.monotonic() + BOUND
         while time.monotonic() < end and self.process.poll() is None:
-            if holds_listener(
-                self.process, self.listen_address
-            ):  # not another test's front: that would answer as well
+            if holds_listener(self.process, self.listen_address):  # a front of another test would answer, too
                 return self.health()[0] == 200
             time.sleep(0.02)
 
@@ -419,7 +421,7 @@
             self.lines.put(line)
 
     def next_log_line(self, word):
-        """The next line of the front's log that holds the word."""
+        """Return the next line of the front's log that contains the word."""
         while word not in (line := self.lines.get(timeout=BOUND)):
             pass
         return line.rstrip()
@@ -434,7 +436,7 @@
             json.dump(self.faults, file)
 
     def inject(self, **faults):
-        """Have the system fail so from now on; back once that is in force."""
+        """Add these faults; return when they are in effect."""
         applied = self.injected("applied")
         self.faults = self.faults | faults
         self.write_faults()
@@ -442,7 +444,7 @@
         wait_for(lambda: self.injected("applied") > applied)
 
     def injected(self, kind):
-        """How often a fault of this kind took effect."""
+        """Return how often a fault of this kind took effect."""
         with open(self.control + ".done", encoding="utf-8") as file:
             return json.load(file).get(kind, 0)
 
--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -46,8 +46,8 @@
     wait_for(
         lambda: (
             not any(
-                words[2].endswith(client_port) and words[3] == "01"  # TCP_ESTABLISHED
-                for words in connections()
+                columns[2].endswith(client_port) and columns[3] == "01"  # TCP_ESTABLISHED
+                for columns in connections()
             )
         )
     )
@@ -153,8 +153,8 @@
         member.resume_accepting()
         wait_for(
             lambda: any(  # established in the kernel, unknown to the front
-                words[2].endswith(port) and words[3] == "01" and words[1][-5:] not in crowding_ports
-                for words in connections()
+                columns[2].endswith(port) and columns[3] == "01" and columns[1][-5:] not in crowding_ports
+                for columns in connections()
             )
         )
         disconnect_for_long(waiting)
@@ -193,7 +193,9 @@
 def unread_bytes(port):
     """Return the number of bytes from this port in receive queues of the kernel."""
     return sum(
-        int(words[4].partition(":")[2], 16) for words in connections() if words[2].endswith(f":{port:04X}")
+        int(columns[4].partition(":")[2], 16)
+        for columns in connections()
+        if columns[2].endswith(f":{port:04X}")
     )
 
 
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -504,7 +504,7 @@
         return self.contexts[member]
 
     def site(self, **told):
-        return Site(words=self.words, tls=self.context, **told)
+        return Site(arguments=self.words, tls=self.context, **told)
 
 
 COPY = "rev=4be0c1927d55a6f3,since=1764576000123"
