--- a/tests/soak.py
+++ b/tests/soak.py
@@ -1,9 +1,10 @@
-"""A soak of one real front: clients, caches and the change log by seed, with troubles that overlap, and at
-the end a planned restart with the kill at the protocol page's earliest. What crossed the sockets is judged,
-never the front's own books.
+"""Soak test of one real front, with clients, caches, a change log and overlapping faults chosen by a seed.
 
-`python -m tests.soak FIRST LAST [QUIET]` plays these seeds, several at once, and ends with status 1 if one is
-broken. With QUIET nothing happens for so many seconds before.
+Each run ends with a planned restart: SIGTERM, then SIGKILL as early as the protocol page allows. The rules
+are checked on the traffic at the sockets, not on the front's own state.
+
+`python -m tests.soak FIRST LAST [QUIET]` runs the seeds from FIRST to LAST, several in parallel, and exits
+with status 1 if one violates a rule. QUIET is the number of idle seconds before the traffic starts.
 """
 
 import concurrent.futures
@@ -18,40 +19,47 @@
 from itertools import repeat
 from random import Random
 
-from tests.soak_rules import Attempt, Judge, Request, Told
+from tests.soak_rules import Attempt, ChangeEvent, Request, RuleChecker
 from tests.stand_ins import MS, SETTINGS, HttpClient, Site, StandInCache, StandInChangeLog, address
 
-CLIENTS, CROWD, SOCKETS = 12, 130, 256
-LASTS = 4.0  # seconds of troubles before SIGTERM
-KEPT = 0.7  # seconds of the protocol page, beside the longest deadline, until SIGKILL
-NEW_CONNECTIONS = 0.4  # seconds after SIGTERM in which they still come
-LATE_ANSWER = 2.0  # seconds a client looks for an answer after its time, to tell a late one from none
-WINDOW = 0.8  # seconds in which repeats by key are dropped
-LONG_STANDSTILL = 0.25  # seconds at the most, by hand
-SHORT_STANDSTILL = 0.04  # in CI: below all slacks, as one may fall between a last look and the act behind it
-AT_ONCE = 6  # seeds played side by side
+CLIENTS, IDLE_CLIENTS, SOCKETS = 12, 130, 256
+FAULTS_DURATION = 4.0  # seconds with faults before SIGTERM
+KILL_DELAY = 0.7  # seconds from SIGTERM to SIGKILL in addition to the longest deadline (protocol page)
+ACCEPT_PERIOD = 0.4  # seconds after SIGTERM during which clients open connections
+LATE_ANSWER_WAIT = 2.0  # seconds that a client waits after its deadline, to tell a late answer from none
+REPEAT_WINDOW = 0.8  # seconds for which caches deduplicate requests by key
+LONG_SUSPENSION = 0.25  # seconds; the maximum on the command line
+# Seconds; the maximum in CI. It is below all slacks, as the front may be suspended between a check and the
+# action that depends on it.
+SHORT_SUSPENSION = 0.04
+PARALLEL_SEEDS = 6
 CLASSES = ("video", "tarea", "entrega")
 
 
-def settings_of(chance):
-    """Three classes, one of each effect, with deadlines by seed: some are short."""
-    longest = chance.choice((300, 600, 1200))
+def make_settings(rng):
+    """Return settings with one class of each idempotency, and their deadline in milliseconds."""
+    longest = rng.choice((300, 600, 1200))
     video, tarea = SETTINGS["classes"]
     times = {"aim": 50 * MS, "deadline": longest * MS}
-    keyed = {"name": "entrega", "idempotency": "guarded", "key-scope": "all", "repeat-window": WINDOW * 1e9}
+    keyed = {
+        "name": "entrega",
+        "idempotency": "guarded",
+        "key-scope": "all",
+        "repeat-window": REPEAT_WINDOW * 1e9,
+    }
     family = SETTINGS["family-info"] | {"never-kept": [False, True, True], "gone-everywhere": 6000 * MS}
     classes = [video | times, tarea | times, times | keyed]
     return SETTINGS | {"classes": classes, "family-info": family}, longest
 
 
-def body_of(name):
-    """What any cache serves for this object, with its tag."""
+def make_body(name):
+    """Return the tag and the body that every cache serves for the object."""
     digest = hashlib.sha256(name.encode()).hexdigest()
     return digest[:16], (digest * 40).encode()[: int(digest[:3], 16)]
 
 
 class ReplayingLog(StandInChangeLog):
-    """A change log that tells what a call has missed; `events` has the text and the Told of each."""
+    """A change log that replays missed events; `events` has the text and the ChangeEvent of each."""
 
     def __init__(self, events, lock):
         self.events, self.lock = events, lock
@@ -65,115 +73,115 @@
                 last = self.calls.get_nowait()
             except (OSError, queue.Empty):
                 return
-            for number, (text, told) in enumerate(self.events, 1):
+            for number, (text, event) in enumerate(self.events, 1):
                 if number > last:
-                    self.pass_on(number, text, told)
+                    self.deliver(number, text, event)
 
-    def pass_on(self, number, text, told):
+    def deliver(self, number, text, event):
         try:
             self.raw(number, text)
-            told.delivered = min(told.delivered, time.monotonic())
-        except (OSError, AttributeError):  # broken, or nobody has called yet
+            event.delivered_at = min(event.delivered_at, time.monotonic())
+        except (OSError, AttributeError):  # the connection is closed, or none was opened yet
             pass
 
 
-class Caches:
-    """Answers what all caches are asked, well or badly by chance; one thread, so that its order is one."""
+class CacheResponder:
+    """Answers the commands of all caches, correctly or not at random, in one thread to keep their order."""
 
-    def __init__(self, site, chance, judge):
-        self.site, self.chance, self.judge = site, chance, judge
-        self.commands, self.later, self.serial, self.hanging = queue.Queue(), [], 0, set()
+    def __init__(self, site, rng, checker):
+        self.site, self.rng, self.checker = site, rng, checker
+        self.commands, self.timers, self.timer_count, self.unresponsive = queue.Queue(), [], 0, set()
         for member in site.members:
             member.commands = self.commands
         threading.Thread(target=self.run, daemon=True).start()
 
     def run(self):
         while True:
-            wait = max(0, self.later[0][0] - time.monotonic()) if self.later else 1
+            wait = max(0, self.timers[0][0] - time.monotonic()) if self.timers else 1
             try:
-                self.take(self.commands.get(timeout=wait))
+                self.handle(self.commands.get(timeout=wait))
             except queue.Empty:
                 pass
-            while self.later and self.later[0][0] <= time.monotonic():
-                _, _, act = heapq.heappop(self.later)
-                self.attempted(act)
+            while self.timers and self.timers[0][0] <= time.monotonic():
+                _, _, action = heapq.heappop(self.timers)
+                self.ignore_closed(action)
 
-    def after(self, seconds, act):
-        self.serial += 1
-        heapq.heappush(self.later, (time.monotonic() + seconds, self.serial, act))
+    def after(self, seconds, action):
+        self.timer_count += 1
+        heapq.heappush(self.timers, (time.monotonic() + seconds, self.timer_count, action))
 
-    def attempted(self, act):
+    def ignore_closed(self, action):
         try:
-            act()
+            action()
         except OSError:  # the front has closed the connection
             pass
 
-    def take(self, command):
+    def handle(self, command):
         if command.word != "ASK":
             return
         attempt = Attempt(command.arrival, command.cache, command.fields)
-        self.judge.attempted(command.id, attempt)
+        self.checker.record_attempt(command.id, attempt)
         name = f"{command.fields['queue']}/{command.fields['path']}"
-        tag, body = body_of(name)
+        tag, body = make_body(name)
         since = int(time.time() * 1000) - 5
         copy = f"rev={tag},since={since}"
-        if command.cache in self.hanging:
+        if command.cache in self.unresponsive:
             return
 
-        def done():
+        def answer_done():
             if command.fields.get("inm") == tag:
-                attempt.named.add(tag)
+                attempt.confirmed_tags.add(tag)
                 command.answer("KEEP", copy)
             else:
                 command.answer("DONE", copy, body)
 
-        def never_ran(word):
-            attempt.never_ran = True
+        def refuse(word):
+            attempt.not_executed = True
             command.answer(word)
 
-        def spoilt():
+        def answer_malformed():
             command.connection.sendall(
-                command.id.encode() + self.chance.choice((b" DO", b" WHAT - 0\r\n\r\n", b"\r\n"))
+                command.id.encode() + self.rng.choice((b" DO", b" WHAT - 0\r\n\r\n", b"\r\n"))
             )
 
-        look = "up" not in command.fields and command.fields["queue"] == "video"
-        draw = self.chance.random()
-        if look and draw < 0.25:
-            self.attempted(lambda: never_ran("LACK"))
-        elif draw < 0.8:
-            self.attempted(done)
+        lookup = "up" not in command.fields and command.fields["queue"] == "video"
+        fraction = self.rng.random()
+        if lookup and fraction < 0.25:
+            self.ignore_closed(lambda: refuse("LACK"))
+        elif fraction < 0.8:
+            self.ignore_closed(answer_done)
         else:
-            act = self.chance.choice(
+            action = self.rng.choice(
                 (
-                    lambda: never_ran("WAIT"),
-                    lambda: never_ran("PAST"),
+                    lambda: refuse("WAIT"),
+                    lambda: refuse("PAST"),
                     lambda: command.answer("BROKE"),
                     lambda: command.answer("KEEP", f"rev={tag[::-1]},since={since}"),
                     command.hang_up,
-                    lambda: [done(), command.hang_up()],
-                    lambda: self.after(self.chance.random(), done),
-                    lambda: [done(), self.after(self.chance.random() * 0.05, done)],
-                    spoilt,
-                    lambda: [done(), done()],
+                    lambda: [answer_done(), command.hang_up()],
+                    lambda: self.after(self.rng.random(), answer_done),
+                    lambda: [answer_done(), self.after(self.rng.random() * 0.05, answer_done)],
+                    answer_malformed,
+                    lambda: [answer_done(), answer_done()],
                     lambda: None,
                 )
             )
-            self.attempted(act)
+            self.ignore_closed(action)
 
 
 class Client(threading.Thread):
-    """One client: requests one after another, on a connection for as long as the front keeps it."""
+    """A client that sends one request after another and reuses its connection until the front closes it."""
 
     def __init__(self, soak, number):
         super().__init__(daemon=True)
-        self.soak, self.number, self.chance = soak, number, Random(soak.seed * 1000 + number)
+        self.soak, self.number, self.rng = soak, number, Random(soak.seed * 1000 + number)
         self.sent = 0
 
     def run(self):
         while not self.soak.killed.is_set():
             if (
-                self.soak.told_to_end is not None
-                and time.monotonic() - self.soak.told_to_end > NEW_CONNECTIONS
+                self.soak.terminated_at is not None
+                and time.monotonic() - self.soak.terminated_at > ACCEPT_PERIOD
             ):
                 return
             try:
@@ -187,248 +195,249 @@
             client.close()
 
     def exchange(self, client):
-        """One request; whether the connection may be used for another."""
-        time.sleep(self.chance.random() * 0.08)
+        """Send a request; return whether the connection can be reused."""
+        time.sleep(self.rng.random() * 0.08)
         self.sent += 1
-        service = self.chance.choices(CLASSES, (8, 1, 1))[0]
-        ttl = max(5, int(self.chance.choice((0.01, 0.1, 0.5, 1, 1, 1)) * self.soak.longest))
-        name = f"{self.chance.randrange(40):016x}"
+        service = self.rng.choices(CLASSES, (8, 1, 1))[0]
+        ttl = max(5, int(self.rng.choice((0.01, 0.1, 0.5, 1, 1, 1)) * self.soak.longest))
+        name = f"{self.rng.randrange(40):016x}"
         txn = f"{self.number:08x}{self.sent:08x}"
         group = int(name, 16) % 5
-        tag, body = body_of(f"{service}/{name}")
+        tag, body = make_body(f"{service}/{name}")
         fields = {"X_Family": group}
-        if service == "video" and self.chance.random() < 0.2:
+        if service == "video" and self.rng.random() < 0.2:
             fields["If_None_Match"] = f'"{tag}"'
         if service == "entrega":
             fields["X_Txn_Key"] = txn
         request = Request(service, name, group, ttl / 1000, tag, body)
         try:
-            put = {} if service == "video" else {"body": b"w" * self.chance.randrange(2000)}
-            if self.chance.random() < 0.1:
-                client.raw("\r\n")  # an empty line before a head says nothing; the head comes in its time
-                time.sleep(self.chance.random() * 0.1)
+            put = {} if service == "video" else {"body": b"w" * self.rng.randrange(2000)}
+            if self.rng.random() < 0.1:
+                client.raw("\r\n")  # an empty line before a request is ignored
+                time.sleep(self.rng.random() * 0.1)
             client.send(f"/invoke/{service}/{name}", txn=txn, ttl=ttl, **fields, **put)
         except OSError:
-            return False  # closed before all of it was written
-        request.sent = time.monotonic()
+            return False  # closed before the fleet request was written
+        request.sent_at = time.monotonic()
         request.first = not client.answered
-        self.soak.judge.sent(txn, request)
-        if self.chance.random() < 0.06:
-            time.sleep(self.chance.random() * 0.2)
+        self.soak.checker.record_request(txn, request)
+        if self.rng.random() < 0.06:
+            time.sleep(self.rng.random() * 0.2)
             client.close()
-            request.left = time.monotonic()  # before the close it had not gone, however long that took
+            request.disconnected_at = time.monotonic()  # after the close, which may take long
             return False
         return self.answer(client, request)
 
     def answer(self, client, request):
-        client.socket.settimeout(request.ttl + LATE_ANSWER)
+        client.socket.settimeout(request.ttl + LATE_ANSWER_WAIT)
         try:
             answer = client.answer()
         except (OSError, AssertionError, ValueError):
             answer = None
-        request.ended = client.last_arrival() if answer else time.monotonic()
+        request.ended_at = client.last_arrival() if answer else time.monotonic()
         if answer is None:
             return False
-        request.status, told, request.got = answer
-        request.got_tag = told.get("etag", "").strip('"')
-        return told.get("connection") != "close"
+        request.status, headers, request.got = answer
+        request.got_tag = headers.get("etag", "").strip('"')
+        return headers.get("connection") != "close"
 
 
 class Soak:
-    """One seed: what is played, and what is judged at the end."""
-
-    def __init__(self, seed, quiet=0, standstill=LONG_STANDSTILL):
-        self.seed, self.chance, self.quiet = seed, Random(seed), quiet
-        self.standstill = standstill
-        self.settings, self.longest = settings_of(self.chance)
-        self.judge = Judge(self.settings, WINDOW)
-        self.told_to_end, self.killed = None, threading.Event()
+    """The run of one seed: its traffic, its faults and the check of the rules."""
+
+    def __init__(self, seed, quiet=0, max_suspension=LONG_SUSPENSION):
+        self.seed, self.rng, self.quiet = seed, Random(seed), quiet
+        self.max_suspension = max_suspension
+        self.settings, self.longest = make_settings(self.rng)
+        self.checker = RuleChecker(self.settings, REPEAT_WINDOW)
+        self.terminated_at, self.killed = None, threading.Event()
         self.events, self.lock = [], threading.Lock()
         self.names, self.drained = [f"s-{number}" for number in range(1, 6)], set()
 
-    def play(self):
-        """Give the broken rules, as lines."""
+    def run(self):
+        """Run the seed; return a line for each violation."""
         limits = {"memory_mb": 192, "sockets": SOCKETS}
         with Site(self.names, faults={}, settings=self.settings, limits=limits) as self.site:
             self.log = ReplayingLog(self.events, self.lock)
-            whole = {"revision": 1, "complete": True, "members": [m.entry() for m in self.site.members]}
-            self.tell({"fleet": whole}, Told())
-            self.follow_new_log()
-            self.caches = Caches(self.site, Random(self.seed + 1), self.judge)
-            self.judge.watch()
+            fleet = {"revision": 1, "complete": True, "members": [m.entry() for m in self.site.members]}
+            self.publish({"fleet": fleet}, ChangeEvent())
+            self.switch_log()
+            self.caches = CacheResponder(self.site, Random(self.seed + 1), self.checker)
+            self.checker.watch()
             time.sleep(self.quiet)
             clients = [Client(self, number) for number in range(CLIENTS)]
             for client in clients:
                 client.start()
-            if self.chance.random() < 0.3:
-                self.crowd()
-            self.trouble()
-            self.end()
+            if self.rng.random() < 0.3:
+                self.fill_descriptors()
+            self.cause_faults()
+            self.restart()
             for client in clients:
-                client.join(self.longest / 1000 + LATE_ANSWER + 1)
-            return self.judge.broken(self.told_to_end, self.killed_at, self.site.log_lines)
+                client.join(self.longest / 1000 + LATE_ANSWER_WAIT + 1)
+            return self.checker.find_violations(self.terminated_at, self.killed_at, self.site.log_lines)
 
-    def crowd(self):
-        """Idle clients fill the descriptors; new connections may be shut unread then."""
-        self.judge.crowded = True
+    def fill_descriptors(self):
+        """Exhaust the descriptors with idle clients; the front may then close new connections unread."""
+        self.checker.descriptors_exhausted = True
         self.idle = []
-        for _ in range(CROWD):
+        for _ in range(IDLE_CLIENTS):
             try:
                 self.idle.append(HttpClient(self.site.listen_address))
             except OSError:
                 pass
 
-    def trouble(self):
+    def cause_faults(self):
         began = time.monotonic()
-        acts = (
+        actions = (
             self.purge,
             self.purge,
             self.drain,
             self.join,
-            self.hang,
-            self.break_log,
-            self.follow_new_log,
-            self.reload_in_a_row,
-            self.stand_still,
+            self.toggle_unresponsive,
+            self.disconnect_log,
+            self.switch_log,
+            self.reload_repeatedly,
+            self.suspend,
             self.step_clock,
-            self.fail_calls,
+            self.fail_system_calls,
         )
-        while time.monotonic() - began < LASTS:
-            self.chance.choice(acts)()
-            time.sleep(self.chance.random() * 0.4)
+        while time.monotonic() - began < FAULTS_DURATION:
+            self.rng.choice(actions)()
+            time.sleep(self.rng.random() * 0.4)
 
-    # Troubles
+    # Faults
 
-    def tell(self, event, told):
+    def publish(self, body, event):
         with self.lock:
             number = len(self.events) + 1
-            told.written = time.monotonic()
-            text = json.dumps({"seq": number} | event)
-            self.events.append((text, told))
-            self.log.pass_on(number, text, told)
+            event.written_at = time.monotonic()
+            text = json.dumps({"seq": number} | body)
+            self.events.append((text, event))
+            self.log.deliver(number, text, event)
 
     def purge(self):
         now = time.time()
-        group, name = self.chance.randrange(5), f"{self.chance.randrange(40):016x}"
-        if self.chance.random() < 0.5:
-            told, event = Told(group=group), {"bucket": group}
+        group, name = self.rng.randrange(5), f"{self.rng.randrange(40):016x}"
+        if self.rng.random() < 0.5:
+            event, target = ChangeEvent(group=group), {"bucket": group}
         else:
-            told, event = Told(object=name), {"object": name}
-        told.purged = time.monotonic()
-        self.judge.purges.append(told)
-        self.tell({"invalidate": event | {"time": int(now * 1000)}}, told)
+            event, target = ChangeEvent(object=name), {"object": name}
+        event.purged_at = time.monotonic()
+        self.checker.purges.append(event)
+        self.publish({"invalidate": target | {"time": int(now * 1000)}}, event)
 
     def drain(self):
         left = [name for name in self.names if name not in self.drained]
         if len(left) > 2:
-            name = self.chance.choice(left)
+            name = self.rng.choice(left)
             self.drained.add(name)
-            told = Told(member=name)
-            self.judge.drains.append(told)
+            event = ChangeEvent(member=name)
+            self.checker.drains.append(event)
             member = next(m for m in self.site.members if m.name == name)
-            self.tell_of(member.entry("terminating"), told)
-            if self.chance.random() < 0.5:
-                threading.Timer(self.chance.random(), self.remove, (member,)).start()
+            self.publish_member(member.entry("terminating"), event)
+            if self.rng.random() < 0.5:
+                threading.Timer(self.rng.random(), self.remove, (member,)).start()
 
     def remove(self, member):
-        """A cache that drains has gone; its address may be another's next."""
-        if self.told_to_end is None:
+        """Remove a drained cache; a later one may get its address."""
+        if self.terminated_at is None:
             gone = member.entry("terminated")
             member.stop()
-            self.tell_of(gone, Told())
+            self.publish_member(gone, ChangeEvent())
 
     def join(self):
-        """A new cache, that starts late."""
+        """Add a cache during the run."""
         member = StandInCache(f"s-{len(self.site.members)}-new", "box", "sur")
         member.commands = self.caches.commands
         self.site.members.append(member)
         self.names.append(member.name)
-        self.tell_of(member.entry(up_since_ms=int(time.time() * 1000)), Told())
+        self.publish_member(member.entry(up_since_ms=int(time.time() * 1000)), ChangeEvent())
 
-    def tell_of(self, entry, told):
-        self.tell({"fleet": {"revision": 2, "complete": False, "members": [entry]}}, told)
+    def publish_member(self, entry, event):
+        self.publish({"fleet": {"revision": 2, "complete": False, "members": [entry]}}, event)
 
-    def hang(self):
-        hanging = self.caches.hanging
-        name = self.chance.choice([*self.names, "p-1", "o-1"])
-        hanging.discard(name) if name in hanging else hanging.add(name)
+    def toggle_unresponsive(self):
+        unresponsive = self.caches.unresponsive
+        name = self.rng.choice([*self.names, "p-1", "o-1"])
+        unresponsive.discard(name) if name in unresponsive else unresponsive.add(name)
 
-    def break_log(self):
+    def disconnect_log(self):
         try:
             self.log.hang_up()
         except (OSError, AttributeError):
             pass
 
-    def follow_new_log(self):
+    def switch_log(self):
         with self.lock:
             self.log = ReplayingLog(self.events, self.lock)
         self.site.reload(json.dumps(self.site.configuration | {"changelog": address(self.log.listener)}))
 
-    def reload_in_a_row(self):
+    def reload_repeatedly(self):
         for _ in range(3):
-            self.follow_new_log()
+            self.switch_log()
 
-    def stand_still(self):
+    def suspend(self):
         self.site.process.send_signal(signal.SIGSTOP)
         began = time.monotonic()
-        time.sleep(self.chance.random() * self.standstill)
-        self.judge.stops.append((began, time.monotonic()))
+        time.sleep(self.rng.random() * self.max_suspension)
+        self.checker.suspensions.append((began, time.monotonic()))
         self.site.process.send_signal(signal.SIGCONT)
 
     def step_clock(self):
-        self.site.inject(wall_step=self.chance.choice((-3600, -2, 0, 2, 3600)))
+        self.site.inject(wall_step=self.rng.choice((-3600, -2, 0, 2, 3600)))
 
-    def fail_calls(self):
-        call, errors = self.chance.choice(
+    def fail_system_calls(self):
+        call, errors = self.rng.choice(
             (
                 ("accept", ("ECONNABORTED", "ENFILE")),
                 ("socket", ("ENFILE", "ENOBUFS")),
                 ("connect_ex", ("EADDRNOTAVAIL", "ENETUNREACH")),
             )
         )
-        self.site.inject(fail={call: [self.chance.choice(errors), self.chance.randrange(1, 4)]})
+        self.site.inject(fail={call: [self.rng.choice(errors), self.rng.randrange(1, 4)]})
 
-    def end(self):
-        """A planned restart: signals in a row, the kill at its earliest; some caches hang all through it."""
+    def restart(self):
+        """Send several signals and, as early as allowed, SIGKILL; some caches do not respond meanwhile."""
         for name in self.names:
-            if self.chance.random() < 0.5:
-                self.caches.hanging.add(name)
+            if self.rng.random() < 0.5:
+                self.caches.unresponsive.add(name)
         self.site.process.send_signal(signal.SIGHUP)
-        self.told_to_end = time.monotonic()
+        self.terminated_at = time.monotonic()
         self.site.process.send_signal(signal.SIGTERM)
         for number in (signal.SIGTERM, signal.SIGHUP, signal.SIGTERM):
-            time.sleep(self.chance.random() * 0.1)
+            time.sleep(self.rng.random() * 0.1)
             self.site.process.send_signal(number)
-            self.chance.choice((self.drain, self.purge))()
-        kept = self.longest / 1000 + KEPT
-        time.sleep(max(0, kept - (time.monotonic() - self.told_to_end)))
+            self.rng.choice((self.drain, self.purge))()
+        kill_delay = self.longest / 1000 + KILL_DELAY
+        time.sleep(max(0, kill_delay - (time.monotonic() - self.terminated_at)))
         self.killed_at = time.monotonic()
-        self.judge.status = self.site.process.poll()
+        self.checker.status = self.site.process.poll()
         self.site.process.kill()
         self.killed.set()
 
 
-def play(seed, quiet):
+def run_seed(seed, quiet):
     soak = Soak(seed, quiet)
-    lines = soak.play()
-    statuses, attempts = soak.judge.counts()
+    lines = soak.run()
+    statuses, attempts = soak.checker.count_results()
     requests = f"{sum(statuses.values())} requests ({dict(statuses)})"
-    rig = (
-        f"the rig late by {soak.judge.late:.3f} s, {soak.judge.within_stops} acts that a standstill fell into"
+    delays = (
+        f"test process late by {soak.checker.late:.3f} s, "
+        f"{soak.checker.attributed_to_suspensions} late actions due to suspensions"
     )
-    return seed, lines, f"{requests}, {attempts} attempts, {soak.judge.untimed()} untimed, {rig}"
+    return seed, lines, f"{requests}, {attempts} attempts, {soak.checker.count_untimed()} untimed, {delays}"
 
 
 def main():
     first, last, quiet = map(int, (*sys.argv[1:], 0)[:3])
-    broken = 0
-    with concurrent.futures.ProcessPoolExecutor(AT_ONCE) as pool:
-        for seed, lines, played in pool.map(play, range(first, last + 1), repeat(quiet)):
-            broken += bool(lines)
-            verdict = "broken" if lines else "all rules kept"
-            print(f"seed {seed}: {verdict}: {played}", *lines, sep="\n  ", flush=True)
-    print(f"{last - first + 1} seeds, {broken} with a broken rule")
-    return 1 if broken else 0
+    failed = 0
+    with concurrent.futures.ProcessPoolExecutor(PARALLEL_SEEDS) as pool:
+        for seed, lines, summary in pool.map(run_seed, range(first, last + 1), repeat(quiet)):
+            failed += bool(lines)
+            verdict = "failed" if lines else "no violation"
+            print(f"seed {seed}: {verdict}: {summary}", *lines, sep="\n  ", flush=True)
+    print(f"{last - first + 1} seeds, {failed} with a violation")
+    return 1 if failed else 0
 
 
 if __name__ == "__main__":
