--- a/tests/soak_rules.py
+++ b/tests/soak_rules.py
@@ -197,7 +197,8 @@
                 age = attempt.latest - purge.purged_at + self.late
                 if int(attempt.fields.get("cap", 10**9)) / 1000 > age:
                     self.lines.append(
-                        f"purge: {txn} accepts copies up to {attempt.fields.get('cap')} ms old, {age:.3f} s after the purge"
+                        f"purge: {txn} accepts copies of up to {attempt.fields.get('cap')} ms, "
+                        f"{age:.3f} s after the purge"
                     )
         since_disconnect = (
             attempt.earliest - request.disconnected_at if request.disconnected_at is not None else 0
