--- a/tests/soak.py
+++ b/tests/soak.py
@@ -217,14 +217,14 @@
                 time.sleep(self.rng.random() * 0.1)
             client.send(f"/invoke/{service}/{name}", txn=txn, ttl=ttl, **fields, **put)
         except OSError:
-            return False  # closed before the fleet request was written
+            return False  # closed before the whole request was written
         request.sent_at = time.monotonic()
         request.first = not client.answered
         self.soak.checker.record_request(txn, request)
         if self.rng.random() < 0.06:
             time.sleep(self.rng.random() * 0.2)
             client.close()
-            request.disconnected_at = time.monotonic()  # after the close, which may take long
+            request.disconnected_at = time.monotonic()  # the client is connected until the close returns
             return False
         return self.answer(client, request)
 
@@ -346,7 +346,7 @@
             self.publish_member(gone, ChangeEvent())
 
     def join(self):
-        """Add a cache during the run."""
+        """Add a cache that has just started."""
         member = StandInCache(f"s-{len(self.site.members)}-new", "box", "sur")
         member.commands = self.caches.commands
         self.site.members.append(member)
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -93,14 +93,14 @@
 SENT = 100.0  # seconds of a simulated clock at which the request below was sent
 
 
-def violated_rules(arrival, service, first=None, budget=1, left=None, event=None):
+def violated_rules(arrival, service, first=None, budget=1, disconnected_at=None, event=None):
     """Return the kinds of rules that an attempt with this arrival violates.
 
     `first` is the arrival time of an earlier attempt, if any.
     """
     checker = RuleChecker(SETTINGS, REPEAT_WINDOW)
     request = Request(service, "1", 0, TTL, "tag", b"body")
-    request.sent_at, request.ended_at, request.disconnected_at = SENT, SENT + TTL, left
+    request.sent_at, request.ended_at, request.disconnected_at = SENT, SENT + TTL, disconnected_at
     request.status, request.got, request.got_tag = 200, b"body", "tag"
     checker.record_request("id", request)
     arrivals = [Arrival(first, first)] if first is not None else []
@@ -113,8 +113,8 @@
 
 
 BOUNDS = {  # kind of rule, case, seconds from the request within which an attempt may arrive
-    "departure": ("lost", {"service": "video", "left": SENT}, DISCONNECT_GRACE),
-    "time passed on": ("deadline", {"service": "video", "budget": 600}, TTL - 0.6 + BUDGET_SLACK),
+    "disconnect": ("lost", {"service": "video", "disconnected_at": SENT}, DISCONNECT_GRACE),
+    "budget": ("deadline", {"service": "video", "budget": 600}, TTL - 0.6 + BUDGET_SLACK),
     "drain": ("drain", {"service": "video", "event": ChangeEvent(member="s-1")}, GRACE_DRAIN + SOCKET_DELAY),
     "purge": ("purge", {"service": "video", "event": ChangeEvent(group=0)}, GRACE_PURGE + SOCKET_DELAY),
     "repeat": ("duplicate", {"service": "entrega", "first": SENT}, REPEAT_WINDOW + SOCKET_DELAY),
