--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -29,7 +29,7 @@
 @pytest.mark.parametrize("seed", SEEDS)
 def test_socket_traffic_follows_all_rules(seed):
     soak = Soak(seed, max_suspension=SHORT_SUSPENSION)
-    assert soak.play() == []
+    assert soak.run() == []
     statuses, attempts = soak.checker.count_results()
     assert statuses[200] > 20 and sum(statuses.values()) > 50  # the run had traffic
     assert attempts - soak.checker.count_untimed() > 50
