--- a/tests/two_versions_fleet.py
+++ b/tests/two_versions_fleet.py
@@ -1,6 +1,6 @@
-"""The fleet of `two_versions`: what either text calls things, its fronts, and the parts around them.
+"""The fleet of `two_versions`: the names that each version uses, its fronts and their stand-in peers.
 
-Processes are driven by command line, ports, files, the control socket and log lines only.
+Processes are controlled only by command line, ports, files, the control socket and log lines.
 """
 
 import http.client
@@ -24,7 +24,7 @@
 
 
 class Name(NamedTuple):
-    """What a process of the old text calls something, and one of the present text."""
+    """The name of a field, command or event in the old and in the current version."""
 
     old: str
     new: str
@@ -36,14 +36,14 @@
     Name("listing", "listing"),
     Name("tallies", "tallies"),
 )
-# Keys of their answers: membership and duties
+# Keys of the answers: membership and duties
 ME, MEMBERS, MEMBER, STATE = (
     Name("me", "me"),
     Name("members", "members"),
     Name("name", "name"),
     Name("state", "state"),
 )
-ALIVE, TOKEN, LIFE = Name("alive", "alive"), Name("token", "token"), Name("life", "life")
+ALIVE, TOKEN, INCARNATION = Name("alive", "alive"), Name("token", "token"), Name("life", "life")
 EPOCH_CEILING = Name("epoch_ceiling", "epoch_ceiling")
 DUTIES, DUTY, SLOTS = Name("duties", "duties"), Name("name", "name"), Name("slots", "slots")
 COUNTS = Name("counts", "counts")
@@ -51,16 +51,16 @@
 # ... the list of endpoints, and request counts
 NUMBER, DIGEST = Name("number", "number"), Name("digest", "digest")
 CONFIRMED, OLDEST_KEPT = Name("confirmed_us_ago", "confirmed_us_ago"), Name("reaches", "reaches")
-FETCHED_COUNTS, FETCHED = Name("counts", "counts"), Name("fetched", "fetched")
-TOLD, LEARNT, REFUSED = Name("told", "told"), Name("learnt", "learnt"), Name("refused", "refused")
-# Events of the log: of a front that serves, of a store thrown away, of a message that was not understood
+FETCH_COUNTS, FETCHED = Name("counts", "counts"), Name("fetched", "fetched")
+SENT, RECEIVED, REJECTED = Name("told", "told"), Name("learnt", "learnt"), Name("refused", "refused")
+# Events of the log: a ready front, a discarded store, a rejected message
 READY, SHARING = Name("ready", "ready"), Name("sharing", "sharing")
-THROWN_AWAY = (
+STORE_DISCARDED = (
     Name("store-new", "store-new"),
     Name("store-damaged", "store-damaged"),
     Name("saved-list", "saved-list"),
 )
-NOT_UNDERSTOOD = (
+MESSAGES_REJECTED = (
     Name("fault", "fault"),
     Name("sharing-off", "sharing-off"),
     Name("gives-way", "gives-way"),
@@ -71,45 +71,45 @@
     Name("unreadable", "unreadable"),
 )
 
-FRONTS, VOTERS, SLOT_COUNT = 4, 2, 16  # both votes are needed: one of each text's fronts
-FIRST_GROUP, SECOND_GROUP = (0, 2), (1, 3)  # fronts of the text that starts first, and of the other
+FRONTS, VOTERS, SLOT_COUNT = 4, 2, 16  # both votes are required: one of each version
+FIRST_GROUP, SECOND_GROUP = (0, 2), (1, 3)  # fronts of the version that starts first and of the other
 CACHES, PARENTS = 12, 6
-PATIENCE, BEAT = 40.0, 0.5  # seconds
+TIMEOUT, BEAT_INTERVAL = 40.0, 0.5  # seconds
 
 
-class Text(NamedTuple):
-    """The program's source that a process runs."""
+class Version(NamedTuple):
+    """A version of the program's source."""
 
     title: str
     folder: str
     old: bool
 
     def environment(self) -> dict[str, str]:
-        """The environment of a process that imports this text and no other."""
+        """Return the environment of a process that imports only this version."""
         return os.environ | {"PYTHONPATH": self.folder}
 
-    def word(self, name: Name) -> str:
-        """What this text calls it."""
+    def field(self, name: Name) -> str:
+        """Return the name that this version uses."""
         return name.old if self.old else name.new
 
-    def imported_from(self) -> str:
-        """The folder from which a process of this text really imports the program."""
+    def import_folder(self) -> str:
+        """Return the folder from which a process of this version imports the program."""
         command = [sys.executable, "-c", "import limepath; print(limepath.__path__[0])"]
         found = subprocess.check_output(command, cwd=self.folder, env=self.environment(), text=True)
         return os.path.dirname(found.strip())
 
 
 class Front(Process):
-    """One front of the fleet; which text it runs changes when the other takes over."""
+    """A front of the fleet; `version` is the version that it runs next."""
 
-    def __init__(self, stage: "Stage", who: int, text: Text):
-        super().__init__(stage.folder, who)
-        self.stage, self.text, self.lines_before = stage, text, 0
+    def __init__(self, testbed: "Testbed", who: int, version: Version):
+        super().__init__(testbed.folder, who)
+        self.testbed, self.version, self.log_offset = testbed, version, 0
 
     def prepare(self) -> None:
-        """Write the front's files; they are the same for either text."""
-        stage, who = self.stage, self.who
-        key = stage.keys[self.text.old]
+        """Write the front's files, which are the same for both versions."""
+        testbed, who = self.testbed, self.who
+        key = testbed.keys[self.version.old]
         settings = f"""[instance]
 name = {self.name}
 store = peers.db
@@ -117,8 +117,8 @@
 [log]
 form = json
 [peers]
-listen = {HOST}:{stage.datagram_ports[who]}
-seeds = {", ".join(f"{HOST}:{stage.datagram_ports[seed]}" for seed in range(2) if seed != who)}
+listen = {HOST}:{testbed.datagram_ports[who]}
+seeds = {", ".join(f"{HOST}:{testbed.datagram_ports[seed]}" for seed in range(2) if seed != who)}
 keys = peers.keys
 period = 250ms
 direct = 80ms
@@ -137,142 +137,142 @@
 fronts = {FRONTS}
 relays = 2
 """
-        told = {
+        configuration = {
             "name": self.name,
-            "listen": f"{HOST}:{stage.http_ports[who]}",
-            "seed": f"{stage.seed * 1000 + who:x}",
-            "changelog": f"{HOST}:{stage.service_port(who)}",
+            "listen": f"{HOST}:{testbed.http_ports[who]}",
+            "seed": f"{testbed.seed * 1000 + who:x}",
+            "changelog": f"{HOST}:{testbed.service_port(who)}",
             "limits": {"memory_mb": 192, "sockets": 256, "leaving_ms": 300},
             "settings": SETTINGS,
             "known": {"seq": 0, "results": []},
         }
         self.replace("peers.keys", key + "\n")
         self.replace("peers.ini", settings)
-        self.replace("front.json", json.dumps(told))
+        self.replace("front.json", json.dumps(configuration))
 
     def start(self) -> None:
-        """Start the process on its folder with the text that it has now."""
+        """Start a process of the current `version` in the front's folder."""
         self.prepare()
-        self.lines_before = len(list(self.lines()))
+        self.log_offset = len(list(self.lines()))
         self.lives += 1
         command = [sys.executable, "-m", "limepath", "run"]
         command += ["--config", self.path("front.json"), "--peers", self.path("peers.ini")]
         with open(self.path("log"), "ab") as log:
             self.process = subprocess.Popen(
                 command,
-                cwd=self.text.folder,
-                env=self.text.environment(),
+                cwd=self.version.folder,
+                env=self.version.environment(),
                 stdin=subprocess.DEVNULL,
                 stdout=log,
                 stderr=log,
             )
 
     def leave(self) -> None:
-        """End the process as an operator does; kill it if it doesn't."""
+        """Send SIGTERM to the process, and SIGKILL if it does not exit."""
         self.signal(signal.SIGTERM)
         try:
-            self.process.wait(PATIENCE)
+            self.process.wait(TIMEOUT)
         except subprocess.TimeoutExpired:
             self.signal(signal.SIGKILL)
 
-    def logged(self, names: tuple[Name, ...]) -> list[str]:
-        """The lines of these events since the last start."""
-        words = {self.text.word(name) for name in names}
-        lines = list(self.lines())[self.lines_before :]
+    def log_events(self, names: tuple[Name, ...]) -> list[str]:
+        """Return the log lines with these events since the last start."""
+        words = {self.version.field(name) for name in names}
+        lines = list(self.lines())[self.log_offset :]
         return [json.dumps(line) for line in lines if line.get("event") in words]
 
     def view(self, command: Name, *path: Name) -> Any:
-        """What the control socket answers, or the part of it at `path`; None where there is none."""
+        """Return the control socket's answer, or its part at `path`; None if there is none."""
         try:
-            told = request_view(self.path("peers.sock"), self.text.word(command), 2)
+            answer = request_view(self.path("peers.sock"), self.version.field(command), 2)
         except ControlSocketError:
             return None
         for name in path:
-            told = told.get(self.text.word(name)) if told else None
-        return told
+            answer = answer.get(self.version.field(name)) if answer else None
+        return answer
 
     def count(self, command: Name, *path: Name) -> int:
-        """A count that the control socket shows, 0 where there is none."""
+        """Return a count from the control socket, 0 if there is none."""
         return self.view(command, *path) or 0
 
     def rows(self, name: Name) -> list[dict[str, Any]]:
-        """A table of the membership's answer."""
+        """Return a table of the membership command's answer."""
         return self.view(MEMBERSHIP, name) or []
 
-    def sees_alive(self) -> set[str]:
-        """The names of all that it counts as alive, its own among them."""
-        word, rows = self.text.word, self.rows(MEMBERS)
-        return {row[word(MEMBER)] for row in rows if row[word(STATE)] == word(ALIVE)}
+    def alive_members(self) -> set[str]:
+        """Return the names of all fronts that this front considers alive, including itself."""
+        field, rows = self.version.field, self.rows(MEMBERS)
+        return {row[field(MEMBER)] for row in rows if row[field(STATE)] == field(ALIVE)}
 
     def slots(self) -> list[int]:
-        """The slots of the leased duty that it holds."""
-        word = self.text.word
-        shown = [row.get(word(SLOTS), {}) for row in self.rows(DUTIES) if row[word(DUTY)] == "leased"]
+        """Return the slots of the leased duty that the front holds."""
+        field = self.version.field
+        shown = [row.get(field(SLOTS), {}) for row in self.rows(DUTIES) if row[field(DUTY)] == "leased"]
         return [int(slot) for slots in shown for slot in slots]
 
     def list_state(self) -> tuple[int, str] | None:
-        """Number and digest of its list, None before it is confirmed."""
-        told, word = self.view(ENDPOINTS), self.text.word
-        if not told or told[word(CONFIRMED)] is None:
+        """Return the number and digest of the front's list, None before it is confirmed."""
+        answer, field = self.view(ENDPOINTS), self.version.field
+        if not answer or answer[field(CONFIRMED)] is None:
             return None
-        return told[word(NUMBER)], told[word(DIGEST)]
+        return answer[field(NUMBER)], answer[field(DIGEST)]
 
 
-class Stage:
-    """The parts around the fronts, in a reactor of their own thread: the list service and all caches.
+class Testbed:
+    """The list service and all caches, in a reactor of their own thread.
 
-    Only fronts of the first group reach the list service; the others know an event by a front's word alone.
+    Only fronts of the first group reach the list service; the others receive events from other fronts.
     """
 
     def __init__(self, folder: str, seed: int, keys: dict[bool, str]):
         self.folder, self.seed, self.keys, self.caches = folder, seed, keys, {}
         self.datagram_ports = free_ports(socket.SOCK_DGRAM, FRONTS)
-        *self.http_ports, self.closed_port = free_ports(socket.SOCK_STREAM, FRONTS + 1)
+        *self.http_ports, self.unused_port = free_ports(socket.SOCK_STREAM, FRONTS + 1)
         self.reactor = selectreactor.SelectReactor()
         self.thread = threading.Thread(target=self.reactor.run, args=(False,), daemon=True)
         self.thread.start()
-        self.service = self.do(StandInListService, self.reactor, FRONTS, lambda who: "sur")
+        self.service = self.call_in_reactor(StandInListService, self.reactor, FRONTS, lambda who: "sur")
         self.beat = LoopingCall(self.service.beat)
         self.beat.clock = self.reactor
-        self.do(self.beat.start, BEAT)
+        self.call_in_reactor(self.beat.start, BEAT_INTERVAL)
         names = [f"s-{number}" for number in range(CACHES)] + [f"p-{number}" for number in range(PARENTS)]
         members = [self.new_member(name) for name in [*names, "o-0"]]
-        self.tell({"fleet": {"revision": 1, "complete": True, "members": members}})
+        self.publish({"fleet": {"revision": 1, "complete": True, "members": members}})
 
-    def do(self, call: Callable, *arguments: Any) -> Any:
-        """Call it in the reactor's thread and give what it gives."""
-        done, given = threading.Event(), []
-        self.reactor.callFromThread(lambda: (given.append(call(*arguments)), done.set()))
-        if not done.wait(PATIENCE):
-            raise RuntimeError("the stand-ins do not answer")
-        return given[0]
+    def call_in_reactor(self, call: Callable, *arguments: Any) -> Any:
+        """Call `call` in the reactor's thread and return its result."""
+        finished, results = threading.Event(), []
+        self.reactor.callFromThread(lambda: (results.append(call(*arguments)), finished.set()))
+        if not finished.wait(TIMEOUT):
+            raise RuntimeError(f"the reactor of the stand-ins did not respond within {TIMEOUT} s")
+        return results[0]
 
     def service_port(self, who: int) -> int:
-        """Where a front calls the list service; nobody listens there for the second group."""
-        return self.service.port_of[who] if who in FIRST_GROUP else self.closed_port
+        """Return the port of the list service for a front, a closed one for the second group."""
+        return self.service.port_of[who] if who in FIRST_GROUP else self.unused_port
 
     def new_member(self, name: str) -> dict[str, Any]:
-        """Open a cache, parent or origin and give its entry in the list."""
-        self.caches[name] = self.do(StandInCache, self.reactor)
+        """Start a cache, parent or origin and return its entry in the list."""
+        self.caches[name] = self.call_in_reactor(StandInCache, self.reactor)
         return self.member(name)
 
     def member(self, name: str, phase: str = "in_service") -> dict[str, Any]:
-        """An entry of the list."""
+        """Return an entry of the list."""
         flavor = {"s": "box", "p": "parent", "o": "origin"}[name[0]]
         address = f"{HOST}:{self.caches[name].port}"
         place = {"locality": "sur", "flavor": flavor, "cell": 0, "size": 6, "up_since_ms": 0}
         return {"id": name, "host_port": address, "phase": phase} | place
 
-    def tell(self, event: dict[str, Any]) -> int:
-        """Tell an event to whoever streams; give its number."""
-        return self.do(self.service.add, event)
+    def publish(self, event: dict[str, Any]) -> int:
+        """Send an event to all connected fronts; return its number."""
+        return self.call_in_reactor(self.service.add, event)
 
     def streaming(self) -> set[int]:
-        """The fronts that the list service tells events."""
-        return self.do(lambda: {stream.who for stream in self.service.streams})
+        """Return the fronts connected to the list service."""
+        return self.call_in_reactor(lambda: {stream.who for stream in self.service.streams})
 
     def get(self, who: int, number: int, obj: int) -> int:
-        """The status that a client's GET gets at a front, 0 where it gets none."""
+        """Return the status of a client's GET at a front, 0 if there is none."""
         headers = {"X-Txn": f"{number:016x}", "X-Ttl-Ms": "1500", "X-Family": "17", "Connection": "close"}
         try:
             call = http.client.HTTPConnection(HOST, self.http_ports[who], timeout=3)
@@ -282,9 +282,9 @@
             return 0
 
     def close(self) -> None:
-        """Close all ports and end the thread."""
-        self.do(self.beat.stop)
+        """Close all ports and stop the thread."""
+        self.call_in_reactor(self.beat.stop)
         for part in [self.service, *self.caches.values()]:
-            self.do(part.close)
+            self.call_in_reactor(part.close)
         self.reactor.callFromThread(self.reactor.stop)
-        self.thread.join(PATIENCE)
+        self.thread.join(TIMEOUT)
