--- a/tests/hollow_fleet.py
+++ b/tests/hollow_fleet.py
@@ -1,4 +1,4 @@
-"""A few hollow fronts in one process, the list service in another; what a test asks of them."""
+"""A few hollow fronts in one process and the list service in another, with the commands that tests use."""
 
 import json
 import os
@@ -12,15 +12,15 @@
 from limepath.testbed.duties import SETTINGS
 from limepath.testbed.process import HOST, free_ports
 
-BOUND = 90  # seconds that anything may take before it has failed
-BETWEEN = 0.1  # seconds between reports that are looked at
+BOUND = 90  # seconds after which a wait fails the test
+REPORT_INTERVAL = 0.1  # seconds between requests for reports
 REGIONS = ("north", "south")
 KEY = "5a" * 32
 
 
-def spawned(*words):
+def start_module(*arguments):
     return subprocess.Popen(
-        [sys.executable, "-m", *words],
+        [sys.executable, "-m", *arguments],
         stdin=subprocess.PIPE,
         stdout=subprocess.PIPE,
         stderr=subprocess.PIPE,
@@ -28,33 +28,36 @@
     )
 
 
-def end(process):
-    """Close its input, wait for it; give what it said on standard error."""
+def close_process(process):
+    """Close the process's input and wait for its end; return its standard error."""
     process.stdin.close()
     process.wait(BOUND)
-    said = process.stderr.read()
+    error_output = process.stderr.read()
     process.stdout.close()
     process.stderr.close()
-    return said.decode()
+    return error_output.decode()
 
 
 class HollowFleet:
-    """`count` hollow fronts, alternately in two regions, and files for one real front. A context manager: it
-    starts their process, and ends all.
+    """A context manager for `count` hollow fronts, alternately in two regions, and files for one real front.
+
+    It starts the hollow fronts' process and the list service, and ends all processes.
     """
 
     def __init__(self, folder, count):
         self.folder, self.count = folder, count
         self.names = [f"h{who}" for who in range(count)]
         self.ports = free_ports(socket.SOCK_DGRAM, count + 1)
-        self.real = None
-        self.taken = {name: {} for name in self.names}  # microseconds by (generation, number)
-        self.doubled = dict.fromkeys(self.names, 0)
-        self.cut = self.lost = 0
-        self.cpu_us = self.charged_us = 0  # of the process, and of that by all fronts' subsystems
+        self.real_front = None
+        self.event_times = {
+            name: {} for name in self.names
+        }  # arrival in microseconds by (generation, number)
+        self.duplicates = dict.fromkeys(self.names, 0)
+        self.cut_datagrams = self.lost_datagrams = 0
+        self.cpu_us = self.subsystems_us = 0  # of the process, and the part of it in subsystems of fronts
 
     def __enter__(self):
-        self.service = spawned("tests.list_service", str(self.count + 1))
+        self.service = start_module("tests.list_service", str(self.count + 1))
         self.changelogs = json.loads(self.service.stdout.readline())
         fronts = [self.write_front(who, name) for who, name in enumerate(self.names)]
         directory = {
@@ -64,18 +67,18 @@
         self.write("directory.json", json.dumps(directory))
         config = {"fronts": fronts, "directory": self.path("directory.json")}
         self.config = self.write("config.json", json.dumps(config))
-        self.process = spawned("limepath.scale.hollow_process", self.config)
-        self.whole_list = [member(f"s-{index}") for index in range(3)]
-        self.add({"fleet": {"complete": True, "revision": 1, "members": self.whole_list}})
+        self.process = start_module("limepath.scale.hollow_process", self.config)
+        self.all_members = [member(f"s-{index}") for index in range(3)]
+        self.publish({"fleet": {"complete": True, "revision": 1, "members": self.all_members}})
         return self
 
     def __exit__(self, failed, *_):
-        if self.real:
-            self.real.kill()
-            end(self.real)
-        said = end(self.process)
-        end(self.service)
-        assert failed or self.process.returncode == 0 and not said, said
+        if self.real_front:
+            self.real_front.kill()
+            close_process(self.real_front)
+        error_output = close_process(self.process)
+        close_process(self.service)
+        assert failed or self.process.returncode == 0 and not error_output, error_output
 
     # Files
 
@@ -116,14 +119,14 @@
 connections = 100
 """,
         )
-        told = {
+        configuration = {
             "name": name,
             "listen": f"{HOST}:{free_ports(socket.SOCK_STREAM, 1)[0]}",
             "seed": f"{who + 1:x}",
             "changelog": f"{HOST}:{self.changelogs[who]}",
             "settings": SETTINGS,
         }
-        settings = self.write(f"{name}/front.json", json.dumps(told))
+        settings = self.write(f"{name}/front.json", json.dumps(configuration))
         region = REGIONS[who % 2]
         return {
             "name": name,
@@ -135,66 +138,68 @@
         }
 
     def start_real(self, name):
-        """Start `limepath run` as one more front."""
+        """Start `limepath run` as an additional front."""
         front = self.write_front(self.count, name)
-        self.real = spawned("limepath", "run", "--config", front["settings"], "--peers", front["peers"])
+        self.real_front = start_module(
+            "limepath", "run", "--config", front["settings"], "--peers", front["peers"]
+        )
 
     # Commands
 
-    def add(self, told):
-        """Tell an event at the list service; give its number."""
-        self.service.stdin.write(json.dumps(told).encode() + b"\n")
+    def publish(self, event):
+        """Send an event through the list service; return its number."""
+        self.service.stdin.write(json.dumps(event).encode() + b"\n")
         self.service.stdin.flush()
         return int(self.service.stdout.readline())
 
     def purge(self, number=17):
-        return self.add({"invalidate": {"bucket": number, "time": int(time.time() * 1000)}})
+        return self.publish({"invalidate": {"bucket": number, "time": int(time.time() * 1000)}})
 
-    def say(self, line):
-        """Send a line as it is; give the Reply."""
+    def send_line(self, line):
+        """Send a line unchanged; return the Reply."""
         self.process.stdin.write(line)
         self.process.stdin.flush()
         return control.decode_reply(self.process.stdout.readline())
 
-    def do(self, command):
-        reply = self.say(control.encode(command))
+    def execute(self, command):
+        reply = self.send_line(control.encode(command))
         assert reply.ok, reply.error
         return reply
 
     def report(self):
-        """The fronts' reports; what they count is summed up here too."""
-        reply = self.do(control.Report())
+        """Request the fronts' reports, add their counts to the totals and return the reply."""
+        reply = self.execute(control.Report())
         for name, front in reply.fronts.items():
             for generation, number, at_us in front.events:
-                assert (generation, number) not in self.taken[name]
-                self.taken[name][generation, number] = at_us
-            self.doubled[name] += front.doubled
-            self.charged_us += sum(front.cpu_us.values())
+                assert (generation, number) not in self.event_times[name]
+                self.event_times[name][generation, number] = at_us
+            self.duplicates[name] += front.doubled
+            self.subsystems_us += sum(front.cpu_us.values())
         self.cpu_us += reply.process.cpu_us
-        self.cut += reply.process.dropped.cut
-        self.lost += reply.process.dropped.loss
+        self.cut_datagrams += reply.process.dropped.cut
+        self.lost_datagrams += reply.process.dropped.loss
         return reply
 
-    def until(self, holds):
-        """Wait until it holds of the fronts' reports; give those."""
+    def wait_for(self, condition):
+        """Wait until the condition is true for the fronts' reports; return the reports."""
         deadline = time.monotonic() + BOUND
-        while not holds(fronts := self.report().fronts):
+        while not condition(fronts := self.report().fronts):
             assert time.monotonic() < deadline, fronts
-            time.sleep(BETWEEN)
+            time.sleep(REPORT_INTERVAL)
         return fronts
 
-    def until_all(self, names, **values):
-        """Wait until these fronts tell these values."""
-        return self.until(
+    def wait_for_values(self, names, **values):
+        """Wait until these fronts report these values."""
+        return self.wait_for(
             lambda fronts: all(
                 getattr(fronts[name], key) == value for name in names for key, value in values.items()
             )
         )
 
     def start(self):
-        """Start all; wait until each knows all others and has the list."""
-        self.do(control.Start(self.names))
-        return self.until_all(self.names, live=self.count, late=False)
+        """Start all fronts; wait until each considers all alive and has the list."""
+        self.execute(control.Start(self.names))
+        return self.wait_for_values(self.names, live=self.count, late=False)
 
-    def until_taken(self, names, number):
-        self.until(lambda _: all(any(n == number for _, n in self.taken[name]) for name in names))
+    def wait_for_event(self, names, number):
+        self.wait_for(lambda _: all(any(n == number for _, n in self.event_times[name]) for name in names))
--- a/tests/test_hollow_fronts.py
+++ b/tests/test_hollow_fronts.py
@@ -23,7 +23,7 @@
 from limepath.scale.links import Links
 from limepath.scale.quiet_log import CountingLog, LogFile
 from limepath.testbed.process import HOST
-from tests.hollow_fleet import HollowFleet, end, spawned
+from tests.hollow_fleet import HollowFleet, close_process, start_module
 
 # Commands and reports
 
@@ -256,12 +256,12 @@
         assert len({front.token for front in fronts.values()}) == 5
         assert {front.role for front in fronts.values()} <= {"relays", "follows"}
         began = clock()
-        added = fleet.add({"fleet": {"revision": 2, "members": [member("s-9")]}})
+        added = fleet.publish({"fleet": {"revision": 2, "members": [member("s-9")]}})
         purged = fleet.purge()
-        fleet.until_taken(fleet.names, purged)
-        fleet.until_all(fleet.names, number=purged, generation=0)
+        fleet.wait_for_event(fleet.names, purged)
+        fleet.wait_for_values(fleet.names, number=purged, generation=0)
         for name in fleet.names:
-            assert began < fleet.taken[name][0, added] <= fleet.taken[name][0, purged] < clock()
+            assert began < fleet.event_times[name][0, added] <= fleet.event_times[name][0, purged] < clock()
         counted = {name: (0, 0, 0) for name in fleet.names}
 
         def enough(fronts):
@@ -270,18 +270,18 @@
                 counted[name] = tuple(map(sum, zip(counted[name], now, strict=True)))
             return all(min(counts) > 0 for counts in counted.values())
 
-        fleet.until(enough)
+        fleet.wait_for(enough)
         assert fleet.report().process.rss_bytes > 10_000_000
-        assert 0 < fleet.charged_us <= fleet.cpu_us
+        assert 0 < fleet.subsystems_us <= fleet.cpu_us
 
 
 def test_a_real_front_and_hollow_ones_are_one_fleet(tmp_path):
     with HollowFleet(str(tmp_path), 3) as fleet:
         fleet.start()
         fleet.start_real("r0")
-        fleet.until_all(fleet.names, live=4)
+        fleet.wait_for_values(fleet.names, live=4)
         purged = fleet.purge()
-        fleet.until_all(fleet.names, number=purged)
+        fleet.wait_for_values(fleet.names, number=purged)
         control_socket = fleet.path("r0", "peers.sock")
 
         def joined(fronts):
@@ -289,7 +289,7 @@
             tokens = {member["token"] for member in real["members"] if member["state"] == "alive"}
             return {front.token for front in fronts.values()} < tokens and listing["number"] == purged
 
-        fleet.until(joined)
+        fleet.wait_for(joined)
         hollow, real = (request_view(fleet.path(name, "peers.sock"), "listing") for name in ("h0", "r0"))
         assert hollow["digest"] == real["digest"] and hollow["members"] == real["members"] == 3
         assert set(hollow) == set(real) and set(hollow["counts"]) == set(real["counts"])
@@ -298,59 +298,59 @@
 def test_a_killed_front_is_found_and_comes_back_as_a_new_life(tmp_path):
     with HollowFleet(str(tmp_path), 4) as fleet:
         before = fleet.start()["h3"]
-        fleet.do(control.Kill(["h3"]))
+        fleet.execute(control.Kill(["h3"]))
         others = fleet.names[:3]
-        fleet.until_all(others, live=3)
+        fleet.wait_for_values(others, live=3)
         down = fleet.report().fronts["h3"]
         assert (down.live, down.late, down.number) == (None, None, None)
         purged = fleet.purge()
-        fleet.until_taken(others, purged)
-        assert (0, purged) not in fleet.taken["h3"]
-        fleet.do(control.Start(["h3"]))
-        fleet.taken["h3"].clear()
-        fleet.until_all(fleet.names, live=4, late=False, number=purged)
+        fleet.wait_for_event(others, purged)
+        assert (0, purged) not in fleet.event_times["h3"]
+        fleet.execute(control.Start(["h3"]))
+        fleet.event_times["h3"].clear()
+        fleet.wait_for_values(fleet.names, live=4, late=False, number=purged)
         after = fleet.report().fronts["h3"]
         assert after.token == before.token and (before.life, after.life) == (1, 2)
-        assert fleet.taken["h3"][0, purged]
+        assert fleet.event_times["h3"][0, purged]
 
 
 def test_a_paused_front_is_late_and_catches_up(tmp_path):
     with HollowFleet(str(tmp_path), 4) as fleet:
         fleet.start()
-        fleet.do(control.Pause(["h2"]))
+        fleet.execute(control.Pause(["h2"]))
         others = ["h0", "h1", "h3"]
         purged = fleet.purge()
-        fleet.until_taken(others, purged)
-        fleet.until_all(others, live=3)  # it answers nobody
+        fleet.wait_for_event(others, purged)
+        fleet.wait_for_values(others, live=3)  # it answers nobody
         paused = fleet.report().fronts["h2"]
         assert paused.live is None and paused.life == 1 and not any(paused.cpu_us.values())
-        assert (0, purged) not in fleet.taken["h2"]
+        assert (0, purged) not in fleet.event_times["h2"]
         resumed = clock()
-        fleet.do(control.Resume(["h2"]))
-        fleet.until_taken(["h2"], purged)
-        assert fleet.taken["h2"][0, purged] > resumed
-        fronts = fleet.until_all(fleet.names, live=4, late=False, number=purged)
+        fleet.execute(control.Resume(["h2"]))
+        fleet.wait_for_event(["h2"], purged)
+        assert fleet.event_times["h2"][0, purged] > resumed
+        fronts = fleet.wait_for_values(fleet.names, live=4, late=False, number=purged)
         assert fronts["h2"].life == 1
 
 
 def test_a_cut_between_regions_takes_effect_and_ends(tmp_path):
     with HollowFleet(str(tmp_path), 5) as fleet:
         fleet.start()
-        fleet.do(control.Links(cuts=[("north", "south")]))
+        fleet.execute(control.Links(cuts=[("north", "south")]))
         north, south = fleet.names[::2], fleet.names[1::2]
-        fleet.until(
+        fleet.wait_for(
             lambda fronts: (
                 all(fronts[name].live == 3 for name in north)
                 and all(fronts[name].live == 2 for name in south)
             )
         )
-        assert fleet.cut > 0 and fleet.lost == 0
-        fleet.do(control.Links())
-        fronts = fleet.until_all(fleet.names, live=5)
+        assert fleet.cut_datagrams > 0 and fleet.lost_datagrams == 0
+        fleet.execute(control.Links())
+        fronts = fleet.wait_for_values(fleet.names, live=5)
         assert len({front.view for front in fronts.values()}) == 1
-        cut = fleet.cut
+        cut = fleet.cut_datagrams
         fleet.report()
-        assert fleet.cut == cut
+        assert fleet.cut_datagrams == cut
 
 
 def test_a_reload_moves_to_another_address_of_the_list_service(tmp_path):
@@ -360,47 +360,47 @@
             told = json.load(file)
         moved = told | {"changelog": f"{HOST}:{fleet.changelogs[0]}", "seed": "99"}
         fleet.write("h1/front.json", json.dumps(moved))
-        fleet.do(control.Reload(["h1"]))
+        fleet.execute(control.Reload(["h1"]))
         said = fleet.report().fronts["h1"].said
         assert said["reload"] == 1  # the seed differs, and changes at a restart only
         purged = fleet.purge()
-        fleet.until_taken(fleet.names, purged)
+        fleet.wait_for_event(fleet.names, purged)
         fleet.write("h1/front.json", "{")
-        reply = fleet.say(control.encode(control.Reload(["h1"])))
+        reply = fleet.send_line(control.encode(control.Reload(["h1"])))
         assert not reply.ok and reply.error.startswith("h1: ") and "running values stay" in reply.error
         purged = fleet.purge()
-        fleet.until_taken(fleet.names, purged)
+        fleet.wait_for_event(fleet.names, purged)
 
 
 def test_events_reach_all_under_loss(tmp_path):
     with HollowFleet(str(tmp_path), 4) as fleet:
         fleet.start()
-        fleet.do(control.Links(loss=0.2))
+        fleet.execute(control.Links(loss=0.2))
         numbers = [fleet.purge(bucket) for bucket in range(20)]
-        fleet.until_all(fleet.names, number=numbers[-1])
-        fleet.until(lambda _: fleet.lost > 0)
-        fleet.do(control.Links())
+        fleet.wait_for_values(fleet.names, number=numbers[-1])
+        fleet.wait_for(lambda _: fleet.lost_datagrams > 0)
+        fleet.execute(control.Links())
         for number in numbers:
-            fleet.until_taken(fleet.names, number)
+            fleet.wait_for_event(fleet.names, number)
 
 
 def test_what_cannot_be_done_is_told_and_the_rest_goes_on(tmp_path):
     with HollowFleet(str(tmp_path), 2) as fleet:
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as holder:
             holder.bind((HOST, fleet.ports[1]))
-            reply = fleet.say(control.encode(control.Start(["h0", "h1"])))
+            reply = fleet.send_line(control.encode(control.Start(["h0", "h1"])))
             assert not reply.ok and reply.error.startswith("h1: ") and str(fleet.ports[1]) in reply.error
-        fleet.do(control.Start(["h1"]))  # h0 runs
+        fleet.execute(control.Start(["h1"]))  # h0 runs
         for line, error in (
             (b"nonsense\n", "JSON is malformed"),
             (b'{"do": "start", "names": ["h0"]}\n', "h0: is running"),
             (b'{"do": "resume", "names": ["h0"]}\n', "h0: is running"),
             (b'{"do": "kill", "names": ["h0", "h9"]}\n', "no front 'h9'"),
         ):
-            reply = fleet.say(line)
+            reply = fleet.send_line(line)
             assert not reply.ok and reply.error.startswith(error)
-        fleet.until_all(fleet.names, live=2, late=False)
-        assert fleet.do(control.End()) == Reply(True)
+        fleet.wait_for_values(fleet.names, live=2, late=False)
+        assert fleet.execute(control.End()) == Reply(True)
         fleet.process.wait(60)
 
 
@@ -442,9 +442,9 @@
         with open(fleet.config, encoding="utf-8") as file:
             told = json.load(file)
         spoil(told)
-        process = spawned("limepath.scale.hollow_process", fleet.write("spoilt.json", json.dumps(told)))
+        process = start_module("limepath.scale.hollow_process", fleet.write("spoilt.json", json.dumps(told)))
         assert process.stdout.read() == b""
-        said = end(process)
+        said = close_process(process)
     assert process.returncode == 2
     assert said.startswith("limepath: configuration: ") and words in said and said.count("\n") == 1
 
@@ -459,8 +459,8 @@
         path = tmp_path / name
         if data is not None:
             path.write_bytes(data)
-        process = spawned("limepath.scale.hollow_process", str(path))
-        said = end(process)
+        process = start_module("limepath.scale.hollow_process", str(path))
+        said = close_process(process)
         assert process.returncode == 2 and words in said and said.count("\n") == 1, said
 
 
@@ -471,7 +471,7 @@
         with open(fleet.config, encoding="utf-8") as file:
             told = json.load(file)
         told["fronts"][0]["peers"] = peers
-        process = spawned("limepath.scale.hollow_process", fleet.write("short.json", json.dumps(told)))
-        said = end(process)
+        process = start_module("limepath.scale.hollow_process", fleet.write("short.json", json.dumps(told)))
+        said = close_process(process)
     assert process.returncode == 2
     assert said.startswith("limepath: configuration: h0: ") and "[listing]: missing" in said
--- a/tests/two_versions_fleet.py
+++ b/tests/two_versions_fleet.py
@@ -177,9 +177,9 @@
 
     def log_events(self, names: tuple[Name, ...]) -> list[str]:
         """Return the log lines with these events since the last start."""
-        words = {self.version.field(name) for name in names}
+        events = {self.version.field(name) for name in names}
         lines = list(self.lines())[self.log_offset :]
-        return [json.dumps(line) for line in lines if line.get("event") in words]
+        return [json.dumps(line) for line in lines if line.get("event") in events]
 
     def view(self, command: Name, *path: Name) -> Any:
         """Return the control socket's answer, or its part at `path`; None if there is none."""
