--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,55 +1,56 @@
-"""KNOWN-RED.txt at the root: tests that fail for a real fault which is not mended yet, one line each, `test |
-cause | issue`.
+"""Pytest plugin for KNOWN-RED.txt, the list of tests that fail because of a fault that is not fixed yet.
 
-A listed test that fails is printed with its cause and lets the run pass. A listed test that passes or is not
-found, a malformed line, or a fourth line fails the run: the list never grows old. Without the file, or with
-an empty one, nothing changes.
+Each line of the file, in the root folder, is `test | cause | issue`. A listed test that fails is printed with
+its cause and does not fail the run. To keep the list current, a listed test that passes or does not exist, a
+malformed line or a fourth line fails the run. A missing or empty file has no effect.
 """
 
 from pathlib import Path
 
 import pytest
 
-FILE, MOST = "KNOWN-RED.txt", 3
+FILE, MAX_TESTS = "KNOWN-RED.txt", 3
 
 
-def read(text):
-    """{test: (cause, issue)}; a list that can't be taken ends the run."""
+def parse(text):
+    """Return {test: (cause, issue)}; raise UsageError if the list is invalid."""
     listed = {}
     for number, line in enumerate(text.splitlines(), 1):
         if not line.strip():
             continue
         fields = [field.strip() for field in line.split("|")]
         if len(fields) != 3 or not all(fields) or "::" not in fields[0]:
-            raise pytest.UsageError(f"{FILE}:{number}: not `test | cause | issue`: {line!r}")
+            raise pytest.UsageError(f"{FILE}:{number}: expected `test | cause | issue`, found {line!r}")
         if fields[0] in listed:
             raise pytest.UsageError(f"{FILE}:{number}: {fields[0]} is listed twice")
         listed[fields[0]] = tuple(fields[1:])
-    if len(listed) > MOST:
-        raise pytest.UsageError(f"{FILE}: {len(listed)} tests listed, {MOST} at most")
+    if len(listed) > MAX_TESTS:
+        raise pytest.UsageError(f"{FILE}: {len(listed)} tests listed, at most {MAX_TESTS} allowed")
     return listed
 
 
 class KnownRed:
-    """The list at work in one run. Under pytest-xdist a worker runs the tests, and the controller hears of
-    them: each holds an object of its own.
+    """Applies the list to one run.
+
+    Under pytest-xdist, the workers run the tests and the controller receives their reports; each has an object
+    of its own.
     """
 
-    def __init__(self, listed, whole):
-        self.listed, self.whole, self.failed = listed, whole, set()
+    def __init__(self, listed, complete):
+        self.listed, self.complete, self.failed = listed, complete, set()
 
     def pytest_collection_finish(self, session):
         self.check_all_found(item.nodeid for item in session.items)
 
     @pytest.hookimpl(optionalhook=True)
     def pytest_xdist_node_collection_finished(self, node, ids):
-        """A worker has collected; here, as only the controller knows which part of the tests was chosen."""
+        """Check the tests that a worker has collected; only the controller knows whether a part was selected."""
         self.check_all_found(ids)
 
     def check_all_found(self, collected):
         missing = sorted(set(self.listed) - set(collected))
-        if missing and self.whole:
-            raise pytest.UsageError(f"{FILE}: no such test: {', '.join(missing)}")
+        if missing and self.complete:
+            raise pytest.UsageError(f"{FILE}: test does not exist: {', '.join(missing)}")
 
     def pytest_runtest_logreport(self, report):
         if report.nodeid in self.listed and hasattr(report, "wasxfail"):
@@ -66,7 +67,7 @@
         elif report.when == "teardown" and item.nodeid not in self.failed:
             report.outcome, report.longrepr = (
                 "failed",
-                f"{item.nodeid} passes (or was not run): take it out of {FILE}",
+                f"{item.nodeid} passes or was not run; remove it from {FILE}",
             )
 
     def pytest_terminal_summary(self, terminalreporter):
@@ -77,12 +78,12 @@
 
 def pytest_configure(config):
     path = Path(config.rootpath, FILE)
-    listed = read(path.read_text(encoding="utf-8")) if path.exists() else {}
+    listed = parse(path.read_text(encoding="utf-8")) if path.exists() else {}
     if listed:
-        chosen = (
-            hasattr(config, "workerinput")  # of pytest-xdist: its controller looks for all of them
+        selected = (
+            hasattr(config, "workerinput")  # a worker of pytest-xdist; the controller checks that all exist
             or config.option.keyword
             or config.option.markexpr
             or config.args_source is not config.ArgsSource.TESTPATHS
         )
-        config.pluginmanager.register(KnownRed(listed, not chosen), "known-red-list")
+        config.pluginmanager.register(KnownRed(listed, not selected), "known-red-list")
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of tests that are known to fail, played in runs of its own."""
+"""Tests of the list of known failures, in separate pytest runs."""
 
 import pytest
 
@@ -11,15 +11,15 @@
 
 @pytest.fixture
 def run(pytester, request, monkeypatch):
-    """Give (exit status, output) of a run over TESTS with this list."""
+    """Return a function that runs TESTS with a list and returns (exit status, output)."""
 
-    def run(text, *words):
+    def run(text, *arguments):
         pytester.makeini("[pytest]\ntestpaths = inner")
         pytester.mkdir("inner")
         pytester.path.joinpath("inner/test_inner.py").write_text(TESTS)
         if text is not None:
             pytester.path.joinpath("KNOWN-RED.txt").write_text(text)
-        result = pytester.runpytest_subprocess("-p", "tests.known_red", *words)
+        result = pytester.runpytest_subprocess("-p", "tests.known_red", *arguments)
         return result.ret, result.stdout.str() + result.stderr.str()
 
     monkeypatch.setenv("PYTHONPATH", str(request.config.rootpath))
@@ -32,52 +32,56 @@
 )
 
 
-def test_listed_tests_that_fail_let_the_run_pass_and_are_printed(run):
-    status, said = run(f"{BAD}\n\n{WORSE}\n")
+def test_failing_listed_tests_are_printed_and_do_not_fail_the_run(run):
+    status, output = run(f"{BAD}\n\n{WORSE}\n")
     assert (
         status == 0
-        and f"KNOWN RED {BAD}" in said
-        and f"KNOWN RED {WORSE}" in said
-        and "1 passed, 2 xfailed" in said
+        and f"KNOWN RED {BAD}" in output
+        and f"KNOWN RED {WORSE}" in output
+        and "1 passed, 2 xfailed" in output
     )
 
 
 @pytest.mark.parametrize(
-    ("third", "fails", "told"),
+    ("third", "exit_status", "expected"),
     [
         ("", 0, "1 passed, 2 xfailed"),
         ("inner/test_inner.py::test_good | none | 20", 1, "test_good passes"),
-        ("inner/test_inner.py::test_gone | moved | 18", 4, "no such test: inner/test_inner.py::test_gone"),
+        (
+            "inner/test_inner.py::test_gone | moved | 18",
+            4,
+            "test does not exist: inner/test_inner.py::test_gone",
+        ),
     ],
 )
-def test_spread_over_processes_the_list_says_the_same(run, third, fails, told):
-    status, said = run(f"{BAD}\n{WORSE}\n{third}", "-n", "2")
-    assert status == fails and told in said
-    assert fails == 4 or f"KNOWN RED {BAD}" in said and f"KNOWN RED {WORSE}" in said
+def test_list_has_the_same_effect_with_several_processes(run, third, exit_status, expected):
+    status, output = run(f"{BAD}\n{WORSE}\n{third}", "-n", "2")
+    assert status == exit_status and expected in output
+    assert exit_status == 4 or f"KNOWN RED {BAD}" in output and f"KNOWN RED {WORSE}" in output
 
 
-def test_another_failure_still_fails_the_run(run):
-    status, said = run(BAD)
-    assert status == 1 and "1 failed, 1 passed, 1 xfailed" in said
+def test_failure_of_an_unlisted_test_fails_the_run(run):
+    status, output = run(BAD)
+    assert status == 1 and "1 failed, 1 passed, 1 xfailed" in output
 
 
 @pytest.mark.parametrize("text", [None, "", "\n"])
-def test_without_a_list_nothing_changes(run, text):
-    status, said = run(text)
-    assert status == 1 and "2 failed, 1 passed" in said and "KNOWN RED" not in said
+def test_missing_or_empty_list_has_no_effect(run, text):
+    status, output = run(text)
+    assert status == 1 and "2 failed, 1 passed" in output and "KNOWN RED" not in output
 
 
-def test_a_listed_test_that_passes_fails_the_run(run):
-    status, said = run(f"{BAD}\n{WORSE}\ninner/test_inner.py::test_good | none | 20")
-    assert status == 1 and "test_good passes" in said
+def test_passing_listed_test_fails_the_run(run):
+    status, output = run(f"{BAD}\n{WORSE}\ninner/test_inner.py::test_good | none | 20")
+    assert status == 1 and "test_good passes" in output
 
 
 @pytest.mark.parametrize(
-    ("text", "named"),
+    ("text", "expected"),
     [
         (
             f"{BAD}\ninner/test_inner.py::test_gone | moved | 18",
-            "no such test: inner/test_inner.py::test_gone",
+            "test does not exist: inner/test_inner.py::test_gone",
         ),
         ("inner/test_inner.py::test_bad | no issue", "KNOWN-RED.txt:1"),
         ("test_bad | cause | 18", "KNOWN-RED.txt:1"),
@@ -85,11 +89,11 @@
         ("\n".join(f"inner/test_inner.py::test_{i} | c | 1" for i in range(4)), "4 tests listed"),
     ],
 )
-def test_a_list_that_cannot_be_taken_fails_the_run(run, text, named):
-    status, said = run(text)
-    assert status not in (0, 1, 5) and named in said
+def test_invalid_list_fails_the_run(run, text, expected):
+    status, output = run(text)
+    assert status not in (0, 1, 5) and expected in output
 
 
-def test_a_chosen_part_of_the_tests_may_leave_listed_ones_out(run):
-    status, said = run(f"{BAD}\n{WORSE}", "-k", "bad")
-    assert status == 0 and "KNOWN RED" in said
+def test_selected_part_of_the_tests_need_not_include_listed_ones(run):
+    status, output = run(f"{BAD}\n{WORSE}", "-k", "bad")
+    assert status == 0 and "KNOWN RED" in output
--- a/tests/test_stand_ins.py
+++ b/tests/test_stand_ins.py
@@ -1,11 +1,11 @@
-"""What the stand-ins promise to the tests that use them."""
+"""Tests of the stand-ins."""
 
 from tests import stand_ins
 from tests.stand_ins import Site, StandInChangeLog
 
 
-def test_a_site_does_not_take_the_front_of_another_test_for_its_own(monkeypatch):
-    """The port that was found free has gone to another's front before this one's could listen there."""
+def test_site_distinguishes_its_front_from_the_front_of_another_site(monkeypatch):
+    """Another front has taken the port, which was free, before this site's front could listen on it."""
     free_address = stand_ins.free_address
     with Site() as other:
         addresses = iter((other.listen_address,))
@@ -17,8 +17,8 @@
             assert client.answer()[2] == b"x" and other.cache.commands.empty()
 
 
-class LetGo:
-    """A connection whose other side is reset once its call has been read."""
+class ResetConnection:
+    """A connection that the client resets after its request."""
 
     def recv(self, _):
         return b"GET / HTTP/1.1\r\nLast-Event-ID: 0\r\n\r\n"
@@ -27,7 +27,7 @@
         raise ConnectionResetError
 
 
-def test_a_change_log_outlives_a_call_that_is_let_go_before_its_answer():
+def test_change_log_ignores_a_connection_reset_before_its_answer():
     log = StandInChangeLog()
-    assert log.serve(LetGo()) is None and log.calls.empty()
+    assert log.serve(ResetConnection()) is None and log.calls.empty()
     log.listener.close()
