--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -32,8 +32,8 @@
 class KnownRed:
     """Applies the list to one run.
 
-    Under pytest-xdist, the workers run the tests and the controller receives their reports; each has an object
-    of its own.
+    Under pytest-xdist, the workers run the tests and the controller receives their reports; each has
+    an object of its own.
     """
 
     def __init__(self, listed, complete):
@@ -44,7 +44,7 @@
 
     @pytest.hookimpl(optionalhook=True)
     def pytest_xdist_node_collection_finished(self, node, ids):
-        """Check the tests that a worker has collected; only the controller knows whether a part was selected."""
+        """Check the tests of a worker; only the controller knows whether a part of the tests was selected."""
         self.check_all_found(ids)
 
     def check_all_found(self, collected):
