--- a/tests/hollow_fleet.py
+++ b/tests/hollow_fleet.py
@@ -12,7 +12,7 @@
 from limepath.testbed.duties import SETTINGS
 from limepath.testbed.process import HOST, free_ports
 
-BOUND = 90  # seconds after which a wait fails the test
+TIMEOUT = 90  # seconds after which a wait fails the test
 REPORT_INTERVAL = 0.1  # seconds between requests for reports
 REGIONS = ("north", "south")
 KEY = "5a" * 32
@@ -31,7 +31,7 @@
 def close_process(process):
     """Close the process's input and wait for its end; return its standard error."""
     process.stdin.close()
-    process.wait(BOUND)
+    process.wait(TIMEOUT)
     error_output = process.stderr.read()
     process.stdout.close()
     process.stderr.close()
@@ -182,7 +182,7 @@
 
     def wait_for(self, condition):
         """Wait until the condition is true for the fronts' reports; return the reports."""
-        deadline = time.monotonic() + BOUND
+        deadline = time.monotonic() + TIMEOUT
         while not condition(fronts := self.report().fronts):
             assert time.monotonic() < deadline, fronts
             time.sleep(REPORT_INTERVAL)
--- a/tests/stand_ins.py
+++ b/tests/stand_ins.py
@@ -15,7 +15,7 @@
 from limepath.testbed.process import free_ports
 from tests.arrival_times import CommandReader, StampedStream, stamp_arrivals
 
-BOUND = 60  # seconds after which a wait fails the test
+TIMEOUT = 60  # seconds after which a wait fails the test
 MS = 1_000_000
 LISTEN = "0A"  # the state TCP_LISTEN (tcp_states.h) as /proc/net/tcp shows it
 # The program under test writes the counts of injected faults; a slow write to a disk would block it.
@@ -26,8 +26,8 @@
     "areas": ["sur", "hub"],
     "models": ["box", "parent", "origin"],
     "classes": [
-        {"name": "video", "aim": 600 * MS, "deadline": 1000 * BOUND * MS, "idempotency": "free"},
-        {"name": "tarea", "aim": 800 * MS, "deadline": 1000 * BOUND * MS, "idempotency": "single_shot"},
+        {"name": "video", "aim": 600 * MS, "deadline": 1000 * TIMEOUT * MS, "idempotency": "free"},
+        {"name": "tarea", "aim": 800 * MS, "deadline": 1000 * TIMEOUT * MS, "idempotency": "single_shot"},
     ],
     "family-info": {
         "mid-kind": 1,
@@ -71,10 +71,10 @@
 
 
 def wait_for(condition):
-    """Wait until `condition()` is true; fail after BOUND."""
-    end = time.monotonic() + BOUND
+    """Wait until `condition()` is true; fail after TIMEOUT seconds."""
+    end = time.monotonic() + TIMEOUT
     while not condition():
-        assert time.monotonic() < end, f"the condition was not met within {BOUND} s"
+        assert time.monotonic() < end, f"the condition was not met within {TIMEOUT} s"
         time.sleep(0.005)
 
 
@@ -192,7 +192,7 @@
         self.accept_queue_full = True
         # The last connection that the thread accepts.
         self.queued_connections.append(socket.create_connection(self.listener.getsockname()))
-        self.accepted_last.wait(BOUND)
+        self.accepted_last.wait(TIMEOUT)
         self.listener.listen(0)
         while True:
             connection = socket.socket()
@@ -231,7 +231,7 @@
         accept_in_thread(self.listener, self.serve)
 
     def next(self, word="ASK"):
-        command = self.commands.get(timeout=BOUND)
+        command = self.commands.get(timeout=TIMEOUT)
         assert command.word == word, (command.word, command.fields)
         return command
 
@@ -262,7 +262,7 @@
         self.calls.put(int(last))
 
     def next_call(self):
-        return self.calls.get(timeout=BOUND)
+        return self.calls.get(timeout=TIMEOUT)
 
     def send_event(self, seq, **event):
         self.raw(seq, json.dumps({"seq": seq} | event))
@@ -280,7 +280,7 @@
 
     def __init__(self, where):
         host, port = where.split(":")
-        self.socket = socket.create_connection((host, int(port)), timeout=BOUND)
+        self.socket = socket.create_connection((host, int(port)), timeout=TIMEOUT)
         self.stamps = StampedStream(self.socket)
         self.stream = io.BufferedReader(self.stamps)
 
@@ -289,7 +289,7 @@
         target="/invoke/video/7f3a9c21e0b4d655?block=3",
         body=None,
         txn="9b1f03aa5c7e2d41",
-        ttl=1000 * BOUND,
+        ttl=1000 * TIMEOUT,
         **fields,
     ):
         headers = {"Host": "app.svc", "X-Txn": txn, "X-Ttl-Ms": ttl, "X-Family": 17} | {
@@ -348,7 +348,7 @@
         "name": "n1",
         "listen": listen_address,
         "seed": "8c1f30d27a5be964",
-        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256, "last_answer_ms": 1000 * BOUND},
+        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256, "last_answer_ms": 1000 * TIMEOUT},
         "changelog": "127.0.0.1:9",
         "known": {"seq": 0, "results": []},
         "settings": SETTINGS,
@@ -409,7 +409,7 @@
             self.write_faults()
         self.process = start_program(self.configuration, self.arguments, self.descriptors, self.program)
         threading.Thread(target=self.listen, daemon=True).start()
-        end = time.monotonic() + BOUND
+        end = time.monotonic() + TIMEOUT
         while time.monotonic() < end and self.process.poll() is None:
             if holds_listener(self.process, self.listen_address):  # a front of another test would answer, too
                 return self.health()[0] == 200
@@ -422,7 +422,7 @@
 
     def next_log_line(self, word):
         """Return the next line of the front's log that contains the word."""
-        while word not in (line := self.lines.get(timeout=BOUND)):
+        while word not in (line := self.lines.get(timeout=TIMEOUT)):
             pass
         return line.rstrip()
 
--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -23,7 +23,7 @@
 from limepath.front.clock import clock
 from limepath.interface.events import EndpointState
 from limepath.log import Log
-from tests.stand_ins import BOUND, HttpClient, Site, connections, open_listener, wait_for
+from tests.stand_ins import TIMEOUT, HttpClient, Site, connections, open_listener, wait_for
 from tests.test_endings import (
     COPY_FIELDS,
     LONG_WAIT,
@@ -237,7 +237,7 @@
         self.listener.setsockopt(socket.IPPROTO_TCP, socket.TCP_MAXSEG, 536)
         self.listener.bind(("127.0.0.1", 0))
         self.listener.listen()
-        self.listener.settimeout(BOUND)
+        self.listener.settimeout(TIMEOUT)
         self.servers.update_endpoint(1, "s-1", self.listener.getsockname(), 0, EndpointState.READY)
         self.clients.listen(TCP4ServerEndpoint(self.reactor, 0, interface="127.0.0.1"))
 
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -14,7 +14,7 @@
     available_descriptors,
     plan_limits,
 )
-from tests.stand_ins import BOUND, Site, StandInCache, accept_in_thread, wait_for
+from tests.stand_ins import TIMEOUT, Site, StandInCache, accept_in_thread, wait_for
 from tests.test_client_disconnects import driven  # noqa: F401 (a fixture)
 from tests.test_endings import COPY_FIELDS, resume_front, suspend_front
 
@@ -161,8 +161,8 @@
 def test_idle_cache_connections_are_replaced_within_the_reserved_descriptors(driven):  # noqa: F811
     number = 2 * CROSSING_CLOSES
     # Timeouts that a slow machine does not reach.
-    front = driven(open_requests=number, wait=BOUND * 1_000_000, connect=BOUND * 1_000_000)
-    front.clients.services[b"video"] = (0, False, BOUND * 1_000_000)
+    front = driven(open_requests=number, wait=TIMEOUT * 1_000_000, connect=TIMEOUT * 1_000_000)
+    front.clients.services[b"video"] = (0, False, TIMEOUT * 1_000_000)
     front.servers.limits = front.servers.limits._replace(all_cache_connections=number)
     first, second = Answering("s-1"), Answering("s-2")
     clients, most = [front.open_client() for _ in range(number)], 0
@@ -172,7 +172,7 @@
         front.front.member = member
         front.servers.update_endpoint(member, cache.name, cache.listener.getsockname(), 0, front.ready)
         for i, client in enumerate(clients):
-            client.send(txn=f"{start + i:016x}", ttl=BOUND * 1000)
+            client.send(txn=f"{start + i:016x}", ttl=TIMEOUT * 1000)
         front.passes_until(lambda: len(front.clients.requests) == number)
 
         def all_asked():
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -38,7 +38,7 @@
 )
 from limepath.log import Log
 from tests.stand_ins import (
-    BOUND,
+    TIMEOUT,
     MS,
     SETTINGS,
     HttpClient,
@@ -392,7 +392,7 @@
         command.connection.sendall(partial_answer.replace(b"ID", command.id.encode()))
         assert client.answer()[0] == 503
         other = site.open_client().send(txn="00000000000000fe")
-        while (again := site.cache.commands.get(timeout=BOUND)).word != "ASK":
+        while (again := site.cache.commands.get(timeout=TIMEOUT)).word != "ASK":
             pass
         assert again.connection is not command.connection
         again.answer("DONE", COPY_FIELDS, b"mine")
@@ -436,7 +436,7 @@
     client.socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     # With the default segment size, the sender's buffer takes a megabyte.
     client.socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_MAXSEG, 536)
-    client.socket.settimeout(BOUND)
+    client.socket.settimeout(TIMEOUT)
     client.socket.connect((host, int(port)))
     client.stream = client.socket.makefile("rb")
     return client.send(**fields)
@@ -471,7 +471,7 @@
         idle.socket.shutdown(socket.SHUT_WR)
         command.answer("DONE")
         assert busy.answer()[0] == 200
-        assert site.process.wait(BOUND) == 0 and site.origin.commands.empty()
+        assert site.process.wait(TIMEOUT) == 0 and site.origin.commands.empty()
 
 
 def test_a_half_closed_client_receives_its_buffered_response():
@@ -513,7 +513,7 @@
         resume_front(site)
         site.origin.next().answer("DONE")
         assert client.answer()[0] == 200
-        assert site.process.wait(BOUND) == 0
+        assert site.process.wait(TIMEOUT) == 0
 
 
 def test_shutdown_waits_for_a_slow_reader_up_to_the_longest_deadline():
@@ -546,7 +546,7 @@
         wait_for(lambda: any("event=leaving" in line for line in site.log_lines))
         command.answer("DONE", COPY_FIELDS, b"x")
         assert client.answer()[2] == b"x"
-        assert site.process.wait(BOUND) == 0
+        assert site.process.wait(TIMEOUT) == 0
         assert not [line for line in site.log_lines if "fault" in line]
 
 
@@ -561,7 +561,7 @@
         repeat = site.open_client().send(txn="00000000000000fe", ttl=1500)
         for answer in (client.answer(), repeat.answer()):
             assert answer[0] == 503 and answer[1]["connection"] == "close"
-        assert site.process.wait(BOUND) == 0
+        assert site.process.wait(TIMEOUT) == 0
 
 
 def test_shutdown_answers_requests_whose_deadline_is_after_the_kill():
@@ -570,7 +570,7 @@
     with Site(limits={"leaving_ms": 500, "sockets": 256}) as site:
         clients = [site.open_client().send(), site.open_client()]
         for client in clients:
-            client.socket.settimeout(BOUND / 2)  # their own time is BOUND
+            client.socket.settimeout(TIMEOUT / 2)  # their own time is TIMEOUT
         site.cache.next()
         site.terminate()
         while site.health()[0] == 200:
@@ -579,27 +579,27 @@
         site.cache.next()
         answers = [client.answer() for client in clients]
         assert [answer[0] for answer in answers] == [503, 503]
-        assert site.process.wait(BOUND) == 0
+        assert site.process.wait(TIMEOUT) == 0
 
 
 def test_a_write_that_may_have_run_is_failed_not_shed_at_shutdown():
     with Site(limits={"leaving_ms": 300, "last_answer_ms": 600}) as site:
         client = site.open_client().send("/invoke/tarea/7f3a9c21e0b4d655", body=b"essay")
-        client.socket.settimeout(BOUND / 2)  # the request itself has BOUND seconds
+        client.socket.settimeout(TIMEOUT / 2)  # the request itself has TIMEOUT seconds
         command = site.origin.next()
         site.terminate()
         assert client.answer()[0] == 502
         assert command.id == "9b1f03aa5c7e2d41"
-        assert site.process.wait(BOUND) == 0
+        assert site.process.wait(TIMEOUT) == 0
 
 
 def test_shutdown_does_not_extend_shorter_deadlines():
-    with Site(limits={"leaving_ms": 300, "last_answer_ms": 1000 * BOUND}) as site:
+    with Site(limits={"leaving_ms": 300, "last_answer_ms": 1000 * TIMEOUT}) as site:
         client = site.open_client().send(ttl=700)
         site.cache.next()
         site.terminate()
         assert client.answer()[0] == 503
-        assert site.process.wait(BOUND) == 0
+        assert site.process.wait(TIMEOUT) == 0
 
 
 class ConfigurationPipe:
@@ -646,7 +646,7 @@
         if number == signal.SIGHUP:  # if it were lost, the front would watch the old list service forever
             assert second.calls.get(timeout=15) == 0
         else:
-            assert process.wait(BOUND) == 0  # connections accepted meanwhile have been answered
+            assert process.wait(TIMEOUT) == 0  # connections accepted meanwhile have been answered
     finally:
         process.kill()
         process.wait()
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -29,7 +29,7 @@
 from limepath.log import Log
 from tests.fake_host import FakeHost
 from tests.stand_ins import (
-    BOUND,
+    TIMEOUT,
     MS,
     SETTINGS,
     Site,
@@ -51,7 +51,7 @@
         command = site.cache.next()
         assert command.id == "9b1f03aa5c7e2d41" and command.body == b""
         budget = int(command.fields.pop("budget"))
-        assert 0 < budget <= 1000 * BOUND
+        assert 0 < budget <= 1000 * TIMEOUT
         assert command.fields == {"queue": "video", "path": "7f3a9c21e0b4d655", "blk": "3", "store": "1"}
         command.answer("DONE", NOW, OBJECT)
         status, fields, body = client.answer()
@@ -363,7 +363,7 @@
         assert idle.closed_by_server() and site.process.poll() is None
         command.answer("DONE", NOW, OBJECT)
         assert open_one.answer()[2] == OBJECT and open_one.closed_by_server()
-        assert site.process.wait(BOUND) == 0
+        assert site.process.wait(TIMEOUT) == 0
 
 
 def test_large_last_answer_is_sent_completely_before_the_close():
@@ -567,7 +567,7 @@
     ]
     processes = [(start_program(told), key) for told, key in cases]
     for process, key in processes:
-        _, errors = process.communicate(timeout=BOUND)
+        _, errors = process.communicate(timeout=TIMEOUT)
         assert process.returncode == 2 and key in errors and errors.count("\n") == 1, (key, errors)
     taken.close()
 
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -16,7 +16,7 @@
 from limepath.log import Log
 from limepath.testbed.process import free_ports
 from tests.fake_host import FakeHost
-from tests.stand_ins import BOUND, SETTINGS, StandInChangeLog, address, configuration, start_program
+from tests.stand_ins import TIMEOUT, SETTINGS, StandInChangeLog, address, configuration, start_program
 
 # READY_WITHIN: seconds, for nine of ten fronts that start at once.
 MEMBERS, STARTS, READY_WITHIN = 1400, 12, 10
@@ -65,7 +65,7 @@
             )
             arguments = (processes[-1], time.monotonic())
             threading.Thread(target=wait_for_ready, args=arguments, daemon=True).start()
-        ready_lines = [ready.get(timeout=BOUND) for _ in range(STARTS)]
+        ready_lines = [ready.get(timeout=TIMEOUT) for _ in range(STARTS)]
     finally:
         for process in processes:
             process.kill()
--- a/tests/test_terms_clock.py
+++ b/tests/test_terms_clock.py
@@ -6,7 +6,7 @@
 import threading
 import time
 
-from tests.stand_ins import BOUND, MS, SETTINGS, Site, wait_for
+from tests.stand_ins import TIMEOUT, MS, SETTINGS, Site, wait_for
 
 HOUR = 3600
 STEPS = (HOUR, 3, -3, -HOUR)
@@ -31,7 +31,7 @@
 
 
 def next_request(cache):
-    while (command := cache.commands.get(timeout=BOUND)).word != "ASK":  # skips cancellations
+    while (command := cache.commands.get(timeout=TIMEOUT)).word != "ASK":  # skips cancellations
         pass
     return command
 
--- a/tests/test_terms_discovery.py
+++ b/tests/test_terms_discovery.py
@@ -11,7 +11,7 @@
 from itertools import count
 
 from limepath.front.server_sent_events import EventReader
-from tests.stand_ins import BOUND, Site, accept_in_thread, address, open_listener, wait_for
+from tests.stand_ins import TIMEOUT, Site, accept_in_thread, address, open_listener, wait_for
 from tests.test_endings import COPY_FIELDS
 
 
@@ -44,7 +44,7 @@
 def endpoint_asked(site, number):
     """Request an object, and return the name of the endpoint that receives the attempt."""
     client = site.open_client().send("/invoke/video/1", txn=f"{number:016x}")
-    command = site.cache.commands.get(timeout=BOUND)
+    command = site.cache.commands.get(timeout=TIMEOUT)
     command.answer("DONE", COPY_FIELDS, b"x")
     assert client.answer()[0] == 200
     client.close()
@@ -97,7 +97,7 @@
         head = b"HTTP/1.1 200 OK\r\nTRANSFER-ENCODING:Chunked\r\nContent-Type:text/event-stream\r\n\r\n"
         log = SlowListService(0, head + chunks)
         site.reload(json.dumps(site.configuration | {"changelog": address(log.listener)}))
-        log.calls.get(timeout=BOUND)
+        log.calls.get(timeout=TIMEOUT)
         site.parent.commands = site.cache.commands
         number = 0
         while endpoint_asked(site, number) == "s-1":
--- a/tests/test_terms_shutdown.py
+++ b/tests/test_terms_shutdown.py
@@ -8,7 +8,7 @@
 import time
 
 from limepath.configuration.platform import front_settings
-from tests.stand_ins import BOUND, MS, SETTINGS, Site, configuration, wait_for
+from tests.stand_ins import TIMEOUT, MS, SETTINGS, Site, configuration, wait_for
 from tests.test_endings import COPY_FIELDS
 
 ARRIVAL_PERIOD = 600_000  # microseconds after SIGTERM: 0.4 s for new connections, 0.2 s more on open ones
@@ -68,7 +68,7 @@
 def test_temporary_accept_errors_during_shutdown_lose_no_connection():
     """Connections in the kernel's accept queue count as accepted; the error outlasts `leaving_ms`."""
     for error in ("ECONNABORTED", "ENFILE"):
-        with Site(faults={}, limits={"leaving_ms": 700, "last_answer_ms": 1000 * BOUND}) as site:
+        with Site(faults={}, limits={"leaving_ms": 700, "last_answer_ms": 1000 * TIMEOUT}) as site:
             site.inject(fail={"accept": [error, 10**9]})
             clients = [site.open_client().send(txn=f"{number:016x}") for number in range(3)]
             site.terminate()
@@ -79,4 +79,4 @@
             for _ in clients:
                 site.cache.next().answer("DONE", COPY_FIELDS, b"x")
             assert [client.answer()[::2] for client in clients] == [(200, b"x")] * 3, error
-            assert site.process.wait(BOUND) == 0
+            assert site.process.wait(TIMEOUT) == 0
--- a/tests/test_terms_system_calls.py
+++ b/tests/test_terms_system_calls.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from tests.stand_ins import BOUND, MS, SETTINGS, Site, StandInChangeLog, address
+from tests.stand_ins import TIMEOUT, MS, SETTINGS, Site, StandInChangeLog, address
 from tests.test_endings import COPY_FIELDS
 
 CONNECT_ERRORS = (
@@ -28,7 +28,7 @@
 
 
 def put(site, number):
-    return site.open_client().send("/invoke/tarea/1", b"once", txn=f"{number:016x}", ttl=BOUND * 1000)
+    return site.open_client().send("/invoke/tarea/1", b"once", txn=f"{number:016x}", ttl=TIMEOUT * 1000)
 
 
 @pytest.mark.parametrize("error", CONNECT_ERRORS)
