--- a/tests/soak.py
+++ b/tests/soak.py
@@ -79,7 +79,7 @@
 
     def deliver(self, number, text, event):
         try:
-            self.raw(number, text)
+            self.send_raw(number, text)
             event.delivered_at = min(event.delivered_at, time.monotonic())
         except (OSError, AttributeError):  # the connection is closed, or none was opened yet
             pass
@@ -213,7 +213,7 @@
         try:
             put = {} if service == "video" else {"body": b"w" * self.rng.randrange(2000)}
             if self.rng.random() < 0.1:
-                client.raw("\r\n")  # an empty line before a request is ignored
+                client.send_raw("\r\n")  # an empty line before a request is ignored
                 time.sleep(self.rng.random() * 0.1)
             client.send(f"/invoke/{service}/{name}", txn=txn, ttl=ttl, **fields, **put)
         except OSError:
--- a/tests/stand_ins.py
+++ b/tests/stand_ins.py
@@ -134,7 +134,7 @@
 
     def __init__(self, name, kind, zone, tls=None):
         """`tls(name)` returns the server's ssl.SSLContext."""
-        self.name, self.kind, self.zone, self.tls, self.reused = name, kind, zone, tls, []
+        self.name, self.kind, self.zone, self.tls, self.session_reused_flags = name, kind, zone, tls, []
         self.listener, self.commands, self.ignores_probes, self.connection_count = (
             open_listener(),
             queue.Queue(),
@@ -171,7 +171,7 @@
                 connection = self.tls(self.name).wrap_socket(connection, server_side=True)
             except (OSError, ValueError):
                 return
-            self.reused.append(connection.session_reused)
+            self.session_reused_flags.append(connection.session_reused)
         try:
             reader = CommandReader(connection)
             while received := reader.next():
@@ -265,9 +265,9 @@
         return self.calls.get(timeout=TIMEOUT)
 
     def send_event(self, seq, **event):
-        self.raw(seq, json.dumps({"seq": seq} | event))
+        self.send_raw(seq, json.dumps({"seq": seq} | event))
 
-    def raw(self, seq, text):
+    def send_raw(self, seq, text):
         self.stream.sendall(b"id: %d\ndata: %s\n\n" % (seq, text.encode()))
 
     def hang_up(self):
@@ -299,10 +299,10 @@
             headers["Content-Length"] = len(body)
         method = "GET" if body is None else "PUT"
         lines = "".join(f"{name}: {value}\r\n" for name, value in headers.items())
-        self.raw(f"{method} {target} HTTP/1.1\r\n{lines}\r\n", body or b"")
+        self.send_raw(f"{method} {target} HTTP/1.1\r\n{lines}\r\n", body or b"")
         return self
 
-    def raw(self, head, body=b""):
+    def send_raw(self, head, body=b""):
         self.socket.sendall(head.encode() + body)
         return self
 
@@ -403,7 +403,7 @@
 
     def start(self):
         """Start the front; return whether it is ready, as its port may have been taken meanwhile."""
-        self.listen_address, self.log_lines, self.lines = free_address(), [], queue.Queue()
+        self.listen_address, self.log_lines, self.unread_log_lines = free_address(), [], queue.Queue()
         self.configuration = configuration(self.listen_address, **self.changes)
         if self.faults is not None:
             self.write_faults()
@@ -418,11 +418,11 @@
     def listen(self):
         for line in self.process.stderr:
             self.log_lines.append(line)
-            self.lines.put(line)
+            self.unread_log_lines.put(line)
 
     def next_log_line(self, word):
         """Return the next line of the front's log that contains the word."""
-        while word not in (line := self.lines.get(timeout=TIMEOUT)):
+        while word not in (line := self.unread_log_lines.get(timeout=TIMEOUT)):
             pass
         return line.rstrip()
 
@@ -437,13 +437,13 @@
 
     def inject(self, **faults):
         """Add these faults; return when they are in effect."""
-        applied = self.injected("applied")
+        applied = self.count_injected("applied")
         self.faults = self.faults | faults
         self.write_faults()
         self.process.send_signal(signal.SIGUSR1)
-        wait_for(lambda: self.injected("applied") > applied)
+        wait_for(lambda: self.count_injected("applied") > applied)
 
-    def injected(self, kind):
+    def count_injected(self, kind):
         """Return how often a fault of this kind took effect."""
         with open(self.control + ".done", encoding="utf-8") as file:
             return json.load(file).get(kind, 0)
@@ -456,7 +456,7 @@
         return HttpClient(self.listen_address)
 
     def health(self):
-        return self.open_client().raw("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n").answer()
+        return self.open_client().send_raw("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n").answer()
 
     def terminate(self):
         self.process.send_signal(signal.SIGTERM)
--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -83,7 +83,7 @@
         open_idle_connections(site, site.cache, "/invoke/video/1")
         client = site.open_client() if connected else None
         if connected:
-            assert client.raw("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n").answer()[0] == 200
+            assert client.send_raw("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n").answer()[0] == 200
         suspend_front(site)
         client = client or site.open_client()  # accepted by the kernel while the front is stopped
         if reset:
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -450,7 +450,9 @@
         command.answer("DONE", COPY_FIELDS, b"z" * 240_000)
         resume_front(site)
         client.socket.recv(1, socket.MSG_PEEK)  # the response has begun; most of it is buffered
-        client.raw("GET /invoke/video/1 HTTP/1.1\r\n")  # bytes unread at the close would reset the connection
+        client.send_raw(
+            "GET /invoke/video/1 HTTP/1.1\r\n"
+        )  # bytes unread at the close would reset the connection
         wait_for(lambda: site.health()[0] == 200)
         assert client.answer()[2] == b"z" * 240_000 and client.closed_by_server()
 
@@ -487,7 +489,7 @@
 
 def test_slow_senders_do_not_exhaust_the_connections_of_other_clients():
     with Site(limits={"sockets": 100}) as site:  # 40 connections of clients
-        slow_senders = [site.open_client().raw("GET /invoke/video/1 HTTP/1.1\r\n") for _ in range(40)]
+        slow_senders = [site.open_client().send_raw("GET /invoke/video/1 HTTP/1.1\r\n") for _ in range(40)]
         wait_for(lambda: established(site.listen_address) >= 40)
         time.sleep(0.4)  # the connections with the oldest incomplete requests are closed first
         others = []
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -117,12 +117,12 @@
 
 def test_expect_100_continue_is_answered_before_the_body():
     with Site() as site:
-        client = site.open_client().raw(
+        client = site.open_client().send_raw(
             "PUT /invoke/tarea/1 HTTP/1.1\r\nX-Txn: 9b1f03aa5c7e2d41\r\nX-Ttl-Ms: 900\r\nX-Family: 1\r\n"
             "Content-Length: 4\r\nExpect: 100-continue\r\n\r\n"
         )
         assert client.answer()[0] == 100
-        client.raw("mine")
+        client.send_raw("mine")
         command = site.origin.next()
         command.answer("DONE")
         assert command.body == b"mine" and client.answer()[0] == 200
@@ -190,11 +190,11 @@
         site.log.send_event(4, invalidate={"bucket": 3, "time": int(time.time() * 1000)})  # 3 is missing
         assert site.log.next_call() == 2
         site.log.send_event(3, invalidate={"bucket": 17, "time": int(time.time() * 1000)})
-        site.log.raw(4, '{"seq":4,"fleet":{"members":[{"id":"s-9"}]}}')
+        site.log.send_raw(4, '{"seq":4,"fleet":{"members":[{"id":"s-9"}]}}')
         assert site.log.next_call() == 3
-        site.log.raw(4, '{"seq":4,"fleet":{"members":[{"id":"s-9"}]}}')  # invalid again: skipped
+        site.log.send_raw(4, '{"seq":4,"fleet":{"members":[{"id":"s-9"}]}}')  # invalid again: skipped
         site.log.send_event(5, invalidate={"bucket": 17, "time": int(time.time() * 1000)})
-        site.log.raw(6, "no event")
+        site.log.send_raw(6, "no event")
         assert site.log.next_call() == 5
         assert site.health()[0] == 200
 
@@ -403,9 +403,9 @@
         head.replace("HTTP/1.1", "HTTP/2.0") + "\r\n": 505,
     }
     with Site() as site:
-        other, half = site.open_client().send(txn="00000000000000ff"), site.open_client().raw(head)
+        other, half = site.open_client().send(txn="00000000000000ff"), site.open_client().send_raw(head)
         for text, status in cases.items():
-            client = site.open_client().raw(text)
+            client = site.open_client().send_raw(text)
             answer = client.answer()
             assert answer[0] == status and answer[1]["connection"] == "close", (text[:80], answer)
             assert client.closed_by_server()
@@ -415,11 +415,13 @@
         )
         command.answer("DONE", NOW, b"x")
         assert other.answer()[::2] == (200, b"x")
-        spare = site.open_client().raw("\r\n" + head.replace("/invoke", "http://app.svc/invoke") + "\r\n")
+        spare = site.open_client().send_raw(
+            "\r\n" + head.replace("/invoke", "http://app.svc/invoke") + "\r\n"
+        )
         # A request may follow an empty line and have an absolute target.
         site.cache.next().answer("DONE", NOW, b"z")
         assert spare.answer()[::2] == (200, b"z")
-        half.raw("\r\n")  # the rest of a head may arrive late
+        half.send_raw("\r\n")  # the rest of a head may arrive late
         site.cache.next().answer("DONE", NOW, b"y")
         assert half.answer()[::2] == (200, b"y")
 
@@ -433,7 +435,7 @@
         command.answer("DONE", NOW, b"x")
         assert client.answer()[::2] == (200, b"x")
         command = client.send() and site.cache.next()  # the id can be used again
-        client.raw("x")  # one byte after the end of the request
+        client.send_raw("x")  # one byte after the end of the request
         assert client.answer()[0] == 400 and client.closed_by_server()
         assert site.cache.next("QUIT").id == command.id
 
@@ -444,10 +446,12 @@
     with Site() as site:
         silent, half, after = (
             site.open_client(),
-            site.open_client().raw("GET /inv"),
+            site.open_client().send_raw("GET /inv"),
             site.open_client().send(),
         )
-        endless = site.open_client().raw("PUT /invoke/tarea/1 HTTP/1.1\r\nContent-Length: 60000000\r\n\r\n")
+        endless = site.open_client().send_raw(
+            "PUT /invoke/tarea/1 HTTP/1.1\r\nContent-Length: 60000000\r\n\r\n"
+        )
         sent = 0
         assert endless.answer()[0] == 413
         with contextlib.suppress(OSError):
--- a/tests/test_log.py
+++ b/tests/test_log.py
@@ -34,7 +34,7 @@
     try:
         wait_for(lambda: accepts_connections(document["listen"]))
         for _ in range(5):  # each logs a line
-            client = HttpClient(document["listen"]).raw("GET /nowhere HTTP/1.1\r\n\r\n")
+            client = HttpClient(document["listen"]).send_raw("GET /nowhere HTTP/1.1\r\n\r\n")
             client.socket.settimeout(10)
             assert client.answer()[0] == 404
     finally:
--- a/tests/test_terms_shutdown.py
+++ b/tests/test_terms_shutdown.py
@@ -38,7 +38,7 @@
     deadline = 0.3
     with Site(settings=with_deadline(300), limits={"sockets": 256}) as site:
         clients = [site.open_client() for _ in range(40)]
-        assert all(client.raw("GET /_health HTTP/1.1\r\n\r\n").answer()[0] == 200 for client in clients)
+        assert all(client.send_raw("GET /_health HTTP/1.1\r\n\r\n").answer()[0] == 200 for client in clients)
         site.terminate()
         terminated_at, sent_times, first_close_at = time.monotonic(), {}, None
         for number, client in enumerate(clients):
@@ -74,7 +74,7 @@
             site.terminate()
             terminated_at = time.monotonic()
             wait_until(terminated_at, 1.0)
-            assert site.injected("accept") > 2
+            assert site.count_injected("accept") > 2
             site.inject(fail={})
             for _ in clients:
                 site.cache.next().answer("DONE", COPY_FIELDS, b"x")
--- a/tests/test_terms_standstill.py
+++ b/tests/test_terms_standstill.py
@@ -59,11 +59,11 @@
     if case == "in two pieces":
         # With Nagle's algorithm, the second piece waits for the acknowledgement of the first, after `sent`.
         client.socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        client.raw(head)
+        client.send_raw(head)
     suspend_front(site)
     if case == "new connection":
         client = site.open_client()
-    client.raw("X-Family: 17\r\n\r\n" if case == "in two pieces" else head + "X-Family: 17\r\n\r\n")
+    client.send_raw("X-Family: 17\r\n\r\n" if case == "in two pieces" else head + "X-Family: 17\r\n\r\n")
     sent = time.monotonic()
     wait_until_elapsed(sent, 1)
     suspended_for = time.monotonic() - sent
@@ -219,7 +219,7 @@
     front.clients.limits = limits
     idle_clients = []
     for _ in range(limits.client_connections):
-        idle_clients.append(front.open_client().raw("GET /_health HTTP/1.1\r\n\r\n"))
+        idle_clients.append(front.open_client().send_raw("GET /_health HTTP/1.1\r\n\r\n"))
         front.passes_until(lambda: select.select([idle_clients[-1].socket], [], [], 0)[0])
         assert idle_clients[-1].answer()[0] == 200
     newcomers = [front.open_client() for _ in range(2)]
@@ -237,7 +237,7 @@
     client = front.open_client()
     front.passes_until(lambda: front.clients.connections)
     if asked:
-        client.raw("GET /_health HTTP/1.1\r\n\r\n")
+        client.send_raw("GET /_health HTTP/1.1\r\n\r\n")
         front.passes_until(lambda: select.select([client.socket], [], [], 0)[0])
         assert client.answer()[0] == 200
     (connection,) = front.clients.connections
--- a/tests/test_terms_system_calls.py
+++ b/tests/test_terms_system_calls.py
@@ -41,7 +41,7 @@
             if times == 1:
                 site.origin.next().answer("DONE", "-", b"taken")
             assert client.answer()[0] == (200 if times == 1 else 503)
-            assert site.origin.commands.empty() and site.injected("connect_ex") == times
+            assert site.origin.commands.empty() and site.count_injected("connect_ex") == times
 
 
 @pytest.mark.parametrize("error", ["ENFILE", "ENOBUFS", "ENOMEM", "EMFILE"])
@@ -51,7 +51,7 @@
         client = put(site, 1)
         site.origin.next().answer("DONE", "-", b"taken")
         assert client.answer()[::2] == (200, b"taken")
-        assert site.injected("socket") == 1 and site.origin.commands.empty()
+        assert site.count_injected("socket") == 1 and site.origin.commands.empty()
 
 
 @pytest.mark.parametrize(
@@ -64,7 +64,7 @@
         for _ in clients:
             site.cache.next().answer("DONE", COPY_FIELDS, b"x")
         assert [client.answer()[::2] for client in clients] == [(200, b"x")] * 3
-        assert site.injected("accept") == 3
+        assert site.count_injected("accept") == 3
 
 
 @pytest.mark.parametrize("error", ["ETIMEDOUT", "EHOSTUNREACH", "ECONNRESET"])
@@ -84,7 +84,7 @@
         site.inject(fail={"recv": [error, 1]})
         command.answer("DONE", "-", b"lost on the way")
         assert write.answer()[0] == 502
-        assert site.origin.commands.empty() and site.injected("recv") == 2
+        assert site.origin.commands.empty() and site.count_injected("recv") == 2
 
 
 @pytest.mark.parametrize("error", ["EHOSTUNREACH", "ETIMEDOUT", "EPIPE", "ENOBUFS"])
@@ -96,7 +96,7 @@
             client = put(site, number)
             site.origin.next().answer("DONE", "-", b"taken")
             assert client.answer()[::2] == (200, b"taken")
-            assert site.origin.commands.empty() and site.injected("send") == 2 * (number + 1)
+            assert site.origin.commands.empty() and site.count_injected("send") == 2 * (number + 1)
 
 
 def test_interrupted_waits_lose_no_request():
@@ -120,7 +120,7 @@
         site.inject(fail={call: [error, 3]}, ports=[other.listener.getsockname()[1]])
         site.reload(json.dumps(site.configuration | {"changelog": address(other.listener)}))
         assert other.next_call() == 1
-        assert site.injected(call) == 3
+        assert site.count_injected(call) == 3
 
 
 def test_keyed_write_is_retried_after_a_failed_connect():
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -529,7 +529,7 @@
                 command.answer("DONE", COPY, b"over tls" * 1000)
             for client in asking:
                 assert client.answer()[::2] == (200, b"over tls" * 1000)
-        assert site.cache.reused == [False, True]
+        assert site.cache.session_reused_flags == [False, True]
 
 
 def spoilt(servers, what):
@@ -623,7 +623,10 @@
         client.send(txn="00000000000000fe")
         site.cache.next().answer("DONE", COPY, b"y")
         assert client.answer()[::2] == (200, b"y")
-        assert site.cache.reused == [False, False]  # no session outlives the key that it was made with
+        assert site.cache.session_reused_flags == [
+            False,
+            False,
+        ]  # no session outlives the key that it was made with
 
 
 def test_an_end_is_announced_days_then_hours_before_each_mark_once():
