--- a/tests/soak.py
+++ b/tests/soak.py
@@ -157,8 +157,8 @@
                     lambda: refuse("PAST"),
                     lambda: command.answer("BROKE"),
                     lambda: command.answer("KEEP", f"rev={tag[::-1]},since={since}"),
-                    command.hang_up,
-                    lambda: [answer_done(), command.hang_up()],
+                    command.disconnect,
+                    lambda: [answer_done(), command.disconnect()],
                     lambda: self.after(self.rng.random(), answer_done),
                     lambda: [answer_done(), self.after(self.rng.random() * 0.05, answer_done)],
                     answer_malformed,
@@ -363,7 +363,7 @@
 
     def disconnect_log(self):
         try:
-            self.log.hang_up()
+            self.log.disconnect()
         except (OSError, AttributeError):
             pass
 
--- a/tests/stand_ins.py
+++ b/tests/stand_ins.py
@@ -125,7 +125,7 @@
             b"%s %s %s %d\r\n%s\r\n" % (self.id.encode(), word.encode(), fields.encode(), len(body), body)
         )
 
-    def hang_up(self):
+    def disconnect(self):
         self.connection.shutdown(socket.SHUT_RDWR)
 
 
@@ -270,7 +270,7 @@
     def send_raw(self, seq, text):
         self.stream.sendall(b"id: %d\ndata: %s\n\n" % (seq, text.encode()))
 
-    def hang_up(self):
+    def disconnect(self):
         self.stream.shutdown(socket.SHUT_RDWR)
         self.stream.close()
 
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -26,7 +26,7 @@
 def stop_change_log(log):
     """Stop the change log, so that it refuses connections; return its address."""
     where = log.listener.getsockname()
-    log.hang_up()
+    log.disconnect()
     log.listener.shutdown(socket.SHUT_RDWR)
     log.listener.close()
     return where
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -192,7 +192,7 @@
         )
         command, received_at = site.origin.next(), time.monotonic()
         site.origin.fill_accept_queue()
-        command.hang_up()  # the write may have run; its retry has no connection
+        command.disconnect()  # the write may have run; its retry has no connection
         site.origin.wait_for_connect_attempt()
         wait_for(lambda: time.monotonic() - received_at > 0.95)
         site.origin.resume_accepting()  # the retry could be sent now, but its window has passed
@@ -211,7 +211,7 @@
         command = site.origin.next()
         # Without the key, the origin could not recognize the retry.
         assert command.fields["uniq"] == "91e82ce155b7e128e0c16bd0886c0fa7"
-        command.hang_up()
+        command.disconnect()
         command = site.origin.next()
         assert (command.id, command.body, command.fields["uniq"]) == (
             "9b1f03aa5c7e2d41",
@@ -230,7 +230,7 @@
         client = site.open_client().send("/invoke/tarea/0000000000000001", b"once")
         command = site.origin.next()
         assert "uniq" not in command.fields
-        command.hang_up()
+        command.disconnect()
         assert client.answer()[0] == 502 and site.origin.commands.empty()
         client.send("/invoke/tarea/0000000000000001", b"once", txn="00000000000000fe", X_Txn_Key="a,b=c")
         assert client.answer()[0] == 400
@@ -420,7 +420,7 @@
         command = site.origin.next()
         suspend_front(site)
         command.answer("DONE")
-        command.hang_up()
+        command.disconnect()
         resume_front(site)
         assert client.answer()[0] == 200
 
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -109,7 +109,7 @@
         command.answer("DONE")  # without a tag
         assert client.answer()[0] == 200
         client.send("/invoke/tarea/0000000000000001", b"again")
-        site.origin.next().hang_up()
+        site.origin.next().disconnect()
         assert client.answer()[0] == 502
         client.send("/invoke/tarea/0000000000000001", b"third")
         assert site.origin.next().body == b"third"  # the second write was not repeated
@@ -184,7 +184,7 @@
 def test_change_log_is_reconnected_after_a_break_a_gap_and_an_invalid_event():
     with Site() as site:
         assert site.log.next_call() == 1
-        site.log.hang_up()
+        site.log.disconnect()
         assert site.log.next_call() == 1
         site.log.send_event(2, invalidate={"object": "00000000000000aa", "time": int(time.time() * 1000)})
         site.log.send_event(4, invalidate={"bucket": 3, "time": int(time.time() * 1000)})  # 3 is missing
@@ -236,8 +236,8 @@
 def test_two_resets_skip_a_cache_and_a_refused_connection_sheds_a_write():
     with Site() as site:
         client = site.open_client().send()
-        site.cache.next().hang_up()
-        site.cache.next().hang_up()  # after one reset the same cache is tried again
+        site.cache.next().disconnect()
+        site.cache.next().disconnect()  # after one reset the same cache is tried again
         site.parent.next().answer("DONE", NOW, b"x")
         assert client.answer()[::2] == (200, b"x")
         site.origin.stop()
--- a/tests/test_terms_answers.py
+++ b/tests/test_terms_answers.py
@@ -71,7 +71,7 @@
             if reset:
                 command.connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
                 command.connection.shutdown(socket.SHUT_RD)
-            command.hang_up()
+            command.disconnect()
             assert client.answer()[0] == 502
             assert site.origin.commands.empty()
 
