--- a/tests/stand_ins.py
+++ b/tests/stand_ins.py
@@ -278,8 +278,8 @@
 class HttpClient:
     """A client's HTTP connection to the front."""
 
-    def __init__(self, where):
-        host, port = where.split(":")
+    def __init__(self, address):
+        host, port = address.split(":")
         self.socket = socket.create_connection((host, int(port)), timeout=TIMEOUT)
         self.stamps = StampedStream(self.socket)
         self.stream = io.BufferedReader(self.stamps)
@@ -408,14 +408,14 @@
         if self.faults is not None:
             self.write_faults()
         self.process = start_program(self.configuration, self.arguments, self.descriptors, self.program)
-        threading.Thread(target=self.listen, daemon=True).start()
+        threading.Thread(target=self.read_log, daemon=True).start()
         end = time.monotonic() + TIMEOUT
         while time.monotonic() < end and self.process.poll() is None:
             if holds_listener(self.process, self.listen_address):  # a front of another test would answer, too
                 return self.health()[0] == 200
             time.sleep(0.02)
 
-    def listen(self):
+    def read_log(self):
         for line in self.process.stderr:
             self.log_lines.append(line)
             self.unread_log_lines.put(line)
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -38,9 +38,9 @@
 )
 from limepath.log import Log
 from tests.stand_ins import (
-    TIMEOUT,
     MS,
     SETTINGS,
+    TIMEOUT,
     HttpClient,
     Site,
     StandInChangeLog,
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -29,9 +29,9 @@
 from limepath.log import Log
 from tests.fake_host import FakeHost
 from tests.stand_ins import (
-    TIMEOUT,
     MS,
     SETTINGS,
+    TIMEOUT,
     Site,
     StandInChangeLog,
     address,
@@ -535,8 +535,8 @@
     with Site(limits={"sockets": 100}) as site:
         busy = site.open_client().send()
         command = site.cache.next()
-        crowd = [site.open_client() for _ in range(60)]
-        assert crowd[0].closed_by_server()
+        idle = [site.open_client() for _ in range(60)]
+        assert idle[0].closed_by_server()
         command.answer("DONE", NOW, b"x")
         assert busy.answer()[2] == b"x"
 
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -16,7 +16,7 @@
 from limepath.log import Log
 from limepath.testbed.process import free_ports
 from tests.fake_host import FakeHost
-from tests.stand_ins import TIMEOUT, SETTINGS, StandInChangeLog, address, configuration, start_program
+from tests.stand_ins import SETTINGS, TIMEOUT, StandInChangeLog, address, configuration, start_program
 
 # READY_WITHIN: seconds, for nine of ten fronts that start at once.
 MEMBERS, STARTS, READY_WITHIN = 1400, 12, 10
--- a/tests/test_terms_clock.py
+++ b/tests/test_terms_clock.py
@@ -6,7 +6,7 @@
 import threading
 import time
 
-from tests.stand_ins import TIMEOUT, MS, SETTINGS, Site, wait_for
+from tests.stand_ins import MS, SETTINGS, TIMEOUT, Site, wait_for
 
 HOUR = 3600
 STEPS = (HOUR, 3, -3, -HOUR)
--- a/tests/test_terms_shutdown.py
+++ b/tests/test_terms_shutdown.py
@@ -8,7 +8,7 @@
 import time
 
 from limepath.configuration.platform import front_settings
-from tests.stand_ins import TIMEOUT, MS, SETTINGS, Site, configuration, wait_for
+from tests.stand_ins import MS, SETTINGS, TIMEOUT, Site, configuration, wait_for
 from tests.test_endings import COPY_FIELDS
 
 ARRIVAL_PERIOD = 600_000  # microseconds after SIGTERM: 0.4 s for new connections, 0.2 s more on open ones
--- a/tests/test_terms_system_calls.py
+++ b/tests/test_terms_system_calls.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from tests.stand_ins import TIMEOUT, MS, SETTINGS, Site, StandInChangeLog, address
+from tests.stand_ins import MS, SETTINGS, TIMEOUT, Site, StandInChangeLog, address
 from tests.test_endings import COPY_FIELDS
 
 CONNECT_ERRORS = (
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -619,7 +619,7 @@
         assert "swapped" in site.next_log_line("event=tls-keys")
         out.answer("DONE", COPY, b"x")  # what was out finishes on its connection
         assert client.answer()[::2] == (200, b"x")
-        out.hang_up()
+        out.disconnect()
         client.send(txn="00000000000000fe")
         site.cache.next().answer("DONE", COPY, b"y")
         assert client.answer()[::2] == (200, b"y")
