--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -450,9 +450,8 @@
         command.answer("DONE", COPY_FIELDS, b"z" * 240_000)
         resume_front(site)
         client.socket.recv(1, socket.MSG_PEEK)  # the response has begun; most of it is buffered
-        client.send_raw(
-            "GET /invoke/video/1 HTTP/1.1\r\n"
-        )  # bytes unread at the close would reset the connection
+        # Bytes unread at the close would reset the connection.
+        client.send_raw("GET /invoke/video/1 HTTP/1.1\r\n")
         wait_for(lambda: site.health()[0] == 200)
         assert client.answer()[2] == b"z" * 240_000 and client.closed_by_server()
 
