--- a/tests/soak_rules.py
+++ b/tests/soak_rules.py
@@ -14,7 +14,8 @@
 CLOSE_RACE = 0.05  # seconds by which a request and the close of its connection may cross (protocol page)
 DISCONNECT_GRACE = 0.1  # seconds after a client's disconnect in which an attempt may start (operators' notes)
 BUDGET_SLACK = 0.15  # seconds by which a budget may exceed the client's remaining time (operators' notes)
-EVENT_DELAY = 4.0  # seconds for an event to take effect after a restart or address change (service page)
+# Seconds after which an event counts as delivered if the change log has stopped or moved (service page)
+EVENT_DELAY = 4.0
 DELAY_INTERVAL = 0.01  # seconds between measurements of the test process's delay
 RESUME_TO_SEND = 0.005  # seconds from the end of a suspension to an attempt that was being sent
 
