--- a/tests/stand_ins.py
+++ b/tests/stand_ins.py
@@ -1,4 +1,4 @@
-"""Stand-ins for all that a real front speaks to: caches, the change log and clients, on loopback sockets."""
+"""Stand-ins for the peers of a real front: caches, the change log and clients, on loopback sockets."""
 
 import io
 import json
@@ -15,10 +15,10 @@
 from limepath.testbed.process import free_ports
 from tests.arrival_times import CommandReader, StampedStream, stamp_arrivals
 
-BOUND = 60  # seconds that anything may take before a story has failed
+TIMEOUT = 60  # seconds after which a wait fails the test
 MS = 1_000_000
-LISTEN = "0A"  # tcp_states.h, as /proc/net/tcp shows it
-# The program itself writes the counts of injected faults; on a disk, a slow write would stop the program.
+LISTEN = "0A"  # the state TCP_LISTEN (tcp_states.h) as /proc/net/tcp shows it
+# The program under test writes the counts of injected faults; a slow write to a disk would block it.
 MEMORY_FOLDER = "/dev/shm" if os.path.isdir("/dev/shm") else None
 SETTINGS = {
     "az": 0,
@@ -26,8 +26,8 @@
     "areas": ["sur", "hub"],
     "models": ["box", "parent", "origin"],
     "classes": [
-        {"name": "video", "aim": 600 * MS, "deadline": 1000 * BOUND * MS, "idempotency": "free"},
-        {"name": "tarea", "aim": 800 * MS, "deadline": 1000 * BOUND * MS, "idempotency": "single_shot"},
+        {"name": "video", "aim": 600 * MS, "deadline": 1000 * TIMEOUT * MS, "idempotency": "free"},
+        {"name": "tarea", "aim": 800 * MS, "deadline": 1000 * TIMEOUT * MS, "idempotency": "single_shot"},
     ],
     "family-info": {
         "mid-kind": 1,
@@ -62,7 +62,7 @@
 }
 
 
-def listening():
+def open_listener():
     return socket.create_server(("127.0.0.1", 0))
 
 
@@ -70,34 +70,34 @@
     return f"127.0.0.1:{listener.getsockname()[1]}"
 
 
-def until(holds):
-    """Wait until it holds."""
-    end = time.monotonic() + BOUND
-    while not holds():
-        assert time.monotonic() < end, "it never held"
+def wait_for(condition):
+    """Wait until `condition()` is true; fail after TIMEOUT seconds."""
+    end = time.monotonic() + TIMEOUT
+    while not condition():
+        assert time.monotonic() < end, f"the condition was not met within {TIMEOUT} s"
         time.sleep(0.005)
 
 
 def connections():
-    """The system's TCP connections, their columns as proc(5) tells: local and remote address, state, ..."""
+    """Return the rows of /proc/net/tcp as columns: local and remote address, state, ... (proc(5))."""
     with open("/proc/net/tcp", encoding="ascii") as file:
         return [line.split() for line in file.readlines()[1:]]
 
 
-def listens_at(process, where):
-    """Whether this process holds a listener at this address."""
-    port = f":{int(where.rpartition(':')[2]):04X}"
-    inodes = {words[9] for words in connections() if words[1].endswith(port) and words[3] == LISTEN}
+def holds_listener(process, listen_address):
+    """Return whether the process has a listening socket at the address."""
+    port = f":{int(listen_address.rpartition(':')[2]):04X}"
+    inodes = {columns[9] for columns in connections() if columns[1].endswith(port) and columns[3] == LISTEN}
     descriptors = f"/proc/{process.pid}/fd"
     try:
         held = {os.readlink(f"{descriptors}/{number}") for number in os.listdir(descriptors)}
-    except OSError:  # it opens and closes files meanwhile, or has ended
+    except OSError:  # the process has closed a file during the listing, or has ended
         return False
     return any(f"socket:[{inode}]" in held for inode in inodes)
 
 
-def accepting(listener, serve):
-    """Hand each connection that comes to `serve`, until that says to accept no more."""
+def accept_in_thread(listener, serve):
+    """Accept connections in a thread and pass each to `serve`, until `serve` returns a true value."""
 
     def run():
         while True:
@@ -111,35 +111,40 @@
     threading.Thread(target=run, daemon=True).start()
 
 
-class Asked:
-    """One command that a cache got."""
+class Command:
+    """A command that a cache received."""
 
     def __init__(self, cache, connection, words, body, arrival):
         self.cache, self.connection, self.body, self.arrival = cache, connection, body, arrival
         self.word, self.id = words[:2]
-        told = words[2] if len(words) > 2 else "-"
-        self.fields = dict(field.split("=") for field in told.split(",")) if told != "-" else {}
+        fields = words[2] if len(words) > 2 else "-"
+        self.fields = dict(field.split("=") for field in fields.split(",")) if fields != "-" else {}
 
     def answer(self, word, fields="-", body=b""):
         self.connection.sendall(
             b"%s %s %s %d\r\n%s\r\n" % (self.id.encode(), word.encode(), fields.encode(), len(body), body)
         )
 
-    def hang_up(self):
+    def disconnect(self):
         self.connection.shutdown(socket.SHUT_RDWR)
 
 
 class StandInCache:
-    """Keeps the commands that come for the story to answer; answers probes by itself unless deaf."""
+    """Queues the commands that it receives for the test to answer; answers probes unless `ignores_probes`."""
 
     def __init__(self, name, kind, zone, tls=None):
-        """`tls(name)` gives the server's ssl.SSLContext."""
-        self.name, self.kind, self.zone, self.tls, self.reused = name, kind, zone, tls, []
-        self.listener, self.asked, self.deaf, self.connected = listening(), queue.Queue(), False, 0
-        self.cut_off, self.crowding, self.crowded = set(), [], False
+        """`tls(name)` returns the server's ssl.SSLContext."""
+        self.name, self.kind, self.zone, self.tls, self.session_reused_flags = name, kind, zone, tls, []
+        self.listener, self.commands, self.ignores_probes, self.connection_count = (
+            open_listener(),
+            queue.Queue(),
+            False,
+            0,
+        )
+        self.unanswered_connections, self.queued_connections, self.accept_queue_full = set(), [], False
         self.accepted_last = threading.Event()
         stamp_arrivals(self.listener)
-        accepting(self.listener, self.serve)
+        accept_in_thread(self.listener, self.serve)
 
     def entry(self, phase="in_service", **changes):
         return {
@@ -154,10 +159,10 @@
         } | changes
 
     def serve(self, connection):
-        if self.crowded:
+        if self.accept_queue_full:
             self.accepted_last.set()
             return True
-        self.connected += 1
+        self.connection_count += 1
         threading.Thread(target=self.read, args=(connection,), daemon=True).start()
 
     def read(self, connection):
@@ -166,15 +171,15 @@
                 connection = self.tls(self.name).wrap_socket(connection, server_side=True)
             except (OSError, ValueError):
                 return
-            self.reused.append(connection.session_reused)
+            self.session_reused_flags.append(connection.session_reused)
         try:
-            commands = CommandReader(connection)
-            while command := commands.next():
-                asked = Asked(self.name, connection, *command)
-                if asked.word not in ("INFO", "NOOP"):
-                    self.asked.put(asked)
-                elif not (self.deaf or connection in self.cut_off):
-                    asked.answer("FIT", "use=inflight:1;util:0.1")
+            reader = CommandReader(connection)
+            while received := reader.next():
+                command = Command(self.name, connection, *received)
+                if command.word not in ("INFO", "NOOP"):
+                    self.commands.put(command)
+                elif not (self.ignores_probes or connection in self.unanswered_connections):
+                    command.answer("FIT", "use=inflight:1;util:0.1")
         except OSError:
             pass
 
@@ -182,58 +187,61 @@
         self.listener.shutdown(socket.SHUT_RDWR)
         self.listener.close()
 
-    def crowd(self):
-        """Stop accepting and fill the queue of the listener, so that no connection comes up any more."""
-        self.crowded = True
-        self.crowding.append(socket.create_connection(self.listener.getsockname()))  # the last accepted
-        self.accepted_last.wait(BOUND)
+    def fill_accept_queue(self):
+        """Stop accepting and fill the listener's queue, so that no further connection is established."""
+        self.accept_queue_full = True
+        # The last connection that the thread accepts.
+        self.queued_connections.append(socket.create_connection(self.listener.getsockname()))
+        self.accepted_last.wait(TIMEOUT)
         self.listener.listen(0)
         while True:
-            one = socket.socket()
-            one.settimeout(0.3)
-            self.crowding.append(one)
+            connection = socket.socket()
+            connection.settimeout(0.3)
+            self.queued_connections.append(connection)
             try:
-                one.connect(self.listener.getsockname())
+                connection.connect(self.listener.getsockname())
             except TimeoutError:
                 return
 
-    def called_in_vain(self):
-        """Wait until somebody's connection to the crowded listener is under way: the system shows its first
-        packet as sent.
+    def wait_for_connect_attempt(self):
+        """Wait until another process connects to the listener while its queue is full.
+
+        The system then shows the connection as SYN_SENT.
         """
         port, own = (
             f":{self.listener.getsockname()[1]:04X}",
-            {f":{one.getsockname()[1]:04X}" for one in self.crowding},
+            {f":{connection.getsockname()[1]:04X}" for connection in self.queued_connections},
         )
-        until(
+        wait_for(
             lambda: any(
-                words[2].endswith(port) and words[3] == "02" and words[1][-5:] not in own
-                for words in connections()
+                columns[2].endswith(port) and columns[3] == "02" and columns[1][-5:] not in own
+                for columns in connections()
             )
         )
 
-    def uncrowd(self):
-        """Accept again. Who called meanwhile comes up when the system sends its first packet again, a second
-        after the first.
+    def resume_accepting(self):
+        """Accept connections again.
+
+        A connection attempted meanwhile is established by the second SYN, 1 s after the first.
         """
-        self.crowded = False
+        self.accept_queue_full = False
         self.listener.listen(128)
-        for one in self.crowding:
-            one.close()
-        accepting(self.listener, self.serve)
+        for connection in self.queued_connections:
+            connection.close()
+        accept_in_thread(self.listener, self.serve)
 
     def next(self, word="ASK"):
-        asked = self.asked.get(timeout=BOUND)
-        assert asked.word == word, (asked.word, asked.fields)
-        return asked
+        command = self.commands.get(timeout=TIMEOUT)
+        assert command.word == word, (command.word, command.fields)
+        return command
 
 
 class StandInChangeLog:
-    """Keeps the calls that come; tells events on the newest."""
+    """Queues the last event number of each request; sends events on the newest connection."""
 
     def __init__(self):
-        self.listener, self.calls, self.stream = listening(), queue.Queue(), None
-        accepting(self.listener, self.serve)
+        self.listener, self.calls, self.stream = open_listener(), queue.Queue(), None
+        accept_in_thread(self.listener, self.serve)
 
     def serve(self, connection):
         head = b""
@@ -243,36 +251,36 @@
             except ConnectionResetError:
                 data = b""
             if not data:
-                return  # the front has let it go
+                return  # the front has closed the connection
             head += data
         try:
             connection.sendall(b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n: here\n\n")
         except (BrokenPipeError, ConnectionResetError):
-            return  # it has let it go meanwhile
+            return  # the front has closed the connection meanwhile
         self.stream = connection
         (last,) = [line.split(b":")[1] for line in head.split(b"\r\n") if line.startswith(b"Last-Event-ID")]
         self.calls.put(int(last))
 
-    def called(self):
-        return self.calls.get(timeout=BOUND)
+    def next_call(self):
+        return self.calls.get(timeout=TIMEOUT)
 
-    def tell(self, seq, **told):
-        self.raw(seq, json.dumps({"seq": seq} | told))
+    def send_event(self, seq, **event):
+        self.send_raw(seq, json.dumps({"seq": seq} | event))
 
-    def raw(self, seq, text):
+    def send_raw(self, seq, text):
         self.stream.sendall(b"id: %d\ndata: %s\n\n" % (seq, text.encode()))
 
-    def hang_up(self):
+    def disconnect(self):
         self.stream.shutdown(socket.SHUT_RDWR)
         self.stream.close()
 
 
-class Viewer:
-    """One client's connection."""
+class HttpClient:
+    """A client's HTTP connection to the front."""
 
-    def __init__(self, where):
-        host, port = where.split(":")
-        self.socket = socket.create_connection((host, int(port)), timeout=BOUND)
+    def __init__(self, address):
+        host, port = address.split(":")
+        self.socket = socket.create_connection((host, int(port)), timeout=TIMEOUT)
         self.stamps = StampedStream(self.socket)
         self.stream = io.BufferedReader(self.stamps)
 
@@ -281,25 +289,25 @@
         target="/invoke/video/7f3a9c21e0b4d655?block=3",
         body=None,
         txn="9b1f03aa5c7e2d41",
-        ttl=1000 * BOUND,
+        ttl=1000 * TIMEOUT,
         **fields,
     ):
-        told = {"Host": "app.svc", "X-Txn": txn, "X-Ttl-Ms": ttl, "X-Family": 17} | {
+        headers = {"Host": "app.svc", "X-Txn": txn, "X-Ttl-Ms": ttl, "X-Family": 17} | {
             name.replace("_", "-"): value for name, value in fields.items()
         }
         if body is not None:
-            told["Content-Length"] = len(body)
+            headers["Content-Length"] = len(body)
         method = "GET" if body is None else "PUT"
-        headers = "".join(f"{name}: {value}\r\n" for name, value in told.items())
-        self.raw(f"{method} {target} HTTP/1.1\r\n{headers}\r\n", body or b"")
+        lines = "".join(f"{name}: {value}\r\n" for name, value in headers.items())
+        self.send_raw(f"{method} {target} HTTP/1.1\r\n{lines}\r\n", body or b"")
         return self
 
-    def raw(self, head, body=b""):
+    def send_raw(self, head, body=b""):
         self.socket.sendall(head.encode() + body)
         return self
 
     def answer(self):
-        """Give (status, fields, body) of one whole answer."""
+        """Return (status, fields, body) of one complete response, or None at the end of the connection."""
         line = self.stream.readline()
         if not line:
             return None
@@ -309,14 +317,14 @@
             fields[name.lower()] = value.strip()
         status, size = int(line.split()[1]), int(fields.get("content-length", 0))
         body = self.stream.read(size)
-        assert len(body) == size, "a short body"
+        assert len(body) == size, f"the body ended after {len(body)} of {size} bytes"
         return status, fields, body
 
-    def answered_at(self):
-        """When the last byte that was read arrived, on the monotonic clock."""
+    def last_arrival(self):
+        """Return when the last byte that was read arrived, in seconds of the monotonic clock."""
         return self.stamps.latest
 
-    def ended(self):
+    def closed_by_server(self):
         try:
             return self.stream.read() == b""
         except ConnectionResetError:
@@ -328,34 +336,36 @@
 
 
 def free_address():
-    """An address that nobody holds, with a port that the system gives to nobody by itself: tests beside this
-    one let it choose theirs.
+    """Return a free loopback address.
+
+    Its port is outside the range that the system assigns to sockets of tests that run in parallel.
     """
     return f"127.0.0.1:{free_ports(socket.SOCK_STREAM, 1)[0]}"
 
 
-def configuration(where, **changes):
+def configuration(listen_address, **changes):
     return {
         "name": "n1",
-        "listen": where,
+        "listen": listen_address,
         "seed": "8c1f30d27a5be964",
-        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256, "last_answer_ms": 1000 * BOUND},
+        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256, "last_answer_ms": 1000 * TIMEOUT},
         "changelog": "127.0.0.1:9",
         "known": {"seq": 0, "results": []},
         "settings": SETTINGS,
     } | changes
 
 
-def started(told, words=(), descriptors=None, program=("-m", "limepath")):
-    """Start the program with this configuration (text or an object) and words; give the process. It has so
-    many descriptors, where that is told.
+def start_program(configuration, arguments=(), descriptors=None, program=("-m", "limepath")):
+    """Start the program and return its process.
+
+    `configuration` is a text or an object; `descriptors` is the limit of open descriptors, if any.
     """
     limited = ["sh", "-c", f'ulimit -Sn {descriptors}; exec "$@"', "sh"] if descriptors else []
     file = tempfile.NamedTemporaryFile("w", suffix=".json", dir=MEMORY_FOLDER)
-    file.write(told if isinstance(told, str) else json.dumps(told))
+    file.write(configuration if isinstance(configuration, str) else json.dumps(configuration))
     file.flush()
     process = subprocess.Popen(
-        [*limited, sys.executable, *program, *words],
+        [*limited, sys.executable, *program, *arguments],
         stderr=subprocess.PIPE,
         text=True,
         env=os.environ | {"ROUTER_CONFIG": file.name},
@@ -365,12 +375,12 @@
 
 
 class Site:
-    """A front started as `run` starts it, with a cache, a parent, the origin and a change log around it."""
+    """A real front process with stand-ins for its caches, a parent, the origin and the change log."""
 
-    def __init__(self, caches=("s-1",), words=(), tls=None, descriptors=None, faults=None, **changes):
-        """With `faults` the system fails for it as tests.faulty_system tells; more with `inject`."""
-        self.words, self.descriptors, self.faults, self.program = (
-            words,
+    def __init__(self, caches=("s-1",), arguments=(), tls=None, descriptors=None, faults=None, **changes):
+        """With `faults`, system calls of the front fail as tests.faulty_system describes; see `inject`."""
+        self.arguments, self.descriptors, self.faults, self.program = (
+            arguments,
             descriptors,
             faults,
             ("-m", "limepath"),
@@ -386,33 +396,33 @@
         )
         self.members, self.log = [*self.caches, self.parent, self.origin], StandInChangeLog()
         fleet = {"revision": 1, "complete": True, "members": [member.entry() for member in self.members]}
-        self.told = {
+        self.changes = {
             "changelog": address(self.log.listener),
             "known": {"seq": 1, "results": [{"seq": 1, "fleet": fleet}]},
         } | changes
 
     def start(self):
-        """Whether the front came up; its port may have been taken since it was found free."""
-        self.where, self.said, self.lines = free_address(), [], queue.Queue()
-        self.configuration = configuration(self.where, **self.told)
+        """Start the front; return whether it is ready, as its port may have been taken meanwhile."""
+        self.listen_address, self.log_lines, self.unread_log_lines = free_address(), [], queue.Queue()
+        self.configuration = configuration(self.listen_address, **self.changes)
         if self.faults is not None:
             self.write_faults()
-        self.process = started(self.configuration, self.words, self.descriptors, self.program)
-        threading.Thread(target=self.listen, daemon=True).start()
-        end = time.monotonic() + BOUND
+        self.process = start_program(self.configuration, self.arguments, self.descriptors, self.program)
+        threading.Thread(target=self.read_log, daemon=True).start()
+        end = time.monotonic() + TIMEOUT
         while time.monotonic() < end and self.process.poll() is None:
-            if listens_at(self.process, self.where):  # not another test's front: that would answer as well
+            if holds_listener(self.process, self.listen_address):  # a front of another test would answer, too
                 return self.health()[0] == 200
             time.sleep(0.02)
 
-    def listen(self):
+    def read_log(self):
         for line in self.process.stderr:
-            self.said.append(line)
-            self.lines.put(line)
+            self.log_lines.append(line)
+            self.unread_log_lines.put(line)
 
-    def heard(self, word):
-        """The next line of the front's log that holds the word."""
-        while word not in (line := self.lines.get(timeout=BOUND)):
+    def next_log_line(self, word):
+        """Return the next line of the front's log that contains the word."""
+        while word not in (line := self.unread_log_lines.get(timeout=TIMEOUT)):
             pass
         return line.rstrip()
 
@@ -426,27 +436,27 @@
             json.dump(self.faults, file)
 
     def inject(self, **faults):
-        """Have the system fail so from now on; back once that is in force."""
-        applied = self.injected("applied")
+        """Add these faults; return when they are in effect."""
+        applied = self.count_injected("applied")
         self.faults = self.faults | faults
         self.write_faults()
         self.process.send_signal(signal.SIGUSR1)
-        until(lambda: self.injected("applied") > applied)
+        wait_for(lambda: self.count_injected("applied") > applied)
 
-    def injected(self, kind):
-        """How often a fault of this kind took effect."""
+    def count_injected(self, kind):
+        """Return how often a fault of this kind took effect."""
         with open(self.control + ".done", encoding="utf-8") as file:
             return json.load(file).get(kind, 0)
 
     def __enter__(self):
-        assert any(self.start() for _ in range(3)), f"the front did not start: {self.said}"
+        assert any(self.start() for _ in range(3)), f"the front did not start: {self.log_lines}"
         return self
 
-    def viewer(self):
-        return Viewer(self.where)
+    def open_client(self):
+        return HttpClient(self.listen_address)
 
     def health(self):
-        return self.viewer().raw("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n").answer()
+        return self.open_client().send_raw("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n").answer()
 
     def terminate(self):
         self.process.send_signal(signal.SIGTERM)
--- a/tests/test_cold_ramp.py
+++ b/tests/test_cold_ramp.py
@@ -15,12 +15,12 @@
 from tests.fake_host import SECOND, FakeHost, make_endpoint, make_service
 from tests.stand_ins import (
     SETTINGS,
+    HttpClient,
     StandInCache,
-    Viewer,
     address,
     configuration,
-    listening,
-    started,
+    open_listener,
+    start_program,
 )
 
 SIZES = (2, 20, 30, 200)
@@ -142,17 +142,21 @@
     safety = SETTINGS["safety"] | {"cold": cold_for, "overload-factor": 6}
     settings = SETTINGS | {"replicas-of-me": processes, "safety": safety}
     allowed = 6 * 0.2 * DEFAULT_CONCURRENCY * 1.0 / 0.6  # N: factor x share x concurrency x window / mean
-    cache, parent, log = StandInCache("s-1", "box", "sur"), StandInCache("p-1", "parent", "hub"), listening()
+    cache, parent, log = (
+        StandInCache("s-1", "box", "sur"),
+        StandInCache("p-1", "parent", "hub"),
+        open_listener(),
+    )
     began = int(time.time() * 1000)
     members = [cache.entry(up_since_ms=began), parent.entry()]
     known = {"seq": 1, "results": [{"seq": 1, "fleet": {"revision": 1, "members": members}}]}
-    arrivals, fronts, viewers = [], [], []
+    arrivals, fronts, clients = [], [], []
 
     def serve(member, times):
         while True:
-            asked = member.asked.get()
+            command = member.commands.get()
             times.append(time.monotonic())
-            asked.answer("DONE", "rev=4be0c1927d55a6f3,since=1764576000123", b"x")
+            command.answer("DONE", "rev=4be0c1927d55a6f3,since=1764576000123", b"x")
 
     for member_, times in ((cache, arrivals), (parent, [])):
         threading.Thread(target=serve, args=(member_, times), daemon=True).start()
@@ -166,16 +170,16 @@
                 seed=f"{number + 1:x}",
                 settings=settings,
             )
-            fronts.append((where, started(front_configuration)))
+            fronts.append((where, start_program(front_configuration)))
         for _, process in fronts:
             while "event=ready" not in process.stderr.readline():
                 assert process.poll() is None
         for number in range(3):  # three concurrent requests at each front, for three objects
             for where, _ in fronts:
-                viewers.append(
-                    Viewer(where).send(f"/invoke/video/{number + 1:016x}", txn=f"{number + 1:016x}")
+                clients.append(
+                    HttpClient(where).send(f"/invoke/video/{number + 1:016x}", txn=f"{number + 1:016x}")
                 )
-        answers = [viewer.answer()[0] for viewer in viewers]
+        answers = [client.answer()[0] for client in clients]
     finally:
         for _, process in fronts:
             process.kill()
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -14,7 +14,7 @@
     available_descriptors,
     plan_limits,
 )
-from tests.stand_ins import BOUND, Site, StandInCache, accepting, until
+from tests.stand_ins import TIMEOUT, Site, StandInCache, accept_in_thread, wait_for
 from tests.test_client_disconnects import driven  # noqa: F401 (a fixture)
 from tests.test_endings import COPY_FIELDS, resume_front, suspend_front
 
@@ -26,7 +26,7 @@
 def stop_change_log(log):
     """Stop the change log, so that it refuses connections; return its address."""
     where = log.listener.getsockname()
-    log.hang_up()
+    log.disconnect()
     log.listener.shutdown(socket.SHUT_RDWR)
     log.listener.close()
     return where
@@ -35,12 +35,12 @@
 def restart_change_log(site, where):
     """Restart the change log at its address."""
     site.log.listener = socket.create_server(where)
-    accepting(site.log.listener, site.log.serve)
+    accept_in_thread(site.log.listener, site.log.serve)
 
 
 def connect_clients(site, sends_request):
     """Return FLOOD clients that stay connected; with `sends_request`, each has had one answer."""
-    host, port = site.where.split(":")
+    host, port = site.listen_address.split(":")
     clients = []
     for _ in range(FLOOD):
         client = socket.socket()
@@ -70,7 +70,7 @@
 
 def max_logged_clients(site):
     """Return the maximum number of client connections that the front has logged."""
-    matches = [re.search(r"event=descriptors clients=(\d+)", line) for line in site.said]
+    matches = [re.search(r"event=descriptors clients=(\d+)", line) for line in site.log_lines]
     return max(int(match[1]) for match in matches if match)
 
 
@@ -82,36 +82,39 @@
 @pytest.mark.parametrize("burst", [False, True])
 def test_idle_clients_fill_their_descriptors_while_the_list_service_is_down(sends_request, burst):
     with Site(descriptors=SOCKETS, limits={"sockets": SOCKETS}) as site:
-        site.log.called()
+        site.log.next_call()
         log_address = stop_change_log(site.log)
-        site.heard("event=changelog")
+        site.next_log_line("event=changelog")
         if burst and not sends_request:
             suspend_front(site)
         clients = connect_clients(site, sends_request)
         if burst and not sends_request:
             resume_front(site)
-        until(lambda: site.health()[0] == 200)  # accepted after all of them
-        until(lambda: count_open(clients) <= CLIENTS)
+        wait_for(lambda: site.health()[0] == 200)  # accepted after all of them
+        wait_for(lambda: count_open(clients) <= CLIENTS)
         assert site.health()[0] == 200  # two more iterations, so that the excess is closed
         assert site.health()[0] == 200
         assert count_open(clients) >= CLIENTS - ACCEPTED_AT_ONCE  # not many more were closed than necessary
         assert max_logged_clients(site) <= CLIENTS + ACCEPTED_AT_ONCE
         restart_change_log(site, log_address)
-        assert site.log.called() == 1
-        site.log.tell(
+        assert site.log.next_call() == 1
+        site.log.send_event(
             2, fleet={"revision": 2, "complete": False, "members": [site.parent.entry("terminating")]}
         )
-        site.log.tell(9, invalidate={"bucket": 3, "time": 0})  # a gap causes a reconnect; the drain was read
-        assert site.log.called() == 2
+        # A gap causes a reconnect; the drain was read.
+        site.log.send_event(9, invalidate={"bucket": 3, "time": 0})
+        assert site.log.next_call() == 2
         assert site.health()[0] == 200
-        viewer = site.viewer().send()
+        other_client = site.open_client().send()
         site.cache.next().answer("LACK")
         fill = site.cache.next()
         assert fill.fields["up"] == "o-1"
         fill.answer("DONE", COPY_FIELDS, b"x")
-        assert viewer.answer()[2] == b"x"
+        assert other_client.answer()[2] == b"x"
         assert descriptors(site) <= SOCKETS
-        assert not [line for line in site.said if "fault" in line or "EMFILE" in line or "open files" in line]
+        assert not [
+            line for line in site.log_lines if "fault" in line or "EMFILE" in line or "open files" in line
+        ]
         for client in clients:
             client.close()
 
@@ -120,17 +123,17 @@
     soft, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
     assert available_descriptors(soft + 1) == soft and available_descriptors(64) == 64
     with Site(descriptors=SOCKETS, limits={"sockets": 5000}) as site:
-        site.log.called()
+        site.log.next_call()
         log_address = stop_change_log(site.log)
         clients = connect_clients(site, sends_request=False)
-        until(lambda: site.health()[0] == 200)
+        wait_for(lambda: site.health()[0] == 200)
         assert max_logged_clients(site) <= CLIENTS + ACCEPTED_AT_ONCE
         restart_change_log(site, log_address)
-        assert site.log.called() == 1
-        viewer = site.viewer().send()
+        assert site.log.next_call() == 1
+        other_client = site.open_client().send()
         site.cache.next().answer("DONE", COPY_FIELDS, b"x")
-        assert viewer.answer()[2] == b"x"
-        assert not [line for line in site.said if "open files" in line or "EMFILE" in line]
+        assert other_client.answer()[2] == b"x"
+        assert not [line for line in site.log_lines if "open files" in line or "EMFILE" in line]
         for client in clients:
             client.close()
 
@@ -158,24 +161,24 @@
 def test_idle_cache_connections_are_replaced_within_the_reserved_descriptors(driven):  # noqa: F811
     number = 2 * CROSSING_CLOSES
     # Timeouts that a slow machine does not reach.
-    front = driven(open_requests=number, wait=BOUND * 1_000_000, connect=BOUND * 1_000_000)
-    front.clients.services[b"video"] = (0, False, BOUND * 1_000_000)
+    front = driven(open_requests=number, wait=TIMEOUT * 1_000_000, connect=TIMEOUT * 1_000_000)
+    front.clients.services[b"video"] = (0, False, TIMEOUT * 1_000_000)
     front.servers.limits = front.servers.limits._replace(all_cache_connections=number)
     first, second = Answering("s-1"), Answering("s-2")
-    clients, most = [front.viewer() for _ in range(number)], 0
+    clients, most = [front.open_client() for _ in range(number)], 0
 
     def ask(member, cache, start):
         nonlocal most
         front.front.member = member
         front.servers.update_endpoint(member, cache.name, cache.listener.getsockname(), 0, front.ready)
-        for i, viewer in enumerate(clients):
-            viewer.send(txn=f"{start + i:016x}", ttl=BOUND * 1000)
+        for i, client in enumerate(clients):
+            client.send(txn=f"{start + i:016x}", ttl=TIMEOUT * 1000)
         front.passes_until(lambda: len(front.clients.requests) == number)
 
         def all_asked():
             nonlocal most
             most = max(most, front.servers.connection_count)
-            return cache.asked.qsize() == number
+            return cache.commands.qsize() == number
 
         front.passes_until(all_asked)
         cache.answer_all(number)
@@ -189,12 +192,14 @@
 
 def test_the_front_counts_its_descriptors_by_use():
     with Site(descriptors=SOCKETS, limits={"sockets": SOCKETS}) as site:
-        site.log.called()
-        clients = [site.viewer() for _ in range(CLIENTS)]
+        site.log.next_call()
+        clients = [site.open_client() for _ in range(CLIENTS)]
         clients[0].send()
         site.cache.next().answer("DONE", COPY_FIELDS, b"x")
         assert clients[0].answer()[2] == b"x"
-        counts = re.findall(r"(\w+)=(\d+)", site.heard("event=descriptors-by-use").partition("event=")[2])
+        counts = re.findall(
+            r"(\w+)=(\d+)", site.next_log_line("event=descriptors-by-use").partition("event=")[2]
+        )
         use = {name: int(value) for name, value in counts}
         assert (use["clients"], use["caches"]) == (CLIENTS, 1)
         assert use["clients"] + use["caches"] + use["other"] == descriptors(site)
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -29,16 +29,16 @@
 from limepath.log import Log
 from tests.fake_host import FakeHost
 from tests.stand_ins import (
-    BOUND,
     MS,
     SETTINGS,
+    TIMEOUT,
     Site,
     StandInChangeLog,
     address,
     configuration,
     free_address,
-    listening,
-    started,
+    open_listener,
+    start_program,
 )
 
 NOW = "rev=4be0c1927d55a6f3,since=1764576000123"
@@ -47,200 +47,201 @@
 
 def test_get_returns_the_object_unchanged():
     with Site() as site:
-        viewer = site.viewer().send()
-        asked = site.cache.next()
-        assert asked.id == "9b1f03aa5c7e2d41" and asked.body == b""
-        budget = int(asked.fields.pop("budget"))
-        assert 0 < budget <= 1000 * BOUND
-        assert asked.fields == {"queue": "video", "path": "7f3a9c21e0b4d655", "blk": "3", "store": "1"}
-        asked.answer("DONE", NOW, OBJECT)
-        status, fields, body = viewer.answer()
+        client = site.open_client().send()
+        command = site.cache.next()
+        assert command.id == "9b1f03aa5c7e2d41" and command.body == b""
+        budget = int(command.fields.pop("budget"))
+        assert 0 < budget <= 1000 * TIMEOUT
+        assert command.fields == {"queue": "video", "path": "7f3a9c21e0b4d655", "blk": "3", "store": "1"}
+        command.answer("DONE", NOW, OBJECT)
+        status, fields, body = client.answer()
         assert (status, fields["etag"], body) == (200, '"4be0c1927d55a6f3"', OBJECT)
-        viewer.send(target="/invoke/video/00000000000000aa", txn="00000000000000ff")  # on the same connection
-        asked = site.cache.next()
-        assert "blk" not in asked.fields
-        asked.answer("DONE", NOW)
-        assert viewer.answer()[::2] == (200, b"")
+        client.send(target="/invoke/video/00000000000000aa", txn="00000000000000ff")  # on the same connection
+        command = site.cache.next()
+        assert "blk" not in command.fields
+        command.answer("DONE", NOW)
+        assert client.answer()[::2] == (200, b"")
 
 
 def test_miss_is_filled_and_a_full_cache_is_skipped():
     with Site() as site:
-        viewer = site.viewer().send()
+        client = site.open_client().send()
         site.cache.next().answer("LACK")
         fill = site.cache.next()
         assert fill.fields["up"] == "p-1"
         fill.answer("DONE", NOW, b"x")
-        assert viewer.answer()[::2] == (200, b"x")
-        viewer.send()
+        assert client.answer()[::2] == (200, b"x")
+        client.send()
         site.cache.next().answer("WAIT")  # was once rejected as an answer to ASK, which closed the connection
         direct = site.parent.next()
         assert direct.fields["up"] == "o-1"
         direct.answer("DONE", NOW, b"y")
         # Each connection carries an id only once.
-        assert viewer.answer()[::2] == (200, b"y") and site.cache.connected == 3
+        assert client.answer()[::2] == (200, b"y") and site.cache.connection_count == 3
 
 
 def test_copy_of_a_client_is_revalidated():
     with Site() as site:
-        viewer = site.viewer().send(If_None_Match='"4be0c1927d55a6f3"')
-        asked = site.cache.next()
-        assert asked.fields["inm"] == "4be0c1927d55a6f3"
-        asked.answer("KEEP", NOW)
-        assert viewer.answer()[0] == 304
+        client = site.open_client().send(If_None_Match='"4be0c1927d55a6f3"')
+        command = site.cache.next()
+        assert command.fields["inm"] == "4be0c1927d55a6f3"
+        command.answer("KEEP", NOW)
+        assert client.answer()[0] == 304
         # Forwarded, this tag would corrupt the fields of the request.
-        viewer.send(If_None_Match='"a,b=c"', txn="00000000000000ff")
-        asked = site.cache.next()
-        other = site.viewer().send(If_None_Match='"%s"' % ("a" * 5000), txn="00000000000000fe")
+        client.send(If_None_Match='"a,b=c"', txn="00000000000000ff")
+        command = site.cache.next()
+        other = site.open_client().send(If_None_Match='"%s"' % ("a" * 5000), txn="00000000000000fe")
         longer = site.cache.next()  # a cache would close the connection at a line that long
         assert "inm" not in longer.fields
         longer.answer("DONE", NOW)
         assert other.answer()[0] == 200
-        assert "inm" not in asked.fields
-        asked.answer("KEEP", NOW)  # invalid without a copy of the client, so another attempt follows
+        assert "inm" not in command.fields
+        command.answer("KEEP", NOW)  # invalid without a copy of the client, so another attempt follows
         site.cache.next().answer("DONE", NOW, b"x")
-        assert viewer.answer()[::2] == (200, b"x")
+        assert client.answer()[::2] == (200, b"x")
 
 
 def test_put_takes_effect_at_most_once():
     with Site() as site:
-        viewer = site.viewer().send("/invoke/tarea/0000000000000001", b"mine" * 12_000)
-        asked = site.origin.next()
-        assert asked.body == b"mine" * 12_000 and "up" not in asked.fields
-        asked.answer("DONE")  # without a tag
-        assert viewer.answer()[0] == 200
-        viewer.send("/invoke/tarea/0000000000000001", b"again")
-        site.origin.next().hang_up()
-        assert viewer.answer()[0] == 502
-        viewer.send("/invoke/tarea/0000000000000001", b"third")
+        client = site.open_client().send("/invoke/tarea/0000000000000001", b"mine" * 12_000)
+        command = site.origin.next()
+        assert command.body == b"mine" * 12_000 and "up" not in command.fields
+        command.answer("DONE")  # without a tag
+        assert client.answer()[0] == 200
+        client.send("/invoke/tarea/0000000000000001", b"again")
+        site.origin.next().disconnect()
+        assert client.answer()[0] == 502
+        client.send("/invoke/tarea/0000000000000001", b"third")
         assert site.origin.next().body == b"third"  # the second write was not repeated
 
 
 def test_expect_100_continue_is_answered_before_the_body():
     with Site() as site:
-        viewer = site.viewer().raw(
+        client = site.open_client().send_raw(
             "PUT /invoke/tarea/1 HTTP/1.1\r\nX-Txn: 9b1f03aa5c7e2d41\r\nX-Ttl-Ms: 900\r\nX-Family: 1\r\n"
             "Content-Length: 4\r\nExpect: 100-continue\r\n\r\n"
         )
-        assert viewer.answer()[0] == 100
-        viewer.raw("mine")
-        asked = site.origin.next()
-        asked.answer("DONE")
-        assert asked.body == b"mine" and viewer.answer()[0] == 200
+        assert client.answer()[0] == 100
+        client.send_raw("mine")
+        command = site.origin.next()
+        command.answer("DONE")
+        assert command.body == b"mine" and client.answer()[0] == 200
 
 
 def test_write_refused_by_the_origin_is_shed_with_a_retry_time():
     with Site() as site:
-        viewer = site.viewer().send("/invoke/tarea/0000000000000001", b"mine")
+        client = site.open_client().send("/invoke/tarea/0000000000000001", b"mine")
         site.origin.next().answer("WAIT")
-        status, fields, _ = viewer.answer()
+        status, fields, _ = client.answer()
         assert status == 503 and 50 <= int(fields["x-throttle-ms"]) <= 150
 
 
 def test_attempt_is_cancelled_when_its_client_disconnects():
     with Site() as site:
-        viewer = site.viewer().send()
-        asked = site.cache.next()
-        viewer.close()
-        assert site.cache.next("QUIT").id == asked.id
-        viewer = site.viewer().send()  # the same id: the late answer to the first must not be used
+        client = site.open_client().send()
+        command = site.cache.next()
+        client.close()
+        assert site.cache.next("QUIT").id == command.id
+        client = site.open_client().send()  # the same id: the late answer to the first must not be used
         again = site.cache.next()
-        asked.answer("DONE", NOW, b"late")
+        command.answer("DONE", NOW, b"late")
         again.answer("DONE", NOW, b"new")
-        assert viewer.answer()[::2] == (200, b"new") and site.cache.connected == 2
+        assert client.answer()[::2] == (200, b"new") and site.cache.connection_count == 2
 
 
 def test_drains_and_purges_take_effect():
     with Site(("s-1", "s-2")) as site:
-        site.cache.asked = site.caches[1].asked  # a common queue
-        site.log.called()
-        viewer, now = site.viewer(), int(time.time() * 1000)
+        site.cache.commands = site.caches[1].commands  # a common queue
+        site.log.next_call()
+        client, now = site.open_client(), int(time.time() * 1000)
 
         def asked_for(number, **fields):
-            viewer.send(f"/invoke/video/{number:016x}", txn=f"{number:016x}", **fields)
-            asked = site.cache.next()
-            asked.answer("DONE", f"rev=4be0,since={int(time.time() * 1000)}")
-            assert viewer.answer()[0] == 200
-            return asked
+            client.send(f"/invoke/video/{number:016x}", txn=f"{number:016x}", **fields)
+            command = site.cache.next()
+            command.answer("DONE", f"rev=4be0,since={int(time.time() * 1000)}")
+            assert client.answer()[0] == 200
+            return command
 
         assert {asked_for(number).cache for number in range(40)} == {"s-1", "s-2"}
         # The timestamp sets the reference clock, from which ages are computed.
-        site.log.tell(2, invalidate={"bucket": 4, "time": int(time.time() * 1000)})
-        site.log.tell(
+        site.log.send_event(2, invalidate={"bucket": 4, "time": int(time.time() * 1000)})
+        site.log.send_event(
             3, fleet={"revision": 2, "complete": False, "members": [site.cache.entry("terminating")]}
         )
-        site.log.tell(4, invalidate={"bucket": 17, "time": now - 100})
-        site.log.tell(4, invalidate={"bucket": 17, "time": now - 90_000})  # a repeated number is ignored
-        site.log.tell(5, invalidate={"object": "00000000000000aa", "time": now - 40_000})
+        site.log.send_event(4, invalidate={"bucket": 17, "time": now - 100})
+        # A repeated number is ignored.
+        site.log.send_event(4, invalidate={"bucket": 17, "time": now - 90_000})
+        site.log.send_event(5, invalidate={"object": "00000000000000aa", "time": now - 40_000})
         while "cap" not in asked_for(0xAA, X_Family=3).fields:
             pass
         seen = [asked_for(number) for number in range(40)]
-        assert {asked.cache for asked in seen} == {"s-2"}
+        assert {command.cache for command in seen} == {"s-2"}
         spent = int(time.time() * 1000) - now
-        assert all(100 <= int(asked.fields["cap"]) <= 100 + spent for asked in seen)
+        assert all(100 <= int(command.fields["cap"]) <= 100 + spent for command in seen)
         assert 40_000 <= int(asked_for(0xAA, X_Family=3).fields["cap"]) < 90_000
 
 
 def test_change_log_is_reconnected_after_a_break_a_gap_and_an_invalid_event():
     with Site() as site:
-        assert site.log.called() == 1
-        site.log.hang_up()
-        assert site.log.called() == 1
-        site.log.tell(2, invalidate={"object": "00000000000000aa", "time": int(time.time() * 1000)})
-        site.log.tell(4, invalidate={"bucket": 3, "time": int(time.time() * 1000)})  # 3 is missing
-        assert site.log.called() == 2
-        site.log.tell(3, invalidate={"bucket": 17, "time": int(time.time() * 1000)})
-        site.log.raw(4, '{"seq":4,"fleet":{"members":[{"id":"s-9"}]}}')
-        assert site.log.called() == 3
-        site.log.raw(4, '{"seq":4,"fleet":{"members":[{"id":"s-9"}]}}')  # invalid again: skipped
-        site.log.tell(5, invalidate={"bucket": 17, "time": int(time.time() * 1000)})
-        site.log.raw(6, "no event")
-        assert site.log.called() == 5
+        assert site.log.next_call() == 1
+        site.log.disconnect()
+        assert site.log.next_call() == 1
+        site.log.send_event(2, invalidate={"object": "00000000000000aa", "time": int(time.time() * 1000)})
+        site.log.send_event(4, invalidate={"bucket": 3, "time": int(time.time() * 1000)})  # 3 is missing
+        assert site.log.next_call() == 2
+        site.log.send_event(3, invalidate={"bucket": 17, "time": int(time.time() * 1000)})
+        site.log.send_raw(4, '{"seq":4,"fleet":{"members":[{"id":"s-9"}]}}')
+        assert site.log.next_call() == 3
+        site.log.send_raw(4, '{"seq":4,"fleet":{"members":[{"id":"s-9"}]}}')  # invalid again: skipped
+        site.log.send_event(5, invalidate={"bucket": 17, "time": int(time.time() * 1000)})
+        site.log.send_raw(6, "no event")
+        assert site.log.next_call() == 5
         assert site.health()[0] == 200
 
 
 def test_reload_moves_to_another_change_log_without_disturbing_requests():
     with Site() as site:
-        assert site.log.called() == 1
-        viewer = site.viewer().send()
-        asked = site.cache.next()
-        site.log.tell(2, invalidate={"bucket": 3, "time": int(time.time() * 1000)})
+        assert site.log.next_call() == 1
+        client = site.open_client().send()
+        command = site.cache.next()
+        site.log.send_event(2, invalidate={"bucket": 3, "time": int(time.time() * 1000)})
         for flawed in ("{", json.dumps(site.configuration | {"changelog": "nowhere"})):
             site.reload(flawed)
-            assert site.heard("event=reload ").endswith('the running values stay"')
+            assert site.next_log_line("event=reload ").endswith('the running values stay"')
         old, site.log = site.log, StandInChangeLog()
         site.reload(json.dumps(site.configuration | {"changelog": address(site.log.listener), "seed": "1"}))
         # SIGHUP without a handler would terminate the front.
-        assert "seed" in site.heard("event=reload ") and site.log.called() == 2
+        assert "seed" in site.next_log_line("event=reload ") and site.log.next_call() == 2
         for _ in range(2):
             site.reload(json.dumps(site.configuration | {"changelog": address(site.log.listener)}))
-            assert site.log.called() == 2 and old.calls.empty()
+            assert site.log.next_call() == 2 and old.calls.empty()
         now = int(time.time() * 1000)
-        site.log.tell(3, invalidate={"bucket": 17, "time": now})
-        asked.answer("DONE", NOW, b"x")
-        assert viewer.answer()[::2] == (200, b"x")
-        while "cap" not in (asked := viewer.send() and site.cache.next()).fields:
-            asked.answer("DONE", NOW)
-            assert viewer.answer()[0] == 200
-        asked.answer("DONE", f"rev=4be0,since={now - 60_000}", b"old")  # older than the purge
-        asked = site.cache.next()
-        asked.answer("DONE", f"rev=4be0,since={now}", b"new")
-        assert viewer.answer()[::2] == (200, b"new")
+        site.log.send_event(3, invalidate={"bucket": 17, "time": now})
+        command.answer("DONE", NOW, b"x")
+        assert client.answer()[::2] == (200, b"x")
+        while "cap" not in (command := client.send() and site.cache.next()).fields:
+            command.answer("DONE", NOW)
+            assert client.answer()[0] == 200
+        command.answer("DONE", f"rev=4be0,since={now - 60_000}", b"old")  # older than the purge
+        command = site.cache.next()
+        command.answer("DONE", f"rev=4be0,since={now}", b"new")
+        assert client.answer()[::2] == (200, b"new")
 
 
 def test_silent_change_log_is_reconnected():
     with Site() as site:
-        assert [site.log.called(), site.log.called()] == [1, 1]
+        assert [site.log.next_call(), site.log.next_call()] == [1, 1]
 
 
 def test_two_resets_skip_a_cache_and_a_refused_connection_sheds_a_write():
     with Site() as site:
-        viewer = site.viewer().send()
-        site.cache.next().hang_up()
-        site.cache.next().hang_up()  # after one reset the same cache is tried again
+        client = site.open_client().send()
+        site.cache.next().disconnect()
+        site.cache.next().disconnect()  # after one reset the same cache is tried again
         site.parent.next().answer("DONE", NOW, b"x")
-        assert viewer.answer()[::2] == (200, b"x")
+        assert client.answer()[::2] == (200, b"x")
         site.origin.stop()
-        assert viewer.send("/invoke/tarea/0000000000000001", b"mine").answer()[0] == 503
+        assert client.send("/invoke/tarea/0000000000000001", b"mine").answer()[0] == 503
 
 
 def test_malformed_answer_is_never_passed_on_and_affects_one_request():
@@ -257,34 +258,34 @@
         b"ID DONE rev=4b,since=%d 3000000000\r\nx" % now,
     ]
     with Site() as site:
-        other = site.viewer().send("/invoke/video/1", txn="00000000000000fe")
+        other = site.open_client().send("/invoke/video/1", txn="00000000000000fe")
         asked_for_other = site.cache.next()
         for number, answer in enumerate(malformed):
-            viewer = site.viewer().send(txn=f"{number:016x}")
-            asked = site.cache.next()
-            asked.connection.sendall(answer.replace(b"ID", asked.id.encode()))
-            asked = site.cache.next()  # retried there on another connection
-            asked.answer("DONE", NOW, b"x")
-            assert viewer.answer()[::2] == (200, b"x"), answer[:60]
+            client = site.open_client().send(txn=f"{number:016x}")
+            command = site.cache.next()
+            command.connection.sendall(answer.replace(b"ID", command.id.encode()))
+            command = site.cache.next()  # retried there on another connection
+            command.answer("DONE", NOW, b"x")
+            assert client.answer()[::2] == (200, b"x"), answer[:60]
         asked_for_other.answer("DONE", NOW, b"mine")
         assert other.answer()[::2] == (200, b"mine")
 
 
 def test_duplicate_and_unexpected_answers_are_ignored():
     with Site() as site:
-        viewer = site.viewer().send()
-        asked = site.cache.next()
-        asked.connection.sendall(b"00000000000000aa DONE rev=4b,since=1 1\r\nz\r\n")
-        asked.answer("LACK")
-        asked.answer("LACK")  # must not be used for the next attempt with this id
+        client = site.open_client().send()
+        command = site.cache.next()
+        command.connection.sendall(b"00000000000000aa DONE rev=4b,since=1 1\r\nz\r\n")
+        command.answer("LACK")
+        command.answer("LACK")  # must not be used for the next attempt with this id
         fill = site.cache.next()
-        assert fill.connection is not asked.connection
+        assert fill.connection is not command.connection
         fill.answer("DONE", NOW, b"x")
         fill.answer("DONE", NOW, b"x")
-        assert viewer.answer()[::2] == (200, b"x")
-        viewer.send("/invoke/video/1", txn="00000000000000ff")
+        assert client.answer()[::2] == (200, b"x")
+        client.send("/invoke/video/1", txn="00000000000000ff")
         site.cache.next().answer("DONE", NOW, b"y")
-        assert viewer.answer()[::2] == (200, b"y")
+        assert client.answer()[::2] == (200, b"y")
 
 
 def test_partially_written_attempt_counts_as_not_sent():
@@ -314,32 +315,33 @@
 
 def test_request_ends_at_its_deadline_if_no_server_answers():
     with Site() as site:
-        site.cache.deaf = site.parent.deaf = True
-        viewer = site.viewer().send(ttl=1500)
+        site.cache.ignores_probes = site.parent.ignores_probes = True
+        client = site.open_client().send(ttl=1500)
         site.cache.next()
-        assert viewer.answer()[0] == 503
-        viewer.send("/invoke/tarea/0000000000000001", b"mine", ttl=1500)
+        assert client.answer()[0] == 503
+        client.send("/invoke/tarea/0000000000000001", b"mine", ttl=1500)
         site.origin.next()
-        assert viewer.answer()[0] == 502  # it may have been executed
+        assert client.answer()[0] == 502  # it may have been executed
 
 
 def test_silent_connection_is_closed_once_a_probe_on_another_is_answered():
     with Site() as site:
-        viewer = site.viewer().send()
-        site.cache.cut_off.add(site.cache.next().connection)  # a probe on another connection will be answered
+        client = site.open_client().send()
+        # A probe on another connection will be answered.
+        site.cache.unanswered_connections.add(site.cache.next().connection)
         site.cache.next().answer("DONE", NOW, b"x")  # long before the deadline of the request
-        assert viewer.answer()[::2] == (200, b"x")
+        assert client.answer()[::2] == (200, b"x")
 
 
 def test_attempt_without_a_connection_counts_as_not_sent():
     with Site() as site:
-        site.cache.crowd()
-        viewer = site.viewer().send(ttl=100)  # less than the wait for a connection
-        assert viewer.answer()[0] == 503
-        viewer.send(txn="00000000000000ff")
+        site.cache.fill_accept_queue()
+        client = site.open_client().send(ttl=100)  # less than the wait for a connection
+        assert client.answer()[0] == 503
+        client.send(txn="00000000000000ff")
         site.parent.next().answer("DONE", NOW, b"x")
-        assert viewer.answer()[::2] == (200, b"x")
-        assert not [line for line in site.said if "fault" in line], site.said
+        assert client.answer()[::2] == (200, b"x")
+        assert not [line for line in site.log_lines if "fault" in line], site.log_lines
 
 
 def test_wait_for_a_connection_is_limited_by_heed_within():
@@ -349,26 +351,26 @@
 
 def test_sigterm_answers_all_requests_and_exits_with_status_0():
     with Site(limits={"leaving_ms": 3000}) as site:
-        open_one, late, idle = site.viewer().send(), site.viewer(), site.viewer()
-        asked = site.cache.next()
+        open_one, late, idle = site.open_client().send(), site.open_client(), site.open_client()
+        command = site.cache.next()
         site.terminate()
         while (health := site.health())[0] == 200:
             pass
         assert health[1]["connection"] == "close"
         late.send(txn="00000000000000ff")
         site.cache.next().answer("DONE", NOW, b"late")
-        assert late.answer()[1]["connection"] == "close" and late.ended()
-        assert idle.ended() and site.process.poll() is None
-        asked.answer("DONE", NOW, OBJECT)
-        assert open_one.answer()[2] == OBJECT and open_one.ended()
-        assert site.process.wait(BOUND) == 0
+        assert late.answer()[1]["connection"] == "close" and late.closed_by_server()
+        assert idle.closed_by_server() and site.process.poll() is None
+        command.answer("DONE", NOW, OBJECT)
+        assert open_one.answer()[2] == OBJECT and open_one.closed_by_server()
+        assert site.process.wait(TIMEOUT) == 0
 
 
 def test_large_last_answer_is_sent_completely_before_the_close():
     with Site() as site:  # a producer that stayed registered once kept this connection open forever
-        viewer = site.viewer().send(Connection="close")
+        client = site.open_client().send(Connection="close")
         site.cache.next().answer("DONE", NOW, b"z" * 240_000)
-        assert viewer.answer()[2] == b"z" * 240_000 and viewer.ended()
+        assert client.answer()[2] == b"z" * 240_000 and client.closed_by_server()
 
 
 def test_invalid_requests_are_rejected_without_affecting_others():
@@ -401,45 +403,55 @@
         head.replace("HTTP/1.1", "HTTP/2.0") + "\r\n": 505,
     }
     with Site() as site:
-        other, half = site.viewer().send(txn="00000000000000ff"), site.viewer().raw(head)
+        other, half = site.open_client().send(txn="00000000000000ff"), site.open_client().send_raw(head)
         for text, status in cases.items():
-            viewer = site.viewer().raw(text)
-            answer = viewer.answer()
+            client = site.open_client().send_raw(text)
+            answer = client.answer()
             assert answer[0] == status and answer[1]["connection"] == "close", (text[:80], answer)
-            assert viewer.ended()
-        asked = site.cache.next()
-        assert asked.id == "00000000000000ff" and site.cache.asked.empty() and site.origin.asked.empty()
-        asked.answer("DONE", NOW, b"x")
+            assert client.closed_by_server()
+        command = site.cache.next()
+        assert (
+            command.id == "00000000000000ff" and site.cache.commands.empty() and site.origin.commands.empty()
+        )
+        command.answer("DONE", NOW, b"x")
         assert other.answer()[::2] == (200, b"x")
-        spare = site.viewer().raw("\r\n" + head.replace("/invoke", "http://app.svc/invoke") + "\r\n")
+        spare = site.open_client().send_raw(
+            "\r\n" + head.replace("/invoke", "http://app.svc/invoke") + "\r\n"
+        )
         # A request may follow an empty line and have an absolute target.
         site.cache.next().answer("DONE", NOW, b"z")
         assert spare.answer()[::2] == (200, b"z")
-        half.raw("\r\n")  # the rest of a head may arrive late
+        half.send_raw("\r\n")  # the rest of a head may arrive late
         site.cache.next().answer("DONE", NOW, b"y")
         assert half.answer()[::2] == (200, b"y")
 
 
 def test_bytes_after_an_open_request_abort_it_and_an_open_id_is_rejected():
     with Site() as site:
-        viewer = site.viewer().send()
-        asked = site.cache.next()
-        double = site.viewer().send("/invoke/video/1")
-        assert double.answer()[0] == 409 and double.ended()
-        asked.answer("DONE", NOW, b"x")
-        assert viewer.answer()[::2] == (200, b"x")
-        asked = viewer.send() and site.cache.next()  # the id can be used again
-        viewer.raw("x")  # one byte after the end of the request
-        assert viewer.answer()[0] == 400 and viewer.ended()
-        assert site.cache.next("QUIT").id == asked.id
+        client = site.open_client().send()
+        command = site.cache.next()
+        double = site.open_client().send("/invoke/video/1")
+        assert double.answer()[0] == 409 and double.closed_by_server()
+        command.answer("DONE", NOW, b"x")
+        assert client.answer()[::2] == (200, b"x")
+        command = client.send() and site.cache.next()  # the id can be used again
+        client.send_raw("x")  # one byte after the end of the request
+        assert client.answer()[0] == 400 and client.closed_by_server()
+        assert site.cache.next("QUIT").id == command.id
 
 
 def test_silent_and_endless_clients_are_closed_soon():
     limits = plan_limits(256, 64, 32, open_requests=9)
     assert max(limits.slow, limits.linger) + 2 * limits.sweep < 3_000_000  # the longest time until the close
     with Site() as site:
-        silent, half, after = site.viewer(), site.viewer().raw("GET /inv"), site.viewer().send()
-        endless = site.viewer().raw("PUT /invoke/tarea/1 HTTP/1.1\r\nContent-Length: 60000000\r\n\r\n")
+        silent, half, after = (
+            site.open_client(),
+            site.open_client().send_raw("GET /inv"),
+            site.open_client().send(),
+        )
+        endless = site.open_client().send_raw(
+            "PUT /invoke/tarea/1 HTTP/1.1\r\nContent-Length: 60000000\r\n\r\n"
+        )
         sent = 0
         assert endless.answer()[0] == 413
         with contextlib.suppress(OSError):
@@ -448,7 +460,7 @@
         assert sent < 30_000_000  # such a client was once read for 10 s
         site.cache.next().answer("DONE", NOW)
         assert after.answer()[0] == 200
-        assert silent.ended() and half.ended() and after.ended()
+        assert silent.closed_by_server() and half.closed_by_server() and after.closed_by_server()
 
 
 def test_request_read_during_a_lingering_close_is_not_accepted():
@@ -468,11 +480,11 @@
 
 def test_request_over_max_open_is_shed_with_a_retry_time():
     with Site(settings=SETTINGS | {"limits": SETTINGS["limits"] | {"max-open": 1}}) as site:
-        first = site.viewer().send()
-        asked = site.cache.next()
-        status, fields, _ = site.viewer().send(txn="00000000000000ff").answer()
+        first = site.open_client().send()
+        command = site.cache.next()
+        status, fields, _ = site.open_client().send(txn="00000000000000ff").answer()
         assert (status, fields["x-throttle-ms"]) == (503, "100")
-        asked.answer("DONE", NOW)
+        command.answer("DONE", NOW)
         assert first.answer()[0] == 200
 
 
@@ -521,17 +533,17 @@
 
 def test_excess_connections_close_idle_ones_and_keep_open_requests():
     with Site(limits={"sockets": 100}) as site:
-        busy = site.viewer().send()
-        asked = site.cache.next()
-        crowd = [site.viewer() for _ in range(60)]
-        assert crowd[0].ended()
-        asked.answer("DONE", NOW, b"x")
+        busy = site.open_client().send()
+        command = site.cache.next()
+        idle = [site.open_client() for _ in range(60)]
+        assert idle[0].closed_by_server()
+        command.answer("DONE", NOW, b"x")
         assert busy.answer()[2] == b"x"
 
 
 def test_invalid_configuration_is_reported_in_one_line_with_the_key():
     whole = configuration(free_address())
-    taken = listening()
+    taken = open_listener()
     less = {key: value for key, value in SETTINGS.items() if key != "safety"}
     fleet = {"seq": 1, "fleet": {"complete": True, "members": [{"id": "s-1", "host_port": "nowhere"}]}}
     cases = [
@@ -557,9 +569,9 @@
         (whole | {"known": {"seq": 1, "results": [fleet]}}, "known.results"),
         (whole | {"known": {"results": []}}, "known.seq"),
     ]
-    processes = [(started(told), key) for told, key in cases]
+    processes = [(start_program(told), key) for told, key in cases]
     for process, key in processes:
-        _, errors = process.communicate(timeout=BOUND)
+        _, errors = process.communicate(timeout=TIMEOUT)
         assert process.returncode == 2 and key in errors and errors.count("\n") == 1, (key, errors)
     taken.close()
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -126,18 +126,18 @@
 
 def test_a_reload_with_settings_that_cannot_be_used_changes_nothing():
     with Site() as site:
-        assert site.log.called() == 1
+        assert site.log.next_call() == 1
         site.reload(
             json.dumps(
                 site.configuration
                 | {"changelog": "127.0.0.1:9", "settings": SETTINGS | {"replicas-of-me": 0}}
             )
         )
-        line = site.heard("event=reload ")
+        line = site.next_log_line("event=reload ")
         assert "settings.replicas-of-me" in line and "the running values stay" in line
-        viewer = site.viewer().send()
+        client = site.open_client().send()
         site.cache.next().answer("DONE", "rev=4be0,since=1764576000123", b"x")
-        assert viewer.answer()[2] == b"x" and site.log.calls.empty()
+        assert client.answer()[2] == b"x" and site.log.calls.empty()
 
 
 def test_an_address_has_a_host_and_a_port():
--- a/tests/test_terms_clock.py
+++ b/tests/test_terms_clock.py
@@ -6,7 +6,7 @@
 import threading
 import time
 
-from tests.stand_ins import BOUND, MS, SETTINGS, Site, until
+from tests.stand_ins import MS, SETTINGS, TIMEOUT, Site, wait_for
 
 HOUR = 3600
 STEPS = (HOUR, 3, -3, -HOUR)
@@ -21,26 +21,26 @@
     return int(time.time() * 1000)
 
 
-def serve(site, viewer, since, body=b"x"):
+def serve(site, client, since, body=b"x"):
     """Send a request that a cache answers with a copy of the time `since`; return what the cache received."""
-    viewer.send(txn=next(TXNS), ttl=10_000)
-    asked = site.cache.next()
-    asked.answer("DONE", f"rev=4be0,since={since}", body)
-    assert viewer.answer()[::2] == (200, body)
-    return asked
+    client.send(txn=next(TXNS), ttl=10_000)
+    command = site.cache.next()
+    command.answer("DONE", f"rev=4be0,since={since}", body)
+    assert client.answer()[::2] == (200, body)
+    return command
 
 
 def next_request(cache):
-    while (asked := cache.asked.get(timeout=BOUND)).word != "ASK":  # skips cancellations
+    while (command := cache.commands.get(timeout=TIMEOUT)).word != "ASK":  # skips cancellations
         pass
-    return asked
+    return command
 
 
 def test_wall_clock_steps_do_not_change_request_deadlines():
     """Two requests per step: one that is open when the clock is stepped, and one that arrives later."""
     with Site(faults={}) as site:
         for step in (-HOUR, -3, HOUR):
-            open_one, later = site.viewer().send(txn=next(TXNS), ttl=1500), site.viewer()
+            open_one, later = site.open_client().send(txn=next(TXNS), ttl=1500), site.open_client()
             began = time.monotonic()
             next_request(site.cache)
             site.inject(wall_step=step)
@@ -60,26 +60,26 @@
             for number, step in enumerate((at_start, *STEPS), 2):
                 site.inject(wall_step=step)
                 told_at = milliseconds()
-                site.log.tell(number, invalidate={"bucket": 17, "time": told_at})
-                viewer, end = site.viewer(), time.monotonic() + 5
-                while int(serve(site, viewer, milliseconds()).fields["cap"]) > milliseconds() - told_at:
+                site.log.send_event(number, invalidate={"bucket": 17, "time": told_at})
+                client, end = site.open_client(), time.monotonic() + 5
+                while int(serve(site, client, milliseconds()).fields["cap"]) > milliseconds() - told_at:
                     assert time.monotonic() < end, (at_start, step)
 
 
 class Answering:
-    """Lets all servers answer immediately with a current copy; records the requests in `asked`."""
+    """Lets all servers answer immediately with a current copy; records the requests in `commands`."""
 
     def __init__(self, site):
-        self.site, self.asked, self.times = site, [], {}
+        self.site, self.commands, self.times = site, [], {}
         for member in site.members:
             threading.Thread(target=self.answer, args=(member,), daemon=True).start()
 
     def answer(self, member):
-        while asked := member.asked.get():
-            if asked.word == "ASK":
-                self.asked.append(asked)
-                self.times.setdefault(asked.cache, []).append(time.monotonic())
-                asked.answer("DONE", f"rev=4be0,since={milliseconds()}", b"x")
+        while command := member.commands.get():
+            if command.word == "ASK":
+                self.commands.append(command)
+                self.times.setdefault(command.cache, []).append(time.monotonic())
+                command.answer("DONE", f"rev=4be0,since={milliseconds()}", b"x")
 
     def most_in_a_second(self, name):
         times = self.times[name]
@@ -87,13 +87,13 @@
 
     def wait_until_heard(self, number):
         """Send a purge as this event and wait until it takes effect, as then all earlier events have."""
-        self.site.log.tell(number, invalidate={"bucket": 18, "time": milliseconds()})
-        viewer = self.site.viewer()
-        until(lambda: "cap" in self.ask(viewer, X_Family=18).fields)
+        self.site.log.send_event(number, invalidate={"bucket": 18, "time": milliseconds()})
+        client = self.site.open_client()
+        wait_for(lambda: "cap" in self.ask(client, X_Family=18).fields)
 
-    def ask(self, viewer, **fields):
-        assert viewer.send(txn=next(TXNS), **fields).answer()[0] == 200
-        return self.asked[-1]
+    def ask(self, client, **fields):
+        assert client.send(txn=next(TXNS), **fields).answer()[0] == 200
+        return self.commands[-1]
 
 
 def test_new_member_counts_as_cold_despite_wall_clock_steps():
@@ -102,13 +102,13 @@
     """
     for at_start in (0, HOUR):
         with Site(faults={"wall_step": at_start}) as site:
-            answering, viewer = Answering(site), site.viewer()
+            answering, client = Answering(site), site.open_client()
             site.inject(wall_step=HOUR)
             entry = site.cache.entry(up_since_ms=milliseconds())
-            site.log.tell(2, fleet={"revision": 2, "complete": False, "members": [entry]})
+            site.log.send_event(2, fleet={"revision": 2, "complete": False, "members": [entry]})
             answering.wait_until_heard(3)
             for _ in range(30):
-                answering.ask(viewer)
+                answering.ask(client)
             assert answering.most_in_a_second("s-1") <= 12, at_start
 
 
@@ -120,4 +120,4 @@
             for step in (at_start, *STEPS):
                 site.inject(wall_step=step)
                 for _ in range(3):
-                    assert answering.ask(site.viewer()).fields["cap"] == "8000"
+                    assert answering.ask(site.open_client()).fields["cap"] == "8000"
--- a/tests/test_terms_discovery.py
+++ b/tests/test_terms_discovery.py
@@ -11,7 +11,7 @@
 from itertools import count
 
 from limepath.front.server_sent_events import EventReader
-from tests.stand_ins import BOUND, Site, accepting, address, listening, until
+from tests.stand_ins import TIMEOUT, Site, accept_in_thread, address, open_listener, wait_for
 from tests.test_endings import COPY_FIELDS
 
 
@@ -19,8 +19,8 @@
     """Accepts connections immediately, and sends `answer` to each after `seconds` if it is still open."""
 
     def __init__(self, seconds, answer):
-        self.seconds, self.answer, self.listener, self.calls = seconds, answer, listening(), queue.Queue()
-        accepting(self.listener, self.serve)
+        self.seconds, self.answer, self.listener, self.calls = seconds, answer, open_listener(), queue.Queue()
+        accept_in_thread(self.listener, self.serve)
 
     def serve(self, connection):
         self.calls.put(connection.recv(4096))
@@ -28,7 +28,7 @@
 
     def answer_late(self, connection):
         started_at = time.monotonic()
-        until(lambda: time.monotonic() - started_at > self.seconds)
+        wait_for(lambda: time.monotonic() - started_at > self.seconds)
         try:
             connection.sendall(self.answer)
             while connection.recv(4096):
@@ -43,18 +43,18 @@
 
 def endpoint_asked(site, number):
     """Request an object, and return the name of the endpoint that receives the attempt."""
-    viewer = site.viewer().send("/invoke/video/1", txn=f"{number:016x}")
-    asked = site.cache.asked.get(timeout=BOUND)
-    asked.answer("DONE", COPY_FIELDS, b"x")
-    assert viewer.answer()[0] == 200
-    viewer.close()
-    return asked.cache
+    client = site.open_client().send("/invoke/video/1", txn=f"{number:016x}")
+    command = site.cache.commands.get(timeout=TIMEOUT)
+    command.answer("DONE", COPY_FIELDS, b"x")
+    assert client.answer()[0] == 200
+    client.close()
+    return command.cache
 
 
 def test_events_of_a_slow_list_service_are_applied():
     """Each response is later than the limit on silence, so that reconnecting alone never succeeds."""
     with Site() as site:
-        site.parent.asked = site.origin.asked = site.cache.asked
+        site.parent.commands = site.origin.commands = site.cache.commands
         event = json.dumps({"seq": 2, "fleet": drain_update(site)}).encode()
         head = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n"
         slow = SlowListService(3.5, head + b"id: 2\ndata: " + event + b"\n\n")
@@ -69,18 +69,18 @@
 def test_a_malformed_entry_does_not_hide_the_drain_of_another_endpoint():
     """An event with an entry of an unknown zone, beside drains, is received twice."""
     with Site(("s-1", "s-2")) as site:
-        site.log.called()
-        site.cache.asked = site.caches[1].asked
-        site.parent.asked = site.origin.asked = site.cache.asked
+        site.log.next_call()
+        site.cache.commands = site.caches[1].commands
+        site.parent.commands = site.origin.commands = site.cache.commands
         malformed = site.caches[1].entry(id="s-9", locality="luna")
         update = {"revision": 2, "complete": False, "members": [malformed]}
         update["members"] += [member.entry("terminating") for member in site.caches]
-        site.log.tell(2, fleet=update)
+        site.log.send_event(2, fleet=update)
         started_at, numbers = time.monotonic(), count()
         while endpoint_asked(site, next(numbers)) not in ("p-1", "o-1"):
             if not site.log.calls.empty():
-                assert site.log.called() == 1
-                site.log.tell(2, fleet=update)
+                assert site.log.next_call() == 1
+                site.log.send_event(2, fleet=update)
             assert time.monotonic() - started_at < 5
 
 
@@ -97,8 +97,8 @@
         head = b"HTTP/1.1 200 OK\r\nTRANSFER-ENCODING:Chunked\r\nContent-Type:text/event-stream\r\n\r\n"
         log = SlowListService(0, head + chunks)
         site.reload(json.dumps(site.configuration | {"changelog": address(log.listener)}))
-        log.calls.get(timeout=BOUND)
-        site.parent.asked = site.cache.asked
+        log.calls.get(timeout=TIMEOUT)
+        site.parent.commands = site.cache.commands
         number = 0
         while endpoint_asked(site, number) == "s-1":
             number += 1
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -565,7 +565,7 @@
         return self.contexts[member]
 
     def site(self, **options):
-        return Site(words=self.words, tls=self.context, **options)
+        return Site(arguments=self.words, tls=self.context, **options)
 
 
 COPY = "rev=4be0c1927d55a6f3,since=1764576000123"
@@ -580,16 +580,16 @@
 def test_a_get_uses_verified_tls_and_the_next_connection_resumes(servers, version):
     servers.certify("s-1", version=version)
     with servers.site() as site:
-        viewers = [site.viewer(), site.viewer()]
+        clients = [site.open_client(), site.open_client()]
         # One GET, then two at once: the second of these needs a connection of its own.
-        for number, asking in enumerate((viewers[:1], viewers)):
-            for viewer in asking:
-                viewer.send(txn=f"0000000000000f{number}{viewers.index(viewer)}")
-            for asked in [site.cache.next() for _ in asking]:
-                asked.answer("DONE", COPY, b"over tls" * 1000)
-            for viewer in asking:
-                assert viewer.answer()[::2] == (200, b"over tls" * 1000)
-        assert site.cache.reused == [False, True]
+        for number, asking in enumerate((clients[:1], clients)):
+            for client in asking:
+                client.send(txn=f"0000000000000f{number}{clients.index(client)}")
+            for command in [site.cache.next() for _ in asking]:
+                command.answer("DONE", COPY, b"over tls" * 1000)
+            for client in asking:
+                assert client.answer()[::2] == (200, b"over tls" * 1000)
+        assert site.cache.session_reused_flags == [False, True]
 
 
 def install_bad_certificate(servers, what):
@@ -636,20 +636,20 @@
 def test_a_server_that_fails_verification_receives_nothing_and_the_get_goes_elsewhere(servers, what, why):
     install_bad_certificate(servers, what)
     with servers.site() as site:
-        viewer = site.viewer().send()
+        client = site.open_client().send()
         direct = site.parent.next()  # the cache certainly did not execute it, so it goes to the parent
         direct.answer("DONE", COPY, b"elsewhere")
-        assert viewer.answer()[::2] == (200, b"elsewhere")
-        line = site.heard("event=tls-server")
+        assert client.answer()[::2] == (200, b"elsewhere")
+        line = site.next_log_line("event=tls-server")
         assert f'why="{why}"' in line or f"why={why}" in line
-        assert "server=s-1" in line and site.cache.asked.empty()
+        assert "server=s-1" in line and site.cache.commands.empty()
 
 
 def test_a_put_to_an_origin_that_fails_verification_is_shed_as_not_executed(servers):
     servers.certify("o-1", names=["other.example.org"])
     with servers.site() as site:
-        viewer = site.viewer().send("/invoke/tarea/0000000000000001", b"mine")
-        assert viewer.answer()[0] == 503 and site.origin.asked.empty()
+        client = site.open_client().send("/invoke/tarea/0000000000000001", b"mine")
+        assert client.answer()[0] == 503 and site.origin.commands.empty()
 
 
 def test_sighup_replaces_the_key_set_as_a_whole_and_refuses_a_truncated_key(servers):
@@ -670,23 +670,23 @@
         "[client]\ncertificate = keys/front.pem\nkey = keys/front.key\n" + text
     )
     with servers.site() as site:
-        viewer = site.viewer().send()
+        client = site.open_client().send()
         in_flight = site.cache.next()
         paths[1].write_bytes(pair.key[:80])
         site.process.send_signal(signal.SIGHUP)
-        assert "the previous key set stays in use" in site.heard("event=tls-keys")
+        assert "the previous key set stays in use" in site.next_log_line("event=tls-keys")
         put(issue(clients, ["front-1"], servers.now))
         for _ in range(10):
             site.process.send_signal(signal.SIGHUP)
-        assert "swapped" in site.heard("event=tls-keys")
+        assert "swapped" in site.next_log_line("event=tls-keys")
         in_flight.answer("DONE", COPY, b"x")  # a request in flight completes on its connection
-        assert viewer.answer()[::2] == (200, b"x")
-        in_flight.hang_up()
-        viewer.send(txn="00000000000000fe")
+        assert client.answer()[::2] == (200, b"x")
+        in_flight.disconnect()
+        client.send(txn="00000000000000fe")
         site.cache.next().answer("DONE", COPY, b"y")
-        assert viewer.answer()[::2] == (200, b"y")
+        assert client.answer()[::2] == (200, b"y")
         # The sessions were dropped with the key that they were made with.
-        assert site.cache.reused == [False, False]
+        assert site.cache.session_reused_flags == [False, False]
 
 
 def test_each_expiry_notice_is_logged_once_in_days_then_hours():
