--- a/limepath/discovery/paged_snapshot.py
+++ b/limepath/discovery/paged_snapshot.py
@@ -1,9 +1,9 @@
-"""A list in pages at two fronts: `PagedSnapshot` at the one that has it, `PagedDownload` where it is wanted.
+"""Transfers a list in pages: `PagedSnapshot` serves the list, `PagedDownload` receives it at another front.
 
-The one that wants it asks for the index, then for the pages that differ from its own list, chunk by chunk.
-A snapshot stands still while the list goes on, so that one serves all that ask within some seconds; what came
-after it is sent as events. Its revision and its id stand in each chunk: what belongs to another snapshot is
-refused. Nothing counts before all pages are there. Free of I/O.
+The receiver requests the index, then the pages that differ from its own list, chunk by chunk. A snapshot is
+immutable, so that one snapshot serves all requests of several seconds; later changes are sent as events. Each
+chunk contains the revision and the id of its snapshot, and the receiver refuses chunks of any other snapshot.
+The download is used only once all pages have been received. Performs no I/O.
 """
 
 from collections.abc import Iterator
@@ -29,41 +29,44 @@
 )
 from limepath.discovery.varint import CodingError
 
-INDEX_PAGE = -1  # the page that holds the digests
-CHUNK_BYTES = 1000  # of a page in one datagram
+INDEX_PAGE = -1  # number of the page that contains the digests
+CHUNK_BYTES = 1000  # page data in one datagram
 SNAPSHOT_ID_BYTES = 8
-MAX_CHUNKS = 512  # of one page
+MAX_CHUNKS = 512  # per page
 
 
 class PageTransferError(Exception):
-    """A chunk or page that can't be used or sent; the text says why. Nothing of it was used."""
+    """A chunk or page cannot be used or sent; the message gives the reason. None of its data was used."""
 
 
 class ChunkNotFoundError(PageTransferError):
-    """It was asked for what this snapshot has not."""
+    """The requested page or chunk does not exist in this snapshot."""
 
 
 class SnapshotChangedError(PageTransferError):
-    """A chunk of another generation, number or snapshot than the first one that came."""
+    """A chunk has another generation, number or snapshot id than the first chunk received."""
 
 
 class DamagedPageError(PageTransferError):
-    """A page or an index that does not fit its digest or its form; it is to be asked for again."""
+    """A page or an index does not match its digest or its format and must be requested again."""
 
 
 class IncompleteDownloadError(PageTransferError):
-    """Pages are missing yet."""
+    """Some pages have not been received."""
 
 
 class ChunkId(NamedTuple):
-    """Chunk number `chunk` of a page, which is INDEX or counts from 0."""
+    """Identifies a chunk by its page, which is INDEX_PAGE or counts from 0, and by its number in the page."""
 
     page: int
     chunk: int
 
 
 class SnapshotPageChunk(NamedTuple):
-    """`count` is how many chunks the page has, `snapshot_id` tells it from others at the same revision."""
+    """A chunk of a page that has `count` chunks.
+
+    `snapshot_id` distinguishes the snapshot from others at the same revision.
+    """
 
     revision: Revision
     snapshot_id: int
@@ -74,14 +77,14 @@
 
 
 def count_chunks(data: bytes, limit: int) -> int:
-    """How many chunks of at most `limit` bytes carry a page."""
+    """Return the number of chunks of at most `limit` bytes that a page takes."""
     return max(1, -(-len(data) // limit))
 
 
 class PagedSnapshot:
-    """A list that stands still, to be sent to others in chunks of at most `limit` bytes.
+    """An immutable list that is sent to other fronts in chunks of at most `limit` bytes.
 
-    Raise OversizedError where it has no coded form.
+    Raise OversizedError if the list cannot be encoded.
     """
 
     def __init__(self, contents: ListContents, limit: int = CHUNK_BYTES):
@@ -89,77 +92,77 @@
         self.limit = limit
         self.digests = list_digests(contents)
         self.pages = spread_over_pages(contents, self.digests.layout)
-        self.packed: dict[int, bytes] = {INDEX_PAGE: encode_index(self.digests)}
-        self.id: int = index_digest(self.packed[INDEX_PAGE])
+        self.encoded_pages: dict[int, bytes] = {INDEX_PAGE: encode_index(self.digests)}
+        self.id: int = index_digest(self.encoded_pages[INDEX_PAGE])
 
     @property
     def revision(self) -> Revision:
-        """The revision of the list."""
+        """Return the revision of the list."""
         return self.contents.revision
 
     def _page_data(self, page: int) -> bytes:
-        if page not in self.packed:
+        if page not in self.encoded_pages:
             if not 0 <= page < len(self.pages):
-                raise ChunkNotFoundError(f"page {page} of {len(self.pages)}")
-            self.packed[page] = encode_page(self.pages[page])
-        return self.packed[page]
+                raise ChunkNotFoundError(
+                    f"page {page} does not exist; the snapshot has {len(self.pages)} pages"
+                )
+            self.encoded_pages[page] = encode_page(self.pages[page])
+        return self.encoded_pages[page]
 
     def chunk(self, chunk_id: ChunkId) -> SnapshotPageChunk:
-        """The chunk of that name; raise ChunkNotFoundError."""
+        """Return a chunk; raise ChunkNotFoundError if it does not exist."""
         data = self._page_data(chunk_id.page)
         count = count_chunks(data, self.limit)
         if not 0 <= chunk_id.chunk < count:
-            raise ChunkNotFoundError(f"chunk {chunk_id.chunk} of {count}")
-        at = chunk_id.chunk * self.limit
-        return SnapshotPageChunk(self.revision, self.id, *chunk_id, count, data[at : at + self.limit])
+            raise ChunkNotFoundError(f"chunk {chunk_id.chunk} does not exist; the page has {count} chunks")
+        start = chunk_id.chunk * self.limit
+        return SnapshotPageChunk(self.revision, self.id, *chunk_id, count, data[start : start + self.limit])
 
     def chunks(self, page: int) -> tuple[SnapshotPageChunk, ...]:
-        """All chunks of a page; raise ChunkNotFoundError."""
+        """Return all chunks of a page; raise ChunkNotFoundError if the page does not exist."""
         count = count_chunks(self._page_data(page), self.limit)
         return tuple(self.chunk(ChunkId(page, chunk)) for chunk in range(count))
 
 
 class ReceivedChunks:
-    """The chunks of one page that have come."""
+    """The chunks of one page that have been received."""
 
     def __init__(self) -> None:
         self.count: int | None = None  # known with the first chunk
         self.data: dict[int, bytes] = {}  # by chunk
 
     def missing(self) -> range | list[int]:
-        """The numbers of the chunks that have not come; the first where the count is not known."""
+        """Return the numbers of the chunks not yet received; only the first if the count is unknown."""
         if self.count is None:
             return range(1)
         return [chunk for chunk in range(self.count) if chunk not in self.data]
 
     def joined(self) -> bytes:
-        """The bytes of the page, once no chunk is missing."""
+        """Return the bytes of the page; no chunk may be missing."""
         return b"".join(self.data[chunk] for chunk in range(self.count))
 
 
 class PagedDownload:
-    """The list of another front on its way here; `own` is the list that this front has, as it stood."""
+    """Receives the list of another front; `own` is this front's list when the download started."""
 
     def __init__(self, own: ListContents):
         self.own = own
-        self.revision: Revision | None = None  # of the other's snapshot, known with the first chunk
+        self.revision: Revision | None = None  # of the snapshot; set by the first chunk
         self.snapshot_id: int | None = None
-        self.index: ListDigests | None = None  # known once its page is complete
-        self.parts: dict[int, ReceivedChunks] = {
-            INDEX_PAGE: ReceivedChunks()
-        }  # of the pages that are missing
-        self.pages: dict[int, PageContents] = {}
+        self.index: ListDigests | None = None  # set once the index page is complete
+        self.incomplete_pages: dict[int, ReceivedChunks] = {INDEX_PAGE: ReceivedChunks()}
+        self.pages: dict[int, PageContents] = {}  # complete pages by number
 
     def missing(self) -> Iterator[ChunkId]:
-        """What is missing, the index first; of a page whose size is not known its first chunk."""
-        for page, parts in self.parts.items():
-            for chunk in parts.missing():
+        """Yield the missing chunks, the index first; only the first chunk of a page of unknown size."""
+        for page, received in self.incomplete_pages.items():
+            for chunk in received.missing():
                 yield ChunkId(page, chunk)
 
     @property
     def is_complete(self) -> bool:
-        """Whether all pages are here."""
-        return self.index is not None and not self.parts
+        """Return whether all pages have been received."""
+        return self.index is not None and not self.incomplete_pages
 
     def add(self, chunk: SnapshotPageChunk) -> bool:
         """Add a chunk and return whether it was missing.
@@ -168,52 +171,57 @@
         """
         is_same = (chunk.revision, chunk.snapshot_id) == (self.revision, self.snapshot_id)
         if self.revision is not None and not is_same:
-            raise SnapshotChangedError(f"one at {tuple(chunk.revision)}, not that at {tuple(self.revision)}")
-        parts = self.parts.get(chunk.page)
-        if parts is None or chunk.chunk in parts.data:
+            raise SnapshotChangedError(
+                f"chunk of the snapshot at {tuple(chunk.revision)}; expected one at {tuple(self.revision)}"
+            )
+        received = self.incomplete_pages.get(chunk.page)
+        if received is None or chunk.chunk in received.data:
             return False
-        self._check(chunk, parts)
+        self._check(chunk, received)
         self.revision = chunk.revision
         self.snapshot_id = chunk.snapshot_id
-        parts.count = chunk.count
-        parts.data[chunk.chunk] = chunk.data
-        if not parts.missing():
-            self._finish_page(chunk.page, parts)
+        received.count = chunk.count
+        received.data[chunk.chunk] = chunk.data
+        if not received.missing():
+            self._finish_page(chunk.page, received)
         return True
 
-    def _check(self, chunk: SnapshotPageChunk, parts: ReceivedChunks) -> None:
-        """Raise DamagedPageError where a chunk can't be."""
-        if not 0 <= chunk.chunk < chunk.count <= MAX_CHUNKS or parts.count not in (None, chunk.count):
-            raise DamagedPageError(f"chunk {chunk.chunk} of {chunk.count} of page {chunk.page}")
-        if sum(map(len, parts.data.values())) + len(chunk.data) > MAX_PAGE_BYTES:
-            raise DamagedPageError(f"page {chunk.page} over {MAX_PAGE_BYTES} bytes")
-
-    def _finish_page(self, page: int, parts: ReceivedChunks) -> None:
-        """Open a page that is there whole."""
-        self.parts[page] = ReceivedChunks()
+    def _check(self, chunk: SnapshotPageChunk, received: ReceivedChunks) -> None:
+        """Raise DamagedPageError if a chunk's number, count or size is impossible."""
+        if not 0 <= chunk.chunk < chunk.count <= MAX_CHUNKS or received.count not in (None, chunk.count):
+            raise DamagedPageError(
+                f"page {chunk.page}: invalid chunk {chunk.chunk} of {chunk.count}; "
+                f"expected at most {MAX_CHUNKS} chunks and the same count in each"
+            )
+        if sum(map(len, received.data.values())) + len(chunk.data) > MAX_PAGE_BYTES:
+            raise DamagedPageError(f"page {chunk.page} exceeds {MAX_PAGE_BYTES} bytes")
+
+    def _finish_page(self, page: int, received: ReceivedChunks) -> None:
+        """Decode a page whose chunks have all been received."""
+        self.incomplete_pages[page] = ReceivedChunks()
         try:
             if page == INDEX_PAGE:
-                self._open_index(parts.joined())
+                self._load_index(received.joined())
             else:
-                self.pages[page] = decode_page(parts.joined(), page, self.index)
+                self.pages[page] = decode_page(received.joined(), page, self.index)
         except CodingError as error:
             raise DamagedPageError(f"page {page}: {error}") from None
-        del self.parts[page]
+        del self.incomplete_pages[page]
 
-    def _open_index(self, data: bytes) -> None:
+    def _load_index(self, data: bytes) -> None:
         index = decode_index(data)
         if index.revision != self.revision or index_digest(data) != self.snapshot_id:
-            raise CodingError("an index of another snapshot")
+            raise CodingError("the index belongs to another snapshot")
         self.index = index
-        self.parts |= {at: ReceivedChunks() for at in differing_pages(self.own, index)}
+        self.incomplete_pages |= {page: ReceivedChunks() for page in differing_pages(self.own, index)}
 
     def contents(self) -> ListContents:
-        """The other's list; raise IncompleteDownloadError until all of it is there."""
+        """Return the other front's list; raise IncompleteDownloadError while pages are missing."""
         if not self.is_complete:
-            raise IncompleteDownloadError(f"{len(self.parts)} pages are missing")
+            raise IncompleteDownloadError(f"{len(self.incomplete_pages)} pages are missing")
         return apply_pages(self.own, self.index, self.pages)
 
 
 def index_digest(index: bytes) -> int:
-    """64 bits that tell a snapshot, of the bytes of its index."""
+    """Return the 64-bit snapshot id, a hash of the encoded index."""
     return int.from_bytes(blake2b(index, digest_size=SNAPSHOT_ID_BYTES).digest())
