--- a/limepath/discovery/pages.py
+++ b/limepath/discovery/pages.py
@@ -1,15 +1,15 @@
-"""A list in pages with digests, so that a front far behind is sent only the pages that differ.
+"""Divides a list into pages with digests, so that a front far behind receives only the pages that differ.
 
-A list's members are spread over pages by a hash of their names, its purges by their numbers. The index holds
-a digest of each page; whoever wants the list compares it with its own and asks for the pages that differ. A
-page is taken only if it has the digest that stands in the index. `page_coding` turns pages and index to
-bytes, `paged_snapshot` carries them in datagrams.
+Members are assigned to pages by a hash of their ids, purges by their numbers. The index contains a digest of
+each page; a front that needs the list compares the index with its own list and requests the pages that
+differ. A page is accepted only if its digest is the one in the index. `page_coding` encodes pages and index,
+`paged_snapshot` divides them into datagrams.
 
-A page's digest is the XOR of those of its members, so that the XOR of all member pages is the list's own
-(`EndpointList.digest`). At 1,400 members and 36 purges a second a page fits one or two datagrams, and the
-index two.
+The digest of a page is the XOR of the digests of its entries, so that the XOR of all member pages is the
+digest of the list (`EndpointList.digest`). With 1,400 members and 36 purges per second, a page takes one or
+two datagrams and the index two.
 
-Nothing changes the list that one has: `apply_pages` makes another. Free of I/O.
+No function modifies the list that it is given: `apply_pages` returns a new one. Performs no I/O.
 """
 
 from collections.abc import Mapping
@@ -24,14 +24,14 @@
 from limepath.discovery.recent_purges import AgedPurge
 from limepath.discovery.varint import DamagedError
 
-MEMBERS_PER_PAGE = 32  # in the mean
-MIN_PAGE_WIDTH = 128  # numbers of events that share a page of purges, at the least
-MAX_PURGE_PAGES = 128  # at the most; numbers that reach further share pages of twice as many, and so on
+MEMBERS_PER_PAGE = 32  # on average
+MIN_PAGE_WIDTH = 128  # event numbers per page of purges
+MAX_PURGE_PAGES = 128  # for a larger range of numbers the page width is doubled until the pages suffice
 DIGEST_BYTES = 8
 
 
 class ListContents(NamedTuple):
-    """A list as it stood, `members` by id, `fleet_revision` the service's own. It is never changed."""
+    """The immutable contents of a list: `members` by id, `fleet_revision` their revision at the service."""
 
     revision: Revision
     fleet_revision: int
@@ -40,9 +40,9 @@
 
 
 class PageLayout(NamedTuple):
-    """How a list is spread over pages: those of members first, then those of purges.
+    """The assignment of a list's entries to pages: member pages come first, then purge pages.
 
-    A page of purges has `width` numbers, the first of them the numbers from `first * width` on.
+    Each purge page covers `width` event numbers; the first one starts at number `first * width`.
     """
 
     member_pages: int
@@ -52,22 +52,22 @@
 
     @property
     def pages(self) -> int:
-        """How many pages there are."""
+        """Return the number of pages."""
         return self.member_pages + self.purge_pages
 
     def page_of_member(self, name: str) -> int:
-        """The page of a member, by a hash of its id."""
-        hashed = blake2b(name.encode(errors="surrogatepass"), digest_size=DIGEST_BYTES).digest()
-        return int.from_bytes(hashed) % self.member_pages
+        """Return the page of a member, which is chosen by a hash of its id."""
+        digest = blake2b(name.encode(errors="surrogatepass"), digest_size=DIGEST_BYTES).digest()
+        return int.from_bytes(digest) % self.member_pages
 
     def page_of_purge(self, number: int) -> int | None:
-        """The page of a purge, None where this layout has none for its number."""
-        at = number // self.width - self.first
-        return self.member_pages + at if 0 <= at < self.purge_pages else None
+        """Return the page of a purge, or None if no page of this layout covers its number."""
+        offset = number // self.width - self.first
+        return self.member_pages + offset if 0 <= offset < self.purge_pages else None
 
 
 class ListDigests(NamedTuple):
-    """The digests of all pages of a list that stands at `revision`."""
+    """The digests of all pages of a list at `revision`."""
 
     revision: Revision
     fleet_revision: int
@@ -76,26 +76,26 @@
 
 
 class PageContents(NamedTuple):
-    """What is on one page, both in order."""
+    """The entries of one page: members in the order of their ids, purges in that of their numbers."""
 
     members: tuple[dict, ...]
     purges: tuple[AgedPurge, ...]
 
 
 def choose_layout(contents: ListContents) -> PageLayout:
-    """How to spread this list."""
+    """Choose a layout for a list."""
     member_pages = max(1, -(-len(contents.members) // MEMBERS_PER_PAGE))
     numbers = [purge_number(purge) for purge in contents.purges]
     if not numbers:
         return PageLayout(member_pages, MIN_PAGE_WIDTH, 0, 0)
-    least, most, width = min(numbers), max(numbers), MIN_PAGE_WIDTH
-    while most // width - least // width >= MAX_PURGE_PAGES:
+    lowest, highest, width = min(numbers), max(numbers), MIN_PAGE_WIDTH
+    while highest // width - lowest // width >= MAX_PURGE_PAGES:
         width *= 2
-    return PageLayout(member_pages, width, least // width, most // width - least // width + 1)
+    return PageLayout(member_pages, width, lowest // width, highest // width - lowest // width + 1)
 
 
 def spread_over_pages(contents: ListContents, layout: PageLayout) -> list[PageContents]:
-    """What of a list is on each page of a layout; purges that have no page there are left out."""
+    """Return the contents of each page of a layout; purges that no page covers are omitted."""
     members: list[list[dict]] = [[] for _ in range(layout.pages)]
     purges: list[list[AgedPurge]] = [[] for _ in range(layout.pages)]
     for name, member in contents.members.items():
@@ -111,13 +111,15 @@
 
 
 def page_digest(page: PageContents) -> int:
-    """64 bits of a page; ages do not count, for each front has its own."""
-    parts = [json_digest(member) for member in page.members] + [purge_digest(purge) for purge in page.purges]
-    return reduce(xor, parts, 0)
+    """Return the 64-bit digest of a page; it excludes ages, because they differ between fronts."""
+    digests = [json_digest(member) for member in page.members] + [
+        purge_digest(purge) for purge in page.purges
+    ]
+    return reduce(xor, digests, 0)
 
 
 def list_digests(contents: ListContents) -> ListDigests:
-    """The digests of all pages, in a layout for this list."""
+    """Return the digests of all pages in a layout chosen for this list."""
     layout = choose_layout(contents)
     return ListDigests(
         contents.revision,
@@ -128,40 +130,43 @@
 
 
 def differing_pages(own: ListContents, other: ListDigests) -> tuple[int, ...]:
-    """The pages that are to be asked for, so that `own` becomes the list of the digests `other`."""
-    here = spread_over_pages(own, other.layout)
-    return tuple(at for at, page in enumerate(here) if page_digest(page) != other.pages[at])
+    """Return the numbers of the pages in which `own` differs from the list of the digests `other`."""
+    own_pages = spread_over_pages(own, other.layout)
+    return tuple(number for number, page in enumerate(own_pages) if page_digest(page) != other.pages[number])
 
 
 def apply_pages(own: ListContents, other: ListDigests, pages: Mapping[int, PageContents]) -> ListContents:
-    """The list of the digests `other`: its pages where they are given, all others from `own`.
+    """Return the list of the digests `other`, made of the given `pages` and for all others those of `own`.
 
-    Raise DamagedError where the outcome is not that list.
+    Raise DamagedError if a page of the result does not match its digest.
     """
-    combined = [pages.get(at, page) for at, page in enumerate(spread_over_pages(own, other.layout))]
-    for at, page in enumerate(combined):
-        if page_digest(page) != other.pages[at]:
-            raise DamagedError(f"page {at} is not the one that was told")
+    combined = [pages.get(number, page) for number, page in enumerate(spread_over_pages(own, other.layout))]
+    for number, page in enumerate(combined):
+        if page_digest(page) != other.pages[number]:
+            raise DamagedError(f"page {number} does not match its digest in the index")
     members = {member["id"]: member for page in combined for member in page.members}
     purges = tuple(purge for page in combined for purge in page.purges)
     return ListContents(other.revision, other.fleet_revision, members, purges)
 
 
-# Parts
+# Entries
 
 
 def member_id(member: dict) -> str:
-    """The name by which members are ordered."""
+    """Return the id of a member, by which members are ordered."""
     return member["id"]
 
 
 def purge_number(purge: AgedPurge) -> int:
-    """The number of its event, by which purges are ordered."""
+    """Return the event number of a purge, by which purges are ordered."""
     return purge.number
 
 
 def purge_digest(purge: AgedPurge) -> int:
-    """64 bits of a purge; of one that went as text those of its event, since zlib's bytes may differ."""
+    """Return the 64-bit digest of a purge.
+
+    For a purge encoded as text it is the digest of the event, because the output of zlib may differ.
+    """
     if purge.encoded[0] in TEXT_KINDS:
         return json_digest(decode_event(purge.encoded).body)
     return int.from_bytes(blake2b(purge.encoded, digest_size=DIGEST_BYTES).digest())
