--- a/tests/list_samples.py
+++ b/tests/list_samples.py
@@ -1,4 +1,4 @@
-"""Lists of endpoints for the tests of pages, and strategies that make such lists."""
+"""Endpoint lists for the tests of pages, and hypothesis strategies that generate such lists."""
 
 import json
 from random import Random
@@ -16,13 +16,13 @@
 )
 from limepath.discovery.recent_purges import AgedPurge
 
-CACHES, RATE, KEPT_SECONDS = 1400, 36, 307.3
+CACHES, PURGES_PER_SECOND, PURGE_RETENTION_SECONDS = 1400, 36, 307.3
 
 
 NOW_MS = 1_796_000_000_000
 
 
-HUGE = (1 << 64) - 1
+MAX_UINT64 = (1 << 64) - 1
 
 
 repeatable = settings(deadline=None, derandomize=True)
@@ -41,52 +41,52 @@
     }
 
 
-def purge(number, age=0, **told):
-    target = told or {"object": f"{number * 0x9E3779B97F4A7C15 % 2**64:016x}"}
-    event = {"seq": number, "invalidate": target | {"time": NOW_MS + number * 1000 // RATE}}
+def purge(number, age=0, **fields):
+    target = fields or {"object": f"{number * 0x9E3779B97F4A7C15 % 2**64:016x}"}
+    event = {"seq": number, "invalidate": target | {"time": NOW_MS + number * 1000 // PURGES_PER_SECOND}}
     return AgedPurge(number, age, encode_event(event, json.dumps(event)))
 
 
 def contents(sizes=(), purges=(), number=7, generation=0, revision=3):
-    """A list of members with these sizes by name, and of these purges."""
+    """Return a list of members, whose sizes are given by name, and of purges."""
     members = {name: member(name, size) for name, size in dict(sizes).items()}
     return ListContents(Revision(generation, number), revision, members, tuple(purges))
 
 
-def large(seed=1, number=30_020_000, purges=0, generation=0):
-    """A list of the coming size."""
-    chance = Random(seed)
+def large_list(seed=1, number=30_020_000, purges=0, generation=0):
+    """Return a list of the size that is expected in production."""
+    random = Random(seed)
     members = {
         f"cache-{at:04d}": member(f"cache-{at:04d}")
         | {
             "host_port": f"10.{at % 256}.{at // 256}.7:8080",
             "locality": f"zone-{at % 20}",
-            "up_since_ms": NOW_MS + chance.randrange(10**9),
+            "up_since_ms": NOW_MS + random.randrange(10**9),
         }
         for at in range(CACHES)
     }
-    kept = tuple(
-        purge(number - back, back * 1_000_000 // RATE + chance.randrange(5000))
-        for back in range(purges - 1, -1, -1)
+    recent = tuple(
+        purge(number - offset, offset * 1_000_000 // PURGES_PER_SECOND + random.randrange(5000))
+        for offset in range(purges - 1, -1, -1)
     )
-    return ListContents(Revision(generation, number), 5, members, kept)
+    return ListContents(Revision(generation, number), 5, members, recent)
 
 
-def same(one, other):
-    """Whether two lists are the same but for the ages of purges."""
+def equal_but_ages(first, second):
+    """Return whether two lists are equal, ignoring the ages of purges."""
     return (
-        one[:2] == other[:2]
-        and one.members == other.members
-        and sorted(kept[::2] for kept in one.purges) == sorted(kept[::2] for kept in other.purges)
+        first[:2] == second[:2]
+        and first.members == second.members
+        and sorted(aged[::2] for aged in first.purges) == sorted(aged[::2] for aged in second.purges)
     )
 
 
-def caught_up(own, snapshot):
-    """A PagedDownload that was given all that it asked for, and how many chunks these were."""
+def download_all(own, snapshot):
+    """Download a snapshot; return the PagedDownload and the number of chunks that it took."""
     download, chunks = PagedDownload(own), 0
     while not download.is_complete:
-        name = next(download.missing())
-        assert download.add(snapshot.chunk(name))
+        chunk_id = next(download.missing())
+        assert download.add(snapshot.chunk(chunk_id))
         chunks += 1
     return download, chunks
 
@@ -100,15 +100,17 @@
 ages = st.integers(0, 300_000_000)
 
 
-numbered = st.builds(purge, st.integers(0, 1 << 20), ages)
+object_purges = st.builds(purge, st.integers(0, 1 << 20), ages)
 
 
-worded = st.builds(
+bucket_purges = st.builds(
     lambda number, bucket: purge(number, bucket=bucket), st.integers(0, 1 << 20), st.integers(-2, 2)
 )
 
 
-purge_lists = st.lists(st.one_of(numbered, worded), max_size=30, unique_by=lambda kept: kept.number)
+purge_lists = st.lists(
+    st.one_of(object_purges, bucket_purges), max_size=30, unique_by=lambda aged: aged.number
+)
 
 
 lists = st.builds(
@@ -117,15 +119,15 @@
 
 
 @st.composite
-def related(draw):
-    """Two lists of which the second came out of the first by some changes."""
+def related_lists(draw):
+    """Draw two lists, the second of which results from some changes to the first."""
     own = draw(lists)
     changed = {name: one["size"] for name, one in own.members.items()} | draw(sizes)
-    gone = draw(st.sets(st.sampled_from(sorted(changed)), max_size=9)) if changed else set()
-    kept = {one.number: one for one in (*own.purges, *draw(purge_lists))}
-    forgotten = draw(st.sets(st.sampled_from(sorted(kept)), max_size=9)) if kept else set()
+    removed = draw(st.sets(st.sampled_from(sorted(changed)), max_size=9)) if changed else set()
+    purges = {one.number: one for one in (*own.purges, *draw(purge_lists))}
+    dropped = draw(st.sets(st.sampled_from(sorted(purges)), max_size=9)) if purges else set()
     return own, contents(
-        {name: size for name, size in changed.items() if name not in gone},
-        [one for number, one in kept.items() if number not in forgotten],
+        {name: size for name, size in changed.items() if name not in removed},
+        [one for number, one in purges.items() if number not in dropped],
         own.revision.number + draw(st.integers(0, 99)),
     )
--- a/tests/test_paged_snapshot.py
+++ b/tests/test_paged_snapshot.py
@@ -1,4 +1,4 @@
-"""Tests of limepath/discovery/paged_snapshot.py: a list in pages, chunk by chunk."""
+"""Tests of limepath/discovery/paged_snapshot.py: the transfer of a list in pages and chunks."""
 
 from copy import deepcopy
 
@@ -33,57 +33,78 @@
 )
 from limepath.membership.guard import HEADER_BYTES, MAX_DATAGRAM_BYTES, SEAL_BYTES
 from limepath.membership.interface import MemberRecord
-from tests.list_samples import HUGE, caught_up, contents, large, member, purge, related, repeatable, same
+from tests.list_samples import (
+    MAX_UINT64,
+    contents,
+    download_all,
+    equal_but_ages,
+    large_list,
+    member,
+    purge,
+    related_lists,
+    repeatable,
+)
 
 
 def test_a_chunk_leaves_room_for_envelope_and_seal():
-    sender = MemberRecord(HUGE, "n" * 32, "255.255.255.255", 65_535, HUGE, HUGE, 3, HUGE)
-    message = ["lx", HUGE, HUGE, HUGE, INDEX_PAGE, MAX_CHUNKS, MAX_CHUNKS, bytes(CHUNK_BYTES)]
+    sender = MemberRecord(
+        MAX_UINT64, "n" * 32, "255.255.255.255", 65_535, MAX_UINT64, MAX_UINT64, 3, MAX_UINT64
+    )
+    message = [
+        "lx",
+        MAX_UINT64,
+        MAX_UINT64,
+        MAX_UINT64,
+        INDEX_PAGE,
+        MAX_CHUNKS,
+        MAX_CHUNKS,
+        bytes(CHUNK_BYTES),
+    ]
     assert (
-        len(msgspec.msgpack.encode((sender, HUGE, HUGE, message))) + HEADER_BYTES + SEAL_BYTES
+        len(msgspec.msgpack.encode((sender, MAX_UINT64, MAX_UINT64, message))) + HEADER_BYTES + SEAL_BYTES
         < MAX_DATAGRAM_BYTES
     )
 
 
 @settings(repeatable, max_examples=60)
-@given(related(), st.integers(20, 300), st.randoms())
-def test_chunks_in_any_order_some_lost_some_doubled_give_exactly_the_list_of_the_other(pair, limit, chance):
+@given(related_lists(), st.integers(20, 300), st.randoms())
+def test_reordered_lost_and_duplicate_chunks_still_give_the_exact_list(pair, limit, random):
     own, other_list = pair
     before = deepcopy(own)
     snapshot, download = PagedSnapshot(other_list, limit), PagedDownload(own)
     while not download.is_complete:
         with pytest.raises(IncompleteDownloadError):
             download.contents()
-        asked = list(download.missing())
-        chance.shuffle(asked)
-        for name in asked[: chance.randrange(1, len(asked) + 1)]:
-            assert download.add(snapshot.chunk(name))
-            assert not download.add(snapshot.chunk(name))  # once more
-    assert same(download.contents(), other_list)
+        missing = list(download.missing())
+        random.shuffle(missing)
+        for chunk_id in missing[: random.randrange(1, len(missing) + 1)]:
+            assert download.add(snapshot.chunk(chunk_id))
+            assert not download.add(snapshot.chunk(chunk_id))  # a duplicate
+    assert equal_but_ages(download.contents(), other_list)
     assert own == before
 
 
-def test_ages_come_along_to_the_millisecond():
+def test_ages_are_transferred_in_milliseconds():
     other_list = contents(purges=[purge(5, 200_000_900), purge(6, 1_000), purge(300, 0)])
-    download, _ = caught_up(contents(), PagedSnapshot(other_list))
-    assert [(kept.number, kept.age) for kept in download.contents().purges] == [
+    download, _ = download_all(contents(), PagedSnapshot(other_list))
+    assert [(aged.number, aged.age) for aged in download.contents().purges] == [
         (5, 200_000_000),
         (6, 1_000),
         (300, 0),
     ]
 
 
-def test_nothing_is_seen_of_a_list_of_which_a_page_is_missing():
-    own, other_list = contents({"a": 1, "b": 2}), large()
+def test_an_incomplete_download_does_not_expose_or_change_a_list():
+    own, other_list = contents({"a": 1, "b": 2}), large_list()
     before, snapshot, download = deepcopy(own), PagedSnapshot(other_list), PagedDownload(own)
-    seen = 0
+    chunks = 0
     while not download.is_complete:
         with pytest.raises(IncompleteDownloadError):
             download.contents()
         assert own == before
         download.add(snapshot.chunk(next(download.missing())))
-        seen += 1
-    assert seen > 40 and same(download.contents(), other_list) and own == before
+        chunks += 1
+    assert chunks > 40 and equal_but_ages(download.contents(), other_list) and own == before
 
 
 @pytest.mark.parametrize(
@@ -95,29 +116,29 @@
         lambda chunk: chunk._replace(snapshot_id=chunk.snapshot_id ^ 1),
     ],
 )
-def test_a_page_of_another_number_generation_or_snapshot_is_refused(change):
-    other_list = large()
+def test_a_chunk_of_another_number_generation_or_snapshot_is_refused(change):
+    other_list = large_list()
     snapshot, download = PagedSnapshot(other_list), PagedDownload(contents())
     download.add(snapshot.chunk(ChunkId(INDEX_PAGE, 0)))
     for page in (INDEX_PAGE, 0):
         while page != INDEX_PAGE and download.index is None:
             download.add(snapshot.chunk(next(download.missing())))
-        asked = list(download.missing())
+        missing = list(download.missing())
         with pytest.raises(SnapshotChangedError):
-            download.add(change(snapshot.chunk(asked[0])))
-        assert list(download.missing()) == asked
+            download.add(change(snapshot.chunk(missing[0])))
+        assert list(download.missing()) == missing
     while not download.is_complete:
         download.add(snapshot.chunk(next(download.missing())))
-    assert same(download.contents(), other_list)
+    assert equal_but_ages(download.contents(), other_list)
 
 
-def test_two_lists_at_one_revision_are_two_snapshots():
-    one, other = contents({"a": 1}), contents({"a": 2})
-    assert PagedSnapshot(one).id != PagedSnapshot(other).id
-    assert PagedSnapshot(one).id == PagedSnapshot(deepcopy(one)).id
+def test_two_lists_at_one_revision_have_different_snapshot_ids():
+    first, second = contents({"a": 1}), contents({"a": 2})
+    assert PagedSnapshot(first).id != PagedSnapshot(second).id
+    assert PagedSnapshot(first).id == PagedSnapshot(deepcopy(first)).id
 
 
-def test_an_index_that_does_not_fit_its_snapshot_id_is_damaged():
+def test_an_index_that_does_not_match_its_snapshot_id_is_damaged():
     snapshot = PagedSnapshot(contents({"a": 1}))
     for change in ({"snapshot_id": 5}, {"revision": Revision(0, 8)}):
         download = PagedDownload(contents())
@@ -126,7 +147,7 @@
         assert not download.is_complete and download.index is None
 
 
-def test_a_damaged_page_is_asked_for_again():
+def test_a_damaged_page_is_requested_again():
     other_list = contents({f"s-{at}": at for at in range(40)}, [purge(5), purge(6)])
     snapshot = PagedSnapshot(other_list, 100)
     for page in range(snapshot.digests.layout.pages):
@@ -134,29 +155,29 @@
             download = PagedDownload(contents())
             with pytest.raises(DamagedPageError):
                 while not download.is_complete:
-                    name = next(download.missing())
-                    good = snapshot.chunk(name)
-                    spoilt = good._replace(data=bytes((good.data[0] ^ 255,)) + good.data[1:])
-                    download.add(spoilt if name == (page, chunk) else good)
+                    chunk_id = next(download.missing())
+                    intact = snapshot.chunk(chunk_id)
+                    damaged = intact._replace(data=bytes((intact.data[0] ^ 255,)) + intact.data[1:])
+                    download.add(damaged if chunk_id == (page, chunk) else intact)
             assert not download.is_complete and ChunkId(page, 0) in download.missing()
             while not download.is_complete:
                 download.add(snapshot.chunk(next(download.missing())))
-            assert same(download.contents(), other_list)
+            assert equal_but_ages(download.contents(), other_list)
 
 
 @pytest.mark.parametrize(
     ("chunk", "count", "size"),
     [(3, 3, 9), (-1, 3, 9), (0, 0, 9), (0, MAX_CHUNKS + 1, 9), (0, 1, MAX_PAGE_BYTES + 1)],
 )
-def test_a_chunk_that_cannot_be_is_damaged_and_changes_nothing(chunk, count, size):
+def test_a_chunk_with_an_invalid_number_count_or_size_is_damaged_and_changes_nothing(chunk, count, size):
     download = PagedDownload(contents())
     with pytest.raises(DamagedPageError):
         download.add(SnapshotPageChunk(Revision(0, 7), 5, INDEX_PAGE, chunk, count, bytes(size)))
     assert list(download.missing()) == [(INDEX_PAGE, 0)] and download.revision is None
 
 
-def test_a_page_does_not_change_its_size():
-    snapshot, download = PagedSnapshot(large(), 100), PagedDownload(contents())
+def test_a_page_cannot_change_its_chunk_count():
+    snapshot, download = PagedSnapshot(large_list(), 100), PagedDownload(contents())
     download.add(snapshot.chunk(ChunkId(INDEX_PAGE, 0)))
     other = snapshot.chunk(ChunkId(INDEX_PAGE, 1))
     with pytest.raises(DamagedPageError):
@@ -164,33 +185,35 @@
     assert download.add(other)
 
 
-def test_a_chunk_that_was_not_asked_for_is_ignored():
-    one = contents({"a": 1})
-    download, _ = caught_up(one, PagedSnapshot(one))
-    assert not download.add(PagedSnapshot(one).chunk(ChunkId(0, 0)))
+def test_a_chunk_that_was_not_requested_is_ignored():
+    own = contents({"a": 1})
+    download, _ = download_all(own, PagedSnapshot(own))
+    assert not download.add(PagedSnapshot(own).chunk(ChunkId(0, 0)))
 
 
 @pytest.mark.parametrize(
-    "name", [ChunkId(1, 0), ChunkId(-2, 0), ChunkId(0, 1), ChunkId(0, -1), ChunkId(INDEX_PAGE, 1)]
+    "chunk_id", [ChunkId(1, 0), ChunkId(-2, 0), ChunkId(0, 1), ChunkId(0, -1), ChunkId(INDEX_PAGE, 1)]
 )
-def test_a_snapshot_has_no_other_chunks_than_its_own(name):
+def test_a_chunk_that_does_not_exist_raises_an_error(chunk_id):
     with pytest.raises(ChunkNotFoundError):
-        PagedSnapshot(contents({"a": 1})).chunk(name)
+        PagedSnapshot(contents({"a": 1})).chunk(chunk_id)
 
 
-def test_a_snapshot_stands_still_while_the_list_goes_on():
-    one = EndpointList()
+def test_a_snapshot_does_not_change_with_the_list():
+    current = EndpointList()
     for seq, name in enumerate(("a", "b"), 1):
-        one.apply({"seq": seq, "fleet": {"members": [member(name)]}})
-    snapshot = PagedSnapshot(ListContents(one.revision, one.fleet_revision, dict(one.members), ()))
-    one.apply({"seq": 3, "fleet": {"members": [member("c"), member("a", phase="terminated")]}})
-    download, _ = caught_up(contents(), snapshot)
+        current.apply({"seq": seq, "fleet": {"members": [member(name)]}})
+    snapshot = PagedSnapshot(
+        ListContents(current.revision, current.fleet_revision, dict(current.members), ())
+    )
+    current.apply({"seq": 3, "fleet": {"members": [member("c"), member("a", phase="terminated")]}})
+    download, _ = download_all(contents(), snapshot)
     assert download.contents().revision == Revision(0, 2) and set(download.contents().members) == {"a", "b"}
 
 
-def test_a_list_without_coded_form_is_refused():
+def test_a_list_that_cannot_be_encoded_is_refused():
     with pytest.raises(OversizedError):
         encode_page(PageContents((member("a") | {"locality": "x" * MAX_PAGE_BYTES},), ()))
-    for odd in (contents(revision=1 << 63), contents(revision=-(1 << 63)), contents(number=1 << 63)):
+    for too_large in (contents(revision=1 << 63), contents(revision=-(1 << 63)), contents(number=1 << 63)):
         with pytest.raises(OversizedError):
-            PagedSnapshot(odd)
+            PagedSnapshot(too_large)
