--- a/limepath/discovery/page_transfer.py
+++ b/limepath/discovery/page_transfer.py
@@ -1,8 +1,8 @@
-"""The pages of the list that differ, on their way between two fronts of a tree, in chunks.
+"""Transfers the differing pages of the list between two fronts of a tree, in chunks.
 
-A snapshot stands still, so that all that begin within SNAPSHOT_REUSE_US ask for the same; it is kept while it
-is asked for, and the window has the events since. Those that ask share a set number of datagrams in a tick.
-Free of I/O.
+A snapshot is immutable: all downloads that start within SNAPSHOT_REUSE_US of its creation use the same one.
+It is kept while fronts request it, and the event window contains the events since its revision. All
+requesting fronts share a limited number of datagrams per tick. Performs no I/O.
 """
 
 from __future__ import annotations
@@ -27,52 +27,52 @@
 if TYPE_CHECKING:
     from limepath.discovery.engine import DiscoveryEngine
 
-MAX_OUTSTANDING_CHUNKS = 4  # asked for at once
-RETRY_INTERVAL_US = 250_000  # until chunks are asked for again
-MAX_STALLS = 16  # intervals without a chunk until a download is given up
-SNAPSHOT_REUSE_US = 5_000_000  # for which a snapshot is sent to those that begin, with the events since
-SNAPSHOT_IDLE_US = 10_000_000  # after which one that nobody asks for is dropped
-MAX_SNAPSHOTS = 4  # kept, for those that have begun with them
-NEWEST = Revision(0, -1)
+MAX_OUTSTANDING_CHUNKS = 4  # requested and not yet received
+RETRY_INTERVAL_US = 250_000  # after which outstanding chunks are requested again
+MAX_STALLS = 16  # retry intervals without a chunk after which a download is aborted
+SNAPSHOT_REUSE_US = 5_000_000  # for which new downloads use a snapshot; later changes follow as events
+SNAPSHOT_IDLE_US = 10_000_000  # without a request, after which a snapshot is dropped
+MAX_SNAPSHOTS = 4  # kept for downloads in progress
+NEWEST = Revision(0, -1)  # requests the newest snapshot
 
 
 class SnapshotKey(NamedTuple):
-    """Names a snapshot; `snapshot_id` tells it from others at the same revision."""
+    """Identifies a snapshot; `snapshot_id` distinguishes it from others at the same revision."""
 
     revision: Revision
     snapshot_id: int
 
 
 class PageDownload:
-    """The list of one front on its way here; `contents` is our own as it stood at the start."""
+    """A download of another front's list; `contents` is this front's list when the download started."""
 
     def __init__(self, token: int, contents: ListContents):
         self.token = token
         self.pages = PagedDownload(contents)
-        self.requested: set[ChunkId] = set()  # asked for and not received
-        self.stalls: int = 0
+        self.requested: set[ChunkId] = set()  # requested and not yet received
+        self.stalls: int = 0  # retry intervals since the last chunk
 
 
 class PageTransfer(Component):
-    """Sends pages to those that ask, and downloads those of another front."""
+    """Sends pages to fronts that request them, and downloads pages from another front."""
 
     def __init__(self, engine: DiscoveryEngine):
         super().__init__(engine)
         self.snapshots: dict[SnapshotKey, PagedSnapshot] = {}
-        self.requested_at: dict[SnapshotKey, int] = {}  # when each was last asked for
-        self.newest_at: int = 0  # when the newest was made
+        self.requested_at: dict[SnapshotKey, int] = {}  # time of the last request for each snapshot
+        self.newest_at: int = 0  # time at which the newest snapshot was created
         self.download: PageDownload | None = None
 
     def contents(self) -> ListContents:
-        """The list as it stands."""
+        """Return the contents of the current list."""
         current = self.replica.list
         purges = current.purges.retained(self.timers.now)
         return ListContents(current.revision, current.fleet_revision, dict(current.members), purges)
 
-    # At the front that has the list
+    # Sending
 
     def on_request(self, token: int, message: PageChunkRequest) -> None:
-        """Send a chunk; nothing where enough was sent in this tick."""
+        """Send a chunk, unless the limit of datagrams in this tick has been reached."""
         if not self.tree.enabled or not self.tree_subscribers.may_send_chunk(token):
             return
         revision = Revision(message.generation, message.number)
@@ -82,7 +82,7 @@
             snapshot = self.snapshots.get(SnapshotKey(revision, message.snapshot_id))
         try:
             if snapshot is None:
-                raise ChunkNotFoundError("not held any more")
+                raise ChunkNotFoundError("the snapshot has been dropped or there is no list")
             chunk = snapshot.chunk(ChunkId(message.page, message.chunk))
             self.requested_at[SnapshotKey(snapshot.revision, snapshot.id)] = self.timers.now
             reply = PageChunk(*chunk.revision, *chunk[1:])
@@ -91,13 +91,16 @@
         self.timers.emit(SendToMember(token, reply))
 
     def _newest(self) -> PagedSnapshot | None:
-        """A snapshot from which events lead to the list, made anew where the last one is old."""
+        """Return the snapshot for new downloads, or None if there is no confirmed list.
+
+        The last snapshot is reused while it is recent and the event window contains all events since it.
+        """
         revision = self.replica.list.revision
         if self.replica.confirmed_at is None or not revision.number:
             return None
         last = next(reversed(self.snapshots.values()), None)
-        is_young = self.timers.now - self.newest_at <= SNAPSHOT_REUSE_US
-        if last and is_young and last.revision.generation == revision.generation:
+        is_recent = self.timers.now - self.newest_at <= SNAPSHOT_REUSE_US
+        if last and is_recent and last.revision.generation == revision.generation:
             if self.replica.window.covers(last.revision.number):
                 return last
         self._drop_unused()
@@ -107,29 +110,29 @@
         return snapshot
 
     def _drop_unused(self) -> None:
-        """Drop snapshots that nobody asks for any more, and more of them to have room for another."""
+        """Drop idle snapshots, and the least recently requested ones until there is space for another."""
         now = self.timers.now
         idle = [key for key in self.snapshots if now - self.requested_at.get(key, 0) > SNAPSHOT_IDLE_US]
-        others = set(self.snapshots) - set(idle)
-        oldest_first = sorted(others, key=lambda key: self.requested_at.get(key, 0))
+        active = set(self.snapshots) - set(idle)
+        oldest_first = sorted(active, key=lambda key: self.requested_at.get(key, 0))
         surplus = max(0, len(oldest_first) - MAX_SNAPSHOTS + 1)
         for key in idle + oldest_first[:surplus]:
             del self.snapshots[key]
             self.requested_at.pop(key, None)
 
-    # At the front that wants it
+    # Receiving
 
     def start(self, token: int) -> None:
-        """Ask a source for what differs of its list."""
+        """Download the pages of a source's list that differ from this front's list."""
         self.download = PageDownload(token, self.contents())
         self._proceed(self.download)
 
     def _proceed(self, download: PageDownload) -> None:
-        """Ask for what is missing, and again after an interval."""
+        """Request missing chunks, and repeat this after an interval."""
         if download is not self.download:
             return
         download.stalls += 1
-        if download.stalls > MAX_STALLS:  # it serves others; the next heartbeat leads to another try
+        if download.stalls > MAX_STALLS:  # the sender may be busy; the next heartbeat starts a new download
             self.download = None
             return
         download.requested = set()
@@ -148,11 +151,11 @@
                 self.timers.emit(SendToMember(download.token, request))
 
     def on_chunk(self, token: int, message: PageChunk) -> None:
-        """Take a chunk in; the list counts once all pages are there."""
+        """Add a chunk to the download; replace the list once all pages have been received."""
         download = self.download
         if download is None or token != download.token:
             return
-        if not message.count:  # it has a newer one by now, or none: the next heartbeat decides
+        if not message.count:  # the sender dropped the snapshot or has no list; wait for its next heartbeat
             self.download = None
             return
         revision = Revision(message.generation, message.number)
@@ -176,9 +179,9 @@
         self._request_missing(download)
 
     def _finish(self, download: PageDownload) -> None:
-        """Replace our list, if the one that was downloaded is later."""
+        """Replace this front's list if the downloaded list has a later revision."""
         try:
-            new = self._list_of(download.pages.contents())
+            new = self._build_list(download.pages.contents())
         except CodingError as error:
             self.intake.reject_invalid(download.token, error)
             return
@@ -188,8 +191,8 @@
             self.replica.replace(new)
             self.snapshot_transfer.confirm_from(download.token, new.revision)
 
-    def _list_of(self, contents: ListContents) -> EndpointList:
-        """The list of contents whose digests were compared."""
+    def _build_list(self, contents: ListContents) -> EndpointList:
+        """Build a list of contents whose digests have been verified."""
         new = self.replica.new_list()
         for member in contents.members.values():
             new.put(member)
