--- a/limepath/discovery/scopes.py
+++ b/limepath/discovery/scopes.py
@@ -1,9 +1,10 @@
-"""In which zone and at which site the live fronts stand, as far as this front has learnt it.
+"""Discovers the scopes, that is the zones and sites, of the live fronts.
 
-Without a site (the star) each round asks the first few of unknown zone, by hash. With one, only the own zone
-must be known in full: a front asks a few of unknown scope, drawn so that a newcomer is asked by a few of the
-fleet and not by all, and compares digests with one known front of its zone, which sends reports where they
-differ. Free of I/O.
+Without a site (star topology), every heartbeat round queries the first few fronts of unknown zone, in hash
+order. With a site (tree topology), only the own zone must be known completely: a front queries a random
+sample of the fronts of unknown scope, whose size is chosen so that only a few fronts query a new front. It
+also compares digests with one known front of its zone, which sends reports if the digests differ. Performs no
+I/O.
 """
 
 from __future__ import annotations
@@ -19,19 +20,19 @@
 if TYPE_CHECKING:
     from limepath.discovery.engine import DiscoveryEngine
 
-QUERIES_PER_HEARTBEAT = 8  # to fronts of unknown scope; with a site, by the whole fleet to one newcomer
+QUERIES_PER_HEARTBEAT = 8  # to fronts of unknown scope; with a site, by the whole fleet to one new front
 MAX_REPORT_BYTES = 1000  # of entries in one datagram
-ENTRY_BYTES = 11  # a token and an index, coded, at the most
-SITE_BYTES = 3  # beside a site's name
+ENTRY_BYTES = 11  # upper bound of an encoded token and site index
+SITE_BYTES = 3  # encoding overhead of a site name
 REPORTS_PER_HEARTBEAT = 8  # sent in one round
-COMPARISON_INTERVAL = 4  # rounds between two comparisons, once digests were the same
-SCOPES_SETTLED_US = 2_000_000  # for which no front of the zone must have been learnt or lost
-SAMPLES_PER_ZONE = 5  # fronts known for each zone, until all zones count as known
-FROM_START = -1  # below every token
+COMPARISON_INTERVAL = 4  # rounds between two comparisons while the digests are equal
+SCOPES_SETTLED_US = 2_000_000  # without a change in the zone, after which the zone counts as known
+SAMPLES_PER_ZONE = 5  # fronts to be known per zone on average before all zones count as known
+FROM_START = -1  # less than every token
 
 
 class ScopeDirectory(Component):
-    """The scopes of fronts by token, and a digest of those of the own zone."""
+    """The scopes of the known fronts by token, and a digest of the scopes in the own zone."""
 
     def __init__(self, engine: DiscoveryEngine):
         super().__init__(engine)
@@ -39,16 +40,16 @@
         self.known: dict[int, Scope] = {}  # of the other fronts
         self.interned: dict[tuple[str, str], Scope] = {}  # one Scope for all fronts of a site
         self.zone_members: dict[int, Scope] = {self.me: self.own}
-        self.digest: int = scope_digest(self.me, self.own)  # XOR over the own zone
-        self.version: int = 0  # grows with each change in the own zone
-        self.changed_at: int = 0  # when that was
-        self.query_after: int = FROM_START  # the next query is for tokens above
-        self.matches_peer: bool = False  # another of the zone knew the same
+        self.digest: int = scope_digest(self.me, self.own)  # XOR of the scope digests of the own zone
+        self.version: int = 0  # increases with each change in the own zone
+        self.changed_at: int = 0  # time of the last change in the own zone
+        self.query_after: int = FROM_START  # the next query is for tokens greater than this
+        self.matches_peer: bool = False  # the digest of another front of the zone was equal
         self.rounds: int = 0
-        self.reports_sent: int = 0  # in this round
+        self.reports_sent: int = 0  # in the current round
 
     def learn(self, token: int, zone: str, site: str = "") -> None:
-        """A front has announced its scope, or another has reported it."""
+        """Record the scope of a front, which the front announced or another front reported."""
         scope = self.interned.setdefault((zone, site), Scope(zone, site))
         old = self.known.get(token)
         if old == scope or token == self.me:
@@ -71,15 +72,15 @@
         self.digest ^= scope_digest(token, scope)
 
     def retain(self, live: Collection[int]) -> None:
-        """Forget all that are not live."""
+        """Forget all fronts that are not live."""
         for token in [token for token in self.known if token not in live]:
             self._forget(token)
 
     def is_settled(self) -> bool:
-        """Whether this front knows its zone.
+        """Return whether this front knows all fronts of its zone.
 
-        Nothing changed for a while, enough of the fleet is known to know how many zones there are, and
-        another of the zone knows the same, or there is no other.
+        This requires that the zone has not changed for SCOPES_SETTLED_US, that enough fronts are known to
+        count the zones, and that another front of the zone knows the same fronts or that there is no other.
         """
         known = len(self.known)
         live = len(self.live())
@@ -90,19 +91,22 @@
         return self.matches_peer or is_only_one or known >= live
 
     def count_zones(self) -> int:
-        """How many zones are known of."""
+        """Return the number of known zones."""
         return len({self.settings.zone, *(scope.zone for scope in self.interned.values())})
 
     # Queries
 
     def query_first_unknown(self, ranked: Iterable[int]) -> None:
-        """The star: ask the first few of those `ranked` whose zone is not known."""
+        """In the star topology, query the first few of the `ranked` fronts whose zone is unknown."""
         unknown = [token for token in ranked if token != self.me and token not in self.known]
         for token in unknown[:QUERIES_PER_HEARTBEAT]:
             self.timers.emit(SendToMember(token, ScopeAnnouncement(self.settings.zone, True)))
 
     def query_unknown(self, live: Collection[int]) -> None:
-        """The tree, every round: ask a few of unknown scope, and one of the zone for what differs."""
+        """In the tree topology, query some fronts of unknown scope and compare digests with one of the zone.
+
+        Called once per round.
+        """
         self.rounds += 1
         self.reports_sent = 0
         unknown = [token for token in live if token not in self.known]
@@ -116,28 +120,32 @@
             self.send_query(token)
 
     def _query_count(self, unknown: int, live: int) -> int:
-        """How many to ask: as many fronts ask one newcomer as one front asks newcomers at a cold start."""
-        wanted = unknown * QUERIES_PER_HEARTBEAT / live if live else 0.0
+        """Return how many fronts to query.
+
+        The fleet sends QUERIES_PER_HEARTBEAT queries per round to one new front, as many as each front sends
+        at a cold start.
+        """
+        expected = unknown * QUERIES_PER_HEARTBEAT / live if live else 0.0
         if self.is_settled() and unknown < live:
-            # The zone is known; the others are of use to the budget of calls only.
-            wanted /= QUERIES_PER_HEARTBEAT
-        return min(unknown, int(wanted + self.timers.random_fraction()))
+            # The zone is known; the scopes of other zones are needed for the call budget only.
+            expected /= QUERIES_PER_HEARTBEAT
+        return min(unknown, int(expected + self.timers.random_fraction()))
 
     def send_query(self, token: int) -> None:
-        """Ask one of the zone for what differs."""
+        """Send this front's digest to a front of the zone, which replies with a report."""
         self.timers.emit(SendToMember(token, ScopeQuery(*self.own, self.digest, self.query_after)))
 
     # Messages
 
     def on_announcement(self, token: int, message: ScopeAnnouncement) -> None:
-        """Learn a front's scope, and announce ours if it asks."""
+        """Record a front's scope, and announce this front's scope if a reply is requested."""
         self.learn(token, message.zone, message.site)
         if message.wants_reply:
             reply = ScopeAnnouncement(self.settings.zone, site=self.settings.site)
             self.timers.emit(SendToMember(token, reply))
 
     def on_query(self, token: int, message: ScopeQuery) -> None:
-        """Report whom we know in the zone, if that differs."""
+        """Report the known fronts of the zone, or none if the digests are equal."""
         self.learn(token, message.zone, message.site)
         is_own_zone = message.zone == self.settings.zone and self.settings.site
         if not is_own_zone or self.reports_sent >= REPORTS_PER_HEARTBEAT:
@@ -148,7 +156,7 @@
         self.timers.emit(SendToMember(token, report))
 
     def _report(self, after: int) -> ScopeReport:
-        """The next of the zone's fronts that go into one datagram."""
+        """Return a report of the zone's fronts with tokens above `after`, as many as fit one datagram."""
         zone = self.settings.zone
         sites: dict[str, int] = {}
         fronts: list[tuple[int, int]] = []
@@ -162,7 +170,7 @@
         return ScopeReport(zone, tuple(sites), tuple(fronts), True)
 
     def on_report(self, token: int, message: ScopeReport) -> None:
-        """Learn whom another knows; ask for the next report at once."""
+        """Record the fronts of a report, and request the next report immediately."""
         if message.zone != self.settings.zone or token not in self.zone_members:
             return
         live = set(self.live())
@@ -177,5 +185,5 @@
 
 
 def scope_digest(token: int, scope: Scope) -> int:
-    """64 bits of a front's scope, the same at every front."""
+    """Return the 64-bit digest of a front's scope, which is the same at every front."""
     return mix64(token ^ name_salt(f"{scope.zone}\n{scope.site}"))
--- a/tests/test_scopes.py
+++ b/tests/test_scopes.py
@@ -1,4 +1,4 @@
-"""Tests of limepath/discovery/scopes.py: how a front learns its zone."""
+"""Tests of limepath/discovery/scopes.py: how a front discovers the fronts of its zone."""
 
 from limepath.discovery.interface import (
     PeerMessage,
@@ -11,8 +11,8 @@
 from tests.discovery_harness import SECOND, TREE_SETTINGS, EngineHarness, commands_of
 
 
-def test_a_newcomer_is_asked_by_a_few_of_a_large_fleet():
-    asked = 0
+def test_only_a_few_fronts_of_a_large_fleet_query_a_new_front():
+    queries = 0
     for index in range(60):
         front = EngineHarness(range(1000, 1600), settings=TREE_SETTINGS, me=index + 1)
         front.handle(
@@ -21,11 +21,13 @@
         front.run(3 * SECOND)
         front.commands.clear()
         front.run(TREE_SETTINGS.beat)
-        asked += sum(isinstance(order.message, ScopeAnnouncement) for order in front.emitted(SendToMember))
-    assert asked <= 8  # of 60 fronts in one beat; all of them before
+        queries += sum(
+            isinstance(command.message, ScopeAnnouncement) for command in front.emitted(SendToMember)
+        )
+    assert queries <= 8  # by 60 fronts in one heartbeat round; without sampling, every front sent one
 
 
-def test_a_front_that_does_not_know_its_zone_yet_is_no_relay_to_the_call_budget():
+def test_scopes_are_not_settled_before_a_front_knows_its_zone():
     front = EngineHarness(range(1000, 1300), settings=TREE_SETTINGS, me=1)
     front.handle(
         *(PeerMessage(token, ScopeAnnouncement(f"z{token % 20}", False, "b")) for token in range(1000, 1040))
@@ -36,28 +38,29 @@
     front.handle(
         *(PeerMessage(token, ScopeAnnouncement(f"z{token % 20}", False, "b")) for token in range(1040, 1140))
     )
-    front.handle(PeerMessage(1299, ScopeReport("sur")))  # it knows the same
+    front.handle(PeerMessage(1299, ScopeReport("sur")))  # its digest is equal
     front.run(3 * SECOND)
     assert front.logic.scopes.is_settled()
 
 
-def test_the_fronts_of_a_zone_are_learnt_from_the_reports_of_one_that_knows_them():
+def test_a_front_learns_its_zone_from_the_reports_of_another_front():
     tokens = list(range(10**18, 10**18 + 300))
-    knowing = EngineHarness(tokens, settings=TREE_SETTINGS, me=7)
-    knowing.handle(
-        *(PeerMessage(token, ScopeAnnouncement("sur", False, f"s{token % 5}")) for token in tokens)
-    )
-    learning = EngineHarness([7, *tokens], settings=TREE_SETTINGS, me=8)
-    learning.handle(PeerMessage(7, ScopeAnnouncement("sur", False, "a")))
-    learning.logic.scopes.send_query(7)
-    asks = [order.message for order in learning.logic.timers.take_commands()]
+    sender = EngineHarness(tokens, settings=TREE_SETTINGS, me=7)
+    sender.handle(*(PeerMessage(token, ScopeAnnouncement("sur", False, f"s{token % 5}")) for token in tokens))
+    receiver = EngineHarness([7, *tokens], settings=TREE_SETTINGS, me=8)
+    receiver.handle(PeerMessage(7, ScopeAnnouncement("sur", False, "a")))
+    receiver.logic.scopes.send_query(7)
+    queries = [command.message for command in receiver.logic.timers.take_commands()]
     for _ in range(10):
-        if not asks:
+        if not queries:
             break
-        (page,) = [
-            order.message for order in commands_of(knowing.handle(PeerMessage(8, asks.pop())), SendToMember)
+        (report,) = [
+            command.message
+            for command in commands_of(sender.handle(PeerMessage(8, queries.pop())), SendToMember)
+        ]
+        assert isinstance(report, ScopeReport) and len(report.fronts) <= 100
+        queries = [
+            command.message for command in commands_of(receiver.handle(PeerMessage(7, report)), SendToMember)
         ]
-        assert isinstance(page, ScopeReport) and len(page.fronts) <= 100
-        asks = [order.message for order in commands_of(learning.handle(PeerMessage(7, page)), SendToMember)]
-        asks = [message for message in asks if isinstance(message, ScopeQuery)]
-    assert set(tokens) <= set(learning.logic.scopes.zone_members)
+        queries = [message for message in queries if isinstance(message, ScopeQuery)]
+    assert set(tokens) <= set(receiver.logic.scopes.zone_members)
