--- a/limepath/discovery/recent_purges.py
+++ b/limepath/discovery/recent_purges.py
@@ -1,7 +1,8 @@
-"""The purges whose old copies may still be cached somewhere.
+"""Keeps the purges whose purged copies may still be cached at some front.
 
-Sized by time, bounded in bytes of what `event_coding.encode_event` gave; it says where that bound made it
-forget purges early. Times are whole microseconds and handed in. Free of I/O.
+Purges are kept for a period of time, up to a total size as encoded by `event_coding.encode_event`; the class
+reports whether the size limit evicted purges early. Times are integers in microseconds, passed in by the
+caller. Performs no I/O.
 """
 
 from collections import OrderedDict
@@ -22,14 +23,14 @@
 
 
 class PurgeTarget(NamedTuple):
-    """What a purge removes: `kind` is "object" or "bucket", `number` that of either."""
+    """The target of a purge: `kind` is "object" or "bucket", `number` is that of the object or bucket."""
 
     kind: str
     number: int
 
 
 class AgedPurge(NamedTuple):
-    """`number` is its event's, `age` how long ago the first front that is known to have accepted it did."""
+    """A purge, its event number and its age: the time since a front first accepted it, as far as known."""
 
     number: int
     age: int
@@ -37,10 +38,10 @@
 
 
 class RetainedPurge(NamedTuple):
-    """A purge with the bytes in which it is saved.
+    """A purge and its record in the saved list.
 
-    `record` holds the time when it was accepted, the length of `encoded`, and `encoded`. It is made once,
-    for there are thousands in a list that is saved every second.
+    `record` contains the time when the purge was accepted, the length of `encoded`, and `encoded`. It is
+    encoded only once, because a list of thousands of purges is saved every second.
     """
 
     accepted: int
@@ -50,11 +51,12 @@
 
 
 class RecentPurges:
-    """The latest purge of each object and bucket, until its copies are gone everywhere.
+    """The latest purge of each object and bucket, until its copies are gone from all caches.
 
-    `copy_lifetime` is how long copies last after a purge. A front may hear of it the span of a cut later,
-    so that one which asks then has to be sent it: each is kept for `copy_lifetime + span` after it was
-    accepted. What comes from another front brings its age along, else restarts would keep purges for ever.
+    `copy_lifetime` is how long copies remain after a purge. A front may receive a purge up to `span` late,
+    the longest partition, and must be able to get it then: each purge is kept for `copy_lifetime + span`
+    after it was accepted. Purges from another front keep their age, since restarts would otherwise keep them
+    forever.
     """
 
     def __init__(self, copy_lifetime: int, span: int, max_bytes: int):
@@ -68,22 +70,22 @@
         return len(self.purges)
 
     def __contains__(self, event: dict[str, Any]) -> bool:
-        """Whether this purge or a later one of the same target is kept."""
+        """Return whether this purge or a later one of the same target is kept."""
         purge = self.purges.get(purge_target(event))
         return purge is not None and purge.number >= event["seq"]
 
     def add(self, now: int, event: dict[str, Any], text: str, age: int = 0) -> None:
-        """Add a purge whose form was checked, accepted `age` ago by the first front that is known to have.
+        """Add a validated purge that a front first accepted `age` microseconds ago, as far as known.
 
-        Raise OversizedError where it is too long.
+        Raise OversizedError if it is too long.
         """
         self._store(now, now - age, event, encode_event(event, text))
 
     def add_aged(self, now: int, purge: AgedPurge) -> None:
-        """Add a purge as another front keeps it; raise CodingError."""
+        """Add a purge that another front sent; raise CodingError if it is invalid."""
         event = decode_event(purge.encoded).body
         if "invalidate" not in event or event["seq"] != purge.number:
-            raise CodingError(f"event {event['seq']} is not purge {purge.number}")
+            raise CodingError(f"event {event['seq']} is not a purge with number {purge.number}")
         self._store(now, now - purge.age, event, purge.encoded)
 
     def _store(self, now: int, accepted: int, event: dict[str, Any], encoded: bytes) -> None:
@@ -97,11 +99,11 @@
         self.expire(now)
 
     def _is_relevant(self, now: int, accepted: int) -> bool:
-        """Whether copies from before a purge may be left anywhere."""
+        """Return whether copies from before a purge may remain at any front."""
         return now - accepted <= self.retention
 
     def expire(self, now: int) -> None:
-        """Drop the purges whose copies are gone everywhere, and where bytes are short the oldest."""
+        """Drop the purges whose copies are gone, and the oldest purges while the size limit is exceeded."""
         while self.purges:
             target, purge = next(iter(self.purges.items()))
             if self._is_relevant(now, purge.accepted):
@@ -114,51 +116,53 @@
         self.bytes -= len(self.purges.pop(target).encoded)
 
     def clear(self) -> None:
-        """Drop all: a list of a later generation takes their place, whose numbers say nothing of these."""
+        """Drop all purges, because the numbers of a list of a later generation are unrelated to theirs."""
         self.purges.clear()
         self.bytes = 0
 
     def retained(self, now: int) -> tuple[AgedPurge, ...]:
-        """All purges that are relevant with their ages, in the order in which they came."""
+        """Return the relevant purges with their ages, in the order in which they were added."""
         self.expire(now)
         relevant = [purge for purge in self.purges.values() if self._is_relevant(now, purge.accepted)]
         return tuple(AgedPurge(purge.number, now - purge.accepted, purge.encoded) for purge in relevant)
 
     def image(self, now: int) -> bytes:
-        """All purges to be saved: the time now, and a record of each."""
+        """Return the purges in saved form: the current time, followed by the record of each purge."""
         self.expire(now)
         saved_at = encode_varint(zigzag_encode(now))
         return saved_at + b"".join(purge.record for purge in self.purges.values())
 
     def load(self, now: int, image: bytes) -> None:
-        """Add what an earlier run of this front saved; raise CodingError, and then nothing of it is added.
+        """Add the purges that an earlier run of this front saved; raise CodingError without adding any.
 
-        The time between the runs counts for nothing, so that they are kept for longer than they have to be.
+        The time between the runs is not added to the ages, so that purges may be kept longer than necessary.
         """
         reader = ByteReader(image)
-        found = []
+        loaded = []
         saved_at = zigzag_decode(reader.integer())
         while reader.left():
             accepted = zigzag_decode(reader.integer())
             encoded = reader.take(reader.integer())
             event = decode_event(encoded).body
             if accepted > saved_at or "invalidate" not in event:
-                raise DamagedError(f"event {event['seq']} among the saved purges")
-            found.append((saved_at - accepted, event, encoded))
-        for age, event, encoded in found:
+                raise DamagedError(
+                    f"saved event {event['seq']} is not a purge, or it was accepted after it was saved"
+                )
+            loaded.append((saved_at - accepted, event, encoded))
+        for age, event, encoded in loaded:
             self._store(now, now - age, event, encoded)
 
     def values(self) -> Iterator[dict[str, Any]]:
-        """The events' JSON objects, in the order in which they came."""
+        """Return the JSON objects of the events, in the order in which they were added."""
         return (decode_event(purge.encoded).body for purge in self.purges.values())
 
     def is_cut_short(self, now: int) -> bool:
-        """Whether the bound in bytes evicted a purge of which copies may be left."""
+        """Return whether the size limit evicted a purge whose copies may remain."""
         return self.evictions.is_current(now)
 
 
 def purge_target(event: dict[str, Any]) -> PurgeTarget:
-    """What an event purges: one object however its number was written, or a bucket."""
+    """Return the target of a purge; all notations of an object's number give the same target."""
     purge = event["invalidate"]
     if "object" in purge:
         return PurgeTarget("object", parse_object_name(purge["object"]))
--- a/tests/test_recent_purges.py
+++ b/tests/test_recent_purges.py
@@ -1,4 +1,4 @@
-"""Tests of limepath/discovery/recent_purges.py: purges are kept until no old copy is left."""
+"""Tests of limepath/discovery/recent_purges.py: purges are kept until no purged copy remains."""
 
 import json
 from collections import OrderedDict
@@ -14,87 +14,93 @@
 from limepath.discovery.varint import CodingError, encode_varint, zigzag_encode
 from tests.event_samples import MAX_BYTES, RATE, SECOND, SPAN, arrival_time, encoded, purge, repeatable
 
-GONE_EVERYWHERE = 7_300_000
+COPY_LIFETIME_US = 7_300_000
 
 
-FORMER_COUNT = 4096  # purges that were kept before they were kept by time
+COUNT_LIMIT = 4096  # number of purges kept by a limit on their count, for comparison
 
 
-def add_purge(purges, now, told, age=0):
-    purges.add(now, told, json.dumps(told), age)
+def add_purge(purges, now, event, age=0):
+    purges.add(now, event, json.dumps(event), age)
 
 
 def numbers_of(purges):
-    return [told["seq"] for told in purges.values()]
+    return [event["seq"] for event in purges.values()]
 
 
-def test_no_purge_is_forgotten_before_its_copies_are_gone_at_a_front_that_was_behind_by_the_span():
-    """A front hears of each purge a span late; until its copies are gone there, one that asks is told."""
-    purges = RecentPurges(GONE_EVERYWHERE, SPAN, MAX_BYTES)
-    former = OrderedDict()
-    forgotten_by_count = 0
-    matter = OrderedDict()  # purges whose copies are not gone at the front that is behind
+def test_purges_are_kept_until_their_copies_are_gone_at_a_front_behind_by_the_span():
+    """A front that receives each purge one span late can still get it until its own copies are gone.
+
+    A limit on the number of purges, which was used before, drops purges too early at this rate.
+    """
+    purges = RecentPurges(COPY_LIFETIME_US, SPAN, MAX_BYTES)
+    kept_by_count = OrderedDict()
+    dropped_by_count = 0
+    relevant = OrderedDict()  # purges whose copies may remain at the front that is behind
     for number in range(1, RATE * 700):
         now = arrival_time(number)
         add_purge(purges, now, purge(number))
-        matter[number] = now + SPAN + GONE_EVERYWHERE
-        former[number] = True
-        if len(former) > FORMER_COUNT:
-            former.popitem(last=False)
-        while next(iter(matter.values())) < now:
-            matter.popitem(last=False)
-        oldest = next(iter(matter))
-        assert purge(oldest) in purges  # they are forgotten in order, so all later ones are held as well
-        forgotten_by_count += oldest not in former
+        relevant[number] = now + SPAN + COPY_LIFETIME_US
+        kept_by_count[number] = True
+        if len(kept_by_count) > COUNT_LIMIT:
+            kept_by_count.popitem(last=False)
+        while next(iter(relevant.values())) < now:
+            relevant.popitem(last=False)
+        oldest = next(iter(relevant))
+        assert purge(oldest) in purges  # purges are dropped in order, so all later ones are kept as well
+        dropped_by_count += oldest not in kept_by_count
         if number % 5000 == 0:
-            assert set(matter) <= set(numbers_of(purges))
+            assert set(relevant) <= set(numbers_of(purges))
     assert not purges.is_cut_short(arrival_time(RATE * 700))
-    assert forgotten_by_count > RATE * 500
-    assert arrival_time(FORMER_COUNT) < 114 * SECOND < SPAN + GONE_EVERYWHERE
+    assert dropped_by_count > RATE * 500
+    assert arrival_time(COUNT_LIMIT) < 114 * SECOND < SPAN + COPY_LIFETIME_US
 
 
-def test_the_purges_that_matter_at_the_coming_rate_fit_the_bound():
-    assert bytes_needed(RATE, SPAN + GONE_EVERYWHERE, 20) < MAX_BYTES / 4
+def test_the_relevant_purges_of_the_largest_fleet_fit_the_size_limit():
+    assert bytes_needed(RATE, SPAN + COPY_LIFETIME_US, 20) < MAX_BYTES / 4
 
 
-def test_a_purge_is_kept_to_the_microsecond():
-    purges = RecentPurges(GONE_EVERYWHERE, SPAN, MAX_BYTES)
+def test_a_purge_expires_after_exactly_its_retention():
+    purges = RecentPurges(COPY_LIFETIME_US, SPAN, MAX_BYTES)
     add_purge(purges, 0, purge(1))
-    assert purges.retained(GONE_EVERYWHERE + SPAN) == (
-        AgedPurge(1, GONE_EVERYWHERE + SPAN, encoded(purge(1))),
+    assert purges.retained(COPY_LIFETIME_US + SPAN) == (
+        AgedPurge(1, COPY_LIFETIME_US + SPAN, encoded(purge(1))),
     )
-    assert purges.retained(GONE_EVERYWHERE + SPAN + 1) == () and purges.bytes == 0
+    assert purges.retained(COPY_LIFETIME_US + SPAN + 1) == () and purges.bytes == 0
 
 
-def test_a_later_purge_of_the_same_takes_the_place_of_the_former():
+def test_a_later_purge_of_the_same_target_replaces_the_previous_one():
     purges = RecentPurges(10, 100, MAX_BYTES)
     add_purge(purges, 0, purge(1, object="00000000000000ff"))
     add_purge(purges, 1, purge(2, bucket=0xFF))
     add_purge(purges, 60, purge(3, object="FF"))
     assert numbers_of(purges) == [2, 3]
-    assert purges.bytes == sum(len(encoded(told)) for told in purges.values())
-    add_purge(purges, 61, purge(1, object="00000000000000ff"))  # an older one comes late
+    assert purges.bytes == sum(len(encoded(event)) for event in purges.values())
+    add_purge(purges, 61, purge(1, object="00000000000000ff"))  # an older purge arrives late
     assert numbers_of(purges) == [2, 3]
-    assert [kept.age for kept in purges.retained(170)] == [110]
+    assert [aged.age for aged in purges.retained(170)] == [110]
+
 
+def test_transferring_a_purge_between_fronts_does_not_extend_its_retention():
+    """Each front gets the purges of the previous one shortly before that one drops them.
 
-def test_ages_go_along_so_that_restarts_do_not_keep_a_purge_for_ever():
-    """Each front hears all from the one before, shortly before that one forgets."""
+    If ages were not transferred, restarts of fronts would keep a purge forever.
+    """
     step = 100 * SECOND
-    kept_by = RecentPurges(GONE_EVERYWHERE, SPAN, MAX_BYTES)
-    add_purge(kept_by, 0, purge(1))
-    now, handed_on = 0, 0
-    while kept_by.retained(now + step) and handed_on < 20:
+    current = RecentPurges(COPY_LIFETIME_US, SPAN, MAX_BYTES)
+    add_purge(current, 0, purge(1))
+    now, transfers = 0, 0
+    while current.retained(now + step) and transfers < 20:
         now += step
-        following = RecentPurges(GONE_EVERYWHERE, SPAN, MAX_BYTES)
-        for kept in kept_by.retained(now):
-            following.add_aged(now, kept)
-        kept_by = following
-        handed_on += 1
-    assert handed_on == 3 and now == SPAN
+        following = RecentPurges(COPY_LIFETIME_US, SPAN, MAX_BYTES)
+        for aged in current.retained(now):
+            following.add_aged(now, aged)
+        current = following
+        transfers += 1
+    assert transfers == 3 and now == SPAN
 
 
-def test_a_purge_that_comes_too_old_is_not_taken_in():
+def test_a_purge_that_is_too_old_is_not_added():
     purges = RecentPurges(10, 100, MAX_BYTES)
     purges.add_aged(0, AgedPurge(1, 111, encoded(purge(1))))
     assert not purges and purges.bytes == 0
@@ -104,42 +110,42 @@
 
 @repeatable
 @given(st.lists(st.tuples(st.integers(0, 200), st.integers(0, 150), st.integers(0, 9)), max_size=40))
-def test_in_whatever_order_they_come_what_is_told_on_matters_and_all_that_matters_is(comings):
+def test_exactly_the_relevant_purges_are_retained_whatever_their_order(arrivals):
     purges = RecentPurges(10, 100, MAX_BYTES)
     latest = {}
     now = 0
-    for seq, (later, age, bucket) in enumerate(comings):
-        now += later // 10
+    for seq, (delay, age, bucket) in enumerate(arrivals):
+        now += delay // 10
         add_purge(purges, now, purge(seq, bucket=bucket), age)
         if age <= 110:
             latest[bucket] = now - age, seq
     expected = sorted(seq for accepted, seq in latest.values() if now - accepted <= 110)
-    assert sorted(kept.number for kept in purges.retained(now)) == expected
-    assert all(kept.age <= 110 for kept in purges.retained(now))
+    assert sorted(aged.number for aged in purges.retained(now)) == expected
+    assert all(aged.age <= 110 for aged in purges.retained(now))
 
 
-def test_the_bound_in_bytes_is_told_when_it_makes_a_purge_be_forgotten():
+def test_an_early_eviction_by_the_size_limit_is_reported():
     size = len(encoded(purge(1)))
-    purges = RecentPurges(GONE_EVERYWHERE, SPAN, 10 * size)
+    purges = RecentPurges(COPY_LIFETIME_US, SPAN, 10 * size)
     for number in range(1, 11):
         add_purge(purges, arrival_time(number), purge(number))
     assert not purges.is_cut_short(arrival_time(10))
     add_purge(purges, arrival_time(11), purge(11))
     assert purges.is_cut_short(arrival_time(11)) and numbers_of(purges) == list(range(2, 12))
     assert purges.bytes <= 10 * size and purges.evictions.count == 1
-    end = arrival_time(1) + GONE_EVERYWHERE + SPAN
+    end = arrival_time(1) + COPY_LIFETIME_US + SPAN
     assert purges.is_cut_short(end) and not purges.is_cut_short(end + 1)
 
 
-def test_what_is_forgotten_for_its_age_does_not_count_as_cut():
-    purges = RecentPurges(GONE_EVERYWHERE, SPAN, MAX_BYTES)
+def test_expired_purges_do_not_count_as_evictions():
+    purges = RecentPurges(COPY_LIFETIME_US, SPAN, MAX_BYTES)
     add_purge(purges, 0, purge(1))
     add_purge(purges, 2 * SPAN, purge(2))
     assert numbers_of(purges) == [2] and purges.evictions.count == 0
 
 
-def test_what_is_no_purge_or_no_event_is_refused():
-    purges = RecentPurges(GONE_EVERYWHERE, SPAN, MAX_BYTES)
+def test_data_that_is_not_the_purge_of_that_number_is_refused():
+    purges = RecentPurges(COPY_LIFETIME_US, SPAN, MAX_BYTES)
     other = encoded(purge(2))
     for data in (b"", b"\xff", encoded({"seq": 1, "fleet": {"members": []}}), encoded({"seq": 1}), other):
         with pytest.raises(CodingError):
@@ -147,8 +153,8 @@
     assert not purges
 
 
-def test_all_are_forgotten_with_their_list():
-    purges = RecentPurges(GONE_EVERYWHERE, SPAN, MAX_BYTES)
+def test_clear_drops_all_purges():
+    purges = RecentPurges(COPY_LIFETIME_US, SPAN, MAX_BYTES)
     add_purge(purges, 0, purge(7))
     purges.clear()
     assert not purges and purges.bytes == 0
@@ -162,51 +168,51 @@
     st.integers(-99, 99),
     st.integers(0, 99),
 )
-def test_saved_purges_come_back_with_their_ages_in_another_life(comings, start, later):
+def test_saved_purges_are_loaded_with_their_ages_after_a_restart(arrivals, start, restarted_at):
     purges, now = RecentPurges(10, 100, MAX_BYTES), start
-    for seq, (since, age) in enumerate(comings):
-        now += since // 10
+    for seq, (delay, age) in enumerate(arrivals):
+        now += delay // 10
         add_purge(purges, now, purge(seq), age)
     image = purges.image(now)
-    again = RecentPurges(10, 100, MAX_BYTES)
-    again.load(later, image)  # its clock begins anew
-    assert again.retained(later) == purges.retained(now)
+    loaded = RecentPurges(10, 100, MAX_BYTES)
+    loaded.load(restarted_at, image)  # the clock starts anew with the process
+    assert loaded.retained(restarted_at) == purges.retained(now)
 
 
-def test_saved_purges_that_are_damaged_are_not_taken_in():
-    purges = RecentPurges(GONE_EVERYWHERE, SPAN, MAX_BYTES)
+def test_damaged_saved_purges_are_not_loaded():
+    purges = RecentPurges(COPY_LIFETIME_US, SPAN, MAX_BYTES)
     for number in range(1, 5):
         add_purge(purges, arrival_time(number), purge(number))
     image = purges.image(arrival_time(4))
     fleet = encoded({"seq": 5, "fleet": {"members": []}})
-    whole = RecentPurges(GONE_EVERYWHERE, SPAN, MAX_BYTES)
-    whole.load(0, image)
-    assert numbers_of(whole) == [1, 2, 3, 4]
+    intact = RecentPurges(COPY_LIFETIME_US, SPAN, MAX_BYTES)
+    intact.load(0, image)
+    assert numbers_of(intact) == [1, 2, 3, 4]
     record = purges.purges[purge_target(purge(4))].record
-    for spoilt in (
+    for damaged in (
         b"",
         image[:-1],
         image + b"\0",
         image + encode_varint(0) + encode_varint(len(fleet)) + fleet,
         encode_varint(zigzag_encode(arrival_time(4) - 1)) + record,  # accepted after it was saved
     ):
-        other = RecentPurges(GONE_EVERYWHERE, SPAN, MAX_BYTES)
+        other = RecentPurges(COPY_LIFETIME_US, SPAN, MAX_BYTES)
         with pytest.raises(CodingError):
-            other.load(0, spoilt)
+            other.load(0, damaged)
         assert not other
 
 
 @repeatable
 @given(st.binary(max_size=80))
-def test_any_saved_bytes_are_purges_or_a_typed_error(data):
-    purges = RecentPurges(GONE_EVERYWHERE, SPAN, MAX_BYTES)
+def test_loading_arbitrary_bytes_raises_only_coding_errors(data):
+    purges = RecentPurges(COPY_LIFETIME_US, SPAN, MAX_BYTES)
     try:
         purges.load(0, data)
     except CodingError:
         assert not purges
 
 
-def test_an_object_is_the_same_however_its_number_is_written():
+def test_all_notations_of_an_object_number_have_the_same_target():
     names = ("ff", "FF", "0x00ff", "00000000000000ff")
     assert len({purge_target(purge(1, object=name)) for name in names}) == 1
     assert purge_target(purge(1, object="11")) != purge_target(purge(1, bucket=17))
