--- a/limepath/discovery/varint.py
+++ b/limepath/discovery/varint.py
@@ -1,22 +1,23 @@
-"""Whole numbers as variable-length bytes (unsigned LEB128), and a reader that never passes their end.
+"""Variable-length integers (unsigned LEB128), and a bounds-checked reader of bytes.
 
-Seven bits a byte, the lowest first, the eighth bit on all bytes but the last, and no longer than it has to
-be. `CodingError` is what all compact forms of the list raise. Free of I/O.
+Each byte contains seven bits of the integer, the least significant first; the eighth bit is set in all bytes
+but the last. Only the shortest encoding of an integer is valid. All encodings of the list raise
+`CodingError`. Performs no I/O.
 """
 
-MAX_VARINT_BYTES = 10  # of the longest: 64 bits
+MAX_VARINT_BYTES = 10  # enough for 64 bits
 
 
 class CodingError(Exception):
-    """Bytes that are not taken, or what has no bytes; the text says why."""
+    """Bytes cannot be decoded or a value cannot be encoded; the message gives the reason."""
 
 
 class DamagedError(CodingError):
-    """Cut, or not what its kind says."""
+    """The bytes are truncated or invalid."""
 
 
 def encode_varint(value: int) -> bytes:
-    """The bytes of a number of at most 64 bits that is not negative."""
+    """Encode a non-negative integer of at most 64 bits."""
     out = bytearray()
     while value > 0x7F:
         out.append(value & 0x7F | 0x80)
@@ -26,47 +27,47 @@
 
 
 def zigzag_encode(value: int) -> int:
-    """A signed number as an unsigned one, small for those near 0 on either side."""
+    """Map a signed integer to an unsigned one, so that values near 0 have short encodings."""
     return value << 1 if value >= 0 else (-value << 1) - 1
 
 
 def zigzag_decode(value: int) -> int:
-    """The signed number of one that `zigzag_encode` gave."""
+    """Return the signed integer that `zigzag_encode` mapped to `value`."""
     return -(value + 1 >> 1) if value & 1 else value >> 1
 
 
 class ByteReader:
-    """Reads bytes from a place on; raises DamagedError where they end too early."""
+    """Reads bytes from an offset on; raises DamagedError if they end too early."""
 
-    def __init__(self, data: bytes, at: int = 0):
+    def __init__(self, data: bytes, offset: int = 0):
         self.data = data
-        self.at = at
+        self.offset = offset
 
     def left(self) -> int:
-        """How many bytes are left."""
-        return len(self.data) - self.at
+        """Return the number of bytes that are left."""
+        return len(self.data) - self.offset
 
     def take(self, count: int) -> bytes:
-        """The next so many bytes."""
+        """Read the next `count` bytes."""
         if count > self.left():
-            raise DamagedError("cut")
-        self.at += count
-        return self.data[self.at - count : self.at]
+            raise DamagedError(f"truncated: {count} bytes expected, {self.left()} left")
+        self.offset += count
+        return self.data[self.offset - count : self.offset]
 
     def integer(self) -> int:
-        """The next number."""
+        """Read a variable-length integer."""
         value = 0
-        for place in range(MAX_VARINT_BYTES):
+        for index in range(MAX_VARINT_BYTES):
             byte = self.take(1)[0]
-            value |= (byte & 0x7F) << 7 * place
+            value |= (byte & 0x7F) << 7 * index
             if byte & 0x80:
                 continue
-            if place and not byte or value >> 64:
+            if index and not byte or value >> 64:
                 break
             return value
-        raise DamagedError("no integer of 64 bits in its shortest form")
+        raise DamagedError("integer exceeds 64 bits or is not in its shortest encoding")
 
     def end(self) -> None:
-        """Raise DamagedError where something is left."""
+        """Raise DamagedError if bytes are left."""
         if self.left():
-            raise DamagedError(f"{self.left()} bytes too many")
+            raise DamagedError(f"{self.left()} bytes after the end of the data")
