--- a/limepath/discovery/purge_fields.py
+++ b/limepath/discovery/purge_fields.py
@@ -1,14 +1,15 @@
-"""The fields of a purge that the compact form holds completely, and the JSON object that they stand for.
+"""The fields of a purge in its compact encoding, and their conversion from and to the JSON object.
 
-An object's name in a purge is a hexadecimal number. Only 16 digits in lower case come back as they were, so
-another name, a negative or a huge number, or a field that is not known here has no fields: it goes as text.
+A purge names an object by a hexadecimal number. Only a name of 16 lower-case digits is restored exactly, so a
+purge with another name, a negative number, a number over 63 bits or an unknown field has no compact encoding
+and is sent as text.
 """
 
 from typing import Any, NamedTuple
 
 
 class PurgeFields(NamedTuple):
-    """A purge. `time` is in milliseconds of the Unix clock, `target` the object's number or the bucket."""
+    """A purge: `time` is in milliseconds of Unix time, `target` is the number of the object or bucket."""
 
     seq: int
     time: int
@@ -16,18 +17,18 @@
     is_object: bool
 
     def event(self) -> dict[str, Any]:
-        """The event's JSON object."""
+        """Return the event's JSON object."""
         if self.is_object:
             return {"seq": self.seq, "invalidate": {"object": object_name(self.target), "time": self.time}}
         return {"seq": self.seq, "invalidate": {"bucket": self.target, "time": self.time}}
 
     def is_valid(self) -> bool:
-        """Whether it is one that `purge_of` gives."""
+        """Return whether all numbers are in the ranges of the compact encoding."""
         return is_uint63(self.seq) and is_uint63(self.time) and (self.is_object or is_uint63(self.target))
 
 
 def purge_fields_of(event: dict[str, Any]) -> PurgeFields | None:
-    """The fields of an event, None where they would not tell all of it."""
+    """Return the fields of a purge event, or None if they would not represent the event completely."""
     purge = event.get("invalidate")
     if event.keys() != {"seq", "invalidate"} or not isinstance(purge, dict):
         return None
@@ -42,22 +43,25 @@
 
 
 def is_uint63(value: object) -> bool:
-    """Whether this is a whole number of 63 bits; True and 1.0 are other JSON than 1."""
+    """Return whether a value is an integer of at most 63 bits.
+
+    True and 1.0 are not, since their JSON differs from that of 1.
+    """
     return type(value) is int and 0 <= value < 1 << 63
 
 
 def object_name(number: int) -> str:
-    """The 16 digits of an object\'s number."""
+    """Return the canonical name of an object, the 16 hexadecimal digits of its number."""
     return f"{number:016x}"
 
 
 def parse_object_name(name: Any) -> int:
-    """The number of an object, however it is written; ValueError or TypeError where it is none."""
+    """Return the number of an object in any notation; raise ValueError or TypeError if there is none."""
     return int(name, 16)
 
 
 def canonical_object_number(name: object) -> int | None:
-    """The number of an object that is named by its 16 digits, else None."""
+    """Return the number of an object, or None if the name is not canonical."""
     try:
         number = parse_object_name(name)
     except (ValueError, TypeError):
