--- a/limepath/discovery/event_coding.py
+++ b/limepath/discovery/event_coding.py
@@ -1,24 +1,24 @@
-"""Events of the list service to compact bytes and back, and several of them packed for one datagram.
+"""Encodes events of the list service as compact bytes and decodes them, alone or in batches for a datagram.
 
-An event is the service's JSON object with its number `seq`. Its bytes are a kind and what the kind holds; an
-integer is unsigned LEB128 (`varint`):
+An event is the service's JSON object with its number `seq`. Its encoding is a byte for the kind, followed by
+the fields of the kind. Integers are unsigned LEB128 (`varint`):
 
     TEXT            the JSON text in UTF-8
-    DEFLATED        the same by zlib (RFC 1950), taken where it is smaller
+    DEFLATED        the JSON text compressed by zlib (RFC 1950), used if that is shorter
     PURGE_OBJECT    seq, time in milliseconds, the object's eight bytes
     PURGE_BUCKET    seq, time in milliseconds, bucket
 
-The object's purge takes 20 bytes until number 2**35 and the year 2109. What has no compact form, such as a
-field that this program does not know, goes as text, so that nothing is lost.
+The purge of an object takes 20 bytes until number 2**35 and the year 2109. Events without a compact encoding,
+such as those with unknown fields, are sent as text, so that no data is lost.
 
     BATCH           first seq, base time, count, then each event without its number: its kind and either
-                    the time since the former purge (zigzag) and the purge, or a length and the text
+                    the time since the previous purge (zigzag) and the purge, or a length and the text
 
-Numbers in a batch follow each other. Kinds from 16 on are reserved for changes of configuration; in a batch
-each of them is to carry its length. A reader that meets a kind that it does not know refuses the whole.
+The numbers of the events in a batch are consecutive. Kinds from 16 on are reserved for configuration changes;
+in a batch each of them must include its length. Data that contains an unknown kind is refused completely.
 
-Nothing here detects bytes that were changed into those of another valid event; the seal of
-`membership/guard` does. Free of I/O.
+The encoding does not detect bytes that were changed into another valid event; the seal of `membership/guard`
+does. Performs no I/O.
 """
 
 import json
@@ -38,14 +38,14 @@
     zigzag_encode,
 )
 
-MAX_TEXT_BYTES = 65_536  # bytes of one event's JSON text; what is longer comes by pages of the list
-MAX_BATCH_BYTES = 1000  # bytes of a batch: with envelope and seal it stays under `membership.guard.LARGEST`
-RESERVED_KINDS = range(16, 32)  # for changes of configuration
+MAX_TEXT_BYTES = 65_536  # of one event's JSON text; longer events are transferred with the pages of the list
+MAX_BATCH_BYTES = 1000  # less than `membership.guard.MAX_DATAGRAM_BYTES` with envelope and seal
+RESERVED_KINDS = range(16, 32)  # for configuration changes
 OBJECT_BYTES = 8
 
 
 class EventKind(IntEnum):
-    """The byte that leads."""
+    """The first byte of an encoded event or batch."""
 
     TEXT = 0
     DEFLATED = 1
@@ -58,39 +58,36 @@
 
 
 class OversizedError(CodingError):
-    """An event or a batch over its bound."""
+    """An event or a batch exceeds its size limit."""
 
 
 class UnknownKindError(CodingError):
-    """A kind of a later program."""
+    """A kind is not known to this version of the program."""
 
     def __init__(self, kind: int):
-        reserved = ", reserved for changes of configuration" if kind in RESERVED_KINDS else ""
-        super().__init__(f"kind {kind}{reserved}")
+        reserved = ", which is reserved for configuration changes" if kind in RESERVED_KINDS else ""
+        super().__init__(f"unknown kind {kind}{reserved}")
         self.kind = kind
 
 
 class ServiceEvent(NamedTuple):
-    """`body` is the parsed JSON object of `text`."""
+    """An event of the list service: its JSON text and `body`, the JSON object parsed from it."""
 
     body: dict[str, Any]
     text: str
 
 
 def encode_event(body: dict[str, Any], text: str) -> bytes:
-    """The bytes of an event whose JSON text was parsed to `body`.
-
-    Raise OversizedError where it is too long.
-    """
+    """Encode an event whose JSON text was parsed to `body`; raise OversizedError if it is too long."""
     if purge := purge_fields_of(body):
         kind = EventKind.PURGE_OBJECT if purge.is_object else EventKind.PURGE_BUCKET
         return bytes((kind,)) + encode_varint(purge.seq) + encode_varint(purge.time) + encode_target(purge)
     try:
         plain = text.encode()
-    except UnicodeEncodeError:  # half a surrogate pair, which JSON can name and UTF-8 can't
+    except UnicodeEncodeError:  # a lone surrogate, which JSON can escape but UTF-8 cannot encode
         plain = json.dumps(body).encode()
     if len(plain) > MAX_TEXT_BYTES:
-        raise OversizedError(f"an event of {len(plain)} bytes, {MAX_TEXT_BYTES} at the most")
+        raise OversizedError(f"the event has {len(plain)} bytes; at most {MAX_TEXT_BYTES} are allowed")
     deflated = zlib.compress(plain, 9)
     if len(deflated) < len(plain):
         return bytes((EventKind.DEFLATED,)) + deflated
@@ -98,61 +95,62 @@
 
 
 def decode_event(data: bytes) -> ServiceEvent:
-    """The event of bytes made by `encode_event`; raise a CodingError."""
+    """Decode the bytes of an event; raise CodingError if they are invalid."""
     entry = parse_entry(data)
-    return event_of_purge(entry.purge) if entry.purge else event_of_text(entry.kind, entry.text)
+    return decode_purge(entry.purge) if entry.purge else decode_text(entry.kind, entry.text)
 
 
 def encode_batches(encoded: Iterable[bytes], limit: int = MAX_BATCH_BYTES) -> list[bytes]:
-    """Coded events in as few batches of at most `limit` bytes as their order allows.
+    """Combine encoded events, in their order, into as few batches of at most `limit` bytes as possible.
 
-    A batch ends before a number that does not follow. Raise OversizedError where one event alone does not
-    fit.
+    A gap between numbers starts a new batch. Raise OversizedError if a single event does not fit a batch.
     """
-    packed, writer = [], None
+    batches, writer = [], None
     for data in encoded:
         entry = parse_entry(data)
         seq = entry_number(entry)
         if writer and writer.add(seq, entry, limit):
             continue
         if writer:
-            packed.append(writer.packed())
+            batches.append(writer.encoded())
         writer = BatchWriter(seq)
         if not writer.add(seq, entry, limit):
-            raise OversizedError(f"event {seq} of {len(data)} bytes in a batch of {limit}")
+            raise OversizedError(
+                f"event {seq} has {len(data)} bytes and does not fit a batch of {limit} bytes"
+            )
     if writer:
-        packed.append(writer.packed())
-    return packed
+        batches.append(writer.encoded())
+    return batches
 
 
 def decode_batch(batch: bytes, limit: int = MAX_BATCH_BYTES) -> tuple[ServiceEvent, ...]:
-    """All events of a batch; raise a CodingError, and then none of them counts."""
+    """Decode all events of a batch; raise CodingError if any of them is invalid."""
     if len(batch) > limit:
-        raise OversizedError(f"a batch of {len(batch)} bytes, {limit} at the most")
+        raise OversizedError(f"the batch has {len(batch)} bytes; at most {limit} are allowed")
     reader = ByteReader(batch)
     if read_kind(reader) != EventKind.BATCH:
-        raise DamagedError("an event in the place of a batch")
+        raise DamagedError("expected a batch, found an event")
     first = reader.integer()
     time = reader.integer()
     count = reader.integer()
     if not 0 < count <= reader.left():
-        raise DamagedError(f"{count} events in {reader.left()} bytes")
+        raise DamagedError(f"{count} events do not fit into the remaining {reader.left()} bytes")
     events = []
     for seq in range(first, first + count):
         kind = read_kind(reader)
         if kind in TEXT_KINDS:
-            events.append(event_of_text(kind, reader.take(reader.integer())))
+            events.append(decode_text(kind, reader.take(reader.integer())))
         else:
             time += zigzag_decode(reader.integer())
-            events.append(event_of_purge(read_purge(reader, kind, seq, time)))
+            events.append(decode_purge(read_purge(reader, kind, seq, time)))
         if events[-1].body["seq"] != seq:
-            raise DamagedError(f"event {events[-1].body['seq']} told as {seq}")
+            raise DamagedError(f"event {events[-1].body['seq']} at the position of event {seq}")
     reader.end()
     return tuple(events)
 
 
 def count_events(batch: bytes) -> int:
-    """How many events a batch holds, by its head."""
+    """Return the number of events in a batch, as its header states it."""
     reader = ByteReader(batch)
     read_kind(reader)
     reader.integer()  # the first number
@@ -160,11 +158,11 @@
     return reader.integer()
 
 
-# Within a batch
+# Entries of a batch
 
 
 class Entry(NamedTuple):
-    """An event between its bytes alone and those in a batch: the fields of a purge, else the text's bytes."""
+    """An event to be added to a batch: the fields of a purge, or the encoded text of any other event."""
 
     kind: EventKind
     purge: PurgeFields | None
@@ -172,7 +170,7 @@
 
 
 def parse_entry(data: bytes) -> Entry:
-    """What the bytes of one event hold; a text is not looked into."""
+    """Parse an encoded event without decoding its text; raise CodingError if it is invalid."""
     reader = ByteReader(data)
     kind = read_kind(reader)
     if kind in TEXT_KINDS:
@@ -183,30 +181,30 @@
 
 
 def entry_number(entry: Entry) -> int:
-    """The event's number, which a purge has apart from a text; raise a CodingError."""
-    return entry.purge.seq if entry.purge else event_of_text(entry.kind, entry.text).body["seq"]
+    """Return the event's number, for which a text must be decoded; raise CodingError if that fails."""
+    return entry.purge.seq if entry.purge else decode_text(entry.kind, entry.text).body["seq"]
 
 
 class BatchWriter:
-    """A batch that grows by events that follow each other, the first with the number `first`."""
+    """Builds a batch of events with consecutive numbers that start at `first`."""
 
     def __init__(self, first: int):
         self.first = first
-        self.parts: list[bytes] = []
-        self.size = 0
-        self.base: int | None = None  # time of the first purge here
-        self.time: int | None = None  # that of the last
+        self.parts: list[bytes] = []  # the encoded events
+        self.size = 0  # total bytes of `parts`
+        self.base: int | None = None  # time of the first purge in the batch
+        self.time: int | None = None  # time of the last purge in the batch
 
     def add(self, seq: int, entry: Entry, limit: int) -> bool:
-        """Add one more event, or return False where it does not follow or the batch would pass `limit`."""
+        """Add an event; return False if its number is not the next or the batch would exceed `limit`."""
         if seq != self.first + len(self.parts) or not is_uint63(seq):
             return False
         base, time = self.base, self.time
         if entry.purge:
             time = entry.purge.time
             base = time if base is None else base
-        part = self.part(entry)
-        if len(self.head(base, len(self.parts) + 1)) + self.size + len(part) > limit:
+        part = self.encode_entry(entry)
+        if len(self.header(base, len(self.parts) + 1)) + self.size + len(part) > limit:
             return False
         self.base = base
         self.time = time
@@ -214,67 +212,72 @@
         self.size += len(part)
         return True
 
-    def part(self, entry: Entry) -> bytes:
-        """The bytes of an event here; a purge's time counts from that of the purge before."""
+    def encode_entry(self, entry: Entry) -> bytes:
+        """Encode an event for this batch; the time of a purge is relative to that of the previous purge."""
         kind = bytes((entry.kind,))
         if not entry.purge:
             return kind + encode_varint(len(entry.text)) + entry.text
-        since = 0 if self.time is None else entry.purge.time - self.time
-        return kind + encode_varint(zigzag_encode(since)) + encode_target(entry.purge)
+        elapsed = 0 if self.time is None else entry.purge.time - self.time
+        return kind + encode_varint(zigzag_encode(elapsed)) + encode_target(entry.purge)
 
-    def head(self, base: int | None, count: int) -> bytes:
-        """The bytes before the events."""
-        coded_first = encode_varint(self.first)
-        coded_base = encode_varint(base or 0)
-        return bytes((EventKind.BATCH,)) + coded_first + coded_base + encode_varint(count)
+    def header(self, base: int | None, count: int) -> bytes:
+        """Return the bytes that precede the events."""
+        encoded_first = encode_varint(self.first)
+        encoded_base = encode_varint(base or 0)
+        return bytes((EventKind.BATCH,)) + encoded_first + encoded_base + encode_varint(count)
 
-    def packed(self) -> bytes:
-        """The bytes of the batch."""
-        return self.head(self.base, len(self.parts)) + b"".join(self.parts)
+    def encoded(self) -> bytes:
+        """Return the bytes of the batch."""
+        return self.header(self.base, len(self.parts)) + b"".join(self.parts)
 
 
 # Events
 
 
-def event_of_purge(purge: PurgeFields) -> ServiceEvent:
-    """The event of a purge\'s fields; raise DamagedError for fields that can\'t be."""
+def decode_purge(purge: PurgeFields) -> ServiceEvent:
+    """Return the event of a purge's fields; raise DamagedError if a field is out of range."""
     if not purge.is_valid():
-        raise DamagedError(f"a purge that cannot be: {purge.seq} at {purge.time}")
+        raise DamagedError(
+            f"purge {purge.seq} with time {purge.time} and target {purge.target} is out of range"
+        )
     body = purge.event()
     return ServiceEvent(body, json.dumps(body))
 
 
-def event_of_text(kind: EventKind, data: bytes) -> ServiceEvent:
-    """The event of a JSON text, checked as one that the service tells itself."""
+def decode_text(kind: EventKind, data: bytes) -> ServiceEvent:
+    """Decode the text of an event and validate it like an event received from the service."""
     if kind == EventKind.DEFLATED:
         data = decompress(data, MAX_TEXT_BYTES)
     elif len(data) > MAX_TEXT_BYTES:
-        raise OversizedError(f"an event over {MAX_TEXT_BYTES} bytes")
+        raise OversizedError(f"the event has {len(data)} bytes; at most {MAX_TEXT_BYTES} are allowed")
     try:
         text = data.decode()
         return ServiceEvent(parse_event(text), text)
     except UnicodeDecodeError:
-        raise DamagedError("no UTF-8") from None
+        raise DamagedError("the event is not valid UTF-8") from None
     except InvalidEventError as error:
         raise DamagedError(str(error)) from None
 
 
-def decompress(data: bytes, longest: int) -> bytes:
-    """The bytes that zlib made `data` of, at most `longest`; no more is unpacked. Raise CodingError."""
+def decompress(data: bytes, max_bytes: int) -> bytes:
+    """Decompress zlib data without producing more than `max_bytes` + 1 bytes.
+
+    Raise OversizedError if the result is longer than `max_bytes`, and DamagedError if the data is invalid.
+    """
     decompressor = zlib.decompressobj()
     try:
-        plain = decompressor.decompress(data, longest + 1)
+        plain = decompressor.decompress(data, max_bytes + 1)
     except zlib.error:
-        raise DamagedError("no zlib data") from None
-    if len(plain) > longest:
-        raise OversizedError(f"over {longest} bytes")
+        raise DamagedError("the data is not valid zlib data") from None
+    if len(plain) > max_bytes:
+        raise OversizedError(f"the decompressed data exceeds {max_bytes} bytes")
     if not decompressor.eof or decompressor.unused_data:
-        raise DamagedError("cut, or more than one text")
+        raise DamagedError("the zlib data is truncated or followed by other data")
     return plain
 
 
 def read_kind(reader: ByteReader) -> EventKind:
-    """The kind that follows; raise UnknownKindError."""
+    """Read a kind; raise UnknownKindError if it is unknown."""
     kind = reader.take(1)[0]
     try:
         return EventKind(kind)
@@ -283,16 +286,16 @@
 
 
 def read_purge(reader: ByteReader, kind: EventKind, seq: int, time: int) -> PurgeFields:
-    """The purge of which the object or bucket follows."""
+    """Read the target of a purge and return the purge with the number and time that were read before."""
     if kind == EventKind.PURGE_OBJECT:
         return PurgeFields(seq, time, int.from_bytes(reader.take(OBJECT_BYTES), "big"), is_object=True)
     if kind == EventKind.PURGE_BUCKET:
         return PurgeFields(seq, time, reader.integer(), is_object=False)
-    raise DamagedError("a batch in the place of an event")
+    raise DamagedError("expected an event, found a batch")
 
 
 def encode_target(purge: PurgeFields) -> bytes:
-    """The bytes of a purge\'s object or bucket."""
+    """Encode the number of a purge's object or bucket."""
     if purge.is_object:
         return purge.target.to_bytes(OBJECT_BYTES, "big")
     return encode_varint(purge.target)
