--- a/limepath/discovery/simulate.py
+++ b/limepath/discovery/simulate.py
@@ -100,7 +100,7 @@
 def _schedule_start(world: World, down: int) -> None:
     """Schedule the start of all fronts and the service's return."""
     service = world.service
-    world.at(SECOND // 2, service.comment)
+    world.at(SECOND // 2, service.send_comments)
     service.set_mode("down")
     for node in world.nodes:
         world.at(world.chance.randrange(200 * MS), node.start, world.seeds(node.index))
@@ -230,7 +230,7 @@
         world.at(now + 6 * SECOND, _again, service)
         limit = 6 * SECOND + bound.stream_still
     elif kind == "restored":
-        service.restored(max(1, len(service.events) - 2))
+        service.restore(max(1, len(service.events) - 2))
         limit = bound.restored
     elif kind == "cut-off":
         _cut_off(world, zone, relays)
--- a/limepath/discovery/simulate_tree.py
+++ b/limepath/discovery/simulate_tree.py
@@ -136,7 +136,7 @@
 
 def _start(world: World) -> None:
     """Start all fronts and run until they have the list, for a limited time."""
-    world.at(SECOND // 2, world.service.comment)
+    world.at(SECOND // 2, world.service.send_comments)
     for front in world.fronts:
         world.at(world.chance.randrange(200 * MS), front.start)
     world.run(COLD)
--- a/limepath/discovery/tree_service.py
+++ b/limepath/discovery/tree_service.py
@@ -1,4 +1,4 @@
-"""The list service of the trees in virtual time, which regions can be cut off from."""
+"""Simulates the list service for fronts in the tree topology, in virtual time; regions can be cut off."""
 
 from __future__ import annotations
 
@@ -18,20 +18,20 @@
     from limepath.discovery.tree_world import Front, World
 
 SECOND, MS = 1_000_000, 1000
-COMMENT = SECOND  # between the service's signs of life
-SERVICE_REGION = 0
+COMMENT_INTERVAL = SECOND  # between two keep-alive comments
+SERVICE_REGION = 0  # the region of the service
 
 
 class Service:
-    """The list service; a stream of a region that is cut off from it stands still."""
+    """The list service; streams to regions that are cut off from it transmit nothing."""
 
     def __init__(self, world: World, caches: int) -> None:
         self.world = world
-        self.streams: dict[Front, int] = {}  # the serial of the call by front
+        self.streams: dict[Front, int] = {}  # the serial number of the call, by front
         self.events: list[str] = []  # JSON texts, the first with number 1
-        self.added_at: dict[int, int] = {}  # when, by number
-        self.calls: list[int] = []  # when each came
-        self.most_streams: dict[str, int] = {}  # at once, by zone
+        self.added_at: dict[int, int] = {}  # the time when an event was added, by number
+        self.calls: list[int] = []  # the time of each call
+        self.most_streams: dict[str, int] = {}  # maximum of concurrent streams, by zone
         members = [member(f"s-{index}") for index in range(caches)]
         self.add({"fleet": {"complete": True, "revision": 1, "members": members}})
 
@@ -45,21 +45,21 @@
         return number
 
     def send(self, front: Front, serial: int, *events: Any) -> None:
-        """Send events on a stream, unless its region is cut off."""
-        if not self.world.cut(front.region, SERVICE_REGION):
-            self.world.at(self.world.now + 500, self.arrive, front, serial, events)
+        """Send events on a stream, with a delay of 500 microseconds, unless its region is cut off."""
+        if not self.world.is_cut(front.region, SERVICE_REGION):
+            self.world.at(self.world.now + 500, self.deliver, front, serial, events)
 
-    def arrive(self, front: Front, serial: int, events: Iterable[Any]) -> None:
-        """What was sent has arrived, unless the stream was closed meanwhile."""
+    def deliver(self, front: Front, serial: int, events: Iterable[Any]) -> None:
+        """Deliver sent events, unless the stream has been closed since."""
         if front.serial == serial:
             front.handle_events(events)
 
     def call(self, front: Front, after: int) -> None:
-        """A front calls; send it the events after the one that it names."""
+        """Handle the call of a front, and send it the events after number `after`."""
         self.calls.append(self.world.now)
-        if self.world.cut(front.region, SERVICE_REGION):
+        if self.world.is_cut(front.region, SERVICE_REGION):
             return self.world.at(
-                self.world.now + 500 * MS, self.arrive, front, front.serial, (StreamClosed("no answer"),)
+                self.world.now + 500 * MS, self.deliver, front, front.serial, (StreamClosed("no answer"),)
             )
         self.streams[front] = front.serial
         count = sum(one.zone == front.zone for one in self.streams)
@@ -69,8 +69,8 @@
             self.send(front, front.serial, StreamEventReceived(self.events[number], str(number + 1)))
         self.send(front, front.serial, StreamActive())
 
-    def comment(self) -> None:
-        """Show each second that the service is alive."""
+    def send_comments(self) -> None:
+        """Send a keep-alive comment on every stream, once per COMMENT_INTERVAL."""
         for front, serial in self.streams.items():
             self.send(front, serial, StreamActive())
-        self.world.at(self.world.now + COMMENT, self.comment)
+        self.world.at(self.world.now + COMMENT_INTERVAL, self.send_comments)
--- a/limepath/discovery/tree_world.py
+++ b/limepath/discovery/tree_world.py
@@ -228,7 +228,7 @@
             call(*arguments)
         self.now = until
 
-    def cut(self, one: int, other: int) -> bool:
+    def is_cut(self, one: int, other: int) -> bool:
         """Whether two regions are cut off from each other."""
         return (one, other) in self.cuts or (other, one) in self.cuts
 
@@ -248,7 +248,7 @@
         if front.older or to.older:
             message = as_older(message)
         front.sent(self.size(front, command.message))
-        if self.cut(front.region, to.region) or message is None:
+        if self.is_cut(front.region, to.region) or message is None:
             return
         for delay in self.network.delays(front.index, to.index):
             event = PeerMessage(front.token, message)
--- a/limepath/scale/roles_relay.py
+++ b/limepath/scale/roles_relay.py
@@ -104,7 +104,7 @@
 def played(fronts):
     """A zone with EVENTS purges a second; give what was Played in SPAN of them."""
     zone = Zone(fronts)
-    zone.at(SECOND // 2, zone.service.comment)
+    zone.at(SECOND // 2, zone.service.send_comments)
     for node in zone.nodes:
         zone.at(zone.chance.randrange(SECOND), node.start, zone.seeds(node.index))
     while any(node.ready_at is None for node in zone.nodes) and zone.now < LIMIT:
