--- a/limepath/cli/coldstart.py
+++ b/limepath/cli/coldstart.py
@@ -90,13 +90,13 @@
     as_json: bool,
 ) -> None:
     """Run the same logic in virtual time; the same seed gives the same table."""
-    from limepath.discovery.simulate import KINDS, simulated
+    from limepath.discovery.simulate import KINDS, simulate_star
 
     if kinds == "help":
         click.echo(", ".join(KINDS))
         return
     chosen = () if kinds == "none" or alone else chosen_kinds(kinds, KINDS, "--faults")
-    found = simulated(fronts, zones, seed, down, loss, alone, chosen, saved=saved)
+    found = simulate_star(fronts, zones, seed, down, loss, alone, chosen, saved=saved)
     conclude(found.rows, as_json, found.log, seed=seed, alone=alone, loss=loss)
 
 
@@ -158,8 +158,10 @@
 
     Needs the extra 'measure'.
     """
-    from limepath.discovery.measure import measured
+    from limepath.discovery.measure import write_measurements
 
     click.echo(
-        measured(out, integers(sizes), integers(fronts), report=lambda line: click.echo(line, err=True))
+        write_measurements(
+            out, integers(sizes), integers(fronts), report=lambda line: click.echo(line, err=True)
+        )
     )
--- a/limepath/discovery/measure.py
+++ b/limepath/discovery/measure.py
@@ -1,6 +1,6 @@
-"""Measurements of the cold start over sizes, with relays and each front alone.
+"""Measures the cold start of fleets of several sizes, with relays and with each front alone.
 
-They give a table, a chart, the raw figures and the machine.
+Writes a page with tables and the facts of the machine, a chart, and the raw figures.
 """
 
 import json
@@ -10,7 +10,7 @@
 from collections.abc import Callable, Sequence
 from typing import Any
 
-from limepath.discovery.simulate import simulated
+from limepath.discovery.simulate import simulate_star
 from limepath.duties.measure import machine, value
 from limepath.duties.measurement_page import columns
 
@@ -34,11 +34,11 @@
 
 
 def measure_virtual(sizes: Sequence[int], report: Callable[[str], object]) -> list[dict[str, Any]]:
-    """The figures in virtual time, for each size shared and alone."""
+    """Simulate each size with relays ("shared") and without ("alone"), and return the figures."""
     results = []
     for fronts in sizes:
         for way in ("shared", "alone"):
-            rows = simulated(fronts, alone=way == "alone").rows
+            rows = simulate_star(fronts, alone=way == "alone").rows
             results.append(
                 {"fronts": fronts, "way": way, "streams_of_a_zone": value(rows, "most streams of one zone")}
                 | {name: value(rows, what) for name, what in WHAT.items()}
@@ -49,11 +49,11 @@
 
 
 def measure_drills(fronts: Sequence[int], report: Callable[[str], object]) -> list[dict[str, Any]]:
-    """Real processes, no faults but the service that is away at first."""
+    """Run drills of real processes with no fault other than the initial outage of the service."""
     results = []
     for count in fronts:
         for way in ((), ("--alone",)):
-            done = subprocess.run(
+            completed = subprocess.run(
                 [
                     sys.executable,
                     "-m",
@@ -70,9 +70,9 @@
                 capture_output=True,
                 text=True,
             )
-            if done.returncode not in (0, 1):
-                raise RuntimeError(done.stderr)
-            rows = {row["what"]: row["measured"] for row in json.loads(done.stdout)["rows"]}
+            if completed.returncode not in (0, 1):
+                raise RuntimeError(completed.stderr)
+            rows = {row["what"]: row["measured"] for row in json.loads(completed.stdout)["rows"]}
             results.append(
                 {"fronts": count, "way": "alone" if way else "shared"}
                 | {name: rows.get(what, "-") for name, what in WHAT.items()}
@@ -109,14 +109,14 @@
         yscale="log",
         xlabel="fronts",
         ylabel="most calls in a second",
-        title="List service away for 12 s (virtual time)",
+        title="List service unavailable for 12 s (virtual time)",
     )
     right.set(
         xscale="log",
         yscale="log",
         xlabel="fronts",
         ylabel="most streams of a zone",
-        title="Streams it must hold (virtual time)",
+        title="Streams of the list service (virtual time)",
     )
     left.legend()
     right.legend()
@@ -125,23 +125,23 @@
 
 
 def format_page(results: dict[str, Any], command: str) -> str:
-    """The page in Markdown."""
+    """Return the page in Markdown."""
     facts = ", ".join(f"{name} {value}" for name, value in results["machine"].items())
     return f"""# A cold start, measured
 
 Made by `{command}` ({facts}); the raw figures are in `coldstart.json`. Two zones; the list
 service refuses for the first 12 s.
-`ready` counts from its return; absolute figures are of this machine, read the ratios.
+`ready` counts from its return. Absolute figures depend on the machine; compare the ratios.
 
-## Virtual time, the real logic
+## Simulation in virtual time with the real logic
 
 {columns(results["virtual"], ["fronts", "way", *WHAT, "streams_of_a_zone", "messages"])}
 
 ## Real processes on loopback
 
-Once it is ready (alone: a second after the service's return) each front is sent ten GETs within a
+Once it is ready (alone: one second after the service's return), each front receives ten GETs within one
 second, all for the same ten objects. `connections` and
-`forwards` are the most at one cache, `answered` the share of these GETs that was.
+`forwards` are the maximum at one cache, `answered` is the share of these GETs that were answered.
 
 {columns(results["drills"], DRILL_COLUMNS)}
 
@@ -149,13 +149,13 @@
 """
 
 
-def measured(
+def write_measurements(
     folder: str,
     sizes: Sequence[int] = SIZES,
     fronts: Sequence[int] = FRONTS,
     report: Callable[[str], object] = print,
 ) -> str:
-    """Measure all, write page, chart and raw figures to the folder; give the page's path."""
+    """Run all measurements, write page, chart and raw figures to the folder, and return the page's path."""
     results = {
         "machine": machine(),
         "virtual": measure_virtual(sizes, report),
--- a/limepath/discovery/simulate.py
+++ b/limepath/discovery/simulate.py
@@ -1,8 +1,8 @@
-"""A cold start and a day of the list in virtual time: hundreds of fronts, one list service, the logic of the
-real program.
+"""Simulates a cold start and faults of a fleet in the star topology, in virtual time.
 
-The same seed gives the same table. `alone`: each front calls as the program without relays does (pauses that
-double from 0.1 to 0.6 s), for comparison.
+Hundreds of fronts run the logic of the real program with one list service. Runs with the same seed give the
+same table. For comparison, `alone` lets each front call the service itself, as without relays, with delays
+that double from 0.1 s to at most 0.6 s.
 """
 
 import gc
@@ -22,8 +22,8 @@
 KINDS = ("relays-killed", "relays-stopped", "service-still", "service-down", "restored", "cut-off")
 
 
-class Found(NamedTuple):
-    """What a run gave: the rows of its table, what happened when, and the world as it ended."""
+class StarRun(NamedTuple):
+    """The result of a run: the rows of its table, a log of its faults, and the final state of the world."""
 
     rows: list[CheckResult]
     log: list[str]
@@ -31,7 +31,7 @@
 
 
 def most_in(times: Sequence[int], span: int) -> int:
-    """The most of sorted times that fall into any one span.
+    """Return the largest number of sorted times that lie within any one span.
 
     >>> most_in([0, 5, 9, 10, 30], 10)
     4
@@ -44,14 +44,14 @@
     return most
 
 
-class Calm(NamedTuple):
-    """What was measured before the first fault, in microseconds and in order."""
+class Baseline(NamedTuple):
+    """Durations in microseconds that were measured before the first fault."""
 
-    ready: list[int]  # from the service's return until a front was ready
-    late: list[int]  # how late an event was at a front
+    ready: list[int]  # from the service's return until a front was ready, sorted
+    delays: list[int]  # until an event was applied to a front
 
 
-def simulated(
+def simulate_star(
     fronts: int = 200,
     zones: int = 2,
     seed: int = 1,
@@ -60,45 +60,45 @@
     alone: bool = False,
     kinds: Sequence[str] = (),
     caches: int = 40,
-    terms: DiscoverySettings | None = None,
-    spans: MembershipTimeouts = MembershipTimeouts(),
+    settings: DiscoverySettings | None = None,
+    timeouts: MembershipTimeouts = MembershipTimeouts(),
     saved: float = 0.0,
-) -> Found:
-    """Start all fronts at once with the list service refusing for `down`; then cause faults in turn.
+) -> StarRun:
+    """Start all fronts while the list service refuses calls for `down` microseconds, then inject the faults.
 
-    `alone`: each front calls as the program without relays does. `saved` is the share of fronts that hold a
-    saved list.
+    With `alone`, each front calls the service itself, as without relays. `saved` is the share of fronts that
+    have a saved list.
     """
-    terms = terms or DiscoverySettings(fronts=fronts)
-    world = World(fronts, zones, seed, terms, loss, alone, caches, spans)
-    bound = bounds(terms, fronts, zones)
+    settings = settings or DiscoverySettings(fronts=fronts)
+    world = World(fronts, zones, seed, settings, loss, alone, caches, timeouts)
+    bound = bounds(settings, fronts, zones)
     log: list[str] = []
     if saved:
         _save_lists(world, saved)
     _schedule_start(world, down)
-    with _collection_paused():
-        calm = _run_calm(world, down)
-        rows = _calm_rows(world, bound, calm)
-        rows += [failing(world, kind, bound, log) for kind in kinds]
-        behind = [node.index for node in world.live() if node.front != len(world.service.events)]
+    with _garbage_collection_disabled():
+        baseline = _run_baseline(world, down)
+        rows = _baseline_rows(world, bound, baseline)
+        rows += [run_fault(world, kind, bound, log) for kind in kinds]
+        behind = [node.index for node in world.live() if node.last_applied != len(world.service.events)]
     rows += _load_rows(world, bound, len(behind))
-    return Found(rows, log, world)
+    return StarRun(rows, log, world)
 
 
 @contextmanager
-def _collection_paused() -> Iterator[None]:
-    """Without the garbage collector, which finds nothing here and takes long."""
-    collecting = gc.isenabled()
+def _garbage_collection_disabled() -> Iterator[None]:
+    """Disable the garbage collector, which takes long and finds no garbage in a simulation."""
+    was_enabled = gc.isenabled()
     gc.disable()
     try:
         yield
     finally:
-        if collecting:
+        if was_enabled:
             gc.enable()
 
 
 def _schedule_start(world: World, down: int) -> None:
-    """Schedule the start of all fronts and the service's return."""
+    """Schedule the start of all fronts and the return of the service."""
     service = world.service
     world.at(SECOND // 2, service.send_comments)
     service.set_mode("down")
@@ -107,22 +107,22 @@
     world.at(down, service.set_mode, "up")
 
 
-def _run_calm(world: World, down: int) -> Calm:
-    """Run until all fronts are ready and some events have come."""
+def _run_baseline(world: World, down: int) -> Baseline:
+    """Run until all fronts are ready and some events have been sent."""
     world.run(down)
     while world.now < down + 60 * SECOND and any(node.ready_at is None for node in world.nodes):
         world.run(world.now + 100 * MS)
     ready = sorted((node.ready_at or world.now) - down for node in world.nodes)
-    world.run(world.now + 2 * world.terms.beat)  # each subscribes to its relays by then
+    world.run(world.now + 2 * world.settings.beat)  # until each front has subscribed to its relays
     add_events(world, 5)
     world.run(world.now + 5 * SECOND)
-    return Calm(ready, [late for late, _, _ in world.lates])
+    return Baseline(ready, [delay for delay, _, _ in world.delays])
 
 
-def _calm_rows(world: World, bound: Bounds, calm: Calm) -> list[CheckResult]:
-    """How soon fronts were ready, and how late events were, against the bounds."""
-    ready = calm.ready
-    event_limit = bound.repaired + 8 * world.terms.beat if world.loss else bound.event
+def _baseline_rows(world: World, bound: Bounds, baseline: Baseline) -> list[CheckResult]:
+    """Compare the times until fronts were ready and the delays of events with their bounds."""
+    ready = baseline.ready
+    event_limit = bound.repaired + 8 * world.settings.beat if world.loss else bound.event
     return [
         CheckResult("fronts", len(world.nodes)),
         CheckResult("zones", world.zones),
@@ -130,20 +130,20 @@
         CheckResult("the same, 95%, s", seconds(ready[len(ready) * 95 // 100])),
         at_most("the same, all, s", seconds(ready[-1]), seconds(bound.ready)),
         at_most(
-            "an event at the last front, nothing failing, s",
-            seconds(max(calm.late, default=0)),
+            "delay of an event to the last front, without faults, s",
+            seconds(max(baseline.delays, default=0)),
             seconds(event_limit),
         ),
     ]
 
 
 def _load_rows(world: World, bound: Bounds, behind: int) -> list[CheckResult]:
-    """What the service and the fronts had to bear, against the bounds; `behind` fronts lack events."""
+    """Compare the load of the service and the fronts with its bounds; `behind` fronts lack events."""
     calls = sorted(world.service.calls)
-    rate = int(world.terms.rate)
+    rate = int(world.settings.rate)
     most = max(world.service.most_streams.values(), default=0)
     if world.loss:
-        streams = CheckResult("most streams of one zone (fronts that heard of nobody among them)", most)
+        streams = CheckResult("most streams of one zone (including those of isolated fronts)", most)
     else:
         streams = CheckResult("most streams of one zone", most, bound.streams, most <= bound.streams)
     fronts = len(world.nodes)
@@ -154,25 +154,25 @@
         at_most("most calls in 100 ms", most_in(calls, SECOND // 10), rate // 2),
         streams,
         at_most("fronts without the newest event at the end", behind, 0),
-        CheckResult("messages of the list per front and second", list_messages),
+        CheckResult("discovery messages per front and second", list_messages),
         CheckResult("all messages per front and second", all_messages),
     ]
 
 
 def _save_lists(world: World, share: float) -> None:
-    """Some fronts hold lists of another day, at different numbers."""
+    """Give a share of the fronts saved lists of different earlier revisions."""
     for _ in range(8):
         world.service.add({"fleet": {"revision": 2, "members": [member(f"s-{world.chance.randrange(40)}")]}})
     for node in world.nodes:
         if world.chance.random() < share:
-            held = EndpointList()
+            saved_list = EndpointList()
             for text in world.service.events[: world.chance.randrange(1, 9)]:
-                held.apply(parse_event(text))
-            node.saved = held.pack()
+                saved_list.apply(parse_event(text))
+            node.saved = saved_list.pack()
 
 
 def add_events(world: World, count: int) -> None:
-    """So many events, 200 ms apart: drains and purges."""
+    """Schedule `count` events at intervals of 200 ms, alternately drains and purges."""
     for step in range(count):
         name = f"s-{world.chance.randrange(40)}"
         event = (
@@ -184,35 +184,35 @@
 
 
 class StarFault(NamedTuple):
-    """Where a fault was caused, and how late an event may be at any front then, in microseconds."""
+    """The zone of a fault, and the bound of the delay of an event during it."""
 
     zone: str
-    streams: int  # of the zone, as the fault began
-    limit: int
+    streams: int  # of the zone when the fault began
+    limit: int  # in microseconds
 
 
-def failing(world: World, kind: str, bound: Bounds, log: list[str]) -> CheckResult:
-    """Cause one fault, add an event in that very moment, and return the row on how late it came."""
+def run_fault(world: World, kind: str, bound: Bounds, log: list[str]) -> CheckResult:
+    """Inject one fault, add an event at the same time, and return the row of the event's delay."""
     since = world.now
-    world.lates = []
-    fault = _cause(world, kind, bound)
+    world.delays = []
+    fault = _inject_fault(world, kind, bound)
     world.service.add({"invalidate": {"bucket": 900 + len(log), "time": 0}})
     newest = len(world.service.events)
-    last = None
+    delivered_at = None
     while world.now < since + fault.limit + 30 * SECOND:
         world.run(world.now + 50 * MS)
-        if all(node.front == newest and node.ready_at for node in world.live()):
-            last = world.now
+        if all(node.last_applied == newest and node.ready_at for node in world.live()):
+            delivered_at = world.now
             break
     world.run(max(world.now, since + 45 * SECOND))
-    log.append(f"at {since / 1e6:.1f} s  {kind} in {fault.zone}, {fault.streams} streams there")
-    late = (last or world.now) - since
-    what = f"{kind}: an event told then, at the last living front, s"
-    return at_most(what, seconds(late), seconds(fault.limit))
+    log.append(f"at {since / 1e6:.1f} s  {kind} in zone {fault.zone}, which had {fault.streams} streams")
+    delay = (delivered_at or world.now) - since
+    what = f"{kind}: delay of an event to the last live front, s"
+    return at_most(what, seconds(delay), seconds(fault.limit))
 
 
-def _cause(world: World, kind: str, bound: Bounds) -> StarFault:
-    """Cause one fault in a zone drawn at random."""
+def _inject_fault(world: World, kind: str, bound: Bounds) -> StarFault:
+    """Inject one fault in a random zone."""
     service, now = world.service, world.now
     zone = world.chance.choice(sorted({node.zone for node in world.nodes}))
     relays = world.relays(zone)
@@ -227,7 +227,7 @@
             world.at(now + 20 * SECOND, node.resume)
     elif kind in ("service-still", "service-down"):
         service.set_mode("still" if kind == "service-still" else "down")
-        world.at(now + 6 * SECOND, _again, service)
+        world.at(now + 6 * SECOND, _end_outage, service)
         limit = 6 * SECOND + bound.stream_still
     elif kind == "restored":
         service.restore(max(1, len(service.events) - 2))
@@ -239,7 +239,7 @@
 
 
 def _cut_off(world: World, zone: str, relays: Sequence[Node]) -> None:
-    """Cut one that follows off from all other fronts, not from the service."""
+    """Cut off a front that is not a relay from all other fronts, but not from the service."""
     node = world.chance.choice([node for node in world.live() if node not in relays and node.zone == zone])
     alone = frozenset((node.index,))
     others = frozenset(range(len(world.nodes))) - alone
@@ -249,10 +249,10 @@
     world.at(world.now + 40 * SECOND, cuts.clear)
 
 
-def _again(service: Service) -> None:
-    """The service is up again; streams that stood still end."""
+def _end_outage(service: Service) -> None:
+    """Return the service to normal and close the streams that were stalled."""
     streams = service.streams
     service.streams = {}
     service.set_mode("up")
-    for node, serial in streams.items():  # what stood still is of no use any more
+    for node, serial in streams.items():  # a stalled stream has missed events
         service.send(node, serial, StreamClosed("ended"))
--- a/limepath/discovery/star_world.py
+++ b/limepath/discovery/star_world.py
@@ -1,6 +1,6 @@
-"""A fleet in the star in virtual time: fronts with their membership, the list service, the network.
+"""Simulates a fleet in the star topology in virtual time: fronts with membership, list service and network.
 
-The logic is that of the real program; the same seed gives the same run.
+The fronts run the logic of the real program. Runs with the same seed are identical.
 """
 
 from __future__ import annotations
@@ -49,62 +49,62 @@
         self.index = index
         self.zone = f"z{index % world.zones}"
         self.token: int = world.chance.getrandbits(63)
-        self.starts: int = 0  # so far
-        self.serial: int = 0  # of the current call to the service
-        self.members: Members | None = None  # None while it does not run
+        self.starts: int = 0  # number of starts
+        self.serial: int = 0  # number of the current call to the service
+        self.members: Members | None = None  # None while the front does not run
         self.logic: DiscoveryEngine | StandaloneFront | None = None
-        self.wake_at: int | None = None  # the timer that is set
-        self.saved: bytes | None = None  # the packed list in its store
+        self.wake_at: int | None = None  # time of the scheduled timer
+        self.saved: bytes | None = None  # the saved list, packed
         self.paused: bool = False
-        self.queue: list[Any] = []  # events that came while it was stopped
-        self.front: int = 0  # the last event applied
-        self.ready_at: int | None = None
+        self.queue: list[Any] = []  # events received while paused
+        self.last_applied: int = 0  # number of the last event applied
+        self.ready_at: int | None = None  # time when the list was confirmed
 
     def start(self, seeds: list[tuple[str, int]]) -> None:
-        """Start, or start again with the list that was saved."""
+        """Start, or restart with the saved list."""
         world = self.world
         self.starts += 1
         me = MemberRecord(
             self.token, f"n{self.index}", str(self.index), PORT, self.starts << REFUTATION_BITS, world.now
         )
-        self.members = Members(me, seeds, world.spans, world.chance.getrandbits(32))
+        self.members = Members(me, seeds, world.timeouts, world.chance.getrandbits(32))
         self.wake_at = None
         self.paused = False
         self.queue = []
         self.ready_at = None
-        self.front = 0
+        self.last_applied = 0
         self.born = world.now
-        terms = world.terms._replace(zone=self.zone)
+        settings = world.settings._replace(zone=self.zone)
         kind = StandaloneFront if world.alone else DiscoveryEngine
         self.logic = kind(
-            self.token, terms, world.chance.getrandbits(32), lambda: self.members.ring, self.saved
+            self.token, settings, world.chance.getrandbits(32), lambda: self.members.ring, self.saved
         )
         self.execute(self.members.start(world.now))
         self.execute(self.logic.start(world.now))
 
     def stop(self) -> None:
-        """Die at once."""
+        """Stop as if the process were killed."""
         self.members = None
         self.logic = None
         self.serial += 1
         self.world.service.streams.pop(self, None)
 
     def handle_events(self, events: Iterable[Any]) -> None:
-        """Hand events to the discovery logic; a stopped process takes them in later."""
+        """Pass events to the discovery logic, or queue them while paused."""
         if self.paused:
             self.queue += events
         elif self.logic:
             self.execute(self.logic.handle(self.world.now, events))
 
     def receive(self, event: MessageReceived) -> None:
-        """A datagram of the membership has arrived."""
+        """Pass a received datagram to the membership, or queue it while paused."""
         if self.paused:
             self.queue.append(event)
         elif self.members:
             self.execute(self.members.handle(self.world.now, [event]))
 
     def resume(self) -> None:
-        """Go on after a stop, with what was queued meanwhile."""
+        """Continue after a pause with the last 2,000 queued events."""
         self.paused = False
         events = self.queue[-2000:]
         self.queue = []
@@ -113,7 +113,7 @@
         self.wake(self.wake_at)
 
     def execute(self, commands: Iterable[Any]) -> None:
-        """Carry out the commands of both logics."""
+        """Execute the commands of the membership and discovery logic."""
         world = self.world
         for command in commands:
             if isinstance(command, SendMessage):
@@ -129,7 +129,7 @@
                 self.serial += 1
                 world.service.streams.pop(self, None)
             elif isinstance(command, ApplyEvent):
-                self.front = command.event["seq"]
+                self.last_applied = command.event["seq"]
                 world.record_applied(self, command.event)
             elif isinstance(command, ListConfirmed):
                 self.ready_at = world.now
@@ -139,13 +139,13 @@
             return
         if self.members.timers.commands:
             return self.execute(self.members.timers.take_commands())
-        dues = [due for due in (self.members.next(), self.logic.next()) if due is not None]
-        if dues and (self.wake_at is None or min(dues) < self.wake_at or self.wake_at <= world.now):
-            self.wake_at = max(world.now + 1, min(dues))
+        deadlines = [due for due in (self.members.next(), self.logic.next()) if due is not None]
+        if deadlines and (self.wake_at is None or min(deadlines) < self.wake_at or self.wake_at <= world.now):
+            self.wake_at = max(world.now + 1, min(deadlines))
             world.at(self.wake_at, self.wake, self.wake_at)
 
     def wake(self, due: int) -> None:
-        """Do what is due."""
+        """Run the logic at time `due`, unless the timer has been rescheduled."""
         if self.wake_at == due and self.members and not self.paused:
             self.wake_at = None
             self.execute(self.members.handle(self.world.now, ()))
@@ -154,29 +154,29 @@
 
 
 class StandaloneFront:
-    """A front as it is without relays: it calls when it has no stream, after a pause that doubles."""
+    """A front without relays: it calls the service while it has no stream, with a delay that doubles."""
 
     def __init__(
         self,
         me: int,
-        terms: DiscoverySettings,
+        settings: DiscoverySettings,
         seed: int,
         live: Callable[[], Iterable[int]],
         saved: bytes | None,
     ) -> None:
         self.chance = Random(seed)
         self.now = 0
-        self.due: int | None = None  # when the next call is due
-        self.pauses: int = 0  # since the last event
+        self.due: int | None = None  # time of the next call
+        self.retries: int = 0  # since the last event
         self.up = False
         self.number = 0
 
     def start(self, now: int) -> list[Any]:
-        """Call the service at once."""
+        """Call the service immediately."""
         return [OpenStream(0)]
 
     def handle(self, now: int, events: Iterable[Any] = ()) -> list[Any]:
-        """Apply what is new; call again after a pause where the stream is lost."""
+        """Apply new events; call the service again after a delay if the stream is lost."""
         commands = []
         for event in events:
             if isinstance(event, StreamEventReceived):
@@ -186,18 +186,18 @@
                         [] if self.number else [ListConfirmed((0, body["seq"]), 0)]
                     )
                     self.number = body["seq"]
-                    self.pauses = 0
+                    self.retries = 0
             elif isinstance(event, (StreamClosed, ServiceMoved)):
-                pause = min(600 * MS, 100 * MS << min(10, self.pauses))
-                self.pauses = self.pauses + 1
-                self.due = now + int(pause * (0.5 + self.chance.random()))
+                delay = min(600 * MS, 100 * MS << min(10, self.retries))
+                self.retries = self.retries + 1
+                self.due = now + int(delay * (0.5 + self.chance.random()))
         if self.due is not None and now >= self.due:
             self.due = None
             commands.append(OpenStream(self.number))
         return commands
 
     def next(self) -> int | None:
-        """When the next call is due."""
+        """Return the time of the next call."""
         return self.due
 
 
@@ -209,44 +209,44 @@
         fronts: int,
         zones: int,
         seed: int,
-        terms: DiscoverySettings,
+        settings: DiscoverySettings,
         loss: float,
         alone: bool,
         caches: int,
-        spans: MembershipTimeouts,
+        timeouts: MembershipTimeouts,
     ) -> None:
         self.chance = Random(seed)
-        self.now: int = 0  # microseconds
-        self.order: int = 0  # of calls scheduled for one time
+        self.now: int = 0  # in microseconds
+        self.order: int = 0  # sequence number of scheduled calls, which orders those for the same time
         self.schedule: list[tuple[int, int, Callable[..., object], tuple[Any, ...]]] = []
         self.zones = zones
         self.loss = loss
         self.alone = alone
-        self.spans = spans
-        self.epoch: int = 0  # grows as the service is restored
+        self.timeouts = timeouts
+        self.epoch: int = 0  # increases when the service is restored
         self.messages: int = 0  # datagrams sent
-        self.list_messages: int = 0  # those of the list
-        self.terms = terms
+        self.list_messages: int = 0  # datagrams sent by the discovery logic
+        self.settings = settings
         self.network = Network(Random(seed + 1), loss)
         self.service = Service(self, caches)
-        self.lates: list[tuple[int, int, int]] = []  # (microseconds, number, front) of events
+        self.delays: list[tuple[int, int, int]] = []  # (microseconds, number, front) of each event applied
         self.wrong = 0
         self.nodes = [Node(self, index) for index in range(fronts)]
 
     def at(self, when: int, call: Callable[..., object], *arguments: Any) -> None:
-        """Schedule a call."""
+        """Schedule a call at time `when`."""
         self.order += 1
         heappush(self.schedule, (when, self.order, call, arguments))
 
     def run(self, until: int) -> None:
-        """Go on until a time."""
+        """Run until a time."""
         while self.schedule and self.schedule[0][0] <= until:
             self.now, _, call, arguments = heappop(self.schedule)
             call(*arguments)
         self.now = until
 
     def send(self, node: Node, command: Any) -> None:
-        """Send a datagram of the membership over the network."""
+        """Send a datagram over the network."""
         self.messages += 1
         self.list_messages += isinstance(command.message, MESSAGES)
         to = self.nodes[int(command.host)]
@@ -255,23 +255,23 @@
             self.at(self.now + delay, to.receive, received)
 
     def record_applied(self, node: Node, event: dict[str, Any]) -> None:
-        """An event has reached a front that was ready before: how late."""
+        """Record the delay of an event that was applied to a front that was ready before."""
         number = event["seq"]
         if node.ready_at is not None and "complete" not in event.get("fleet", {}):
-            self.lates.append(
+            self.delays.append(
                 (self.now - self.service.added_at[self.epoch, number], number, node.index)
                 if (self.epoch, number) in self.service.added_at
                 else (0, number, node.index)
             )
 
     def seeds(self, index: int) -> list[tuple[str, int]]:
-        """The addresses by which a front joins."""
+        """Return the addresses that a front joins the fleet by."""
         return [(str(seed), PORT) for seed in range(min(3, len(self.nodes))) if seed != index]
 
     def live(self) -> list[Node]:
-        """The fronts that run and are not stopped."""
+        """Return the fronts that run and are not paused."""
         return [node for node in self.nodes if node.logic and not node.paused]
 
     def relays(self, zone: str) -> list[Node]:
-        """The fronts of a zone that hold a stream."""
+        """Return the fronts of a zone that have a stream."""
         return [node for node in self.live() if node.zone == zone and node in self.service.streams]
--- a/limepath/scale/roles_relay.py
+++ b/limepath/scale/roles_relay.py
@@ -114,7 +114,7 @@
         zone.at(zone.now + number * SECOND // EVENTS, zone.service.add, purge(number))
     zone.run(zone.now + REACH)
     zone.traffic = Traffic()
-    zone.lates.clear()
+    zone.delays.clear()
     for node in zone.nodes:
         zone.traffic.timed(node.index, node.logic)
     since = zone.now
@@ -122,7 +122,7 @@
     traffic, zone.traffic = zone.traffic, Traffic()
     zone.run(zone.now + ARRIVE)
     told = {number for (_, number), at in zone.service.added_at.items() if since <= at < since + SPAN}
-    late = sorted(late for late, number, _ in zone.lates if number in told)
+    late = sorted(late for late, number, _ in zone.delays if number in told)
     return Played(fronts, traffic, late, fronts * len(told) - len(late))
 
 
