--- a/limepath/discovery/tree_world.py
+++ b/limepath/discovery/tree_world.py
@@ -1,7 +1,8 @@
-"""A fleet in trees in virtual time: fronts in regions, zones and sites, the list service, the network.
+"""Simulates a fleet in the tree topology in virtual time: fronts at sites, the list service and the network.
 
-Who lives is not computed: all fronts see the same live view, from which one that is killed or stopped goes
-DETECTED later. A front's bytes are those of its datagrams as they would be sealed.
+Membership is not simulated: all fronts have the same live view, from which a front that is killed or stopped
+is removed after `simulate_tree.DETECTION_DELAY`. The bytes of a front are those of its datagrams, including
+envelope and seal.
 """
 
 from __future__ import annotations
@@ -37,24 +38,24 @@
 from limepath.membership.interface import REFUTATION_BITS, MemberRecord
 
 SECOND, MS = 1_000_000, 1000
-ENVELOPE = HEADER_BYTES + SEAL_BYTES
-SAMPLED = 16  # one message in so many of a kind is coded, for its bytes; events are always
+SEAL_OVERHEAD_BYTES = HEADER_BYTES + SEAL_BYTES  # per datagram
+SIZE_SAMPLE_INTERVAL = 16  # messages of a type per one that is encoded for its size; batches always are
 PORT = 7946
 
 
 class Plan(NamedTuple):
-    """The fleet, and what happens to it. `cut` is for how long two regions lose each other."""
+    """The parameters of a run: the size of the fleet and the faults."""
 
     fronts: int = 100
     regions: int = 2
     zones: int = 4
     sites: int = 16
-    rate: float = 36.0
-    span: int = 20 * SECOND
-    loss: float = 0.0
-    faults: tuple = ()
-    cut: int = 180 * SECOND
-    broken: str = ""
+    rate: float = 36.0  # purges per second
+    span: int = 20 * SECOND  # of the measurement without faults
+    loss: float = 0.0  # share of datagrams that are lost
+    faults: tuple = ()  # kinds, in the order in which they are injected
+    cut: int = 180 * SECOND  # duration of a partition between two regions
+    broken: str = ""  # the limit that is broken on purpose, if any
     caches: int = 40
 
 
@@ -62,20 +63,20 @@
     ScopeAnnouncement: 2,
     Subscribe: 3,
     Heartbeat: 7,
-}  # of messages that an older program knows, where fewer
-NEWER = (EventBatch, ScopeQuery, ScopeReport, PageChunkRequest, PageChunk)  # that it does not know
+}  # number of the fields that an older version of the program knows, by type of message
+NEWER_MESSAGES = (EventBatch, ScopeQuery, ScopeReport, PageChunkRequest, PageChunk)  # unknown to it
 
 
 def as_older(message: msgspec.Struct) -> msgspec.Struct | None:
-    """What an older program sends or reads of a message; None for one that it drops."""
-    if isinstance(message, NEWER):
+    """Reduce a message to the fields that an older version knows; None if it does not know the message."""
+    if isinstance(message, NEWER_MESSAGES):
         return None
     fields = OLDER_FIELDS.get(type(message))
     return message if fields is None else type(message)(*msgspec.structs.astuple(message)[:fields])
 
 
 class Front:
-    """One front: its logic, its stream, what it sent."""
+    """One front: its logic, its stream, and statistics of its traffic."""
 
     def __init__(self, world: World, index: int) -> None:
         plan = world.plan
@@ -87,64 +88,64 @@
         self.site = f"site{site}"
         self.region = site % plan.zones % plan.regions
         self.me = MemberRecord(self.token, f"n{index}", "127.0.0.1", PORT, 1 << REFUTATION_BITS, 0)
-        self.logic: DiscoveryEngine | None = None  # None while it does not run
+        self.logic: DiscoveryEngine | None = None  # None while the front does not run
         self.paused: bool = False
-        self.queue: list[Any] = []  # events that came while it was stopped
-        self.wake_at: int | None = None  # the timer that is set
-        self.serial: int = 0  # of the current call to the service
-        self.older: bool = False  # it runs an older program
-        self.delay: int = 0  # added to what it sends, in microseconds
-        self.front: int = 0  # the last event applied
-        self.applied_at: dict[int, int] = {}  # when, by number
-        self.stale: list[tuple[int, bool]] = []  # when its list became stale or fresh
-        self.fetched: int = 0  # whole lists before the current fault
+        self.queue: list[Any] = []  # events received while paused
+        self.wake_at: int | None = None  # time of the scheduled timer
+        self.serial: int = 0  # number of the current call to the service
+        self.older: bool = False  # whether the front runs an older version of the program
+        self.delay: int = 0  # added to the delay of sent datagrams, in microseconds
+        self.last_applied: int = 0  # number of the last event applied
+        self.applied_at: dict[int, int] = {}  # the time when an event was applied, by number
+        self.stale: list[tuple[int, bool]] = []  # times at which the list became stale (True) or fresh
+        self.fetched: int = 0  # complete lists downloaded before the current fault
         self.bytes: int = 0  # sent
         self.datagrams: int = 0  # sent
-        self.most_bytes: int = 0  # sent in one second
-        self.second = 0
-        self.second_bytes = 0
+        self.most_bytes: int = 0  # maximum sent in one second
+        self.second = 0  # the current second
+        self.second_bytes = 0  # sent in the current second
         self.most_children = 0
 
     def start(self) -> None:
-        """Start with nothing."""
+        """Start without a saved list."""
         world = self.world
         site = "" if self.older else self.site
-        terms = world.terms._replace(zone=self.zone, site=site, region=f"r{self.region}")
+        settings = world.settings._replace(zone=self.zone, site=site, region=f"r{self.region}")
         self.logic = DiscoveryEngine(
-            self.token, terms, world.chance.getrandbits(32), lambda: world.seen_by(self)
+            self.token, settings, world.chance.getrandbits(32), lambda: world.seen_by(self)
         )
         self.execute(self.logic.start(world.now))
 
     def kill(self) -> None:
-        """Die at once."""
+        """Stop as if the process were killed."""
         self.logic = None
         self.serial = self.serial + 1
         self.world.service.streams.pop(self, None)
 
     def restart(self) -> None:
-        """Start again with nothing."""
+        """Restart without a saved list."""
         self.world.alive[self.token] = None
-        self.front = 0
+        self.last_applied = 0
         self.wake_at = None
         self.queue = []
         self.start()
 
     def resume(self) -> None:
-        """Go on after a stop, with what was queued meanwhile."""
+        """Continue after a pause with the last 2,000 queued events."""
         self.paused = False
         events = self.queue[-2000:]
         self.queue = []
         self.handle_events(events)
 
     def handle_events(self, events: Iterable[Any]) -> None:
-        """Hand events to the logic; a stopped process takes them in later."""
+        """Pass events to the logic, or queue them while paused."""
         if self.paused:
             self.queue += events
         elif self.logic:
             self.execute(self.logic.handle(self.world.now, events))
 
     def execute(self, commands: Iterable[Any]) -> None:
-        """Carry out the commands of the logic."""
+        """Execute the commands of the logic."""
         world = self.world
         for command in commands:
             if isinstance(command, SendToMember):
@@ -166,23 +167,23 @@
             world.at(self.wake_at, self.wake, self.wake_at)
 
     def count_children(self) -> int:
-        """How many subscribers it sends events to."""
+        """Return the number of subscribers that the front sends events to."""
         return len(self.logic.tree_subscribers.event_subscribers())
 
     def wake(self, due: int) -> None:
-        """Do what is due."""
+        """Run the logic at time `due`, unless the timer has been rescheduled."""
         if self.wake_at == due and self.logic and not self.paused:
             self.wake_at = None
             self.execute(self.logic.handle(self.world.now))
 
     def record_applied(self, event: dict[str, Any]) -> None:
-        """An event was applied to the front."""
-        self.front = event["seq"]
+        """Record that an event was applied to the front."""
+        self.last_applied = event["seq"]
         if "complete" not in event.get("fleet", {}):
             self.applied_at.setdefault(event["seq"], self.world.now)
 
-    def sent(self, size: int) -> None:
-        """Count a datagram that was sent."""
+    def count_sent(self, size: int) -> None:
+        """Count a sent datagram of `size` bytes."""
         second = self.world.now // SECOND
         if second != self.second:
             self.second = second
@@ -196,49 +197,49 @@
 class World:
     """The fleet, its network and its clock."""
 
-    def __init__(self, plan: Plan, seed: int, terms: DiscoverySettings | None = None) -> None:
+    def __init__(self, plan: Plan, seed: int, settings: DiscoverySettings | None = None) -> None:
         self.plan = plan
         self.chance = Random(seed)
-        self.now: int = 0  # microseconds
-        self.order: int = 0  # of calls scheduled for one time
+        self.now: int = 0  # in microseconds
+        self.order: int = 0  # sequence number of scheduled calls, which orders those for the same time
         self.schedule: list[tuple[int, int, Callable[..., object], tuple[Any, ...]]] = []
-        self.terms = (terms or DiscoverySettings())._replace(fronts=plan.fronts)
+        self.settings = (settings or DiscoverySettings())._replace(fronts=plan.fronts)
         if plan.broken == "window":
-            self.terms = self.terms._replace(window=10 * SECOND, window_bytes=10_000)
+            self.settings = self.settings._replace(window=10 * SECOND, window_bytes=10_000)
         self.network = Network(Random(seed + 1), plan.loss)
-        self.cuts: set[tuple[int, int]] = set()  # pairs of regions
+        self.cuts: set[tuple[int, int]] = set()  # pairs of regions that are cut off from each other
         self.service = Service(self, plan.caches)
         self.fronts = [Front(self, index) for index in range(plan.fronts)]
         self.by_token = {front.token: front for front in self.fronts}
         self.alive = {front.token: None for front in self.fronts}
-        self.hidden: dict[int, set[int]] = {}  # tokens that a front takes for dead, by its index
+        self.hidden: dict[int, set[int]] = {}  # tokens that are missing in a front's view, by its index
         self.encoder = msgspec.msgpack.Encoder()
-        self.sizes: dict[type, int] = {}  # the last size of a kind of message
-        self.counted: dict[type, int] = {}  # messages of a kind
+        self.sizes: dict[type, int] = {}  # the last measured size of a type of message
+        self.counted: dict[type, int] = {}  # number of messages of a type
 
     def at(self, when: int, call: Callable[..., object], *arguments: Any) -> None:
-        """Schedule a call."""
+        """Schedule a call at time `when`."""
         self.order += 1
         heappush(self.schedule, (when, self.order, call, arguments))
 
     def run(self, until: int) -> None:
-        """Go on until a time."""
+        """Run until a time."""
         while self.schedule and self.schedule[0][0] <= until:
             self.now, _, call, arguments = heappop(self.schedule)
             call(*arguments)
         self.now = until
 
     def is_cut(self, one: int, other: int) -> bool:
-        """Whether two regions are cut off from each other."""
+        """Return whether two regions are cut off from each other."""
         return (one, other) in self.cuts or (other, one) in self.cuts
 
     def seen_by(self, front: Front) -> list[int]:
-        """The others that this front takes for alive; `hidden` names those that it lacks."""
+        """Return the live view of a front, without the fronts that are `hidden` from it."""
         hidden = self.hidden.get(front.index, ())
         return [token for token in self.alive if token != front.token and token not in hidden]
 
-    def lose(self, front: Front) -> None:
-        """It is gone from all views."""
+    def remove_from_views(self, front: Front) -> None:
+        """Remove a front that does not run from all live views."""
         if not front.logic or front.paused:
             self.alive.pop(front.token, None)
 
@@ -247,7 +248,7 @@
         to, message = self.by_token[command.token], command.message
         if front.older or to.older:
             message = as_older(message)
-        front.sent(self.size(front, command.message))
+        front.count_sent(self.size(front, command.message))
         if self.is_cut(front.region, to.region) or message is None:
             return
         for delay in self.network.delays(front.index, to.index):
@@ -255,25 +256,28 @@
             self.at(self.now + delay + front.delay, to.handle_events, (event,))
 
     def size(self, front: Front, message: msgspec.Struct) -> int:
-        """The bytes of a message as it would be sealed."""
+        """Return the size of a message with envelope and seal, which is estimated for most messages."""
         kind = type(message)
         self.counted[kind] = self.counted.get(kind, 0) + 1
-        if kind is EventBatch or kind not in self.sizes or self.counted[kind] % SAMPLED == 0:
-            self.sizes[kind] = len(self.encoder.encode((front.me, 1, self.order, message))) + ENVELOPE
+        if kind is EventBatch or kind not in self.sizes or self.counted[kind] % SIZE_SAMPLE_INTERVAL == 0:
+            self.sizes[kind] = (
+                len(self.encoder.encode((front.me, 1, self.order, message))) + SEAL_OVERHEAD_BYTES
+            )
         return self.sizes[kind]
 
     def running(self) -> list[Front]:
-        """The fronts that run and are not stopped."""
+        """Return the fronts that run and are not paused."""
         return [front for front in self.fronts if front.logic and not front.paused]
 
     def is_complete(self) -> bool:
-        """Whether all that run have the service's last event."""
+        """Return whether all running fronts have applied the service's last event."""
         newest = len(self.service.events)
-        return all(front.front == newest for front in self.running())
+        return all(front.last_applied == newest for front in self.running())
 
     def busiest(self, wanted: Callable[[Front], bool] = lambda front: True) -> Front:
-        """The front with the most children, among those wanted."""
-        those = [front for front in self.running() if wanted(front)]
+        """Return the running front with the most children, among those that `wanted` selects."""
+        candidates = [front for front in self.running() if wanted(front)]
         return max(
-            those, key=lambda front: (len(front.logic.tree_subscribers.event_subscribers()), -front.index)
+            candidates,
+            key=lambda front: (len(front.logic.tree_subscribers.event_subscribers()), -front.index),
         )
