--- a/limepath/discovery/simulate.py
+++ b/limepath/discovery/simulate.py
@@ -103,7 +103,7 @@
     world.at(SECOND // 2, service.send_comments)
     service.set_mode("down")
     for node in world.nodes:
-        world.at(world.chance.randrange(200 * MS), node.start, world.seeds(node.index))
+        world.at(world.random.randrange(200 * MS), node.start, world.seeds(node.index))
     world.at(down, service.set_mode, "up")
 
 
@@ -162,11 +162,11 @@
 def _save_lists(world: World, share: float) -> None:
     """Give a share of the fronts saved lists of different earlier revisions."""
     for _ in range(8):
-        world.service.add({"fleet": {"revision": 2, "members": [member(f"s-{world.chance.randrange(40)}")]}})
+        world.service.add({"fleet": {"revision": 2, "members": [member(f"s-{world.random.randrange(40)}")]}})
     for node in world.nodes:
-        if world.chance.random() < share:
+        if world.random.random() < share:
             saved_list = EndpointList()
-            for text in world.service.events[: world.chance.randrange(1, 9)]:
+            for text in world.service.events[: world.random.randrange(1, 9)]:
                 saved_list.apply(parse_event(text))
             node.saved = saved_list.pack()
 
@@ -174,7 +174,7 @@
 def add_events(world: World, count: int) -> None:
     """Schedule `count` events at intervals of 200 ms, alternately drains and purges."""
     for step in range(count):
-        name = f"s-{world.chance.randrange(40)}"
+        name = f"s-{world.random.randrange(40)}"
         event = (
             {"invalidate": {"bucket": step, "time": 0}}
             if step % 2
@@ -214,7 +214,7 @@
 def _inject_fault(world: World, kind: str, bound: Bounds) -> StarFault:
     """Inject one fault in a random zone."""
     service, now = world.service, world.now
-    zone = world.chance.choice(sorted({node.zone for node in world.nodes}))
+    zone = world.random.choice(sorted({node.zone for node in world.nodes}))
     relays = world.relays(zone)
     limit = bound.relays_lost
     if kind == "relays-killed":
@@ -240,7 +240,7 @@
 
 def _cut_off(world: World, zone: str, relays: Sequence[Node]) -> None:
     """Cut off a front that is not a relay from all other fronts, but not from the service."""
-    node = world.chance.choice([node for node in world.live() if node not in relays and node.zone == zone])
+    node = world.random.choice([node for node in world.live() if node not in relays and node.zone == zone])
     alone = frozenset((node.index,))
     others = frozenset(range(len(world.nodes))) - alone
     cuts = world.network.cuts
--- a/limepath/discovery/simulate_tree.py
+++ b/limepath/discovery/simulate_tree.py
@@ -51,7 +51,7 @@
 def purge_every(world: World, interval: int, until: int) -> None:
     """Purge a random object every `interval` microseconds."""
     if world.now < until:
-        target = f"{world.chance.getrandbits(64):016x}"
+        target = f"{world.random.getrandbits(64):016x}"
         world.service.add({"invalidate": {"object": target, "time": world.now // MS}})
         world.at(world.now + interval, purge_every, world, interval, until)
 
@@ -67,7 +67,7 @@
         world.cuts.add((SERVICE_REGION, 1))
         return Fault(f"regions {SERVICE_REGION} and 1", [], world.cuts.clear)
     if kind == "site-killed":
-        site = world.chance.choice(world.running()).site
+        site = world.random.choice(world.running()).site
         killed = [front for front in world.running() if front.site == site]
         for front in killed:
             front.kill()
@@ -138,7 +138,7 @@
     """Start all fronts and run until they have the list, but for a limited time."""
     world.at(SECOND // 2, world.service.send_comments)
     for front in world.fronts:
-        world.at(world.chance.randrange(200 * MS), front.start)
+        world.at(world.random.randrange(200 * MS), front.start)
     world.run(COLD_START_DURATION)
     for _ in range(400):
         if world.is_complete():
--- a/limepath/discovery/star_world.py
+++ b/limepath/discovery/star_world.py
@@ -48,7 +48,7 @@
         self.world = world
         self.index = index
         self.zone = f"z{index % world.zones}"
-        self.token: int = world.chance.getrandbits(63)
+        self.token: int = world.random.getrandbits(63)
         self.starts: int = 0  # number of starts
         self.serial: int = 0  # number of the current call to the service
         self.members: Members | None = None  # None while the front does not run
@@ -67,7 +67,7 @@
         me = MemberRecord(
             self.token, f"n{self.index}", str(self.index), PORT, self.starts << REFUTATION_BITS, world.now
         )
-        self.members = Members(me, seeds, world.timeouts, world.chance.getrandbits(32))
+        self.members = Members(me, seeds, world.timeouts, world.random.getrandbits(32))
         self.wake_at = None
         self.paused = False
         self.queue = []
@@ -77,7 +77,7 @@
         settings = world.settings._replace(zone=self.zone)
         kind = StandaloneFront if world.alone else DiscoveryEngine
         self.logic = kind(
-            self.token, settings, world.chance.getrandbits(32), lambda: self.members.ring, self.saved
+            self.token, settings, world.random.getrandbits(32), lambda: self.members.ring, self.saved
         )
         self.execute(self.members.start(world.now))
         self.execute(self.logic.start(world.now))
@@ -164,7 +164,7 @@
         live: Callable[[], Iterable[int]],
         saved: bytes | None,
     ) -> None:
-        self.chance = Random(seed)
+        self.random = Random(seed)
         self.now = 0
         self.due: int | None = None  # time of the next call
         self.retries: int = 0  # since the last event
@@ -190,7 +190,7 @@
             elif isinstance(event, (StreamClosed, ServiceMoved)):
                 delay = min(600 * MS, 100 * MS << min(10, self.retries))
                 self.retries = self.retries + 1
-                self.due = now + int(delay * (0.5 + self.chance.random()))
+                self.due = now + int(delay * (0.5 + self.random.random()))
         if self.due is not None and now >= self.due:
             self.due = None
             commands.append(OpenStream(self.number))
@@ -215,7 +215,7 @@
         caches: int,
         timeouts: MembershipTimeouts,
     ) -> None:
-        self.chance = Random(seed)
+        self.random = Random(seed)
         self.now: int = 0  # in microseconds
         self.order: int = 0  # sequence number of scheduled calls, which orders those for the same time
         self.schedule: list[tuple[int, int, Callable[..., object], tuple[Any, ...]]] = []
--- a/limepath/discovery/tree_world.py
+++ b/limepath/discovery/tree_world.py
@@ -82,7 +82,7 @@
         plan = world.plan
         self.world = world
         self.index = index
-        self.token = world.chance.getrandbits(63)
+        self.token = world.random.getrandbits(63)
         site = index % plan.sites
         self.zone = f"z{site % plan.zones}"
         self.site = f"site{site}"
@@ -112,7 +112,7 @@
         site = "" if self.older else self.site
         settings = world.settings._replace(zone=self.zone, site=site, region=f"r{self.region}")
         self.logic = DiscoveryEngine(
-            self.token, settings, world.chance.getrandbits(32), lambda: world.seen_by(self)
+            self.token, settings, world.random.getrandbits(32), lambda: world.seen_by(self)
         )
         self.execute(self.logic.start(world.now))
 
@@ -199,7 +199,7 @@
 
     def __init__(self, plan: Plan, seed: int, settings: DiscoverySettings | None = None) -> None:
         self.plan = plan
-        self.chance = Random(seed)
+        self.random = Random(seed)
         self.now: int = 0  # in microseconds
         self.order: int = 0  # sequence number of scheduled calls, which orders those for the same time
         self.schedule: list[tuple[int, int, Callable[..., object], tuple[Any, ...]]] = []
--- a/limepath/scale/roles_relay.py
+++ b/limepath/scale/roles_relay.py
@@ -106,7 +106,7 @@
     zone = Zone(fronts)
     zone.at(SECOND // 2, zone.service.send_comments)
     for node in zone.nodes:
-        zone.at(zone.chance.randrange(SECOND), node.start, zone.seeds(node.index))
+        zone.at(zone.random.randrange(SECOND), node.start, zone.seeds(node.index))
     while any(node.ready_at is None for node in zone.nodes) and zone.now < LIMIT:
         zone.run(zone.now + SECOND)
     zone.run(zone.now + SETTLED)
--- a/limepath/scale/roles_tree.py
+++ b/limepath/scale/roles_tree.py
@@ -42,7 +42,7 @@
     world = World(Plan(fronts=fronts, regions=1, zones=1, sites=sites, rate=EVENTS), 1)
     world.at(SECOND // 2, world.service.send_comments)
     for front in world.fronts:
-        world.at(world.chance.randrange(SECOND), front.start)
+        world.at(world.random.randrange(SECOND), front.start)
     while not world.is_complete() and world.now < LIMIT:
         world.run(world.now + SECOND)
     return world
--- a/tests/test_tree_simulation.py
+++ b/tests/test_tree_simulation.py
@@ -59,7 +59,7 @@
 def hide_fronts(world):
     """Hide a random fifth of the fronts from each front."""
     for front in world.fronts:
-        hidden = world.chance.sample(world.fronts, len(world.fronts) // 5)
+        hidden = world.random.sample(world.fronts, len(world.fronts) // 5)
         world.hidden[front.index] = {other.token for other in hidden}
 
 
