--- a/limepath/scale/roles_relay.py
+++ b/limepath/scale/roles_relay.py
@@ -104,9 +104,9 @@
 def played(fronts):
     """A zone with EVENTS purges a second; give what was Played in SPAN of them."""
     zone = Zone(fronts)
-    zone.at(SECOND // 2, zone.service.comment)
+    zone.at(SECOND // 2, zone.service.send_comments)
     for node in zone.nodes:
-        zone.at(zone.chance.randrange(SECOND), node.start, zone.seeds(node.index))
+        zone.at(zone.random.randrange(SECOND), node.start, zone.seeds(node.index))
     while any(node.ready_at is None for node in zone.nodes) and zone.now < LIMIT:
         zone.run(zone.now + SECOND)
     zone.run(zone.now + SETTLED)
@@ -114,7 +114,7 @@
         zone.at(zone.now + number * SECOND // EVENTS, zone.service.add, purge(number))
     zone.run(zone.now + REACH)
     zone.traffic = Traffic()
-    zone.lates.clear()
+    zone.delays.clear()
     for node in zone.nodes:
         zone.traffic.timed(node.index, node.logic)
     since = zone.now
@@ -122,7 +122,7 @@
     traffic, zone.traffic = zone.traffic, Traffic()
     zone.run(zone.now + ARRIVE)
     told = {number for (_, number), at in zone.service.added_at.items() if since <= at < since + SPAN}
-    late = sorted(late for late, number, _ in zone.lates if number in told)
+    late = sorted(late for late, number, _ in zone.delays if number in told)
     return Played(fronts, traffic, late, fronts * len(told) - len(late))
 
 
