--- a/limepath/tls/host.py
+++ b/limepath/tls/host.py
@@ -351,7 +351,7 @@
         self.log.info("tls-keys", "swapped", trust=self.trust_generation, key=self.key_generation)
         if trust_changed:  # requests in flight finish; connections of the old trust take no new ones
             for tls_connection in list(self.open_connections):
-                tls_connection.inner.retire()
+                tls_connection.inner.drain()
         self.execute(self.admission.handle(clock(), [KeySetReplaced()]))
         return True
 
@@ -461,7 +461,7 @@
         self.counts["resumed" if tls_connection.resumed else "full"] += 1
         self.open_connections.add(tls_connection)
         if tls_connection.scope.trust_generation != self.trust_generation:
-            tls_connection.inner.retire()  # the trusted roots were replaced during the handshake
+            tls_connection.inner.drain()  # the trusted roots were replaced during the handshake
         tls_connection.when_connected.callback(tls_connection.inner)
         self.execute(
             self.admission.handle(
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -5,15 +5,22 @@
 import ssl
 import time
 from itertools import pairwise
+from types import SimpleNamespace
 
 import pytest
 from click.testing import CliRunner
 from hypothesis import given, settings
 from hypothesis import strategies as st
+from twisted.internet.testing import MemoryReactorClock, StringTransport
 
 from limepath.cli import root
+from limepath.configuration import tls_file
+from limepath.configuration.process_limits import plan_limits
 from limepath.configuration.tls_settings import HandshakePace, RetryDelays
+from limepath.front.server_connection import ConnectionState, ServerConnection
+from limepath.log import Log
 from limepath.tls.admission import RESUMPTION_ADVANTAGE_US, Admission
+from limepath.tls.host import TlsConnector
 from limepath.tls.interface import (
     Failure,
     HandshakeCancelled,
@@ -39,7 +46,7 @@
     load_roots,
 )
 from limepath.tls.sessions import SessionCache
-from tests.stand_ins import Site
+from tests.stand_ins import BOUND, Site
 
 SECOND = 1_000_000
 WALL = 1_796_000_000 * SECOND
@@ -689,6 +696,121 @@
         assert site.cache.reused == [False, False]
 
 
+def issue_from_another_root(servers, members):
+    """Replace the file of trusted roots by another root, and issue the servers' certificates from it."""
+    servers.root = create_ca("second root", servers.now)
+    for member in members:
+        servers.certify(member)
+    (servers.folder / "keys/ca.pem").write_bytes(servers.root.certificate)
+
+
+def replace_trusted_roots(servers, site):
+    """Have the front trust another root only, and return once it has handled the SIGHUP to its end."""
+    issue_from_another_root(servers, [member.name for member in site.members])
+    site.process.send_signal(signal.SIGHUP)
+    assert "trust=1 key=0 said=swapped" in site.heard("event=tls-keys")
+    finish_reload(site)
+
+
+def finish_reload(site):
+    """Have the front handle one more SIGHUP, so that all it logged before that is in `site.said`."""
+    site.process.send_signal(signal.SIGHUP)
+    site.heard("event=reload")
+
+
+def faults(site):
+    return [line for line in site.said if "event=fault" in line]
+
+
+def test_replaced_roots_drain_open_connections_and_the_next_request_uses_a_newly_verified_one(servers):
+    for member in ("s-1", "p-1", "o-1"):
+        servers.certify(member)
+    with servers.site() as site:
+        viewer = site.viewer().send()
+        in_flight = site.cache.next()
+        old_context = servers.contexts["s-1"]
+        replace_trusted_roots(servers, site)
+        assert faults(site) == []
+        in_flight.answer("DONE", COPY, b"on the old connection")
+        assert viewer.answer()[::2] == (200, b"on the old connection")
+        viewer.send(txn="00000000000000fe")
+        following = site.cache.next()
+        assert in_flight.connection.context is old_context
+        assert following.connection.context is servers.contexts["s-1"]
+        assert not following.connection.session_reused  # so its certificate was verified
+        following.answer("DONE", COPY, b"on a new connection")
+        assert viewer.answer()[::2] == (200, b"on a new connection")
+        finish_reload(site)
+        assert faults(site) == []
+
+
+class MemoryTransport(StringTransport):
+    """Keeps what the front sends to a server; has the method of a TCP transport that the front calls."""
+
+    def setTcpNoDelay(self, enabled):
+        pass
+
+
+class MemoryServer:
+    """The server's end of the front's latest connection, in memory; each step of the handshake is called."""
+
+    def __init__(self, reactor, context):
+        factory = reactor.tcpClients[-1][2]
+        self.front, self.transport = factory.buildProtocol(None), MemoryTransport()
+        self.received, self.sent = ssl.MemoryBIO(), ssl.MemoryBIO()
+        self.tls = context.wrap_bio(self.received, self.sent, server_side=True)
+        self.front.makeConnection(self.transport)  # the front sends its ClientHello
+
+    def finish_handshake(self):
+        """Exchange the messages after the ClientHello; the front completes the handshake first."""
+        self.receive()
+        with pytest.raises(ssl.SSLWantReadError):
+            self.tls.do_handshake()
+        self.front.dataReceived(self.sent.read())
+        self.receive()
+        self.tls.do_handshake()
+
+    def receive(self):
+        self.received.write(self.transport.value())
+        self.transport.clear()
+
+
+def test_roots_replaced_during_a_handshake_drain_its_connection_and_the_next_is_verified_anew(servers):
+    old_context = servers.context("s-1")
+    reactor, tls = MemoryReactorClock(), tls_file.read(str(servers.folder / "tls.ini"))
+    log = Log("n1", 100, SECOND)
+    connector = TlsConnector(reactor, log, tls, {0: tls.trusts[0]}, seed=1)
+    endpoint = SimpleNamespace(
+        ident=1,
+        name="s-1",
+        kind=0,
+        address=("127.0.0.1", 1),
+        limits=plan_limits(1024, 192, 32, open_requests=9),
+        incarnation=None,
+    )
+
+    def connect():
+        connection, made = ServerConnection(endpoint), []
+        deadline = time.monotonic_ns() // 1000 + BOUND * SECOND
+        connector.connect(endpoint, connection, deadline).addCallback(made.append)
+        return connection, made
+
+    connection, made = connect()
+    server = MemoryServer(reactor, old_context)
+    assert server.transport.value() and connection.state is ConnectionState.CONNECTING
+    issue_from_another_root(servers, ["s-1"])
+    assert connector.reload()
+    server.finish_handshake()
+    assert made == [connection]
+    assert connection.state is ConnectionState.CLOSING and not connection.can_send(b"a tag")
+
+    connection, made = connect()
+    server = MemoryServer(reactor, servers.context("s-1"))
+    server.finish_handshake()
+    assert made == [connection] and not server.tls.session_reused  # so its certificate was verified
+    assert connection.state is ConnectionState.OPEN and connection.can_send(b"a tag")
+
+
 def test_each_expiry_notice_is_logged_once_in_days_then_hours():
     day = 86_400_000_000
     assert expiry_notice(10 * day, 3 * day) == "7 days"
