--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -46,7 +46,7 @@
     load_roots,
 )
 from limepath.tls.sessions import SessionCache
-from tests.stand_ins import BOUND, Site
+from tests.stand_ins import TIMEOUT, Site
 
 SECOND = 1_000_000
 WALL = 1_796_000_000 * SECOND
@@ -708,38 +708,38 @@
     """Have the front trust another root only, and return once it has handled the SIGHUP to its end."""
     issue_from_another_root(servers, [member.name for member in site.members])
     site.process.send_signal(signal.SIGHUP)
-    assert "trust=1 key=0 said=swapped" in site.heard("event=tls-keys")
+    assert "trust=1 key=0 said=swapped" in site.next_log_line("event=tls-keys")
     finish_reload(site)
 
 
 def finish_reload(site):
-    """Have the front handle one more SIGHUP, so that all it logged before that is in `site.said`."""
+    """Have the front handle one more SIGHUP, so that all it logged before that is in `site.log_lines`."""
     site.process.send_signal(signal.SIGHUP)
-    site.heard("event=reload")
+    site.next_log_line("event=reload")
 
 
 def faults(site):
-    return [line for line in site.said if "event=fault" in line]
+    return [line for line in site.log_lines if "event=fault" in line]
 
 
 def test_replaced_roots_drain_open_connections_and_the_next_request_uses_a_newly_verified_one(servers):
     for member in ("s-1", "p-1", "o-1"):
         servers.certify(member)
     with servers.site() as site:
-        viewer = site.viewer().send()
+        client = site.open_client().send()
         in_flight = site.cache.next()
         old_context = servers.contexts["s-1"]
         replace_trusted_roots(servers, site)
         assert faults(site) == []
         in_flight.answer("DONE", COPY, b"on the old connection")
-        assert viewer.answer()[::2] == (200, b"on the old connection")
-        viewer.send(txn="00000000000000fe")
+        assert client.answer()[::2] == (200, b"on the old connection")
+        client.send(txn="00000000000000fe")
         following = site.cache.next()
         assert in_flight.connection.context is old_context
         assert following.connection.context is servers.contexts["s-1"]
         assert not following.connection.session_reused  # so its certificate was verified
         following.answer("DONE", COPY, b"on a new connection")
-        assert viewer.answer()[::2] == (200, b"on a new connection")
+        assert client.answer()[::2] == (200, b"on a new connection")
         finish_reload(site)
         assert faults(site) == []
 
@@ -791,7 +791,7 @@
 
     def connect():
         connection, made = ServerConnection(endpoint), []
-        deadline = time.monotonic_ns() // 1000 + BOUND * SECOND
+        deadline = time.monotonic_ns() // 1000 + TIMEOUT * SECOND
         connector.connect(endpoint, connection, deadline).addCallback(made.append)
         return connection, made
 
