--- a/limepath/cli/options.py
+++ b/limepath/cli/options.py
@@ -35,7 +35,7 @@
         except ValueError as error:
             self.fail(str(error), param, ctx)
         if not 0 <= share < 1:
-            self.fail("a share lies between 0 and 1", param, ctx)
+            self.fail("expected a fraction from 0 to below 1", param, ctx)
         return share
 
 
--- a/limepath/configuration/__init__.py
+++ b/limepath/configuration/__init__.py
@@ -1,9 +1,10 @@
-"""Settings: read, checked and given defaults here and nowhere else. A file that cannot be used is an error.
+"""Reads settings files, validates them and applies defaults. An invalid file raises an error.
 
-The platform's JSON: `platform` reads it (begin there), `json_checks` and `settings_schema` check it, and
-`decision_settings` turns it into the settings of the decision module. `process_limits` holds the limits of
-the network code. INI files: `ini` reads them by a schema, `peers_file` and `tls_file` say what may stand in
-them, and `sharing_settings` and `tls_settings` hold the result. `addresses` parses addresses of both.
+The platform's JSON file: `platform` reads it (start there), `json_checks` and `settings_schema` validate it,
+and `decision_settings` converts it to the settings of the decision module. `process_limits` defines the
+limits of the network code. INI files: `ini` reads a file by a schema, `peers_file` and `tls_file` define the
+schemas, and `sharing_settings` and `tls_settings` hold the values. `addresses` parses the addresses in the
+JSON file and the endpoint list.
 
-No state is kept here; a reload reads the files again.
+The package keeps no state; a reload reads the files again.
 """
--- a/tests/test_discovery_settings.py
+++ b/tests/test_discovery_settings.py
@@ -39,7 +39,7 @@
 @pytest.mark.parametrize(
     "lines, says",
     [
-        ("site = a b", "a name of up to 32"),
+        ("site = a b", "expected a name of up to 32"),
         ("fan-out = 1", "at least 2"),
         ("site = a\ngather = 2s", "gather: at most beat"),
         ("window = 1s", "at least"),
--- a/tests/test_settings_files.py
+++ b/tests/test_settings_files.py
@@ -52,28 +52,32 @@
         (
             "interval = 5s",
             "intervall = 5s",
-            "/peers.ini: [duty probe] intervall: no such key; did you mean 'interval'?",
+            "/peers.ini: [duty probe] intervall: unknown key; did you mean 'interval'?",
         ),
-        ("interval = 5s", "interval = 5", "[duty probe] interval: '5': a duration with its unit"),
-        ("interval = 5s", "interval = 5ms", "[duty probe] interval: '5ms': at least 100ms is wanted"),
+        ("interval = 5s", "interval = 5", "[duty probe] interval: '5': expected a duration with a unit"),
+        ("interval = 5s", "interval = 5ms", "[duty probe] interval: '5ms': expected at least 100ms"),
         ("interval = 5s", "mode = one-ownr", "did you mean 'one-owner'?"),
-        ("interval = 5s", "targets = caches, cachs", "[duty probe] targets: 'caches, cachs': one of"),
-        ("[leases]", "[leasez]", "/peers.ini: [leasez]: no such section; did you mean 'leases'?"),
-        ("voters = n1, n2, n3", "voters = n1, n1", "[leases] voters: 'n1, n1': the same stands twice"),
+        (
+            "interval = 5s",
+            "targets = caches, cachs",
+            "[duty probe] targets: 'caches, cachs': expected one of",
+        ),
+        ("[leases]", "[leasez]", "/peers.ini: [leasez]: unknown section; did you mean 'leases'?"),
+        ("voters = n1, n2, n3", "voters = n1, n1", "[leases] voters: 'n1, n1': duplicate item"),
         ("voters = n1, n2, n3\n", "[duty b]\nmode = one-owner\n", "[leases] voters: missing; [duty b]"),
-        ("voters = n1, n2, n3", "drift = 30%", "[leases] drift: '30%': at most 0.2 is wanted"),
+        ("voters = n1, n2, n3", "drift = 30%", "[leases] drift: '30%': expected at most 0.2"),
         (
             "listen = 127.0.0.1:7946",
             "listen = localhost:1",
-            "[peers] listen: 'localhost:1': an address with a port",
+            "[peers] listen: 'localhost:1': expected an IP address with a port",
         ),
         ("listen = 127.0.0.1:7946", "", "[peers] listen: missing"),
         ("keys =", "direct = 600ms\nkeys =", "[peers] direct: twice this must be below period"),
-        ("keys = peers.keys", "keys = a\nkeys = b", "[peers] keys: stands twice"),
-        ("name = n1", "name = n 1", "[instance] name: 'n 1': a name of up to 32"),
-        ("[instance]\n", "name\n[instance]\n", "line 1: stands before the first [section]"),
+        ("keys = peers.keys", "keys = a\nkeys = b", "[peers] keys: duplicate key"),
+        ("name = n1", "name = n 1", "[instance] name: 'n 1': expected a name of up to 32"),
+        ("[instance]\n", "name\n[instance]\n", "line 1: text before the first [section]"),
         ("[duty probe]\ninterval = 5s\n", "", "[duty NAME]: missing"),
-        ("[duty probe]", "[duty probe]\ninterval = 1s\n[duty probe]", "[duty probe]: stands twice"),
+        ("[duty probe]", "[duty probe]\ninterval = 1s\n[duty probe]", "[duty probe]: duplicate section"),
     ),
 )
 def test_each_error_names_file_section_and_key(tmp_path, old, new, expected):
@@ -84,7 +88,7 @@
     with pytest.raises(SettingError, match="No such file"):
         peers_file.read(str(tmp_path / "none.ini"))
     (tmp_path / "b.ini").write_bytes(b"\xff\xfe")
-    with pytest.raises(SettingError, match="no UTF-8"):
+    with pytest.raises(SettingError, match="not UTF-8"):
         peers_file.read(str(tmp_path / "b.ini"))
 
 
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -446,7 +446,7 @@
     "old, new, says",
     (
         ("verify = on", "verify = off", ""),
-        ("verify = on", "verify = perhaps", "[trust servers] verify: 'perhaps': on or off"),
+        ("verify = on", "verify = perhaps", "[trust servers] verify: 'perhaps': expected on or off"),
         ("members = caches, parents, origin", "members =", "[trust servers] members: missing"),
         ("{id}.cajas.example.org", "cajas.example.org", "'{id}' is missing"),
         ("least = 1.2", "least = 1.1", "[versions] least"),
