--- a/limepath/configuration/decision_settings.py
+++ b/limepath/configuration/decision_settings.py
@@ -1,6 +1,7 @@
-"""From the platform's settings, as JSON gives them, to those of the decision module; all hosts use this.
+"""Converts the settings in the platform's JSON to the settings of the decision module.
 
-The names in the JSON are the platform's. They are mapped to the field's terms here and nowhere else.
+The keys and values in the JSON are named by the platform; only this module maps them to other names. The
+front, the hollow fronts and the simulator host all use it.
 """
 
 from collections.abc import Mapping
@@ -18,7 +19,7 @@
 
 NANOSECONDS_PER_MICROSECOND = 1000
 
-# Load fields that endpoints report
+# Names of reported load values by the names of the fields in load reports
 LOAD_NAMES = {
     "rif": "inflight",
     "q": "queue",
@@ -37,7 +38,7 @@
 
 
 class DecisionArguments(TypedDict):
-    """The keyword arguments of the decision module, beside its seed."""
+    """The keyword arguments of the decision module, except its seed."""
 
     services: tuple[DeliveryService, ...]
     footprint: Topology
@@ -48,7 +49,7 @@
 
 
 def us(nanoseconds: float) -> int:
-    """Return nanoseconds, as the settings give durations, in whole microseconds."""
+    """Convert nanoseconds, the unit of durations in the settings, to whole microseconds, rounded down."""
     return int(nanoseconds) // NANOSECONDS_PER_MICROSECOND
 
 
@@ -56,7 +57,7 @@
     """Return the settings of the decision module.
 
     Raises:
-        KeyError, TypeError, ValueError: the settings cannot be used.
+        KeyError, TypeError, ValueError: the settings are invalid.
     """
     family = settings.get("family-info", {})
     safety = settings["safety"]
@@ -80,12 +81,12 @@
 
 
 def delivery_service(entry: Mapping[str, Any], index: int, family: Mapping[str, Any]) -> DeliveryService:
-    """Return the settings of one service.
+    """Return the settings of one delivery service.
 
     Args:
-        entry: its entry in `classes`.
-        index: its place there.
-        family: `family-info`, whose lists have a value for each service, or none.
+        entry: the service's entry in `classes`.
+        index: the index of that entry.
+        family: `family-info`, whose lists are empty or have one value for each service.
     """
 
     def per_service(key: str, default: Any) -> Any:
@@ -113,8 +114,8 @@
 def slow_start(share: float, duration_ns: float, overload_factor: float, window_ns: float) -> SlowStart:
     """Return the settings of a slow start.
 
-    An overload factor or window of 0 says that no endpoint fails by overload: then there is no budget to
-    keep, and the slow start has no duration.
+    An overload factor or window of 0 means that overload makes no endpoint fail. The slow start then has no
+    load limit to enforce, so its duration is 0.
     """
     duration = us(duration_ns) if overload_factor and window_ns else 0
     return SlowStart(share, duration, overload_factor, us(window_ns))
@@ -164,6 +165,6 @@
 
 
 def load_fields(settings: Mapping[str, Any]) -> tuple[str, ...]:
-    """Return the names of the load fields that endpoints report, in their order."""
+    """Return the names of the load values that endpoints report, in the order of the report."""
     fields = settings.get("stats", {}).get("fields", ())
     return tuple(LOAD_NAMES.get(name, name) for name in fields)
--- a/limepath/configuration/json_checks.py
+++ b/limepath/configuration/json_checks.py
@@ -1,24 +1,24 @@
-"""Checks of values in a JSON document; an error names the key by its path from the document's root."""
+"""Validates values in a JSON document; errors name the key by its path from the document's root."""
 
 import math
 from collections.abc import Mapping
 from typing import Any, NamedTuple
 
-MAX_SHOWN_CHARACTERS = 60  # of a value, in an error
+MAX_SHOWN_CHARACTERS = 60  # longer values are truncated in error messages
 
 
 class ConfigurationError(Exception):
-    """The configuration cannot be used. The text names the key, what was found and what is expected."""
+    """The configuration is invalid. The message names the key, the value found and what is expected."""
 
 
 class Number(NamedTuple):
-    """What a number may be. NaN and infinite numbers are never taken.
+    """The allowed range of a number. NaN and infinity are always rejected.
 
     Attributes:
-        minimum: the least value.
-        exclusive: whether the value must be over the minimum.
-        maximum: the largest value.
-        integer: whether the value must be whole.
+        minimum: the smallest allowed value.
+        exclusive: whether `minimum` itself is rejected.
+        maximum: the largest allowed value.
+        integer: whether the value must be an integer.
     """
 
     minimum: float = 0.0
@@ -28,21 +28,21 @@
 
 
 Kind = type | Number | tuple[str, ...]
-"""What a value may be: of a type, a number within bounds, or one of some words."""
+"""A constraint on a value: its type, a range of numbers, or the allowed words."""
 
 
 def require(document: Mapping[str, Any], key: str, kind: Kind, default: Any = None, where: str = "") -> Any:
-    """Return the checked value at a key.
+    """Return the value of a key after validating it.
 
     Args:
         document: a JSON object.
         key: the key.
-        kind: what the value may be.
-        default: the value where the key is missing; None where it must not be missing.
-        where: the path of the object, with a dot at its end, for errors.
+        kind: the constraint on the value.
+        default: the value if the key is missing; None if the key is required.
+        where: the path of the object for error messages, "" or with a trailing dot.
 
     Raises:
-        ConfigurationError: the value is missing or not of this kind.
+        ConfigurationError: the value is missing or violates `kind`.
     """
     value = document.get(key, default)
     if value is None:
@@ -51,29 +51,29 @@
 
 
 def check_value(value: Any, kind: Kind, path: str) -> Any:
-    """Return the value.
+    """Validate a value and return it.
 
     Raises:
-        ConfigurationError: it is not of this kind; the text begins with `path`.
+        ConfigurationError: the value violates `kind`; the message begins with `path`.
     """
     found = f"{path}: {str(value)[:MAX_SHOWN_CHARACTERS]!r}"
     if isinstance(kind, Number):
         _check_number(value, kind, found)
     elif isinstance(kind, tuple):
         if value not in kind:
-            raise ConfigurationError(f"{found} is none of {', '.join(kind)}")
+            raise ConfigurationError(f"{found}: expected one of {', '.join(kind)}")
     elif not isinstance(value, kind) or isinstance(value, bool) and kind is not bool:
-        raise ConfigurationError(f"{found} is no {kind.__name__}")
+        raise ConfigurationError(f"{found}: expected a value of type {kind.__name__}")
     return value
 
 
 def _check_number(value: Any, kind: Number, found: str) -> None:
     if isinstance(value, bool) or not isinstance(value, (int, float)) or not math.isfinite(value):
-        raise ConfigurationError(f"{found} is no number")
+        raise ConfigurationError(f"{found}: expected a finite number")
     too_small = value < kind.minimum or kind.exclusive and value == kind.minimum
     if too_small or value > kind.maximum:
-        minimum = f"over {kind.minimum:g}" if kind.exclusive else f"{kind.minimum:g} or more"
-        maximum = f" and {kind.maximum:g} at most" if kind.maximum < math.inf else ""
-        raise ConfigurationError(f"{found} has to be {minimum}{maximum}")
+        minimum = f"more than {kind.minimum:g}" if kind.exclusive else f"at least {kind.minimum:g}"
+        maximum = f" and at most {kind.maximum:g}" if kind.maximum < math.inf else ""
+        raise ConfigurationError(f"{found}: expected {minimum}{maximum}")
     if kind.integer and value != int(value):
-        raise ConfigurationError(f"{found} is no whole number")
+        raise ConfigurationError(f"{found}: expected an integer")
--- a/limepath/configuration/peers_file.py
+++ b/limepath/configuration/peers_file.py
@@ -1,6 +1,6 @@
-"""The peers file (deploy/peers.ini): the instance, members, leases, the endpoint list, duties and the log.
+"""Reads the peers file (deploy/peers.ini): the instance, members, leases, endpoint list, duties and log.
 
-`SCHEMA` says what may stand in it; `read` checks what one section says of another, and returns the settings.
+`SCHEMA` defines its sections and keys. `read` also checks constraints between keys and between sections.
 """
 
 import os
@@ -93,25 +93,25 @@
 
 
 class PeersSettings(NamedTuple):
-    """What a peers file says. Paths are resolved against the file's own folder.
+    """The settings in a peers file. Relative paths are resolved against the file's directory.
 
     Attributes:
-        file: the file.
-        name: this instance.
-        store: the path of its store.
-        control: the path of its control socket, or "".
-        form: the form of the log, one of `limepath.log.LOG_FORMATS`.
-        listen: where datagrams are received.
-        advertise: where other instances send them.
-        seeds: addresses of instances that are asked for members at first.
+        file: the path of the peers file.
+        name: the name of this instance.
+        store: the path of this instance's store.
+        control: the path of this instance's control socket, or "" for none.
+        form: the format of log lines, one of `limepath.log.LOG_FORMATS`.
+        listen: the address on which this instance receives datagrams.
+        advertise: the address to which other instances send datagrams.
+        seeds: addresses of instances to contact for joining the group.
         keys: the path of the keys file.
-        keys_reread: microseconds between looks at whether it has changed.
+        keys_reread: the interval between checks whether the keys file has changed, in microseconds.
         spans: timeouts and intervals of the membership.
         leasing: settings of leases and of shared results.
-        plans: the duties.
-        kinds: the kinds of targets of each duty, by its name.
-        listing: settings of the endpoint list; None where each front reads the change log by itself.
-        connections: new connections a second to one endpoint, from all fronts; 0 where no pace is kept.
+        plans: the settings of the duties.
+        kinds: the kinds of targets of each duty, by the duty's name.
+        listing: settings of the endpoint list; None if each front follows the change log by itself.
+        connections: new connections per second to one endpoint from all fronts; 0 for no limit.
     """
 
     file: str
@@ -133,10 +133,10 @@
 
 
 def read(file: str) -> PeersSettings:
-    """Read and check a peers file; no other file is read.
+    """Read and validate a peers file, without reading the files that it names.
 
     Raises:
-        SettingError: the file cannot be used. The text names file, section and key.
+        SettingError: the file is invalid. The message names file, section and key.
     """
     sections = ini.read_file(file, SCHEMA)
     instance = sections["instance"]
@@ -174,7 +174,7 @@
 
 
 def _duty_sections(sections: Settings) -> dict[str, Values]:
-    """Return the sections [duty NAME] by name."""
+    """Return the values of the sections [duty NAME] by name."""
     named = {section: values for section, values in sections.items() if isinstance(section, tuple)}
     return {name: values for (kind, name), values in named.items() if kind == "duty"}
 
@@ -186,7 +186,7 @@
 def _membership_timeouts(peers: Values, file: str) -> MembershipTimeouts:
     if peers["direct"] * 2 >= peers["period"]:
         raise SettingError(
-            f"{file}: [peers] direct: twice this must be below period, so that others can be asked too"
+            f"{file}: [peers] direct: expected less than half of period, which leaves time for indirect pings"
         )
     return MembershipTimeouts(
         period=peers["period"],
@@ -200,13 +200,15 @@
 def _leases(leases: Values, sharing: Values, duties: tuple[DutySettings, ...], file: str) -> LeaseSettings:
     for duty in duties:
         if duty.mode == DutyMode.ONE_OWNER and not leases["voters"]:
-            raise SettingError(f"{file}: [leases] voters: missing; [duty {duty.name}] has mode one-owner")
+            raise SettingError(
+                f"{file}: [leases] voters: missing; required by mode one-owner of [duty {duty.name}]"
+            )
     if len(leases["voters"]) > MAX_VOTERS:
         raise SettingError(
-            f"{file}: [leases] voters: at most {MAX_VOTERS} are wanted; others may own duties all the same"
+            f"{file}: [leases] voters: expected at most {MAX_VOTERS}; other instances can own duties too"
         )
     if not duties:
-        raise SettingError(f"{file}: [duty NAME]: missing; without a duty there is nothing to share")
+        raise SettingError(f"{file}: [duty NAME]: missing; expected at least one duty")
     return LeaseSettings(
         voters=leases["voters"],
         span=leases["span"],
@@ -222,11 +224,13 @@
         return None
     if listing["patience"] < 2 * listing["beat"]:
         raise SettingError(
-            f"{file}: [listing] patience: at least twice beat is wanted, or one lost datagram passes for a "
-            "silent relay"
+            f"{file}: [listing] patience: expected at least twice beat, or the loss of one datagram would "
+            "count as a failed relay"
         )
     if listing["site"] and listing["gather"] > listing["beat"]:
-        raise SettingError(f"{file}: [listing] gather: at most beat is wanted, or heartbeats outrun events")
+        raise SettingError(
+            f"{file}: [listing] gather: expected at most beat, or heartbeats would overtake events"
+        )
     return DiscoverySettings(
         fronts=listing["fronts"],
         rate=float(listing["calls"]),
@@ -246,5 +250,7 @@
 
 def _with_readiness(discovery: DiscoverySettings | None, caches: Values, file: str) -> DiscoverySettings:
     if not discovery:
-        raise SettingError(f"{file}: [caches]: wants [listing] too, whose key fronts tells how many share")
+        raise SettingError(
+            f"{file}: [caches]: requires [listing] fronts, the number of fronts that share the rate"
+        )
     return discovery._replace(ready=float(caches["ready"]))
--- a/limepath/configuration/sharing_settings.py
+++ b/limepath/configuration/sharing_settings.py
@@ -1,6 +1,6 @@
-"""Settings of what fronts share: membership, duties and leases, the endpoint list.
+"""Settings of the work that fronts share: membership, duties and leases, the endpoint list.
 
-They are read from peers.ini by `peers_file`. Durations are whole microseconds, sizes bytes.
+`peers_file` reads them from peers.ini. Durations are integers in microseconds, sizes are in bytes.
 """
 
 from enum import IntEnum
@@ -11,11 +11,11 @@
     """Timeouts of the SWIM failure detector.
 
     Attributes:
-        period: the protocol period, in which one member is pinged.
-        direct: until a ping that is not answered is sent through other members.
-        indirect: how many members are asked to ping in our stead.
-        suspicion: periods of which the suspicion timeout is made.
-        forget: until a member that has failed or left is forgotten.
+        period: the protocol period; the detector pings one member in each.
+        direct: the timeout of a direct ping; indirect pings follow it.
+        indirect: the number of members that send an indirect ping.
+        suspicion: the length of the suspicion timeout, in protocol periods.
+        forget: the time from a member's failure or departure to its removal from the table.
     """
 
     period: int = 1_000_000
@@ -26,15 +26,15 @@
 
 
 class LeaseSettings(NamedTuple):
-    """Leases, and results that are shared.
+    """Settings of leases and of shared results.
 
     Attributes:
-        voters: names of the instances that grant leases, fixed: a majority is counted of them.
+        voters: names of the instances that grant leases; a lease needs a majority of this fixed list.
         span: the duration of a lease.
-        drift: how far clocks run apart at the most, as a fraction of a lease's duration.
-        slots: into how many leases a duty is divided.
-        batch: the interval in which results are collected before they are sent.
-        copies: how many others they are sent to.
+        drift: the maximum difference between clocks over a lease, as a fraction of its duration.
+        slots: the number of leases that a duty is divided into.
+        batch: the interval over which results are collected into one batch.
+        copies: the number of other instances that a batch is sent to.
     """
 
     voters: tuple[str, ...] = ()
@@ -46,14 +46,14 @@
 
 
 class DutyMode(IntEnum):
-    """How many instances may serve a target of a duty at one time."""
+    """How many instances may serve a target of a duty at the same time."""
 
     AT_LEAST_ONCE = 0
     ONE_OWNER = 1
 
 
 class DutySettings(NamedTuple):
-    """A duty: each of its targets is served once in `interval`."""
+    """Settings of a duty, which serves each of its targets once per `interval`."""
 
     name: str
     mode: DutyMode
@@ -61,26 +61,26 @@
 
 
 class DiscoverySettings(NamedTuple):
-    """How the endpoint list reaches the fronts.
+    """Settings of the distribution of the endpoint list to the fronts.
 
     Attributes:
         zone: this front's zone.
-        fronts: how many fronts share the list service, at the least.
-        rate: calls a second at the list service, of the whole fleet.
-        relays: fronts of each zone that hold a stream of the list service.
+        fronts: the minimum number of fronts that share the list service.
+        rate: calls per second to the list service from the whole fleet.
+        relays: the number of fronts in each zone that have a stream from the list service.
         beat: the interval between heartbeats.
-        heartbeat_timeout: until a relay that does not answer is replaced.
-        stream_timeout: until a silent stream of the list service is given up.
-        save_interval: the least time between two writes of the list to the store.
-        max_snapshot_bytes: the largest list that is taken, decoded.
-        ready: fronts that become ready a second, of the whole fleet; 0 if each does at once.
+        heartbeat_timeout: the time without a heartbeat after which a relay is replaced.
+        stream_timeout: the time without data after which a stream from the list service is closed.
+        save_interval: the minimum time between two writes of the list to the store.
+        max_snapshot_bytes: the maximum size of a decoded list.
+        ready: fronts that become ready per second in the whole fleet; 0 if each becomes ready at once.
         region: this front's region.
-        site: this front's site; "" if it subscribes to the relays of its zone and stands in no tree.
+        site: this front's site; "" if the front is in no tree and subscribes to the relays of its zone.
         fan_out: children of a front in its own site's tree, and of a site's head in the tree of sites.
-        gather: for how long events are collected before they are sent to children.
-        window: for how long events are kept for subscribers that lag behind.
-        window_bytes: how many bytes of them are kept at the most, encoded.
-        purge_lifetime: after a purge, until its copies are gone everywhere.
+        gather: the time for which events are collected before they are sent to children.
+        window: the time for which events are kept for subscribers that lag behind.
+        window_bytes: the maximum encoded size of the kept events.
+        purge_lifetime: the time from a purge until no cache has a copy of the object any more.
     """
 
     zone: str = ""
--- a/tests/test_connection_pacing.py
+++ b/tests/test_connection_pacing.py
@@ -97,7 +97,7 @@
 def test_a_pace_requires_the_number_of_fronts_that_share_it(tmp_path):
     file = tmp_path / "peers.ini"
     file.write_text(PEERS + "[caches]\nconnections = 100\n")
-    with pytest.raises(SettingError, match=r"\[caches\]: wants \[listing\]"):
+    with pytest.raises(SettingError, match=r"\[caches\]: requires \[listing\] fronts"):
         peers_file.read(file)
     file.write_text(PEERS + "[listing]\nfronts = 9\n[caches]\nconnections = 100\nready = 50\n")
     read = peers_file.read(file)
--- a/tests/test_discovery_settings.py
+++ b/tests/test_discovery_settings.py
@@ -15,7 +15,7 @@
     [
         ("calls = 20", "fronts: missing"),
         ("fronts = 0", "at least 1"),
-        ("fronts = 5\npatience = 600ms", "at least twice beat"),
+        ("fronts = 5\npatience = 600ms", "expected at least twice beat"),
         ("fronts = 5\nrelay = 2", "did you mean 'relays'"),
         ("fronts = 5\nrelays = 9", "at most 8"),
     ],
@@ -41,7 +41,7 @@
     [
         ("site = a b", "expected a name of up to 32"),
         ("fan-out = 1", "at least 2"),
-        ("site = a\ngather = 2s", "gather: at most beat"),
+        ("site = a\ngather = 2s", "gather: expected at most beat"),
         ("window = 1s", "at least"),
         ("window-bytes = 5", "at least"),
     ],
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -42,7 +42,7 @@
     (
         ("classes", 1, "idempotency"),
         "often",
-        r"settings.classes\[1\].idempotency: 'often' is none of free, guarded, single_shot",
+        r"settings.classes\[1\].idempotency: 'often': expected one of free, guarded, single_shot",
     ),
     (("classes", 1, "key-scope"), "town", r"settings.classes\[1\].key-scope"),
     (("classes", 1, "repeat-window"), -5, r"settings.classes\[1\].repeat-window"),
--- a/tests/test_settings_files.py
+++ b/tests/test_settings_files.py
@@ -64,7 +64,11 @@
         ),
         ("[leases]", "[leasez]", "/peers.ini: [leasez]: unknown section; did you mean 'leases'?"),
         ("voters = n1, n2, n3", "voters = n1, n1", "[leases] voters: 'n1, n1': duplicate item"),
-        ("voters = n1, n2, n3\n", "[duty b]\nmode = one-owner\n", "[leases] voters: missing; [duty b]"),
+        (
+            "voters = n1, n2, n3\n",
+            "[duty b]\nmode = one-owner\n",
+            "[leases] voters: missing; required by mode one-owner of [duty b]",
+        ),
         ("voters = n1, n2, n3", "drift = 30%", "[leases] drift: '30%': expected at most 0.2"),
         (
             "listen = 127.0.0.1:7946",
@@ -72,7 +76,7 @@
             "[peers] listen: 'localhost:1': expected an IP address with a port",
         ),
         ("listen = 127.0.0.1:7946", "", "[peers] listen: missing"),
-        ("keys =", "direct = 600ms\nkeys =", "[peers] direct: twice this must be below period"),
+        ("keys =", "direct = 600ms\nkeys =", "[peers] direct: expected less than half of period"),
         ("keys = peers.keys", "keys = a\nkeys = b", "[peers] keys: duplicate key"),
         ("name = n1", "name = n 1", "[instance] name: 'n 1': expected a name of up to 32"),
         ("[instance]\n", "name\n[instance]\n", "line 1: text before the first [section]"),
