--- a/limepath/configuration/tls_file.py
+++ b/limepath/configuration/tls_file.py
@@ -1,6 +1,6 @@
-"""The TLS file (deploy/tls.ini): trust, the front's own key, sessions, and the rate of handshakes.
+"""Reads the TLS file (deploy/tls.ini): trusted roots, the front's key, sessions and the handshake rate.
 
-`SCHEMA` says what may stand in it; `read` checks what one key says of another, and returns the settings.
+`SCHEMA` defines its sections and keys. `read` also checks constraints between keys and between sections.
 """
 
 import os
@@ -12,7 +12,7 @@
 
 SECOND = 1_000_000  # microseconds
 HOUR = 3600 * SECOND
-ENDPOINT_PLACEHOLDER = "{id}"  # stands for an endpoint's name in a certificate
+ENDPOINT_PLACEHOLDER = "{id}"  # replaced by an endpoint's name in the name of its certificate
 VERSIONS = ("1.2", "1.3")
 
 
@@ -62,16 +62,16 @@
 
 
 class Trust(NamedTuple):
-    """Which certificates are trusted for the endpoints of some kinds.
+    """The settings of the verification of certificates for some kinds of endpoints.
 
     Attributes:
-        title: the section's name.
-        roots: the path of the trusted roots.
-        members: the kinds: caches, parents, origin.
+        title: the NAME in the section's title.
+        roots: the path of the trusted root certificates.
+        members: the kinds of endpoints: caches, parents, origin.
         verify: whether certificates are verified.
-        lists: the path of revocation lists, or "".
-        refuse_stale: whether an expired revocation list refuses connections.
-        name: what an endpoint's certificate must be for; `{id}` stands for the endpoint's name.
+        lists: the path of the certificate revocation lists, or "" for none.
+        refuse_stale: whether connections are refused if a revocation list has expired.
+        name: the name in an endpoint's certificate; `{id}` is replaced by the endpoint's name.
     """
 
     title: str
@@ -84,19 +84,19 @@
 
 
 class TlsSettings(NamedTuple):
-    """What a TLS file says. Paths are resolved against the file's own folder.
+    """The settings in a TLS file. Relative paths are resolved against the file's directory.
 
     Attributes:
-        file: the file.
-        certificate: the path of the front's own certificate, or "".
-        key: the path of its key, or "".
-        min_version: the least version of TLS, one of VERSIONS.
-        max_version: the highest one.
-        sessions: how many sessions are cached, and for how long.
-        pace: the rate of handshakes.
-        handshake_timeout: microseconds.
-        retry_delays: backoff after failures.
-        trusts: whom the front trusts, by kinds of endpoints.
+        file: the path of the TLS file.
+        certificate: the path of the front's certificate, or "" for none.
+        key: the path of the private key of that certificate, or "" for none.
+        min_version: the lowest allowed version of TLS, one of VERSIONS.
+        max_version: the highest allowed version of TLS, one of VERSIONS.
+        sessions: the settings of the session cache.
+        pace: the limits on the rate of handshakes.
+        handshake_timeout: the timeout of a handshake, in microseconds.
+        retry_delays: the backoff after failed connections.
+        trusts: the settings of the verification of certificates, one entry for each [trust NAME].
     """
 
     file: str
@@ -112,10 +112,10 @@
 
 
 def read(file: str) -> TlsSettings:
-    """Read and check a TLS file; no other file is read.
+    """Read and validate a TLS file, without reading the files that it names.
 
     Raises:
-        SettingError: the file cannot be used. The text names file, section and key.
+        SettingError: the file is invalid. The message names file, section and key.
     """
     sections = ini.read_file(file, SCHEMA)
     folder = os.path.dirname(os.path.abspath(file))
@@ -147,24 +147,24 @@
 def _check_client(client: Values, file: str) -> None:
     if bool(client["certificate"]) != bool(client["key"]):
         missing = "key" if client["certificate"] else "certificate"
-        raise SettingError(f"{file}: [client] {missing}: missing; certificate and key go together")
+        raise SettingError(f"{file}: [client] {missing}: missing; certificate and key require each other")
 
 
 def _check_versions(versions: Values, file: str) -> None:
     if versions["least"] > versions["most"]:
-        raise SettingError(f"{file}: [versions] least: above most")
+        raise SettingError(f"{file}: [versions] least: expected at most the value of most")
 
 
 def _retry_delays(delays: Values, file: str) -> RetryDelays:
     for first, longest in (("passing", "passing-most"), ("lasting", "lasting-most")):
         if delays[first] > delays[longest]:
-            raise SettingError(f"{file}: [left-alone] {first}: above {longest}")
+            raise SettingError(f"{file}: [left-alone] {first}: expected at most the value of {longest}")
     return RetryDelays(delays["passing"], delays["passing-most"], delays["lasting"], delays["lasting-most"])
 
 
 def _handshake_pace(handshakes: Values, file: str) -> HandshakePace:
     if handshakes["at-once"] > handshakes["all-at-once"]:
-        raise SettingError(f"{file}: [handshakes] at-once: above all-at-once")
+        raise SettingError(f"{file}: [handshakes] at-once: expected at most the value of all-at-once")
     return HandshakePace(
         rate=handshakes["rate"],
         burst=handshakes["burst"],
@@ -177,7 +177,7 @@
 
 
 def _trusts(sections: Settings, folder: str, file: str) -> tuple[Trust, ...]:
-    """Return the sections [trust NAME]; each kind of endpoints stands in one at the most."""
+    """Return the settings of the sections [trust NAME]; a kind of endpoints may be in only one of them."""
     title_by_kind: dict[str, str] = {}
     trusts = []
     for section, values in sections.items():
@@ -187,26 +187,26 @@
         _check_members(title, values["members"], title_by_kind, file)
         trusts.append(_trust(title, values, folder, file))
     if not trusts:
-        raise SettingError(f"{file}: [trust NAME]: missing; without one no server can be verified")
+        raise SettingError(f"{file}: [trust NAME]: missing; expected at least one, to verify servers")
     return tuple(trusts)
 
 
 def _check_members(title: str, members: tuple[str, ...], title_by_kind: dict[str, str], file: str) -> None:
-    """Add the kinds of a section to those of others; SettingError where one stands in both."""
+    """Add a section's kinds to `title_by_kind`; raise SettingError if another section has one of them."""
     where = f"{file}: [trust {title}] members"
     if not members:
-        raise SettingError(f"{where}: missing; name caches, parents or origin")
+        raise SettingError(f"{where}: missing; expected some of caches, parents, origin")
     for kind in members:
         if kind in title_by_kind:
-            raise SettingError(f"{where}: {kind!r} stands in [trust {title_by_kind[kind]}] too")
+            raise SettingError(f"{where}: {kind!r}: already in [trust {title_by_kind[kind]}]")
         title_by_kind[kind] = title
 
 
 def _trust(title: str, values: Values, folder: str, file: str) -> Trust:
     if ENDPOINT_PLACEHOLDER not in values["name"]:
         raise SettingError(
-            f"{file}: [trust {title}] name: '{ENDPOINT_PLACEHOLDER}' is missing; "
-            "each member has a name of its own"
+            f"{file}: [trust {title}] name: expected a text with '{ENDPOINT_PLACEHOLDER}', because "
+            "each endpoint has its own name"
         )
     return Trust(
         title=title,
--- a/limepath/configuration/tls_settings.py
+++ b/limepath/configuration/tls_settings.py
@@ -1,15 +1,15 @@
-"""Settings of TLS to servers, read from tls.ini by `tls_file`. Durations are whole microseconds."""
+"""Settings of TLS to servers. `tls_file` reads them from tls.ini. Durations are integers in microseconds."""
 
 from typing import NamedTuple
 
 
 class SessionSettings(NamedTuple):
-    """The cache of TLS sessions.
+    """Settings of the cache of TLS sessions.
 
     Attributes:
-        most: sessions in all.
-        each: sessions of one server.
-        longest: microseconds until a session is dropped.
+        most: the maximum number of sessions.
+        each: the maximum number of sessions of one server.
+        longest: the maximum age of a session.
     """
 
     most: int = 512
@@ -18,13 +18,13 @@
 
 
 class RetryDelays(NamedTuple):
-    """Backoff of a server after failures, and its limit.
+    """Delays before the next connection to a server after a failure; they double up to a maximum.
 
     Attributes:
-        passing: the first delay after a failure that may pass by itself.
-        passing_most: the longest delay after such failures.
-        lasting: the first delay after a failure that somebody must mend.
-        lasting_most: the longest delay after such failures.
+        passing: the first delay after a transient failure.
+        passing_most: the maximum delay after transient failures.
+        lasting: the first delay after a failure that an operator must repair.
+        lasting_most: the maximum delay after failures that an operator must repair.
     """
 
     passing: int = 200_000
@@ -34,16 +34,16 @@
 
 
 class HandshakePace(NamedTuple):
-    """Token buckets of full handshakes, one for each server and one for all.
+    """Limits on handshakes: token buckets for each server and for all servers together.
 
     Attributes:
-        rate: handshakes a second to one server.
-        burst: how many may follow one another at once.
-        at_once: how many may be in progress with one server.
-        all_rate: handshakes a second to all servers.
-        all_burst: how many of these may follow one another at once.
-        all_at_once: how many of these may be in progress.
-        resumed_share: the cost of a resumed handshake, in full ones.
+        rate: handshakes per second with one server.
+        burst: the size of the bucket of one server, in handshakes.
+        at_once: the maximum number of concurrent handshakes with one server.
+        all_rate: handshakes per second with all servers.
+        all_burst: the size of the bucket of all servers, in handshakes.
+        all_at_once: the maximum number of concurrent handshakes with all servers.
+        resumed_share: the cost of a resumed handshake, as a fraction of the cost of a full handshake.
     """
 
     rate: float = 20.0
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -448,11 +448,15 @@
         ("verify = on", "verify = off", ""),
         ("verify = on", "verify = perhaps", "[trust servers] verify: 'perhaps': expected on or off"),
         ("members = caches, parents, origin", "members =", "[trust servers] members: missing"),
-        ("{id}.cajas.example.org", "cajas.example.org", "'{id}' is missing"),
+        ("{id}.cajas.example.org", "cajas.example.org", "name: expected a text with '{id}'"),
         ("least = 1.2", "least = 1.1", "[versions] least"),
         ("key = keys/front.key", "", "[client] key: missing"),
-        ("at-once = 4\n", "at-once = 40\n", "above all-at-once"),
-        ("passing = 200ms", "passing = 9s", "[left-alone] passing: above"),
+        (
+            "at-once = 4\n",
+            "at-once = 40\n",
+            "[handshakes] at-once: expected at most the value of all-at-once",
+        ),
+        ("passing = 200ms", "passing = 9s", "[left-alone] passing: expected at most"),
         ("[trust servers]", "[trusts servers]", "did you mean"),
     ),
 )
