--- a/limepath/configuration/platform.py
+++ b/limepath/configuration/platform.py
@@ -1,6 +1,6 @@
-"""The front's configuration: the environment, and the platform's JSON file that it names.
+"""Reads a front's configuration from the environment and from the platform's JSON file.
 
-`read` returns it checked, with defaults; `json_checks` and `settings_schema` check it.
+`read` validates the values with `json_checks` and `settings_schema` and applies defaults.
 """
 
 import json
@@ -26,31 +26,31 @@
 DEFAULT_STREAMS = 1  # attempts in flight on one connection
 DEFAULT_CONNECT_TIMEOUT_NS = 400_000_000
 DEFAULT_CACHE_IDLE_NS = 30_000_000_000
-CACHE_IDLE_PERCENT = 80  # of the endpoint's own idle timeout, so that the front closes first
-OVERLOAD_RETRY_AFTER_DIVISOR = 10  # of the longest Retry-After permitted
-LONGEST_CLIENT_DEADLINE = 2  # that a request may bring, in deadlines of its service
+CACHE_IDLE_PERCENT = 80  # of the endpoint's idle timeout: the front must close a connection first
+OVERLOAD_RETRY_AFTER_DIVISOR = 10  # the permitted Retry-After divided by this is sent on overload
+LONGEST_CLIENT_DEADLINE = 2  # maximum deadline in a request, in multiples of its service's deadline
 
-# The protocol page: SIGKILL comes no sooner than the longest deadline, 3 s of it at most, and 0.7 s after
-# SIGTERM. Microseconds.
+# Times of the shutdown, in microseconds. By the protocol page, SIGKILL follows SIGTERM no sooner than after
+# the longest deadline (3 s at most) plus 0.7 s.
 LONGEST_DEADLINE_AWAITED = 3_000_000
 LAST_ANSWER_AFTER_DEADLINE = 600_000
-# Requests arrive for 0.6 s after SIGTERM; a front on a busy core accepts them for longer where the kill
-# leaves time for that, and no more a while before the last answer. Microseconds.
+# Requests arrive for up to 0.6 s after SIGTERM. A front on a busy core accepts them for longer if SIGKILL
+# comes late enough, and stops DRAINED_BEFORE_LAST_ANSWER before its last answer.
 REQUESTS_ARRIVE = 601_000
 LONGEST_DRAIN_PERIOD = 1_200_000
 DRAINED_BEFORE_LAST_ANSWER = 100_000
 
-MILLISECOND = 1000  # in microseconds
+MILLISECOND = 1000  # microseconds
 INTEGER = Number(integer=True)
 
 
 class Service(NamedTuple):
-    """A delivery service, as the front's network code needs it.
+    """The settings of a delivery service that the front's network code uses.
 
     Attributes:
-        index: its place in the settings.
-        uncacheable: whether its objects are never cached; its requests are writes.
-        max_deadline: the longest deadline that a request may bring, in microseconds.
+        index: the service's index in the settings.
+        uncacheable: whether the service's objects are never cached; requests to it are writes.
+        max_deadline: the maximum deadline in a request, in microseconds.
     """
 
     index: int
@@ -63,15 +63,15 @@
 
     Attributes:
         name: the front's name.
-        listen: where clients connect.
-        seed: the seed of all randomness.
+        listen: the address that clients connect to.
+        seed: the seed of the random number generators.
         changelog: the address of the change log.
-        known: the endpoint list at the start, as the change log gives it.
-        settings: the platform's settings, as they stand.
-        arguments: what the decision module is made of.
+        known: the endpoint list at the start, in the format of the change log.
+        settings: the platform's settings, unchanged.
+        arguments: the keyword arguments of the decision module.
         services: the delivery services by name.
         reports: whether endpoints report their load.
-        limits: limits of the network code.
+        limits: the limits of the network code.
     """
 
     name: str
@@ -87,11 +87,11 @@
 
 
 class Reload(NamedTuple):
-    """What a reload of the file brings.
+    """The result of reading the file again for a running front.
 
     Attributes:
-        changelog: the address of the change log as the file names it now.
-        differing: keys whose values differ from those of the running front, but change at a restart only.
+        changelog: the address of the change log in the file.
+        differing: keys whose values in the file differ from the running front's and need a restart to apply.
     """
 
     changelog: tuple[str, int]
@@ -102,28 +102,28 @@
     """Read the configuration from the environment and the file that it names.
 
     Raises:
-        ConfigurationError: it cannot be used; the text names the key.
+        ConfigurationError: the configuration is invalid; the message names the key.
     """
     path = environ.get(CONFIGURATION)
     if not path:
-        raise ConfigurationError(f"{CONFIGURATION}: missing from the environment")
+        raise ConfigurationError(f"{CONFIGURATION}: not set in the environment")
     try:
         with open(path, encoding="utf-8") as file:
             document = json.load(file)
     except OSError as error:
         raise ConfigurationError(f"{CONFIGURATION}: {path}: {error.strerror}") from None
     except ValueError as error:
-        raise ConfigurationError(f"{CONFIGURATION}: {path}: no JSON: {error}") from None
+        raise ConfigurationError(f"{CONFIGURATION}: {path}: not JSON: {error}") from None
     if not isinstance(document, dict):
-        raise ConfigurationError(f"{CONFIGURATION}: {path}: no JSON object")
+        raise ConfigurationError(f"{CONFIGURATION}: {path}: expected a JSON object")
     return front_settings(document, environ)
 
 
 def read_again(environ: Mapping[str, str], running: FrontSettings) -> Reload:
-    """Read the configuration for a running front.
+    """Read the configuration again and compare it with that of a running front.
 
     Raises:
-        ConfigurationError: as `read`.
+        ConfigurationError: the configuration is invalid; the message names the key.
     """
     settings = read(environ)
     is_changed = {
@@ -132,15 +132,15 @@
         "seed": settings.seed != running.seed,
         "settings": settings.settings != running.settings,
         "limits": settings.limits != running.limits,
-    }  # `known` is of the start; the change log is more recent
+    }  # `known` is not compared because it only applies at the start; the change log is more recent
     return Reload(settings.changelog, [key for key, changed in is_changed.items() if changed])
 
 
 def front_settings(document: Mapping[str, Any], environ: Mapping[str, str]) -> FrontSettings:
-    """Return the configuration of a document, which the environment overrides.
+    """Return the configuration in a JSON document. Environment variables override it.
 
     Raises:
-        ConfigurationError: it cannot be used; the text names the key.
+        ConfigurationError: the configuration is invalid; the message names the key.
     """
     seed = _seed(document)
     settings = require(document, "settings", dict)
@@ -150,7 +150,7 @@
         arguments = decision_settings.decision_arguments(settings)
         services = _services(settings, arguments)
     except KeyError as error:
-        raise ConfigurationError(f"settings: {error} is an unknown value") from None
+        raise ConfigurationError(f"settings: unknown value {error}") from None
     except (TypeError, ValueError, AttributeError, IndexError) as error:
         raise ConfigurationError(f"settings: {error}") from None
     limits = _limits(require(document, "limits", dict, {}), settings.get("limits", {}), arguments)
@@ -173,7 +173,7 @@
     try:
         return int(text, 16)
     except ValueError:
-        raise ConfigurationError(f"seed: {text!r} is no hexadecimal number") from None
+        raise ConfigurationError(f"seed: {text!r}: expected a hexadecimal number") from None
 
 
 def _address(document: Mapping[str, Any], key: str, default: str | None = None) -> tuple[str, int]:
@@ -181,7 +181,7 @@
     try:
         return address_of(text)
     except ValueError:
-        raise ConfigurationError(f"{key}: {text!r} is no address with a port") from None
+        raise ConfigurationError(f"{key}: {text!r}: expected host:port") from None
 
 
 def _known_endpoints(document: Mapping[str, Any]) -> dict[str, Any]:
@@ -201,7 +201,7 @@
 
 
 class _ShutdownTimes(NamedTuple):
-    """Microseconds after SIGTERM."""
+    """Times after SIGTERM, in microseconds; see `Limits`."""
 
     last_answer: int
     drain_period: int
@@ -221,11 +221,11 @@
 
 
 def _limits(machine: Mapping[str, Any], permitted: Mapping[str, Any], arguments: DecisionArguments) -> Limits:
-    """Return the limits of a front.
+    """Return the limits of a front's network code.
 
     Args:
-        machine: `limits` of the document: what the machine has.
-        permitted: `settings.limits`: what the deployment permits.
+        machine: the document's `limits`: the resources of the machine.
+        permitted: the document's `settings.limits`: the limits that the platform permits.
         arguments: the settings of the decision module.
     """
     descriptors = int(require(machine, "sockets", COUNT, DEFAULT_DESCRIPTORS, "limits."))
--- a/limepath/configuration/settings_schema.py
+++ b/limepath/configuration/settings_schema.py
@@ -1,7 +1,7 @@
-"""What may stand in the settings of the platform's JSON (`settings`), as far as the front reads them.
+"""The schema of `settings` in the platform's JSON, as far as the front reads them.
 
-A section is named by its path; `classes[].` stands for each entry of the list `classes`. Unknown keys are
-taken and not read.
+Sections are keyed by their path; `classes[].` is the path of every entry of the list `classes`. Unknown keys
+are ignored.
 """
 
 from collections.abc import Mapping, Sequence
@@ -25,8 +25,8 @@
 POSITIVE = Number(exclusive=True)
 COUNT = Number(1, integer=True)
 FRACTION = Number(maximum=1.0)
-MODEL_INDEX = Number(-1, integer=True)  # into `models`; -1 where the site has none
-FORBIDDEN_IN_NAMES = set("/?# ")  # a service's name stands in request targets
+MODEL_INDEX = Number(-1, integer=True)  # index into `models`; -1 if the site has no such model
+FORBIDDEN_IN_NAMES = set("/?# ")  # because a service's name is a path segment of request targets
 
 REQUIRED = {
     "": {
@@ -92,7 +92,7 @@
     | dict.fromkeys(("cancel", "probing", "peers", "retry-after", "second-copies"), bool),
     "stats.": {"fields": list},
 }
-# Lists in `family-info` that have an entry for each service or zone, and what the entries may be.
+# Constraints on the entries of the lists in `family-info` that have one entry for each service or zone.
 PER_SERVICE = dict.fromkeys(("max-age", "class-grace"), NON_NEGATIVE) | {
     "class-stale-worth": NON_NEGATIVE,
     "never-kept": bool,
@@ -106,10 +106,10 @@
 
 
 def check_settings(settings: Mapping[str, Any]) -> None:
-    """Check the settings, as far as the front reads them.
+    """Validate the settings that the front reads.
 
     Raises:
-        ConfigurationError: at the first key that cannot be used.
+        ConfigurationError: describes the first invalid key.
     """
     _check_section(settings, "")
     for key in ("safety", "family-info", "limits", "stats"):
@@ -120,7 +120,7 @@
     _check_lists(family, PER_SERVICE, services, "classes")
     _check_lists(family, PER_ZONE, settings["areas"], "areas")
     if settings["az"] >= len(settings["areas"]):
-        raise ConfigurationError("settings.az: no place in settings.areas")
+        raise ConfigurationError(f"settings.az: {settings['az']}: expected an index into settings.areas")
     _check_models(family, settings["models"])
 
 
@@ -135,17 +135,17 @@
 
 def _check_services(services: Sequence[Any]) -> None:
     if not services:
-        raise ConfigurationError("settings.classes: there is none")
+        raise ConfigurationError("settings.classes: expected at least one entry")
     names: set[str] = set()
     for number, entry in enumerate(services):
         path = f"settings.classes[{number}]"
         if not isinstance(entry, dict):
-            raise ConfigurationError(f"{path}: {str(entry)[:MAX_SHOWN_CHARACTERS]!r} is no dict")
+            raise ConfigurationError(f"{path}: {str(entry)[:MAX_SHOWN_CHARACTERS]!r}: expected an object")
         _check_section(entry, "classes[].", f"classes[{number}].")
         name = entry["name"]
         if not name or set(name) & FORBIDDEN_IN_NAMES or name in names:
             raise ConfigurationError(
-                f"{path}.name: {name!r} is empty, can't stand in a target or is there twice"
+                f"{path}.name: {name!r}: expected a unique name without '/', '?', '#' and spaces"
             )
         names.add(name)
 
@@ -153,24 +153,28 @@
 def _check_lists(
     family: Mapping[str, Any], kinds: Mapping[str, Kind], entries: Sequence[Any], what: str
 ) -> None:
-    """Check that lists of the family are empty or have one value for each entry of settings.`what`."""
+    """Check that lists in `family-info` are empty or have one value for each entry of settings.`what`."""
     for key, kind in kinds.items():
         values = family.get(key, [])
         path = f"settings.family-info.{key}"
         if len(values) not in (0, len(entries)):
-            raise ConfigurationError(f"{path}: {len(values)} entries for {len(entries)} of settings.{what}")
+            raise ConfigurationError(
+                f"{path}: {len(values)} entries; expected {len(entries)} as in settings.{what}"
+            )
         for number, value in enumerate(values):
             check_value(value, kind, f"{path}[{number}]")
 
 
 def _check_models(family: Mapping[str, Any], models: Sequence[Any]) -> None:
-    """Check which models are the parents' and the origin's."""
+    """Check the indexes of the parents' model and the origin's model."""
     parent = family.get("mid-kind", -1)
     origin = family.get("master-kind", -1)
     for key, index in (("mid-kind", parent), ("master-kind", origin)):
         if index >= len(models):
-            raise ConfigurationError(f"settings.family-info.{key}: no place in settings.models")
+            raise ConfigurationError(
+                f"settings.family-info.{key}: {index}: expected an index into settings.models"
+            )
     if parent == origin != -1:
         raise ConfigurationError(
-            "settings.family-info.mid-kind: the same as settings.family-info.master-kind"
+            "settings.family-info.mid-kind: expected another index than settings.family-info.master-kind"
         )
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -64,14 +64,14 @@
     (
         ("family-info", "never-kept"),
         [True],
-        "settings.family-info.never-kept: 1 entries for 2 of settings.classes",
+        "settings.family-info.never-kept: 1 entries; expected 2 as in settings.classes",
     ),
     (("family-info", "never-kept"), [0, 1], r"settings.family-info.never-kept\[0\]"),
     (("family-info", "pipe-kb-per-s"), [1.0, -1.0], r"settings.family-info.pipe-kb-per-s\[1\]"),
     (
         ("family-info", "zone-balancers"),
         [1, 1, 1],
-        "settings.family-info.zone-balancers: 3 entries for 2 of settings.areas",
+        "settings.family-info.zone-balancers: 3 entries; expected 2 as in settings.areas",
     ),
     (("stats", "fields"), "rif", "settings.stats.fields"),
 ]
