--- a/limepath/cli/keys.py
+++ b/limepath/cli/keys.py
@@ -17,33 +17,33 @@
 from limepath.tls.material import BadMaterial, Chain, certificates, shown
 
 kind_option = click.option(
-    "--kind", type=click.Choice(making.KINDS), default="ec", show_default=True, help="Of the key."
+    "--kind", type=click.Choice(making.KINDS), default="ec", show_default=True, help="Type of the key."
 )
 CA, CA_KEY = "ca.pem", "ca.key"
 SECONDS_A_DAY = 86_400
 
 
 def unix_clock() -> int:
-    """Return the wall clock, in microseconds of Unix time."""
+    """Return the Unix time in microseconds."""
     return time.time_ns() // 1000
 
 
 def fail_keys(error: object) -> NoReturn:
-    """End with status 2 over a file that cannot be used."""
+    """Print an error about an invalid file; exit with status 2."""
     fail(f"keys: {error}")
 
 
 @click.group("keys")
 def command() -> None:
-    """Certificates and keys: make, inspect, check. Private keys are readable by their owner only."""
+    """Make, inspect and check certificates and keys. Private keys are readable by their owner only."""
 
 
 def write_pair(folder: str, stem: str, made: Made, overwrite: bool) -> None:
-    """Write a certificate and its key, the key first and for its owner only; print both paths."""
+    """Write a private key, readable by its owner only, and then its certificate; print both paths."""
     paths = [os.path.join(folder, f"{stem}.pem"), os.path.join(folder, f"{stem}.key")]
     for path in paths:
         if os.path.exists(path) and not overwrite:
-            fail_keys(f"{path}: is there already; --overwrite replaces it")
+            fail_keys(f"{path}: already exists; use --overwrite to replace it")
     os.makedirs(folder, exist_ok=True)
     write(paths[1], made.key, secret=True)
     write(paths[0], made.certificate)
@@ -58,7 +58,7 @@
 @kind_option
 @click.option("--overwrite", is_flag=True)
 def make_ca(folder: str, name: str, days: int, kind: str, overwrite: bool) -> None:
-    """Make a certificate authority in FOLDER: ca.pem (for roots =) and ca.key (keep it off the fronts)."""
+    """Make a certificate authority in FOLDER: ca.pem (for roots =) and ca.key (do not copy it to fronts)."""
     write_pair(folder, "ca", making.authority(name, unix_clock(), days, kind), overwrite)
 
 
@@ -67,12 +67,12 @@
 @click.argument("names", nargs=-1, required=True)
 @click.option("--days", type=click.FloatRange(min=0.01, max=3650), default=90, show_default=True)
 @kind_option
-@click.option("--file", "stem", help="Name of the two files; the first name otherwise.")
+@click.option("--file", "stem", help="Name of the two files. Default: the first of NAMES.")
 @click.option("--overwrite", is_flag=True)
 def issue(
     folder: str, names: tuple[str, ...], days: float, kind: str, stem: str | None, overwrite: bool
 ) -> None:
-    """Issue a certificate for NAMES (DNS names or addresses), signed by the CA in FOLDER."""
+    """Issue a certificate for NAMES (DNS names or IP addresses), signed by the CA in FOLDER."""
     try:
         authority = Made(
             read(os.path.join(folder, CA), "ca"), read(os.path.join(folder, CA_KEY), "ca key", True)
@@ -108,14 +108,14 @@
     type=click.FloatRange(min=0),
     default=14,
     show_default=True,
-    help="Status 1 when something ends sooner.",
+    help="Status 1 if a certificate or list expires sooner.",
 )
 @click.option("--json", "as_json", is_flag=True, help="Print as JSON.")
 def check(file: str, days: float, as_json: bool) -> None:
-    """Check a TLS settings FILE with all that it names, without traffic.
+    """Check a TLS settings FILE and the files that it names, without any network traffic.
 
-    Identity, chain, trust, revocation lists and days left are checked. Status 2 with section and reason where
-    a front would refuse the set; 1 where something ends within --days.
+    Checks identity, chain, trust, revocation lists and days left. Status 2 with section and reason if a front
+    would refuse the files; 1 if a certificate or list expires within --days.
     """
     now = unix_clock()
     try:
@@ -129,7 +129,7 @@
         row for trust in found.trusts for row in trust_rows(trust, now)
     ]
     warnings = [
-        f"[trust {entry.title}] verify: off; whoever answers for {', '.join(entry.members)} is believed"
+        f"[trust {entry.title}] verify: off; certificates of {', '.join(entry.members)} are not verified"
         for entry in settings.trusts
         if not entry.verify
     ]
@@ -142,15 +142,15 @@
 
 
 def chain_rows(chain: Chain | None, now: int) -> list[dict[str, Any]]:
-    """Return a row for the front's own certificate and for each that it hangs on; none without a key."""
+    """Return a row for each certificate of the front's chain, its own first; none without a chain."""
     if not chain:
         return []
     own = {"what": "[client] certificate"} | shown(chain.leaf, now)._asdict()
-    return [own, *({"what": "  hangs on"} | shown(issuer, now)._asdict() for issuer in chain.above)]
+    return [own, *({"what": "  issued by"} | shown(issuer, now)._asdict() for issuer in chain.above)]
 
 
 def trust_rows(trust: Trusted, now: int) -> list[dict[str, Any]]:
-    """Return a row for each root and each revocation list of a trust section."""
+    """Return a row for each root certificate and each revocation list of a trust section."""
     rows = [{"what": f"[trust {trust.title}] root"} | shown(root, now)._asdict() for root in trust.roots]
     for revoked in trust.lists:
         rows.append(
@@ -165,14 +165,14 @@
 
 
 def days_left(revoked: CertificateRevocationList, now: int) -> float | None:
-    """Return the days until a revocation list's next update; None where it names none."""
+    """Return the days until a revocation list's next update, or None if the list does not state it."""
     if not revoked.next_update_utc:
         return None
     return round((revoked.next_update_utc.timestamp() - now / 1e6) / SECONDS_A_DAY, 2)
 
 
 def print_rows(rows: list[dict[str, Any]], ending: list[dict[str, Any]], warnings: list[str]) -> None:
-    """Print the rows for people to read, those that end soon marked, and the warnings."""
+    """Print the rows and the warnings as text; rows in `ending` are marked with SOON."""
     for row in rows:
         click.echo(
             f"{row['what']:<24}{row['subject']:<32}{row['key']:<16}{row['days_left']} days left"
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -394,7 +394,7 @@
     assert shown_one[0]["names"] == ["front-1", "127.0.0.1"] and 89 < shown_one[0]["days_left"] <= 90
     assert (site / "keys/front.key").stat().st_mode & 0o077 == 0
     again = told("issue", site / "keys", "front-1", "--file", "front")
-    assert again.exit_code == 2 and "is there already" in again.output
+    assert again.exit_code == 2 and "already exists" in again.output
     assert (
         told("issue", site / "keys", "front-1", "--file", "front", "--days", "3", "--overwrite").exit_code
         == 0
