--- a/limepath/cli/discovery.py
+++ b/limepath/cli/discovery.py
@@ -17,15 +17,17 @@
 
 @click.group("discovery")
 def command() -> None:
-    """The endpoint list (caches, drains, purges), sent once to a fleet and passed on inside it."""
+    """The endpoint list (caches, drains, purges), sent to a few fronts that distribute it to the fleet."""
 
 
 def read_settings(file: str) -> PeersSettings:
-    """Read a peers file that has a [listing]; end with status 2 where it can't be used or has none."""
+    """Read a peers file; exit with status 2 if it is invalid or has no section [listing]."""
     try:
         settings = peers_file.read(file)
         if not settings.listing:
-            raise SettingError(f"{file}: [listing]: missing; each front follows the change log by itself")
+            raise SettingError(
+                f"{file}: [listing]: missing; without it each front follows the change log by itself"
+            )
     except SettingError as error:
         fail_configuration(error)
     return settings
@@ -33,27 +35,29 @@
 
 @command.command("bounds")
 @click.argument("file", type=click.Path(dir_okay=False))
-@click.option("--fronts", type=click.IntRange(1, 10_000), help="Fronts alive; by default as the file says.")
+@click.option(
+    "--fronts", type=click.IntRange(1, 10_000), help="Number of fronts. Default: the value of fronts in FILE."
+)
 @click.option("--zones", type=click.IntRange(1, 100), default=1, show_default=True)
 @click.option("--sites", type=click.IntRange(1, 1000), default=1, show_default=True)
 @json_option
 def bounds(file: str, fronts: int | None, zones: int, sites: int, as_json: bool) -> None:
-    """Compute what the settings in FILE promise: the delay of an event, calls and streams."""
+    """Compute the bounds that follow from the settings in FILE: delays of events, calls and streams."""
     from limepath.discovery.bounds import bounds as compute_bounds
 
     settings = read_settings(file).listing
     fleet_size = fronts or settings.fronts
     computed = compute_bounds(settings, fleet_size, zones, sites)
     labels = {
-        "event": "an event at every front, s",
-        "repaired": "the same, its push lost, s",
-        "relays_lost": "the same, all relays of a zone gone in that moment, s",
-        "stream_still": "the same, their streams standing still, s",
-        "restored": "the same, the service going back to an older state, s",
-        "alone": "the same, at a front that hears of nobody, s",
-        "known_late": "until a front knows that its list may be old, s",
-        "ready": "from the service's return until all have the list, s",
-        "calls": "calls a second of the whole fleet",
+        "event": "until an event is at every front, s",
+        "repaired": "until an event is at every front if its push is lost, s",
+        "relays_lost": "until an event is at every front if all relays of a zone fail, s",
+        "stream_still": "until an event is at every front if the streams of all relays stall, s",
+        "restored": "until an event is at every front if the service returns to an older state, s",
+        "alone": "until an event is at a front that receives nothing from other fronts, s",
+        "known_late": "until a front considers its list stale, s",
+        "ready": "from the service's return until all fronts have the list, s",
+        "calls": "calls per second of the whole fleet",
         "streams": "streams of a zone, at most",
     }
     rows = [
@@ -66,28 +70,28 @@
 
 
 def tree_rows(settings: DiscoverySettings, fronts: int, zones: int, sites: int) -> list[CheckResult]:
-    """Compute what the settings promise of the tree of subscribers that the front is part of."""
+    """Compute the bounds that follow from the settings for the tree of subscribers."""
     from limepath.discovery.bounds import tree_bounds
 
     computed = tree_bounds(settings, fronts, zones, sites)
     return [
-        CheckResult("hops from a root to a front, at the most", computed.hops),
-        CheckResult("fronts that one sends events to, at the most", computed.children),
+        CheckResult("hops from a root to a front, at most", computed.hops),
+        CheckResult("fronts that one front sends events to, at most", computed.children),
         CheckResult(
-            "an event at every front, a front with children gone in that moment, s",
+            "until an event is at every front if a front with children fails, s",
             seconds(computed.inner_lost),
         ),
-        CheckResult("bytes a second sent by any front, whatever others lack", computed.max_bytes),
+        CheckResult("bytes per second sent by a front, repairs included, at most", computed.max_bytes),
     ]
 
 
 @command.command("show")
 @click.argument("where", type=click.Path())
-@click.option("--json", "as_json", is_flag=True, help="Print all as JSON.")
+@click.option("--json", "as_json", is_flag=True, help="Print the whole view as JSON.")
 def show(where: str, as_json: bool) -> None:
-    """Show a running front's endpoint list: revision, age, subscriptions, counts.
+    """Show the endpoint list of a running front: revision, age, subscriptions, counters.
 
-    WHERE is the front's control socket, or its peers file, which names the socket. Status 1 when nothing
+    WHERE is the front's control socket, or its peers file, which names the socket. Status 1 if nothing
     answers there.
     """
     try:
@@ -101,7 +105,7 @@
 
 
 def print_view(view: dict[str, Any]) -> None:
-    """Print a view of the endpoint list, as the control socket gives it, for people to read."""
+    """Print a view of the endpoint list from the control socket as text."""
     age = (
         "never confirmed"
         if view["confirmed_us_ago"] is None
@@ -116,14 +120,14 @@
     )
     if view["site"]:
         click.echo(
-            f"site {view['site']}, {view['hops']} hops at the most, {view['children']} children, events from"
+            f"site {view['site']}, at most {view['hops']} hops, {view['children']} children, events from"
             f" {view['reaches']} on" + (", CUT SHORT by window-bytes" if view["window_cut_short"] else "")
         )
     for source in view["follows"]:
         last_message = (
-            "not heard yet"
+            "no message yet"
             if source["heard_us_ago"] is None
-            else f"heard {source['heard_us_ago'] / 1e6:.1f} s ago, at {source['number']}"
+            else f"last message {source['heard_us_ago'] / 1e6:.1f} s ago, at event {source['number']}"
         )
         error = f", {source['flaw']}" if source["flaw"] else ""
         click.echo(f"follows {source['token']}: {last_message}{error}")
--- a/tests/test_discovery_bounds.py
+++ b/tests/test_discovery_bounds.py
@@ -47,4 +47,4 @@
     file.write_text(PEERS + "[listing]\nfronts = 5200\nsite = a\n")
     done = command("listing", "bounds", str(file), "--zones", "20", "--sites", "240", "--json")
     rows = {row["what"]: row["measured"] for row in json.loads(done.stdout)["rows"]}
-    assert rows["fronts that one sends events to, at the most"] == 8
+    assert rows["fronts that one front sends events to, at most"] == 8
