--- a/limepath/cli/scale_run.py
+++ b/limepath/cli/scale_run.py
@@ -1,4 +1,4 @@
-"""`limepath scale run`: hollow fronts and real processes on one machine."""
+"""`limepath scale run`: runs a fleet of hollow fronts and real processes on one machine."""
 
 import json
 import os
@@ -16,14 +16,14 @@
     from limepath.scale.plan import Machine, Plan
     from limepath.scale.run import Options
 
-SHORTEST = 5_000_000  # microseconds of a run
-MOST_STRETCH = 20  # at which the longest span of the settings is still one that they take
-LONGEST_FOLDER = 80  # characters: a control socket's path below it must fit the system's 107
-MEMORY_FOLDER = "/dev/shm"  # where it is there: a thousand stores on one disk would measure that disk
+SHORTEST = 5_000_000  # minimum --duration, in microseconds
+MOST_STRETCH = 20  # a larger factor would exceed the maximum of a duration in the settings
+LONGEST_FOLDER = 80  # characters, because the path of a control socket in it is limited to 107
+MEMORY_FOLDER = "/dev/shm"  # used if present, because the disk would limit a run with 1000 stores
 
 
 def this_machine() -> "Machine":
-    """Return what this machine has: cores, memory, file descriptors; their limit is raised first."""
+    """Raise the limit on file descriptors; return the machine's cores, memory and file descriptors."""
     import psutil
 
     from limepath.scale.plan import Machine
@@ -36,30 +36,40 @@
 
 @click.command("run")
 @click.option(
-    "--fronts", type=int, default=100, show_default=True, help="All fronts, the real ones among them."
+    "--fronts", type=int, default=100, show_default=True, help="Number of fronts, real ones included."
+)
+@click.option(
+    "--real", type=int, default=0, show_default=True, help="Number of fronts that run as real processes."
 )
-@click.option("--real", type=int, default=0, show_default=True, help="Of these, processes of the program.")
 @click.option("--caches", type=int, default=24, show_default=True)
 @click.option("--regions", type=int, default=1, show_default=True)
 @click.option("--zones", type=int, default=1, show_default=True)
 @click.option("--sites", type=int, default=1, show_default=True)
-@click.option("--processes", type=int, default=0, help="Of hollow fronts; by size and cores otherwise.")
-@click.option("--purges", type=float, default=1.0, show_default=True, help="A second.")
-@click.option("--settings-changes", type=float, default=0.0, show_default=True, help="Drains a second.")
 @click.option(
-    "--churn", is_flag=True, help="Restart fronts at an ordinary day's rate, sped up; as --faults churn."
+    "--processes", type=int, default=0, help="Processes of hollow fronts. Default: by fleet size and cores."
+)
+@click.option("--purges", type=float, default=1.0, show_default=True, help="Purges per second.")
+@click.option("--settings-changes", type=float, default=0.0, show_default=True, help="Drains per second.")
+@click.option(
+    "--churn", is_flag=True, help="Restart fronts at an accelerated normal rate; the same as --faults churn."
+)
+@click.option(
+    "--faults", "kinds", default="", help="Kinds, separated by commas and caused in turn, or 'all'."
+)
+@click.option(
+    "--duration", type=Duration(), default="60s", show_default=True, help="Length of the measurement."
 )
-@click.option("--faults", "kinds", default="", help="Kinds with commas, one after another, or 'all'.")
-@click.option("--duration", type=Duration(), default="60s", show_default=True, help="Of the measured time.")
 @click.option(
     "--stretch",
     type=click.IntRange(1, MOST_STRETCH),
     default=1,
     show_default=True,
-    help="Play so much slower: all spans longer, all rates lower, all figures in the run's own time.",
+    help="Slow the run down by this factor: durations grow, rates fall, results are in the run's time.",
+)
+@click.option(
+    "--broken", type=click.Choice(["fan-out", "window"]), help="Set this setting wrong, but not its bound."
 )
-@click.option("--broken", type=click.Choice(["fan-out", "window"]), help="Break this setting, not its bound.")
-@click.option("--budget-bytes", type=float, help="That a front may send a second, in place of 24,000.")
+@click.option("--budget-bytes", type=float, help="Bytes per second that a front may send, instead of 24,000.")
 @seed_option
 @json_option
 @folder_option
@@ -85,7 +95,7 @@
 ) -> None:
     """Run hollow fronts and real processes on loopback, send events, cause faults, check the bounds.
 
-    Status 1 when a bound breaks, 2 for sizes or faults that cannot be.
+    Status 1 if a bound is exceeded, 2 for invalid sizes or faults.
     """
     from limepath.scale import faults, plan, settings
     from limepath.scale.run import Options
@@ -104,7 +114,7 @@
 
 
 def chosen_faults(kinds: str, churn: bool) -> "tuple[Kind, ...]":
-    """Return the kinds that the options name, churn first where only --churn asks for it."""
+    """Return the kinds in --faults, preceded by churn if only --churn selects it."""
     from limepath.scale.faults import Kind, kinds_of
 
     chosen = kinds_of(kinds)
@@ -112,17 +122,17 @@
 
 
 def check_options(duration: int, budget_bytes: float | None, folder: str | None) -> None:
-    """Raise BadSize where one of these options cannot be, with what is wanted."""
+    """Raise BadSize with the expected value if an option is invalid."""
     from limepath.scale.plan import BadSize
 
     if duration < SHORTEST:
-        raise BadSize("--duration: at least 5s is wanted")
+        raise BadSize("--duration: expected at least 5s")
     if budget_bytes is not None and budget_bytes <= 0:
-        raise BadSize(f"--budget-bytes {budget_bytes:g}: over 0 is wanted")
+        raise BadSize(f"--budget-bytes {budget_bytes:g}: expected more than 0")
     if folder and len(os.path.abspath(folder)) > LONGEST_FOLDER:
-        raise BadSize(f"--keep {folder}: a path of at most {LONGEST_FOLDER} characters is wanted")
+        raise BadSize(f"--keep {folder}: expected a path of at most {LONGEST_FOLDER} characters")
     if folder and os.path.isdir(folder) and os.listdir(folder):
-        raise BadSize(f"--keep {folder}: an empty or a new folder is wanted")
+        raise BadSize(f"--keep {folder}: expected a new or empty folder")
 
 
 def run_and_report(
@@ -133,7 +143,7 @@
     as_json: bool,
     log_folder: str | None,
 ) -> NoReturn:
-    """Run the fleet, print the report, end with its status."""
+    """Run the fleet, print the report and exit with its status."""
     from limepath.report_table import all_passed
     from limepath.scale import report
     from limepath.scale.bounds import Budget
--- a/tests/test_capacity_page.py
+++ b/tests/test_capacity_page.py
@@ -139,7 +139,7 @@
 def test_an_unknown_role_is_refused(site):
     before = held(site)
     result = run("measure", "--role", "nobody")
-    assert result.exit_code == 2 and "no such role" in result.output
+    assert result.exit_code == 2 and "unknown role" in result.output
     assert held(site) == before
 
 
--- a/tests/test_scale_run.py
+++ b/tests/test_scale_run.py
@@ -93,8 +93,8 @@
         (("--fronts", "9000", "--caches", "100000"), "--fronts 9000: needs"),
         (("--faults", "los"), "--faults 'los': no such fault; did you mean 'loss'?"),
         (("--faults", "cut"), "--faults cut: --regions 1 leaves no other"),
-        (("--duration", "1s"), "--duration: at least 5s is wanted"),
-        (("--budget-bytes", "0"), "--budget-bytes 0: over 0 is wanted"),
+        (("--duration", "1s"), "--duration: expected at least 5s"),
+        (("--budget-bytes", "0"), "--budget-bytes 0: expected more than 0"),
     ],
 )
 def test_what_cannot_be_is_refused_in_one_line_and_nothing_written(words, told, tmp_path):
@@ -108,5 +108,5 @@
 def test_a_folder_that_holds_something_is_refused(tmp_path):
     (tmp_path / "other").write_text("mine")
     done = run("--fronts", "4", "--keep", str(tmp_path))
-    assert done.returncode == 2 and "an empty or a new folder is wanted" in done.stderr
+    assert done.returncode == 2 and "expected a new or empty folder" in done.stderr
     assert (tmp_path / "other").read_text() == "mine"
