--- a/limepath/report_table.py
+++ b/limepath/report_table.py
@@ -1,6 +1,7 @@
-"""Results of a drill or simulation: what was measured, its bound if there is one, and whether it was kept.
+"""Formats the measured values of a drill or simulation and their bounds as a table or for `--json`.
 
-The printed words (`holds`, `BROKEN`) and the keys of `--json`, which other programs read, are mapped here.
+This module defines the printed words (`holds`, `BROKEN`) and the keys in the output of `--json`, which other
+programs read.
 """
 
 from collections.abc import Iterable, Sequence
@@ -10,13 +11,13 @@
 
 
 class CheckResult(NamedTuple):
-    """One measured value.
+    """A measured value and its bound.
 
     Attributes:
-        what: what was measured, with its unit.
-        measured: the value.
-        bound: the bound that it is checked against, or None where none is stated.
-        passed: whether `measured` keeps the bound.
+        what: the name of the measured quantity, with its unit.
+        measured: the measured value.
+        bound: the bound that the value was compared with, or None for no bound.
+        passed: whether the value satisfies the bound.
     """
 
     what: str
@@ -26,17 +27,17 @@
 
 
 def at_most(what: str, measured: Any, bound: Any) -> CheckResult:
-    """Check that a value is no larger than its bound."""
+    """Return the result of checking that a value is at most its bound."""
     return CheckResult(what, measured, bound, measured <= bound)
 
 
 def seconds(duration_us: float | None) -> float | None:
-    """Return microseconds as seconds for a table; None stays None."""
+    """Convert microseconds to seconds, rounded to milliseconds; None stays None."""
     return None if duration_us is None else round(duration_us / MICROSECONDS_PER_SECOND, 3)
 
 
 def format_table(results: Iterable[CheckResult]) -> str:
-    """Return the results as text in four columns: what, measured, bound, and whether the bound holds."""
+    """Format the results as a table with the columns what, measured, bound and status."""
     rows = [
         (
             result.what,
@@ -60,7 +61,7 @@
 
 
 def format_value(value: Any) -> str:
-    """Return a value as a table shows it: `-` for None, a float with one decimal or up to three."""
+    """Format a value: None as `-`, floats with one to three decimals, everything else with `str`."""
     if value is None:
         return "-"
     if not isinstance(value, float):
@@ -71,12 +72,12 @@
 
 
 def all_passed(results: Iterable[CheckResult]) -> bool:
-    """Return whether every stated bound was kept."""
+    """Return whether all results satisfy their bounds."""
     return all(result.passed for result in results)
 
 
 def json_fields(results: Sequence[CheckResult], /, **facts: Any) -> dict[str, Any]:
-    """Return what `--json` prints: the facts, whether all bounds hold, and the results."""
+    """Return the object that `--json` prints: the facts, whether all bounds hold, and the results."""
     rows = [
         {
             "what": result.what,
--- a/tests/test_report_table.py
+++ b/tests/test_report_table.py
@@ -1,9 +1,9 @@
-"""Tables of check results, and what `--json` prints of them."""
+"""Tests of the table of check results and of their JSON form."""
 
 from limepath.report_table import CheckResult, format_table, json_fields, seconds
 
 
-def test_microseconds_are_shown_in_seconds():
+def test_microseconds_are_converted_to_seconds():
     assert (seconds(5_000_498), seconds(None)) == (5.0, None)
 
 
