--- a/limepath/cli/__init__.py
+++ b/limepath/cli/__init__.py
@@ -1,48 +1,48 @@
-"""The command line: `limepath GROUP VERB`, one file a group, imported when the group is used."""
+"""The command line `limepath GROUP VERB`. Each group has its own module, which is imported on first use."""
 
 import sys
 from importlib import import_module
 
 try:
     import click
-except ImportError:  # the small set of libraries that `run` needs is without it
+except ImportError:  # click belongs to the extra 'operator', which is not always installed
     click = None  # type: ignore[assignment]
 
 COMMANDS = {
     "run": "Run one front.",
-    "duties": "Periodic duties that instances divide among themselves.",
-    "discovery": "The endpoint list, shared by the fronts of a fleet.",
-    "coldstart": "Many fronts that start at once.",
-    "scale": "What a size costs: slopes of each role, the capacity page.",
-    "membership": "The instances that know each other and share work.",
+    "duties": "Periodic duties, divided among instances.",
+    "discovery": "The endpoint list that the fronts of a fleet share.",
+    "coldstart": "Simultaneous starts of many fronts.",
+    "scale": "Resource use by fleet size, and the capacity page.",
+    "membership": "The members of the group of instances that share work.",
     "settings": "Settings files.",
     "keys": "Certificates and keys for TLS to servers.",
 }
-# Former names of groups; they work, and `--help` does not list them.
+# Present names by former names. Former names still work, but `--help` does not list them.
 FORMER_NAMES = {"listing": "discovery", "peers": "membership", "opening": "settings"}
 
 if click:
 
     class LazyGroup(click.Group):
-        """Imports the file of a group when the group is used, under its present or its former name."""
+        """Imports the module of a group when the group is used by its present or former name."""
 
         def list_commands(self, ctx: click.Context) -> list[str]:
-            """Return the present names, in the sequence of `COMMANDS`."""
+            """Return the present names in the order of `COMMANDS`."""
             return list(COMMANDS)
 
         def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:
-            """Return the group or command with that name, or None where there is none."""
+            """Return the group or command with a present or former name, or None for an unknown name."""
             name = FORMER_NAMES.get(cmd_name, cmd_name)
             return import_module(f"limepath.cli.{name}").command if name in COMMANDS else None
 
         def resolve_command(
             self, ctx: click.Context, args: list[str]
         ) -> tuple[str | None, click.Command | None, list[str]]:
-            """Resolve a former name to the present one, so that help and errors show the present one."""
+            """Resolve a former name to the present name, which help and errors then show."""
             return super().resolve_command(ctx, [FORMER_NAMES.get(args[0], args[0]), *args[1:]])
 
         def format_commands(self, ctx: click.Context, formatter: click.HelpFormatter) -> None:
-            """Write the list of commands without importing them."""
+            """Write the list of commands without importing their modules."""
             with formatter.section("Commands"):
                 formatter.write_dl(list(COMMANDS.items()))
 
@@ -53,16 +53,16 @@
     def root() -> None:
         """A caching reverse proxy for large objects behind links of little bandwidth.
 
-        `limepath COMMAND --help` describes each command. Exit status: 0 success; 1 a stated bound is broken,
-        or nothing answered or was found; 2 settings or a command line that cannot be used.
+        `limepath COMMAND --help` describes each command. Exit status: 0 for success; 1 if a stated bound is
+        exceeded, nothing answered or nothing was found; 2 for invalid settings or an invalid command line.
         """
 
 
 def main() -> int:
-    """Run the command line; return the exit status where click does not end the program itself."""
+    """Run the command line; return the exit status unless click exits the process itself."""
     if not click:
         print(
-            "limepath: the command line needs the extra 'operator': pip install 'limepath[operator]'",
+            "limepath: the command line requires the extra 'operator': pip install 'limepath[operator]'",
             file=sys.stderr,
         )
         return 2
--- a/limepath/cli/coldstart.py
+++ b/limepath/cli/coldstart.py
@@ -1,4 +1,4 @@
-"""`limepath coldstart`: many fronts that start at once."""
+"""`limepath coldstart`: simultaneous starts of many fronts."""
 
 import click
 
@@ -19,24 +19,22 @@
     type=Duration(),
     default="12s",
     show_default=True,
-    help="How long the list service refuses calls at first.",
+    help="How long the list service refuses calls at the beginning.",
 )
 
 
 @click.group("coldstart")
 def command() -> None:
-    """Many fronts that start at once with nothing, and share the endpoint list under a budget of calls."""
+    """Simultaneous starts of many fronts without a list, under a budget of calls to the list service."""
 
 
 @command.command("drill")
 @click.option("--fronts", type=click.IntRange(2, 400), default=12, show_default=True)
 @faults_option
-@click.option(
-    "--alone", is_flag=True, help="The same fronts without any of it, for comparison; no faults then."
-)
+@click.option("--alone", is_flag=True, help="Do not share the list, for comparison. No faults are caused.")
 @down_option
 @click.option(
-    "--sites", type=click.IntRange(0, 400), default=0, help="Of the fronts, which stand in trees then."
+    "--sites", type=click.IntRange(0, 400), default=0, help="Sites of the fronts, which then form trees."
 )
 @seed_option
 @json_option
@@ -51,9 +49,9 @@
     as_json: bool,
     folder: str | None,
 ) -> None:
-    """Start real fronts on loopback while the list service is away, and cause faults.
+    """Start real fronts on loopback while the list service is down, and cause faults.
 
-    Calls, streams and what each front knows are checked against the stated bounds.
+    The calls, the streams and the list of each front are checked against the stated bounds.
     """
     from limepath.testbed.coldstart import KINDS, TREE_KINDS, drilled
 
@@ -70,11 +68,15 @@
 @click.option("--fronts", type=click.IntRange(2, 2000), default=200, show_default=True)
 @click.option("--zones", type=click.IntRange(1, 50), default=2, show_default=True)
 @faults_option
-@click.option("--alone", is_flag=True, help="Each front calls for itself, for comparison; no faults then.")
+@click.option(
+    "--alone",
+    is_flag=True,
+    help="Each front calls the list service itself, for comparison. No faults are caused.",
+)
 @down_option
-@click.option("--loss", type=Share(), default="0", help="Share of datagrams that is lost.")
+@click.option("--loss", type=Share(), default="0", help="Fraction of datagrams that are lost.")
 @click.option(
-    "--saved", type=Share(), default="0", help="Share of fronts that hold a saved list, at different numbers."
+    "--saved", type=Share(), default="0", help="Fraction of fronts with saved lists, of different ages."
 )
 @seed_option
 @json_option
@@ -89,7 +91,7 @@
     seed: int,
     as_json: bool,
 ) -> None:
-    """Run the same logic in virtual time; the same seed gives the same table."""
+    """Simulate a cold start in virtual time; the same seed gives the same table."""
     from limepath.discovery.simulate import KINDS, simulated
 
     if kinds == "help":
@@ -105,15 +107,25 @@
 @click.option("--regions", type=click.IntRange(2, 50), default=2, show_default=True)
 @click.option("--zones", type=click.IntRange(1, 100), default=4, show_default=True)
 @click.option("--sites", type=click.IntRange(1, 1000), default=16, show_default=True)
-@click.option("--purges", type=click.FloatRange(0.1, 200), default=36.0, show_default=True, help="A second.")
 @click.option(
-    "--span", type=Duration(), default="20s", show_default=True, help="Of the calm that is measured."
+    "--purges", type=click.FloatRange(0.1, 200), default=36.0, show_default=True, help="Purges per second."
+)
+@click.option(
+    "--span",
+    type=Duration(),
+    default="20s",
+    show_default=True,
+    help="Length of the measured period without faults.",
+)
+@click.option("--loss", type=Share(), default="0", help="Fraction of datagrams that are lost.")
+@click.option(
+    "--cut", type=Duration(), default="3m", show_default=True, help="Length of the fault region-cut."
 )
-@click.option("--loss", type=Share(), default="0", help="Share of datagrams that is lost.")
-@click.option("--cut", type=Duration(), default="3m", show_default=True, help="For which region-cut lasts.")
 @faults_option
 @click.option(
-    "--broken", type=click.Choice(("fan-out", "window")), help="Break a bound on purpose: status 1 then."
+    "--broken",
+    type=click.Choice(("fan-out", "window")),
+    help="Exceed a bound on purpose, which gives status 1.",
 )
 @seed_option
 @json_option
@@ -131,9 +143,9 @@
     seed: int,
     as_json: bool,
 ) -> None:
-    """Send events through trees of fronts in virtual time, under faults.
+    """Simulate the distribution of events through trees of fronts in virtual time, under faults.
 
-    The table has what the busiest front sends, and how late an event is.
+    The table shows the traffic of the busiest front and the delays of events.
     """
     from limepath.discovery.simulate_tree import FAULTS, run_tree
     from limepath.discovery.tree_world import Plan
@@ -150,13 +162,13 @@
 @command.command("measure")
 @click.option("--out", type=click.Path(file_okay=False), default="docs/measurements", show_default=True)
 @click.option(
-    "--sizes", default="10,50,100,200,300,500,1000", show_default=True, help="Fronts, in virtual time."
+    "--sizes", default="10,50,100,200,300,500,1000", show_default=True, help="Numbers of simulated fronts."
 )
-@click.option("--fronts", default="12,50,200", show_default=True, help="Fronts, real processes.")
+@click.option("--fronts", default="12,50,200", show_default=True, help="Numbers of fronts in real processes.")
 def measure(out: str, sizes: str, fronts: str) -> None:
-    """Measure a cold start over sizes, shared and alone; write a page, a chart and the raw figures.
+    """Measure cold starts of several sizes, with and without sharing; write a page, a chart and the raw data.
 
-    Needs the extra 'measure'.
+    Requires the extra 'measure'.
     """
     from limepath.discovery.measure import measured
 
--- a/limepath/cli/duties.py
+++ b/limepath/cli/duties.py
@@ -1,4 +1,4 @@
-"""`limepath duties`: periodic work that instances divide among themselves."""
+"""`limepath duties`: periodic work that is divided among instances."""
 
 from collections.abc import Iterable
 from typing import TYPE_CHECKING
@@ -23,16 +23,16 @@
 if TYPE_CHECKING:
     from limepath.duties.simulate import Fault
 
-SHOWN_NAMES = 8  # instances that a line about a fault names
+SHOWN_NAMES = 8  # maximum number of instances named in the line about a fault
 
 
 @click.group("duties")
 def command() -> None:
-    """Periodic duties (probes of caches) that instances divide, each target once per interval."""
+    """Periodic duties (probes of caches), divided among instances: one probe per target and interval."""
 
 
 def fault_lines(faults: "Iterable[Fault]") -> list[str]:
-    """Return a line for each fault: when, what, for how long, where."""
+    """Return a line for each fault with its time, kind, length and instances."""
     return [
         f"at {fault.at / 1e6:6.1f} s  {fault.kind}"
         + (f" for {fault.length / 1e6:g} s" if fault.length else "")
@@ -49,20 +49,23 @@
 @click.option(
     "--length",
     type=Duration(),
-    help="Virtual time in which faults begin; enough for each kind once otherwise.",
+    help="Virtual time in which faults begin. Default: enough for one fault of each kind.",
 )
-@click.option("--loss", type=Share(), default="0", help="Share of all datagrams that is lost.")
-@click.option("--doubled", type=Share(), default="0", help="Share that arrives twice.")
+@click.option("--loss", type=Share(), default="0", help="Fraction of datagrams that are lost.")
+@click.option("--doubled", type=Share(), default="0", help="Fraction of datagrams that arrive twice.")
 @click.option(
-    "--late", type=Share(), default="0", help="Share that is up to 400 ms late, and so out of order."
+    "--late",
+    type=Share(),
+    default="0",
+    help="Fraction of datagrams delayed by up to 400 ms, and so reordered.",
 )
 @click.option(
     "--faults",
     "kinds",
-    help="Kinds with commas, 'every' or 'none'; --faults help lists them. Otherwise every kind, "
-    "and beyond 50 instances two, beyond 400 one, drawn by the seed.",
+    help="Kinds, separated by commas, 'every' or 'none'; '--faults help' lists them. Default: every kind; "
+    "with more than 50 instances two random kinds, with more than 400 one.",
 )
-@click.option("--cold", is_flag=True, help="Instances begin without knowing each other.")
+@click.option("--cold", is_flag=True, help="Start with instances that have not joined yet.")
 @seed_option
 @json_option
 def simulate(
@@ -79,7 +82,7 @@
     seed: int,
     as_json: bool,
 ) -> None:
-    """Run the logic of many instances in virtual time under faults; the same seed gives the same table."""
+    """Simulate many instances in virtual time under faults; the same seed gives the same table."""
     from limepath.duties.simulate import KINDS
     from limepath.duties.simulate import simulate as run_simulation
 
@@ -111,12 +114,15 @@
 @click.option("--interval", type=Duration(), default="2s", show_default=True)
 @click.option("--faults", "count", type=click.IntRange(0, 50), default=6, show_default=True)
 @click.option(
-    "--sharing/--alone", default=True, show_default=True, help="--alone: each front probes for itself."
+    "--sharing/--alone",
+    default=True,
+    show_default=True,
+    help="With --alone, each front probes all targets itself.",
 )
 @click.option(
-    "--loss", type=Share(), default="0", help="Share of datagrams that the way between instances loses."
+    "--loss", type=Share(), default="0", help="Fraction of datagrams between instances that are lost."
 )
-@click.option("--only", help="Kinds of faults to draw from, with commas; all otherwise.")
+@click.option("--only", help="Kinds of faults to draw from, separated by commas. Default: all.")
 @seed_option
 @json_option
 @folder_option
@@ -133,7 +139,7 @@
     as_json: bool,
     folder: str | None,
 ) -> None:
-    """Start real fronts on loopback, kill, stop and restart them, and count probes per target."""
+    """Start real fronts on loopback; kill, stop and restart them; count the probes of each target."""
     from limepath.testbed.duties import KINDS, drilled
 
     chosen = chosen_kinds(only, KINDS, "--only")
@@ -143,22 +149,30 @@
 
 @command.command("check")
 @click.option("--instances", type=click.IntRange(2, 3), default=2, show_default=True)
-@click.option("--depth", type=click.IntRange(1, 60), default=9, show_default=True, help="Events in a row.")
+@click.option(
+    "--depth",
+    type=click.IntRange(1, 60),
+    default=9,
+    show_default=True,
+    help="Maximum number of events in a sequence.",
+)
 @click.option(
     "--states",
     type=click.IntRange(100, 50_000_000),
     default=200_000,
     show_default=True,
-    help="States after which to stop.",
+    help="Maximum number of states to explore.",
 )
 @click.option(
-    "--broken", is_flag=True, help="Break the lease rule on purpose: a voter grants what another holds."
+    "--broken",
+    is_flag=True,
+    help="Break the rule on purpose: a voter grants a lease that another instance holds.",
 )
 @json_option
 def check(instances: int, depth: int, states: int, broken: bool, as_json: bool) -> None:
-    """Explore every order of events of the lease logic: at most one owner in each.
+    """Explore all sequences of events of the lease logic and check that there is at most one owner.
 
-    Events are delivery, loss, duplication, pause and expiry.
+    The events are delivery, loss, duplication, pause and expiry.
     """
     from limepath.duties.check import explore
 
@@ -172,11 +186,15 @@
 @click.argument("file", type=click.Path(dir_okay=False))
 @click.option("--instances", type=click.IntRange(1, 5000), default=5, show_default=True)
 @click.option(
-    "--together", type=click.IntRange(1, 100), default=1, show_default=True, help="That die at once."
+    "--together",
+    type=click.IntRange(1, 100),
+    default=1,
+    show_default=True,
+    help="Number of instances that fail at the same time.",
 )
 @json_option
 def bounds(file: str, instances: int, together: int, as_json: bool) -> None:
-    """Compute what the settings in FILE promise: gaps, takeover, disagreement of views."""
+    """Compute the bounds that follow from the settings in FILE: gaps, takeover, disagreement of views."""
     from limepath.configuration import peers_file
     from limepath.duties.bounds import bounds as compute_bounds
     from limepath.report_table import CheckResult, seconds
@@ -199,12 +217,14 @@
 
 @command.command("measure")
 @click.option("--out", type=click.Path(file_okay=False), default="docs/measurements", show_default=True)
-@click.option("--sizes", default="3,30,300,1000", show_default=True, help="Instances, in virtual time.")
-@click.option("--fronts", default="3,10,50", show_default=True, help="Fronts, real and in virtual time.")
+@click.option("--sizes", default="3,30,300,1000", show_default=True, help="Numbers of simulated instances.")
+@click.option(
+    "--fronts", default="3,10,50", show_default=True, help="Numbers of fronts, both real and simulated."
+)
 def measure(out: str, sizes: str, fronts: str) -> None:
-    """Measure what sharing costs and saves; write a page, a chart and the raw figures.
+    """Measure the costs and savings of sharing; write a page, a chart and the raw data.
 
-    Needs the extra 'measure'.
+    Requires the extra 'measure'.
     """
     from limepath.duties.measure import write_measurements
 
--- a/limepath/cli/membership.py
+++ b/limepath/cli/membership.py
@@ -1,4 +1,4 @@
-"""`limepath membership`: the instances that a running one knows."""
+"""`limepath membership`: the members of the group that a running instance belongs to."""
 
 import json
 from typing import Any
@@ -13,11 +13,11 @@
 
 @click.group("membership")
 def command() -> None:
-    """The instances that know each other and share work."""
+    """The members of the group of instances that share work."""
 
 
 def columns(rows: list[dict[str, Any]], names: list[str]) -> str:
-    """Return a table of the named fields of `rows`, with a heading and aligned columns."""
+    """Return the fields `names` of `rows` as a table with a heading and aligned columns."""
     lines = [names, *([str(row.get(name, "")) for name in names] for row in rows)]
     widths = [max(len(line[column]) for line in lines) for column in range(len(names))]
     return "\n".join(
@@ -30,9 +30,9 @@
 @click.argument("where", type=click.Path())
 @click.option("--json", "as_json", is_flag=True, help="Print the whole view as JSON.")
 def show(where: str, as_json: bool) -> None:
-    """Show what a running instance knows: members, states, incarnations, duties owned, epochs.
+    """Show the view of a running instance: members, states, incarnations, owned duties, epochs.
 
-    WHERE is the instance's control socket, or its peers file, which names the socket. Status 1 when nothing
+    WHERE is the instance's control socket, or its peers file, which names the socket. Status 1 if nothing
     answers there.
     """
     try:
@@ -48,20 +48,20 @@
 
 
 def control_socket(where: str) -> str:
-    """Return the control socket's path; `where` is that path, or a peers file that names it.
+    """Return the path of a control socket; `where` is that path, or a peers file that names it.
 
-    Raises SettingError where the peers file can't be used or names no control socket.
+    Raises SettingError if the peers file is invalid or names no control socket.
     """
     if not where.endswith(".ini"):
         return where
     settings = peers_file.read(where)
     if not settings.control:
-        raise SettingError(f"{where}: [instance] control: missing; this instance has no control socket")
+        raise SettingError(f"{where}: [instance] control: missing; expected the path of a control socket")
     return settings.control
 
 
 def print_view(view: dict[str, Any]) -> None:
-    """Print a view of the membership, as the control socket gives it, for people to read."""
+    """Print a view of the membership from the control socket as text."""
     me = view["me"]
     click.echo(
         f"{me['name']} ({me['token']}), life {me['life']}"
--- a/limepath/cli/options.py
+++ b/limepath/cli/options.py
@@ -1,4 +1,4 @@
-"""Parameter types and options that several command groups have in common."""
+"""Parameter types and options shared by several command groups."""
 
 from collections.abc import Sequence
 
@@ -9,12 +9,12 @@
 
 
 class Duration(click.ParamType):
-    """A duration with its unit, such as `250ms`; whole microseconds as a value."""
+    """A duration with a unit, such as `250ms`. Its value is an integer in microseconds."""
 
     name = "duration"
 
     def convert(self, value: object, param: click.Parameter | None, ctx: click.Context | None) -> int:
-        """Return microseconds; fail with a usage error where the text is no duration."""
+        """Return the duration in microseconds; fail with a usage error for an invalid duration."""
         if isinstance(value, int):
             return value
         try:
@@ -24,12 +24,12 @@
 
 
 class Share(click.ParamType):
-    """A share from 0 to below 1, or as a percentage."""
+    """A fraction from 0 to below 1, written as a decimal or a percentage."""
 
     name = "share"
 
     def convert(self, value: object, param: click.Parameter | None, ctx: click.Context | None) -> float:
-        """Return the share; fail with a usage error where the text is none."""
+        """Return the fraction; fail with a usage error for an invalid fraction."""
         try:
             share = value if isinstance(value, float) else ini.parse_fraction(value)
         except ValueError as error:
@@ -42,10 +42,14 @@
 mode_option = click.option(
     "--mode", type=click.Choice(list(MODES)), default="at-least-once", show_default=True
 )
-seed_option = click.option("--seed", type=int, default=1, show_default=True, help="Chooses the faults.")
+seed_option = click.option(
+    "--seed", type=int, default=1, show_default=True, help="Seed of the random faults."
+)
 json_option = click.option("--json", "as_json", is_flag=True, help="Print as JSON.")
 faults_option = click.option(
-    "--faults", "kinds", help="Kinds, separated by commas, or 'none'; --faults help lists them. Default: all."
+    "--faults",
+    "kinds",
+    help="Kinds, separated by commas, or 'none'; '--faults help' lists them. Default: all.",
 )
 folder_option = click.option(
     "--keep", "folder", type=click.Path(file_okay=False), help="Keep settings and logs in this folder."
@@ -53,7 +57,7 @@
 
 
 def chosen_kinds(text: str | None, kinds: Sequence[str], option: str) -> tuple[str, ...]:
-    """Return the kinds of faults that `option` names, all of them where it is left out.
+    """Return the kinds of faults listed in the value of `option`, or all kinds if there is no value.
 
     Raises click.BadParameter for a name that is not in `kinds`.
     """
@@ -61,14 +65,14 @@
     for kind in chosen:
         if kind not in kinds:
             raise click.BadParameter(
-                f"{kind!r}: no such kind{ini.suggestion(kind, kinds)}", param_hint=option
+                f"{kind!r}: unknown kind{ini.suggestion(kind, kinds)}", param_hint=option
             )
     return chosen
 
 
 def integers(text: str) -> tuple[int, ...]:
-    """Return the whole numbers of a list with commas; raises click.BadParameter where one is none."""
+    """Return the integers of a list separated by commas; raise click.BadParameter for any other item."""
     try:
         return tuple(int(number) for number in text.split(","))
     except ValueError:
-        raise click.BadParameter("whole numbers with commas are wanted") from None
+        raise click.BadParameter(f"{text!r}: expected integers separated by commas") from None
--- a/limepath/cli/output.py
+++ b/limepath/cli/output.py
@@ -1,4 +1,4 @@
-"""How commands end: a table or JSON with the status that follows from it, or one line with an error."""
+"""Prints the results or the error of a command and exits with the matching status."""
 
 import json
 import sys
@@ -9,14 +9,14 @@
 
 from limepath.report_table import CheckResult, all_passed, format_table, json_fields
 
-STATUS_FAILED = 1  # a stated bound is broken, or nothing answered
-STATUS_UNUSABLE = 2  # settings or a command line that cannot be used
+STATUS_FAILED = 1  # a stated bound is exceeded, or nothing answered
+STATUS_UNUSABLE = 2  # invalid settings or an invalid command line
 
 
 def conclude(
     rows: Sequence[CheckResult], as_json: bool, lines: Iterable[str] = (), **facts: object
 ) -> NoReturn:
-    """Print the table or JSON; end with status 1 when a bound is broken, 0 otherwise."""
+    """Print the results as a table or JSON; exit with status 1 if a bound is exceeded, 0 otherwise."""
     if as_json:
         click.echo(json.dumps(json_fields(rows, **facts), indent=1, default=str))
     else:
@@ -28,11 +28,11 @@
 
 
 def fail(error: object, status: int = STATUS_UNUSABLE) -> NoReturn:
-    """Print one line with the error on standard error; end with `status`."""
+    """Print the error in one line on standard error; exit with `status`."""
     click.echo(f"limepath: {error}", err=True)
     sys.exit(status)
 
 
 def fail_configuration(error: object) -> NoReturn:
-    """End with status 2 over settings that cannot be used."""
+    """Print an error about invalid settings; exit with status 2."""
     fail(f"configuration: {error}")
--- a/limepath/cli/run.py
+++ b/limepath/cli/run.py
@@ -1,4 +1,4 @@
-"""`limepath run`: one real front."""
+"""`limepath run`: runs one front."""
 
 import os
 import sys
@@ -12,28 +12,28 @@
 @click.option(
     "--config",
     type=click.Path(dir_okay=False),
-    help="The front's JSON; by default the file that ROUTER_CONFIG names.",
+    help="The front's JSON file. Default: ROUTER_CONFIG.",
 )
 @click.option(
     "--peers",
     envvar="LIMEPATH_PEERS",
     type=click.Path(dir_okay=False),
-    help="A peers file (deploy/peers.ini): share work with other fronts. Default: LIMEPATH_PEERS.",
+    help="A peers file (deploy/peers.ini), to share work with other fronts. Default: LIMEPATH_PEERS.",
 )
 @click.option(
     "--tls",
     envvar="LIMEPATH_TLS",
     type=click.Path(dir_okay=False),
-    help="A TLS file (deploy/tls.ini): verified TLS to servers. Default: LIMEPATH_TLS.",
+    help="A TLS file (deploy/tls.ini), for verified TLS to servers. Default: LIMEPATH_TLS.",
 )
 @click.option(
     "--log",
     "form",
     type=click.Choice(LOG_FORMATS),
-    help="Form of log lines; by default as the peers file says.",
+    help="Format of log lines. Default: the value in the peers file.",
 )
 def command(config: str | None, peers: str | None, tls: str | None, form: str | None) -> None:
-    """Run one front until SIGTERM. SIGHUP reads the configuration and keys again."""
+    """Run one front until SIGTERM. On SIGHUP it reads the configuration and keys again."""
     if config:
         os.environ["ROUTER_CONFIG"] = config
     from limepath.front.start import main
--- a/limepath/cli/settings.py
+++ b/limepath/cli/settings.py
@@ -13,17 +13,17 @@
 
 @click.group("settings")
 def command() -> None:
-    """Settings files: what they contain, and whether they can be used."""
+    """Settings files: their contents and validity."""
 
 
 @command.command("check")
 @click.argument("file", type=click.Path(dir_okay=False))
-@click.option("--json", "as_json", is_flag=True, help="Print what was read as JSON.")
+@click.option("--json", "as_json", is_flag=True, help="Print the values as JSON.")
 def check(file: str, as_json: bool) -> None:
-    """Check a settings FILE: a peers file (INI), or a front's JSON where its name ends in .json.
+    """Check a settings FILE: a front's JSON file if its name ends in .json, a peers file (INI) otherwise.
 
-    No socket is opened and nothing is written. Status 2, and one line that names section and key, at the
-    first error.
+    Opens no socket and writes nothing. At the first error, prints one line that names section and key, and
+    exits with status 2.
     """
     try:
         values = front_values(file) if file.endswith(".json") else peers_values(file)
@@ -38,7 +38,7 @@
 
 
 def front_values(file: str) -> dict[str, Any]:
-    """Read a front's JSON file; return the part of it that is printed."""
+    """Read a front's JSON file; return the values to print."""
     settings = platform.read(os.environ | {platform.CONFIGURATION: file})
     return {
         "name": settings.name,
@@ -48,7 +48,7 @@
 
 
 def peers_values(file: str) -> dict[str, Any]:
-    """Read a peers file; return all settings as plain values."""
+    """Read a peers file; return all settings as values that JSON can represent."""
     settings = peers_file.read(file)
     return settings._asdict() | {
         "spans": settings.spans._asdict(),
