--- a/limepath/connection_pacing/__init__.py
+++ b/limepath/connection_pacing/__init__.py
@@ -1,9 +1,9 @@
-"""A limit that many fronts keep together without talking: a rate of new connections to each endpoint.
+"""Limits the rate of new connections to each endpoint from the whole fleet, without messages between fronts.
 
-Each front takes its share of the rate that the settings allow the whole fleet. `connections` computes, free
-of I/O, whether a front may connect to an endpoint now. `host` tells the network code that, and the decision
-module which endpoints can be reached (`ConnectionAvailabilityChanged`); the decision module alone rejects,
-forwards, or chooses another endpoint.
+Each front uses its share of the rate that the settings allow the fleet. `connections` computes without I/O
+whether the front may connect to an endpoint now. The network code asks `host` for that, and `host` sends the
+decision module a `ConnectionAvailabilityChanged` event for each endpoint that becomes available or
+unavailable. Only the decision module rejects requests, forwards them or chooses another endpoint.
 
-Read `connections` first. It owns, by endpoint, when the next connection may be opened.
+Start with `connections`. It holds the time of the next connection to each endpoint.
 """
--- a/limepath/connection_pacing/host.py
+++ b/limepath/connection_pacing/host.py
@@ -1,4 +1,4 @@
-"""The pace of connections at a front: asked by its network code, reported to the decision module."""
+"""Connects a `ConnectionPacer` to the network code and the decision module of a front."""
 
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Any, Protocol
@@ -14,24 +14,24 @@
 
 
 class PacedServers(Protocol):
-    """What is used of the front's connections to its servers (`front.servers.Servers`)."""
+    """The part of `front.servers.Servers` that `PacedConnections` uses."""
 
     endpoints: dict[int, Any]
     paced: Any
 
 
-TIMER_SLACK = 0.001  # seconds: the timer must not fire before the time that it is set to
+TIMER_SLACK = 0.001  # seconds; added because the timer must not fire before the due time
 
 
 class PacedConnections:
-    """Keeps the pace of a front's connections to its endpoints.
+    """Limits the rate of a front's new connections to its endpoints.
 
     Attributes:
         reactor: schedules the timer.
-        decision_loop: takes events to the decision module.
-        servers: the network code of the endpoints; it asks here before it connects.
-        pacer: the logic.
-        timer: fires when the next endpoint becomes available, or None.
+        decision_loop: passes events to the decision module.
+        servers: the network code of the endpoints, which calls `may_connect` before it connects.
+        pacer: the logic without I/O.
+        timer: fires when the next endpoint becomes available; None if no endpoint is unavailable.
     """
 
     def __init__(
@@ -43,7 +43,7 @@
         sharing_fronts: Callable[[], int],
         random_fraction: Callable[[], float],
     ) -> None:
-        """Take the arguments of `ConnectionPacer`, and attach to `servers`."""
+        """Create the pacer from the arguments of `ConnectionPacer` and attach this object to `servers`."""
         self.reactor = reactor
         self.decision_loop = decision_loop
         self.servers = servers
@@ -52,15 +52,15 @@
         servers.paced = self
 
     def may_connect(self, endpoint: int) -> bool:
-        """Return whether a connection to this endpoint may be opened now."""
+        """Return whether a connection to an endpoint may be opened now."""
         return self.pacer.may_connect(endpoint, clock())
 
     def connection_started(self, endpoint: int) -> None:
-        """Take note that a connection to this endpoint is being opened."""
+        """Record that a connection to an endpoint is being opened."""
         self.pacer.connection_started(endpoint, clock())
 
     def update(self) -> None:
-        """Report what is available, after the list or a connection has changed or the timer has fired."""
+        """Report changed availability; called on changes of the list or a connection, and by the timer."""
         now = clock()
         endpoints = self.servers.endpoints
         self.pacer.update_endpoints(
