--- a/limepath/frequency_exchange/exchange.py
+++ b/limepath/frequency_exchange/exchange.py
@@ -1,6 +1,6 @@
-"""Which front a new one asks for request counts, what it accepts, and what it sends others. Free of I/O.
+"""The exchange of request counts: queries of a new front and answers to the queries of other fronts.
 
-Times are whole microseconds.
+The module does no I/O. Times are integers in microseconds.
 """
 
 from collections.abc import Callable, Iterable, Sequence
@@ -22,12 +22,12 @@
 from limepath.timer_queue import TimerQueue
 
 SECOND = 1_000_000
-FIRST_QUERY_DELAY = 500_000  # from the start; the delay is drawn between this and twice this
+FIRST_QUERY_DELAY = 500_000  # minimum delay after the start; the random delay is up to twice as long
 ANSWER_TIMEOUT = 1_000_000
-MAX_QUERIES = 4  # fronts that are asked in all
-HALF_WEIGHT_AGE = 600_000_000  # age at which a count weighs half
+MAX_QUERIES = 4  # total number of queries after a start
+HALF_WEIGHT_AGE = 600_000_000  # age at which the weight of a count is one half
 MAX_AGE = 6 * HALF_WEIGHT_AGE
-MAX_ANSWERS_PER_SECOND = 64  # each one datagram to six
+MAX_ANSWERS_PER_SECOND = 64  # an answer is one to six datagrams
 MAX_CHUNKS = -(-MAX_COUNTS // COUNTS_PER_MESSAGE)  # rounded up
 
 Event = PeerMessage | CountsRead
@@ -36,7 +36,7 @@
 
 @dataclass
 class Statistics:
-    """What was exchanged since the start."""
+    """Counters since the start."""
 
     queries_sent: int = 0
     counts_received: int = 0
@@ -44,7 +44,7 @@
     messages_rejected: int = 0
 
     def as_view(self) -> dict[str, int]:
-        """Return the numbers under the names that the control socket shows them by."""
+        """Return the counters by the names that the control socket uses."""
         return {
             "asked": self.queries_sent,
             "learnt": self.counts_received,
@@ -54,19 +54,19 @@
 
 
 class RequestCountsExchange:
-    """Asks for request counts once after a start, and answers others that ask.
+    """Queries other fronts for request counts after a start, and answers the queries of other fronts.
 
     Attributes:
         timers: the timer queue and the commands to be returned.
         live_members: returns the tokens of the other live fronts.
-        queried: the token of the front that is being asked, or None.
-        queries: how many were asked so far.
-        received_chunks: numbers of the chunks that came from `queried`.
-        complete: whether all chunks of one front have come.
+        queried: the token of the front that was queried last, or None.
+        queries: the number of queries sent.
+        received_chunks: the numbers of the chunks received from the front `queried`.
+        complete: whether all chunks of one front have been received.
         last_request_at: when this front last counted a request, or None.
-        answer_second: the second in which `answers` were given.
-        answers: how many queries came in that second.
-        statistics: what was exchanged since the start.
+        answer_second: the second that `answers` refers to.
+        answers: the number of queries received in that second.
+        statistics: counters since the start.
     """
 
     def __init__(self, seed: int, live_members: Callable[[], Sequence[int]]) -> None:
@@ -88,7 +88,7 @@
         self.timers.schedule(now + delay, self._send_query)
 
     def handle(self, now: int, events: Iterable[Event] = ()) -> list[Command]:
-        """Do what is due and handle events; return the commands in their order."""
+        """Run the timers that are due, handle the events and return the commands in execution order."""
         self.timers.run_due(now)
         for event in events:
             if isinstance(event, CountsRead):
@@ -104,13 +104,13 @@
         return self.timers.next_due()
 
     def record_request(self, now: int) -> None:
-        """Note that this front has counted a request itself."""
+        """Record that this front has counted a request."""
         self.last_request_at = now
 
-    # Asking
+    # Queries of this front
 
     def _send_query(self) -> None:
-        """Ask one live front, and another after ANSWER_TIMEOUT. A view without others uses up no query."""
+        """Query one live front, and another after ANSWER_TIMEOUT; without live fronts no query is used up."""
         if self.complete or self.queries >= MAX_QUERIES:
             return
         live = self.live_members()
@@ -123,9 +123,9 @@
         self.timers.schedule(self.timers.now + ANSWER_TIMEOUT, self._send_query)
 
     def _handle_counts(self, token: int, message: RequestCounts) -> None:
-        """Take a chunk from the front that was asked; chunks that are lost are not asked for again.
+        """Accept a chunk from the queried front. Lost chunks are not requested again.
 
-        One out of bounds is rejected as a whole, and nothing more is taken from its sender.
+        A chunk out of bounds is rejected as a whole, and further chunks of its sender are ignored.
         """
         if token != self.queried or self.complete:
             return
@@ -133,7 +133,7 @@
             self.statistics.messages_rejected += 1
             self.queried = None
             return
-        if not message.counts:  # the other front is new too
+        if not message.counts:  # the queried front is new too
             return
         if message.chunk in self.received_chunks:
             return
@@ -143,10 +143,10 @@
         self.statistics.counts_received += len(message.counts)
         self.timers.emit(AddCounts(tuple((obj, part, count * weight) for obj, part, count in message.counts)))
 
-    # Answering
+    # Answers to other fronts
 
     def _handle_query(self, token: int) -> None:
-        """Answer at most MAX_ANSWERS_PER_SECOND, however many fronts of a fleet start at once."""
+        """Answer at most MAX_ANSWERS_PER_SECOND queries, because a whole fleet may start at once."""
         second = self.timers.now // SECOND
         if second != self.answer_second:
             self.answer_second = second
@@ -169,7 +169,7 @@
 
 
 def is_within_bounds(message: RequestCounts) -> bool:
-    """Return whether a chunk's age, numbers and counts are possible."""
+    """Return whether a chunk's age, chunk numbers and counts are within bounds."""
     return (
         0 <= message.age <= MAX_AGE
         and 0 <= message.chunk < message.chunks <= MAX_CHUNKS
@@ -179,6 +179,6 @@
 
 
 def is_count_within_bounds(entry: ObjectCount) -> bool:
-    """Return whether one count is possible."""
+    """Return whether the object, part and count of an entry are within bounds."""
     obj, part, count = entry
     return obj >= 0 and part >= 0 and 0 < count <= MAX_COUNT_VALUE
--- a/limepath/frequency_exchange/host.py
+++ b/limepath/frequency_exchange/host.py
@@ -1,4 +1,4 @@
-"""Runs the exchange of request counts beside a front: messages of members, counts of the decision module."""
+"""Connects a `RequestCountsExchange` to the other instances and to the decision module of a front."""
 
 from collections.abc import Iterable
 from typing import TYPE_CHECKING, Any
@@ -25,13 +25,13 @@
 
 
 class FrequencyExchange:
-    """Carries events to a `RequestCountsExchange` and executes its commands.
+    """Passes events to a `RequestCountsExchange` and executes its commands.
 
     Attributes:
-        decision_loop: takes events to the decision module, and its commands to their handlers.
-        cooperation: the link to other instances.
-        logic: the exchange.
-        logic_host: runs it on the reactor.
+        decision_loop: passes events to the decision module, and its commands to their handlers.
+        cooperation: sends messages to other instances and receives theirs.
+        logic: the exchange without I/O.
+        logic_host: runs the exchange on the reactor.
     """
 
     def __init__(
@@ -53,21 +53,21 @@
         self.logic_host.submit()
 
     def heard(self, sender: Any, message: Any) -> None:
-        """Take a message of another instance, if it is of this package. Part of the interface of `guests`."""
+        """Handle a message of another instance if this package defines it. Called as a message handler."""
         if isinstance(message, MESSAGES):
             self.logic_host.submit(PeerMessage(sender.token, message))
 
     def report_counts(self, command: ReportRequestCounts) -> None:
-        """Hand on what the decision module answers to a `RequestCountsWanted`."""
+        """Pass the decision module's answer to a `RequestCountsWanted` to the exchange."""
         self.logic_host.submit(CountsRead(command.cookie, command.counts))
 
     def saw(self, events: Iterable[Any]) -> None:
-        """Look for requests among the events of the decision module. Part of the interface of `hearers`."""
+        """Record a request if the decision module's events contain one. Called as an event listener."""
         if any(isinstance(event, RequestArrived) for event in events):
             self.logic.record_request(clock())
 
     def execute(self, command: Command) -> None:
-        """Carry out one command of the logic."""
+        """Execute one command of the exchange."""
         if isinstance(command, SendToMember):
             self.cooperation.reach(command.token, command.message)
         elif isinstance(command, ReadCounts):
@@ -76,5 +76,5 @@
             self.decision_loop.gather(RequestCountsReceived(command.counts))
 
     def failed(self, error: Exception) -> None:
-        """Log an error of the logic; the front goes on without the counts of others."""
+        """Log an error of the exchange; the front continues without the counts of other fronts."""
         self.cooperation.log.fault("tallies", error)
--- a/limepath/frequency_exchange/interface.py
+++ b/limepath/frequency_exchange/interface.py
@@ -1,32 +1,32 @@
-"""Messages between fronts, and events and commands between the logic and its host.
+"""Messages between fronts, and events and commands between the exchange and its host.
 
-Times are whole microseconds of the instance's own clock.
+Times are integers in microseconds of the instance's clock.
 """
 
 from typing import NamedTuple
 
 from limepath.membership.interface import Message
 
-MAX_COUNTS = 256  # in a summary
+MAX_COUNTS = 256  # maximum number of counts in an answer
 COUNTS_PER_MESSAGE = 48
-MAX_COUNT_VALUE = 1e6  # no front counts more requests of one object within the age of its table
+MAX_COUNT_VALUE = 1e6  # more requests than a front can count for one object within its table's age
 
 ObjectCount = tuple[int, int, float]
-"""An object, its part, and how often that was requested."""
+"""An object, a part of the object, and the number of requests for that part."""
 
 
 class RequestCountsQuery(Message, tag="ta"):
-    """Asks for the request counts of another front."""
+    """A query for the request counts of the receiver."""
 
 
 class RequestCounts(Message, tag="tt"):
-    """One chunk of a front's request counts, the highest key first. A front that is new itself sends none.
+    """One chunk of a front's request counts, highest key first. A new front sends one chunk without counts.
 
     Attributes:
-        age: time since the sender last counted a request.
-        counts: this chunk's counts.
+        age: the time since the sender last counted a request.
+        counts: the counts in this chunk.
         chunk: the number of this chunk, from 0.
-        chunks: how many there are in all.
+        chunks: the total number of chunks.
     """
 
     age: int
@@ -42,14 +42,14 @@
 
 
 class PeerMessage(NamedTuple):
-    """A message of another front has arrived. `token` identifies its sender."""
+    """A message of another front was received. `token` identifies the sender."""
 
     token: int
     message: Message
 
 
 class CountsRead(NamedTuple):
-    """The decision module has answered a `ReadCounts` of the same `token`."""
+    """The decision module has answered the `ReadCounts` command with the same `token`."""
 
     token: int
     counts: tuple[ObjectCount, ...]
@@ -59,14 +59,14 @@
 
 
 class ReadCounts(NamedTuple):
-    """Ask the decision module for its highest `most` counts, for the front with this `token`."""
+    """Read up to `most` of the highest counts from the decision module, for the front with this `token`."""
 
     token: int
     most: int
 
 
 class AddCounts(NamedTuple):
-    """Hand counts of another front to the decision module."""
+    """Add counts of another front to the decision module's table."""
 
     counts: tuple[ObjectCount, ...]
 
