--- a/tests/test_command_groups.py
+++ b/tests/test_command_groups.py
@@ -1,4 +1,4 @@
-"""The names of the command groups: former ones go on working and are not listed."""
+"""Tests of the names of command groups: former names still work and are not listed."""
 
 import json
 import threading
@@ -55,11 +55,11 @@
 
 
 class ControlSocketHandler(StreamRequestHandler):
-    """Answers the two questions of the control socket with fixed views."""
+    """Answers both requests of the control socket with fixed views."""
 
     def handle(self):
-        asked = json.loads(self.rfile.readline())["show"]
-        view = {"peers": MEMBERSHIP_VIEW, "listing": DISCOVERY_VIEW}[asked]
+        name = json.loads(self.rfile.readline())["show"]
+        view = {"peers": MEMBERSHIP_VIEW, "listing": DISCOVERY_VIEW}[name]
         self.wfile.write(json.dumps(view).encode() + b"\n")
 
 
@@ -75,7 +75,7 @@
 
 @pytest.fixture
 def folder(tmp_path):
-    """A folder with a peers file, the control socket that it names, a broken file and a front's file."""
+    """Return a folder with a valid and an invalid peers file, a keys file and a served control socket."""
     (tmp_path / "peers.ini").write_text(PEERS_FILE)
     (tmp_path / "peers.keys").write_text("00" * 32 + "\n")
     (tmp_path / "peers.keys").chmod(0o600)
@@ -120,7 +120,7 @@
     assert by_present_name.output
 
 
-def test_every_former_name_leads_to_a_group_and_has_a_case():
+def test_every_former_name_maps_to_a_group_and_has_a_case():
     assert set(FORMER_NAMES.values()) <= set(COMMANDS)
     assert set(FORMER_NAMES) == {former for former, _, _ in CASES}
 
@@ -131,5 +131,5 @@
     assert not set(listed) & set(FORMER_NAMES)
 
 
-def test_a_name_that_never_was_ends_with_status_2():
+def test_an_unknown_name_exits_with_status_2():
     assert run("tallies").exit_code == 2
--- a/tests/test_command_line.py
+++ b/tests/test_command_line.py
@@ -1,4 +1,4 @@
-"""The command line: help, exit statuses, settings files that cannot be used, and what a plain start loads."""
+"""Tests of the command line: help, exit statuses, invalid settings files, and modules loaded by a start."""
 
 import json
 import subprocess
@@ -15,7 +15,7 @@
     return CliRunner().invoke(root, words)
 
 
-def test_every_command_has_help_and_a_wrong_word_exits_with_2():
+def test_every_command_has_help_and_an_invalid_argument_exits_with_2():
     for words in (
         (),
         ("run",),
@@ -40,7 +40,7 @@
         assert invoke(*words).exit_code == 2, words
 
 
-def test_a_failed_check_is_the_exit_status():
+def test_a_failed_check_exits_with_1():
     assert (
         invoke("duties", "simulate", "--targets", "5", "--instances", "3", "--faults", "none").exit_code == 0
     )
@@ -48,7 +48,7 @@
     assert found.exit_code == 1 and json.loads(found.output)["trace"]
 
 
-def test_files_are_checked_and_a_silent_instance_is_invoke(tmp_path):
+def test_settings_files_are_checked_and_an_instance_that_does_not_answer_exits_with_1(tmp_path):
     good, bad = tmp_path / "good.ini", tmp_path / "bad.ini"
     good.write_text(PEERS_INI)
     bad.write_text(PEERS_INI.replace("5s", "5 fortnights"))
@@ -65,24 +65,24 @@
     assert invoke("duties", "bounds", str(good)).exit_code == 0
 
 
-def test_a_wrong_peers_file_ends_the_start_with_2_and_names_the_key(tmp_path):
-    front, shared = tmp_path / "front.json", tmp_path / "peers.ini"
+def test_a_start_with_an_invalid_peers_file_exits_with_2_and_names_the_key(tmp_path):
+    front, peers = tmp_path / "front.json", tmp_path / "peers.ini"
     front.write_text(json.dumps(configuration(free_address())))
-    for text, says in (
+    for text, message in (
         (PEERS_INI.replace("5s", "0s"), "[duty probe] interval"),
         (PEERS_INI, "peers.keys: No such file"),
     ):
-        shared.write_text(text)
+        peers.write_text(text)
         done = subprocess.run(
-            [sys.executable, "-m", "limepath", "run", "--config", str(front), "--peers", str(shared)],
+            [sys.executable, "-m", "limepath", "run", "--config", str(front), "--peers", str(peers)],
             capture_output=True,
             text=True,
             timeout=60,
         )
-        assert done.returncode == 2 and says in done.stderr and done.stderr.count("\n") == 1, done.stderr
+        assert done.returncode == 2 and message in done.stderr and done.stderr.count("\n") == 1, done.stderr
 
 
-def test_a_front_that_shares_nothing_loads_nothing_of_it():
+def test_a_front_without_sharing_does_not_load_the_modules_of_sharing():
     script = (
         "import sys, limepath.front.start; "
         "print([name for name in sys.modules if name.startswith(('limepath.membership',"
--- a/tests/test_discovery_settings.py
+++ b/tests/test_discovery_settings.py
@@ -11,7 +11,7 @@
 
 
 @pytest.mark.parametrize(
-    "lines, says",
+    "lines, message",
     [
         ("calls = 20", "fronts: missing"),
         ("fronts = 0", "at least 1"),
@@ -20,15 +20,15 @@
         ("fronts = 5\nrelays = 9", "at most 8"),
     ],
 )
-def test_invalid_settings_of_the_list_are_named(tmp_path, lines, says):
+def test_invalid_settings_of_the_list_are_named_in_the_error(tmp_path, lines, message):
     file = tmp_path / "peers.ini"
     file.write_text(f"{PEERS}[listing]\n{lines}\n")
-    with pytest.raises(SettingError, match=r"\[listing\]") as flaw:
+    with pytest.raises(SettingError, match=r"\[listing\]") as error:
         peers_file.read(file)
-    assert says in str(flaw.value)
+    assert message in str(error.value)
 
 
-def test_without_its_section_each_front_watches_the_service_by_itself(tmp_path):
+def test_without_the_section_listing_there_are_no_discovery_settings(tmp_path):
     file = tmp_path / "peers.ini"
     file.write_text(PEERS)
     assert peers_file.read(file).listing is None
@@ -37,7 +37,7 @@
 
 
 @pytest.mark.parametrize(
-    "lines, says",
+    "lines, message",
     [
         ("site = a b", "expected a name of up to 32"),
         ("fan-out = 1", "at least 2"),
@@ -46,16 +46,16 @@
         ("window-bytes = 5", "at least"),
     ],
 )
-def test_invalid_settings_of_the_tree_are_named(tmp_path, lines, says):
+def test_invalid_settings_of_the_tree_are_named_in_the_error(tmp_path, lines, message):
     file = tmp_path / "peers.ini"
     file.write_text(f"{PEERS}[listing]\nfronts = 5\n{lines}\n")
     with pytest.raises(SettingError, match=r"\[listing\]") as error:
         peers_file.read(file)
-    assert says in str(error.value)
+    assert message in str(error.value)
 
 
-def test_the_settings_of_the_tree_reach_the_logic(tmp_path):
+def test_the_settings_of_the_tree_are_read(tmp_path):
     file = tmp_path / "peers.ini"
     file.write_text(f"{PEERS}[listing]\nfronts = 5\nsite = a\nregion = r\nfan-out = 3\nwindow = 2m\n")
-    terms = peers_file.read(file).listing
-    assert (terms.site, terms.region, terms.fan_out, terms.window) == ("a", "r", 3, 120 * SECOND)
+    settings = peers_file.read(file).listing
+    assert (settings.site, settings.region, settings.fan_out, settings.window) == ("a", "r", 3, 120 * SECOND)
--- a/tests/test_frequency_exchange.py
+++ b/tests/test_frequency_exchange.py
@@ -1,4 +1,4 @@
-"""Request counts of one front rank objects at another, new one; queries and answers are bounded."""
+"""Tests of the exchange of request counts: their use at a new front, and bounds of queries and answers."""
 
 import pytest
 
@@ -28,7 +28,7 @@
     return RequestArrived(ident, 0, 0, obj, 5 * SECOND, 0.0, 0, 0, False, False)
 
 
-def test_counts_of_another_front_rank_objects_that_this_one_has_not_counted():
+def test_counts_of_another_front_rank_objects_that_a_new_front_has_not_counted():
     old, new, blank = FakeHost(), FakeHost(seed=8), FakeHost(seed=9)
     ident = 0
     for obj in range(1, 40):
@@ -64,30 +64,32 @@
     return out
 
 
-def test_a_new_front_asks_another_where_one_is_silent_or_new_itself_and_gives_up_in_the_end():
+def test_a_new_front_queries_others_if_one_does_not_answer_or_is_new_and_gives_up_after_four():
     exchange = new_front()
-    asked = [command for command in run(exchange, 60 * SECOND) if isinstance(command, SendToMember)]
-    assert len(asked) == MAX_QUERIES and all(command.message == RequestCountsQuery() for command in asked)
+    queried = [command for command in run(exchange, 60 * SECOND) if isinstance(command, SendToMember)]
+    assert len(queried) == MAX_QUERIES and all(command.message == RequestCountsQuery() for command in queried)
     exchange = new_front()
     first = run(exchange, SECOND)[0].token
-    assert not exchange.handle(SECOND, [PeerMessage(first, RequestCounts(0, ()))])  # as new as this one
+    assert not exchange.handle(
+        SECOND, [PeerMessage(first, RequestCounts(0, ()))]
+    )  # the other front is new too
     assert run(exchange, SECOND + 2 * ANSWER_TIMEOUT) and not exchange.complete
 
 
-def test_counts_weigh_less_with_age_and_are_taken_only_from_the_front_that_was_asked():
+def test_counts_weigh_less_with_age_and_are_accepted_only_from_the_queried_front():
     exchange = new_front()
-    asked = run(exchange, SECOND)[0].token
+    queried = run(exchange, SECOND)[0].token
     counts = RequestCounts(HALF_WEIGHT_AGE, ((7, 0, 8.0),))
     assert not exchange.handle(SECOND, [PeerMessage(9, counts)])
     assert (
-        exchange.handle(SECOND, [PeerMessage(asked, counts)]) == [AddCounts(((7, 0, 4.0),))]
+        exchange.handle(SECOND, [PeerMessage(queried, counts)]) == [AddCounts(((7, 0, 4.0),))]
         and exchange.complete
     )
-    assert not exchange.handle(SECOND, [PeerMessage(asked, counts)]) and not run(exchange, 60 * SECOND)
+    assert not exchange.handle(SECOND, [PeerMessage(queried, counts)]) and not run(exchange, 60 * SECOND)
 
 
 @pytest.mark.parametrize(
-    "nonsense",
+    "invalid",
     [
         RequestCounts(-1, ((7, 0, 8.0),)),
         RequestCounts(0, ((7, 0, -1.0),)),
@@ -98,11 +100,11 @@
         RequestCounts(0, ((7, 0, 1.0),) * (COUNTS_PER_MESSAGE + 1)),
     ],
 )
-def test_a_message_out_of_bounds_is_rejected_and_another_front_is_asked(nonsense):
+def test_a_message_out_of_bounds_is_rejected_and_another_front_is_queried(invalid):
     exchange = new_front()
-    asked = run(exchange, SECOND)[0].token
+    queried = run(exchange, SECOND)[0].token
     assert (
-        not exchange.handle(SECOND, [PeerMessage(asked, nonsense)])
+        not exchange.handle(SECOND, [PeerMessage(queried, invalid)])
         and exchange.statistics.messages_rejected == 1
     )
     assert run(exchange, SECOND + 2 * ANSWER_TIMEOUT)
@@ -111,21 +113,21 @@
 def test_a_table_is_sent_in_bounded_chunks_and_answers_per_second_are_limited():
     exchange = new_front()
     exchange.handle(0, [])
-    asks = [
+    reads = [
         command
         for token in range(300)
         for command in exchange.handle(10, [PeerMessage(token, RequestCountsQuery())])
         if isinstance(command, ReadCounts)
     ]
-    assert len(asks) == MAX_ANSWERS_PER_SECOND and asks[0].most == MAX_COUNTS
+    assert len(reads) == MAX_ANSWERS_PER_SECOND and reads[0].most == MAX_COUNTS
     table = tuple((obj, 0, 2.0) for obj in range(1000))
     assert exchange.handle(20, [CountsRead(5, table)]) == [
         SendToMember(5, RequestCounts(0, (), 0, 1))
-    ]  # it has counted nothing itself
+    ]  # a new front sends no counts
     exchange.record_request(10)
-    parts = [command.message for command in exchange.handle(30, [CountsRead(5, table)])]
+    chunks = [command.message for command in exchange.handle(30, [CountsRead(5, table)])]
     assert (
-        sum(len(part.counts) for part in parts) == MAX_COUNTS
-        and {part.chunks for part in parts} == {len(parts)}
-        and parts[0].age == 20
+        sum(len(chunk.counts) for chunk in chunks) == MAX_COUNTS
+        and {chunk.chunks for chunk in chunks} == {len(chunks)}
+        and chunks[0].age == 20
     )
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings of any customer: what can't be used ends the start with its key, and nothing else does."""
+"""Tests of the platform's JSON settings: an invalid value raises an error that names its key."""
 
 import copy
 import json
@@ -12,11 +12,11 @@
 from limepath.interface.settings import Idempotency
 from tests.stand_ins import MS, SETTINGS, Site, configuration, free_address
 
-NAN, INFINITE = float("nan"), float("inf")
+NAN, INFINITY = float("nan"), float("inf")
 
 
 def configuration_with(path, value):
-    """The configuration with this value at the path; None takes the key out."""
+    """Return the configuration with `value` at `path`; None removes the key."""
     document = configuration(free_address(), settings=copy.deepcopy(SETTINGS))
     *parents, last = path
     section = document["settings"]
@@ -29,7 +29,7 @@
     return document
 
 
-BAD = [
+INVALID = [
     (("classes",), [], "settings.classes"),
     (("classes", 1), "tarea", r"settings.classes\[1\]"),
     (("classes", 1, "name"), "video", r"settings.classes\[1\].name"),
@@ -38,7 +38,7 @@
     (("classes", 0, "deadline"), 0, r"settings.classes\[0\].deadline"),
     (("classes", 0, "aim"), -1, r"settings.classes\[0\].aim"),
     (("classes", 0, "aim"), NAN, r"settings.classes\[0\].aim"),
-    (("classes", 0, "deadline"), INFINITE, r"settings.classes\[0\].deadline"),
+    (("classes", 0, "deadline"), INFINITY, r"settings.classes\[0\].deadline"),
     (
         ("classes", 1, "idempotency"),
         "often",
@@ -77,9 +77,9 @@
 ]
 
 
-@pytest.mark.parametrize(("path", "value", "named"), BAD)
-def test_a_setting_that_cannot_be_used_is_named(path, value, named):
-    with pytest.raises(ConfigurationError, match=named):
+@pytest.mark.parametrize(("path", "value", "message"), INVALID)
+def test_an_invalid_setting_is_named_in_the_error(path, value, message):
+    with pytest.raises(ConfigurationError, match=message):
         front_settings(configuration_with(path, value), {})
 
 
@@ -103,20 +103,20 @@
 
 
 @pytest.mark.parametrize("key", ["overload-factor", "tip-after"])
-def test_a_fleet_that_cannot_fail_by_overload_has_no_slow_start(key):
+def test_slow_start_is_disabled_where_overload_makes_no_endpoint_fail(key):
     arguments = front_settings(configuration_with(("safety", key), 0), {}).arguments
-    # Once a division by zero at the first attempt to a new cache.
+    # A duration above 0 caused a division by zero at the first attempt to a new cache.
     assert arguments["cache_warmup"].duration == 0
 
 
-def test_a_fleet_that_can_fail_by_overload_has_a_slow_start():
+def test_slow_start_is_enabled_where_overload_makes_endpoints_fail():
     assert (
         front_settings(configuration_with(("safety", "tip-after"), MS), {}).arguments["cache_warmup"].duration
         > 0
     )
 
 
-def test_durations_are_whole_microseconds_however_they_are_given():
+def test_durations_are_converted_to_whole_microseconds():
     service = front_settings(configuration_with(("classes", 0, "deadline"), 2.5e9), {}).arguments["services"][
         0
     ]
@@ -124,7 +124,7 @@
     assert service.idempotency is Idempotency.IDEMPOTENT
 
 
-def test_a_reload_with_settings_that_cannot_be_used_changes_nothing():
+def test_a_reload_with_invalid_settings_changes_nothing():
     with Site() as site:
         assert site.log.called() == 1
         site.reload(
@@ -145,15 +145,17 @@
 
 
 @pytest.mark.parametrize("text", ["8080", ":8080", "127.0.0.1:", "127.0.0.1:0", "127.0.0.1:99999"])
-def test_an_address_without_host_or_port_is_an_error(text):
+def test_an_address_without_a_host_or_a_valid_port_is_an_error(text):
     with pytest.raises(ValueError):
         address_of(text)
 
 
-def test_the_variants_differ_where_the_program_could_have_assumed():
+def test_the_sites_differ_in_their_classes_and_the_program_names_no_class():
     sites = [tomllib.loads(path.read_text()) for path in sorted(Path("deploy/sites").glob("*/*.toml"))]
     effects = [[entry["effect"] for entry in site["class"]] for site in sites]
-    assert [len(each) for each in effects] == [5, 2] and all(each.count("unsafe") == 1 for each in effects)
+    assert [len(classes) for classes in effects] == [5, 2] and all(
+        classes.count("unsafe") == 1 for classes in effects
+    )
     assert ["tenant" in site for site in sites] == [True, False]
     names = [entry["name"] for site in sites for entry in site["class"]]
     text = "".join(path.read_text() for path in Path("limepath").rglob("*.py"))
--- a/tests/test_settings_files.py
+++ b/tests/test_settings_files.py
@@ -1,4 +1,4 @@
-"""The peers file and the keys file: read with defaults, or refused with file, section and key."""
+"""Tests of the peers file and the keys file: defaults, and errors that name file, section and key."""
 
 import pytest
 from hypothesis import given
@@ -97,7 +97,7 @@
 
 
 @given(st.text(max_size=300))
-def test_any_text_is_read_or_refused_with_the_file_named(text):
+def test_any_text_is_accepted_or_rejected_with_an_error_that_names_the_file(text):
     try:
         ini.check_text(text, "x", peers_file.SCHEMA)
     except SettingError as error:
@@ -118,6 +118,6 @@
     "text, expected",
     [("", "no key"), ("ab" * 8, "16 to 64"), ("ab" * 16 + "\n" + "ab" * 16, "line 2")],
 )
-def test_an_error_in_a_keys_file_says_what_is_expected(text, expected):
+def test_an_error_in_a_keys_file_states_what_is_expected(text, expected):
     with pytest.raises(KeyFileError, match=expected):
         parse_keys(text)
