--- a/limepath/configuration/process_limits.py
+++ b/limepath/configuration/process_limits.py
@@ -39,7 +39,7 @@
     probe: int = 250_000  # timeout of a probe
     # Time after its deadline when the front fails a request that the decision module has not ended.
     backstop: int = 25_000
-    viewer_idle: int = 5_000_000  # idle timeout of a client connection after an answer
+    client_idle_timeout: int = 5_000_000  # idle timeout of a client connection after an answer
     # Timeout of reading the head and body of a request; it starts at the accept for the first request.
     slow: int = 2_000_000
     linger: int = 1_000_000  # timeout of the client's close after the front's half-close
--- a/limepath/front/clients.py
+++ b/limepath/front/clients.py
@@ -220,4 +220,4 @@
             return self.limits.linger
         if connection.buffer or not connection.has_requested:
             return self.limits.slow
-        return self.limits.viewer_idle
+        return self.limits.client_idle_timeout
