--- a/limepath/front/clients.py
+++ b/limepath/front/clients.py
@@ -219,5 +219,5 @@
         if connection.state is ConnectionState.HALF_CLOSED:
             return self.limits.linger
         if connection.buffer or not connection.has_requested:
-            return self.limits.slow
+            return self.limits.request_read_timeout
         return self.limits.client_idle_timeout
