--- a/limepath/front/clients.py
+++ b/limepath/front/clients.py
@@ -217,7 +217,7 @@
         if connection.output_blocked or connection.state is ConnectionState.LINGERING:
             return self.limits.undrained_timeout
         if connection.state is ConnectionState.HALF_CLOSED:
-            return self.limits.linger
+            return self.limits.half_close_timeout
         if connection.buffer or not connection.has_requested:
             return self.limits.request_read_timeout
         return self.limits.client_idle_timeout
