--- a/limepath/configuration/platform.py
+++ b/limepath/configuration/platform.py
@@ -244,7 +244,7 @@
         open_requests=permitted.get("max-open", DEFAULT_OPEN_REQUESTS),
         drain_period=shutdown.drain_period,
         last_answer=shutdown.last_answer,
-        last_call=longest_deadline,
+        last_answer_read_timeout=longest_deadline,
         connect=connect,
         overload_retry_after=max_retry_after // OVERLOAD_RETRY_AFTER_DIVISOR,
         wait=min(connect, grace.drain, grace.purge or connect),
--- a/limepath/front/graceful_shutdown.py
+++ b/limepath/front/graceful_shutdown.py
@@ -107,7 +107,7 @@
         if not self.clients.connections:
             self._finish()
         elif not self.close_timer:
-            timeout = self.clients.limits.last_call
+            timeout = self.clients.limits.last_answer_read_timeout
             self.close_timer = self.clients.reactor.callLater(timeout / MICROSECONDS_PER_SECOND, self._finish)
 
     def _finish(self) -> None:
