--- a/limepath/front/client_connection.py
+++ b/limepath/front/client_connection.py
@@ -100,7 +100,7 @@
 
     def _discard(self, data: bytes) -> None:
         self.discarded_bytes += len(data)
-        if self.discarded_bytes > self.clients.limits.dropped:
+        if self.discarded_bytes > self.clients.limits.max_discarded_bytes:
             self.transport.pauseProducing()
 
     def _reject(self, error: RequestError) -> None:
