--- a/limepath/configuration/process_limits.py
+++ b/limepath/configuration/process_limits.py
@@ -52,7 +52,7 @@
     # Pause after an exception in the decision module until it handles events again.
     fault_pause: int = 50_000
     # Delay of the handling of events from which on the sockets are read once more before deciding.
-    late_pass: int = 20_000
+    late_poll_threshold: int = 20_000
     accept_pause: int = 10_000  # delay before a failed accept is retried while draining
     feed_silence: int = 2_500_000  # time without data until a stream from the change log is closed
     feed_unanswered: int = 3  # unanswered calls to the change log kept open beside a new call
--- a/limepath/front/decision_loop.py
+++ b/limepath/front/decision_loop.py
@@ -97,7 +97,7 @@
         If the run is late, because the process was stopped or an iteration took long, drains and purges may
         have arrived in the meantime, so sockets are polled once more first.
         """
-        is_late = clock() - self.scheduled_at > self.limits.late_pass
+        is_late = clock() - self.scheduled_at > self.limits.late_poll_threshold
         if is_late and not self.has_polled_again:
             self.has_polled_again = True
             self.reactor.callLater(0, self.run)
