--- a/limepath/front/endpoint_watch.py
+++ b/limepath/front/endpoint_watch.py
@@ -266,7 +266,7 @@
         slowly would otherwise never be waited for long enough.
         """
         stream = self.stream
-        if stream is None or clock() - stream.last_read_at <= self.limits.feed_silence:
+        if stream is None or clock() - stream.last_read_at <= self.limits.change_log_silence_timeout:
             return
         self.log.info("changelog", "no data received within the limit")
         if stream.is_accepted:
