--- a/limepath/front/endpoint_watch.py
+++ b/limepath/front/endpoint_watch.py
@@ -272,7 +272,7 @@
         if stream.is_accepted:
             stream.transport.abortConnection()
             return
-        if len(self.unanswered_streams) >= self.limits.feed_unanswered:
+        if len(self.unanswered_streams) >= self.limits.max_unanswered_calls:
             self.unanswered_streams.pop(0).transport.abortConnection()
         self.unanswered_streams.append(stream)
         self.stream = None
