--- a/limepath/configuration/process_limits.py
+++ b/limepath/configuration/process_limits.py
@@ -58,7 +58,7 @@
         2_500_000  # time without data until a stream from the change log is closed
     )
     max_unanswered_calls: int = 3  # unanswered calls to the change log kept open beside a new call
-    feed_pause: int = 100_000  # first backoff between calls to the change log; doubles each time
+    change_log_min_backoff: int = 100_000  # first backoff between calls to the change log; doubles each time
     feed_longest_pause: int = 600_000  # maximum backoff between calls to the change log
     sweep: int = 250_000  # interval between checks for idle and silent connections
     last_answer: int = 3_600_000  # time from SIGTERM until all open requests have been answered
