--- a/limepath/configuration/process_limits.py
+++ b/limepath/configuration/process_limits.py
@@ -59,7 +59,7 @@
     )
     max_unanswered_calls: int = 3  # unanswered calls to the change log kept open beside a new call
     change_log_min_backoff: int = 100_000  # first backoff between calls to the change log; doubles each time
-    feed_longest_pause: int = 600_000  # maximum backoff between calls to the change log
+    change_log_max_backoff: int = 600_000  # maximum backoff between calls to the change log
     sweep: int = 250_000  # interval between checks for idle and silent connections
     last_answer: int = 3_600_000  # time from SIGTERM until all open requests have been answered
     drain_period: int = 1_200_000  # time from SIGTERM until new requests are no longer accepted
--- a/limepath/front/endpoint_watch.py
+++ b/limepath/front/endpoint_watch.py
@@ -253,7 +253,7 @@
         """Reconnect after an exponential backoff with a jitter of 50 %."""
         self.log.info("changelog", f"{reason}; reconnecting", after=self.last_seq)
         backoff = self.limits.change_log_min_backoff << min(MAX_BACKOFF_DOUBLINGS, self.reconnects_without_event)
-        pause = min(self.limits.feed_longest_pause, backoff)
+        pause = min(self.limits.change_log_max_backoff, backoff)
         self.reconnects_without_event += 1
         self.reconnect_count += 1
         jitter = 0.5 + crc32(b"%d:%d" % (self.seed, self.reconnect_count)) / 2**32
