--- a/limepath/front/servers.py
+++ b/limepath/front/servers.py
@@ -278,7 +278,7 @@
         is_mid_answer = connection.answer_line or connection.buffer
         if not connection.attempts and silence > self.limits.cache_idle:
             connection.drain()
-        elif is_mid_answer and silence > self.limits.stall:
+        elif is_mid_answer and silence > self.limits.answer_stall_timeout:
             name = connection.endpoint.name
             self.log.info("cache", "stalled in the middle of an answer; connection closed", cache=name)
             connection.close(abort=True)
