--- a/limepath/configuration/process_limits.py
+++ b/limepath/configuration/process_limits.py
@@ -29,7 +29,7 @@
     answer: int = 240_000  # size of an endpoint's answer
     line: int = 4096  # length of the first line of an endpoint's answer
     remembered_tags: int = 32  # tags of ended attempts kept for one connection
-    skew: int = 100_000  # maximum clock error of another machine
+    max_clock_skew: int = 100_000  # maximum clock error of another machine
     answer_stall_timeout: int = 1_000_000  # time without data within an answer until its connection is closed
     removed_endpoint_lifetime: int = 2_000_000  # time that a removed endpoint stays in memory
     event: int = 4_000_000  # size of one event of the change log
--- a/limepath/front/servers.py
+++ b/limepath/front/servers.py
@@ -56,7 +56,7 @@
         self.probe_numbers = count(1)
         self.connection_count = 0  # established connections and pending connects
         self.connection_limit_reached = False  # an endpoint could not connect because of the limit
-        self.reference = ReferenceClock(limits.skew)
+        self.reference = ReferenceClock(limits.max_clock_skew)
         self.secured = None  # tls.host.Secured if connections to some kinds of servers use TLS
         self.paced = None  # connection_pacing.host.Paced if the fronts share a limit on new connections
 
--- a/limepath/scale/data_path.py
+++ b/limepath/scale/data_path.py
@@ -67,7 +67,7 @@
     def __init__(self, call_later, turn, limits):
         self.call_later, self.turn, self.limits = call_later, turn, limits
         self.endpoints, self.secured, self.paced = {}, None, None
-        self.reference = ReferenceClock(limits.skew)
+        self.reference = ReferenceClock(limits.max_clock_skew)
 
     def update_endpoint(self, ident, name, address, since, standing, kind=None):
         if ident not in self.endpoints:
