--- a/limepath/configuration/process_limits.py
+++ b/limepath/configuration/process_limits.py
@@ -50,7 +50,7 @@
     overload_retry_after: int = 0  # Retry-After of a request rejected because of `open_requests`
     backlog: int = 1024  # length of the listen queue
     # Pause after an exception in the decision module until it handles events again.
-    fault_pause: int = 50_000
+    exception_pause: int = 50_000
     # Delay of the handling of events from which on the sockets are read once more before deciding.
     late_poll_threshold: int = 20_000
     accept_pause: int = 10_000  # delay before a failed accept is retried while draining
--- a/limepath/front/decision_loop.py
+++ b/limepath/front/decision_loop.py
@@ -139,7 +139,7 @@
         first_time = {event for event in events if isinstance(event, WATCH_EVENTS)} - self.redelivered
         self.redelivered = first_time
         again = [event for event in events if event in first_time]
-        pause = self.limits.fault_pause / MICROSECONDS_PER_SECOND
+        pause = self.limits.exception_pause / MICROSECONDS_PER_SECOND
         self.reactor.callLater(pause, self.gather, *again, TimerFired(0))
 
     def _execute(self, command: tuple) -> None:
