--- a/limepath/configuration/platform.py
+++ b/limepath/configuration/platform.py
@@ -247,6 +247,6 @@
         last_answer_read_timeout=longest_deadline,
         connect=connect,
         overload_retry_after=max_retry_after // OVERLOAD_RETRY_AFTER_DIVISOR,
-        wait=min(connect, grace.drain, grace.purge or connect),
+        connection_wait=min(connect, grace.drain, grace.purge or connect),
         cache_idle=cache_idle * CACHE_IDLE_PERCENT // 100,
     )
--- a/limepath/configuration/process_limits.py
+++ b/limepath/configuration/process_limits.py
@@ -34,7 +34,7 @@
     removed_endpoint_lifetime: int = 2_000_000  # time that a removed endpoint stays in memory
     event: int = 4_000_000  # size of one event of the change log
     connect: int = 400_000  # timeout of opening a connection
-    wait: int = 300_000  # maximum time that an attempt waits for a connection
+    connection_wait: int = 300_000  # maximum time that an attempt waits for a connection
     cache_idle: int = 24_000_000  # idle timeout of a connection to an endpoint
     probe: int = 250_000  # timeout of a probe
     # Time after its deadline when the front fails a request that the decision module has not ended.
--- a/limepath/front/server_endpoint.py
+++ b/limepath/front/server_endpoint.py
@@ -174,7 +174,7 @@
         The Deferred fires with the connection when it is established.
         """
         secured = self.servers.secured
-        connecting = secured and secured.connect(self, connection, clock() + self.limits.wait)
+        connecting = secured and secured.connect(self, connection, clock() + self.limits.connection_wait)
         if connecting:
             return connecting
         host, port = self.address
--- a/limepath/front/servers.py
+++ b/limepath/front/servers.py
@@ -153,7 +153,7 @@
 
     def forward(self, command: ForwardRequest, request: ClientRequest, decided_at: int) -> None:
         """Start an attempt; `decided_at` is in microseconds of the front's clock."""
-        attempt = Attempt(request, command, self.names, decided_at, self.limits.wait)
+        attempt = Attempt(request, command, self.names, decided_at, self.limits.connection_wait)
         request.attempt_count += 1
         request.attempts[attempt.number] = attempt
         if not request.is_open or attempt.deadline <= attempt.started_at:
@@ -168,7 +168,7 @@
         """
         number = next(self.probe_numbers)
         tag = b"p%d-e%d" % (number, epoch) if epoch else b"p%d" % number
-        self.endpoints[command.endpoint].send(Probe(command.endpoint, tag, self.limits.wait))
+        self.endpoints[command.endpoint].send(Probe(command.endpoint, tag, self.limits.connection_wait))
 
     def close_idle(self, command: CloseIdleConnections) -> None:
         """Close the connections to an endpoint that have nothing in flight."""
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -344,7 +344,7 @@
 
 def test_wait_for_a_connection_is_limited_by_heed_within():
     told = SETTINGS | {"family-info": SETTINGS["family-info"] | {"heed-within": 200 * MS}}
-    assert front_settings(configuration(free_address(), settings=told), {}).limits.wait == 200_000
+    assert front_settings(configuration(free_address(), settings=told), {}).limits.connection_wait == 200_000
 
 
 def test_sigterm_answers_all_requests_and_exits_with_status_0():
