--- a/limepath/configuration/process_limits.py
+++ b/limepath/configuration/process_limits.py
@@ -54,9 +54,8 @@
     # Delay of the handling of events from which on the sockets are read once more before deciding.
     late_poll_threshold: int = 20_000
     accept_pause: int = 10_000  # delay before a failed accept is retried while draining
-    change_log_silence_timeout: int = (
-        2_500_000  # time without data until a stream from the change log is closed
-    )
+    # Time without data until a stream from the change log is closed.
+    change_log_silence_timeout: int = 2_500_000
     max_unanswered_calls: int = 3  # unanswered calls to the change log kept open beside a new call
     change_log_min_backoff: int = 100_000  # first backoff between calls to the change log; doubles each time
     change_log_max_backoff: int = 600_000  # maximum backoff between calls to the change log
