--- a/limepath/configuration/addresses.py
+++ b/limepath/configuration/addresses.py
@@ -3,7 +3,7 @@
 MAX_PORT = 65_535
 
 
-def address_of(text: str) -> tuple[str, int]:
+def parse_host_port(text: str) -> tuple[str, int]:
     """Return the host and port of an address of the form "host:port".
 
     Raises:
--- a/limepath/configuration/platform.py
+++ b/limepath/configuration/platform.py
@@ -8,7 +8,7 @@
 from typing import Any, NamedTuple
 
 from limepath.configuration import decision_settings
-from limepath.configuration.addresses import address_of
+from limepath.configuration.addresses import parse_host_port
 from limepath.configuration.decision_settings import DecisionArguments
 from limepath.configuration.json_checks import ConfigurationError, Number, require
 from limepath.configuration.process_limits import Limits, available_descriptors, plan_limits
@@ -179,7 +179,7 @@
 def _address(document: Mapping[str, Any], key: str, default: str | None = None) -> tuple[str, int]:
     text = require(document, key, str, default)
     try:
-        return address_of(text)
+        return parse_host_port(text)
     except ValueError:
         raise ConfigurationError(f"{key}: {text!r}: expected host:port") from None
 
--- a/limepath/front/endpoint_entry.py
+++ b/limepath/front/endpoint_entry.py
@@ -4,7 +4,7 @@
 
 from hashlib import blake2b
 
-from limepath.configuration.addresses import address_of
+from limepath.configuration.addresses import parse_host_port
 from limepath.front.clock import clock
 from limepath.front.reference_clock import ReferenceClock
 from limepath.interface.events import Endpoint, EndpointState
@@ -40,7 +40,7 @@
         Raises KeyError, ValueError, TypeError or AttributeError for a malformed line.
         """
         self.name = line["id"]
-        self.address = address_of(line["host_port"])
+        self.address = parse_host_port(line["host_port"])
         self.started_ms = int(line.get("up_since_ms") or 0)  # milliseconds of Unix time; 0: unknown
         self.endpoint = Endpoint(
             state=STATES[line["phase"]],
--- a/limepath/scale/hollow_process.py
+++ b/limepath/scale/hollow_process.py
@@ -17,7 +17,7 @@
 from twisted.internet import reactor
 from twisted.logger import globalLogBeginner
 
-from limepath.configuration.addresses import address_of
+from limepath.configuration.addresses import parse_host_port
 from limepath.configuration.ini import SettingError
 from limepath.configuration.platform import ConfigurationError
 from limepath.discovery.endpoint_list import EndpointList
@@ -59,7 +59,7 @@
     region_of = {}
     for address, place in loaded(config.directory, control.decode_directory).items():
         try:
-            region_of[address_of(address)] = place.region
+            region_of[parse_host_port(address)] = place.region
         except ValueError:
             raise BadConfig(f"{config.directory}: {address!r} is no address with a port") from None
     for front in config.fronts:
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from limepath.configuration.addresses import address_of
+from limepath.configuration.addresses import parse_host_port
 from limepath.configuration.platform import ConfigurationError, front_settings
 from limepath.interface.settings import Idempotency
 from tests.stand_ins import MS, SETTINGS, Site, configuration, free_address
@@ -141,13 +141,13 @@
 
 
 def test_an_address_has_a_host_and_a_port():
-    assert address_of("127.1.0.9:8080") == ("127.1.0.9", 8080)
+    assert parse_host_port("127.1.0.9:8080") == ("127.1.0.9", 8080)
 
 
 @pytest.mark.parametrize("text", ["8080", ":8080", "127.0.0.1:", "127.0.0.1:0", "127.0.0.1:99999"])
 def test_an_address_without_a_host_or_a_valid_port_is_an_error(text):
     with pytest.raises(ValueError):
-        address_of(text)
+        parse_host_port(text)
 
 
 def test_the_sites_differ_in_their_classes_and_the_program_names_no_class():
