--- a/limepath/configuration/process_limits.py
+++ b/limepath/configuration/process_limits.py
@@ -7,7 +7,7 @@
 # For the reactor, log, endpoint list, listener and shared state, and for the two excesses below.
 RESERVED_DESCRIPTORS = 64
 ACCEPTED_AT_ONCE = 16  # client connections allowed over the limit while idle ones are being closed
-CROSSING_CLOSES = 16  # endpoint connections allowed over the limit while idle ones are being closed
+MAX_EXCESS_CONNECTIONS = 16  # endpoint connections allowed over the limit while idle ones are being closed
 FEWEST_CACHE_CONNECTIONS = 8
 FEWEST_UNDRAINED = 8
 # Answers that clients have not yet read may fill half of the memory beyond PROGRAM_MEGABYTES.
--- a/limepath/front/servers.py
+++ b/limepath/front/servers.py
@@ -6,7 +6,7 @@
 from itertools import count
 from typing import TYPE_CHECKING
 
-from limepath.configuration.process_limits import CROSSING_CLOSES
+from limepath.configuration.process_limits import MAX_EXCESS_CONNECTIONS
 from limepath.front.attempt import Attempt, Probe
 from limepath.front.clock import clock
 from limepath.front.reference_clock import ReferenceClock
@@ -80,7 +80,7 @@
         long. CROSSING_CLOSES descriptors are reserved for this.
         """
         excess = self.connection_count - self.limits.all_cache_connections
-        allowed = excess < 0 or excess < CROSSING_CLOSES and bool(self.idle_connections())
+        allowed = excess < 0 or excess < MAX_EXCESS_CONNECTIONS and bool(self.idle_connections())
         if not allowed:
             self.connection_limit_reached = True
         return allowed
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -9,7 +9,7 @@
 
 from limepath.configuration.process_limits import (
     ACCEPTED_AT_ONCE,
-    CROSSING_CLOSES,
+    MAX_EXCESS_CONNECTIONS,
     RESERVED_DESCRIPTORS,
     available_descriptors,
     plan_limits,
@@ -139,7 +139,7 @@
 def test_descriptor_shares_do_not_exceed_the_total(sockets):
     limits = plan_limits(sockets, 192, 32, open_requests=9)
     assert limits.client_connections + limits.all_cache_connections + RESERVED_DESCRIPTORS <= sockets
-    crossing = ACCEPTED_AT_ONCE + CROSSING_CLOSES
+    crossing = ACCEPTED_AT_ONCE + MAX_EXCESS_CONNECTIONS
     # A front that cooperates with others holds fewer than 24 other descriptors.
     assert crossing <= RESERVED_DESCRIPTORS - 24
 
@@ -156,7 +156,7 @@
 
 
 def test_idle_cache_connections_are_replaced_within_the_reserved_descriptors(driven):  # noqa: F811
-    number = 2 * CROSSING_CLOSES
+    number = 2 * MAX_EXCESS_CONNECTIONS
     # Timeouts that a slow machine does not reach.
     front = driven(open_requests=number, wait=BOUND * 1_000_000, connect=BOUND * 1_000_000)
     front.clients.services[b"video"] = (0, False, BOUND * 1_000_000)
@@ -184,7 +184,7 @@
     ask(1, first, 0)
     assert front.servers.connection_count == number and len(front.servers.idle_connections()) == number
     ask(2, second, 1000)  # more in one iteration than may be opened before idle ones are closed
-    assert number < most <= number + CROSSING_CLOSES
+    assert number < most <= number + MAX_EXCESS_CONNECTIONS
 
 
 def test_the_front_counts_its_descriptors_by_use():
