--- a/limepath/cli/coldstart.py
+++ b/limepath/cli/coldstart.py
@@ -12,7 +12,7 @@
     json_option,
     seed_option,
 )
-from limepath.cli.output import conclude
+from limepath.cli.output import exit_with_results
 
 down_option = click.option(
     "--down",
@@ -61,7 +61,7 @@
         return
     chosen = () if kinds == "none" else chosen_kinds(kinds, known, "--faults")
     found = drilled(fronts, seed, chosen, alone, down, keep=folder, sites=sites)
-    conclude(found.rows, as_json, found.said, seed=seed, alone=alone)
+    exit_with_results(found.rows, as_json, found.said, seed=seed, alone=alone)
 
 
 @command.command("simulate")
@@ -99,7 +99,7 @@
         return
     chosen = () if kinds == "none" or alone else chosen_kinds(kinds, KINDS, "--faults")
     found = simulated(fronts, zones, seed, down, loss, alone, chosen, saved=saved)
-    conclude(found.rows, as_json, found.log, seed=seed, alone=alone, loss=loss)
+    exit_with_results(found.rows, as_json, found.log, seed=seed, alone=alone, loss=loss)
 
 
 @command.command("tree")
@@ -156,7 +156,7 @@
     chosen = () if kinds == "none" else chosen_kinds(kinds, FAULTS, "--faults")
     plan = Plan(fronts, regions, zones, sites, purges, span, loss, tuple(chosen), cut, broken or "")
     found = run_tree(plan, seed)
-    conclude(found.rows, as_json, found.log, seed=seed, loss=loss)
+    exit_with_results(found.rows, as_json, found.log, seed=seed, loss=loss)
 
 
 @command.command("measure")
--- a/limepath/cli/discovery.py
+++ b/limepath/cli/discovery.py
@@ -6,7 +6,7 @@
 import click
 
 from limepath.cli.options import json_option
-from limepath.cli.output import STATUS_FAILED, conclude, fail, fail_configuration
+from limepath.cli.output import STATUS_FAILED, exit_with_results, fail, fail_configuration
 from limepath.configuration import peers_file
 from limepath.configuration.ini import SettingError
 from limepath.configuration.peers_file import PeersSettings
@@ -66,7 +66,7 @@
     ]
     if settings.site:
         rows += tree_rows(settings, fleet_size, zones, sites)
-    conclude(rows, as_json, fronts=fleet_size, zones=zones)
+    exit_with_results(rows, as_json, fronts=fleet_size, zones=zones)
 
 
 def tree_rows(settings: DiscoverySettings, fronts: int, zones: int, sites: int) -> list[CheckResult]:
--- a/limepath/cli/duties.py
+++ b/limepath/cli/duties.py
@@ -15,7 +15,7 @@
     mode_option,
     seed_option,
 )
-from limepath.cli.output import conclude, fail_configuration
+from limepath.cli.output import exit_with_results, fail_configuration
 from limepath.configuration import ini
 from limepath.configuration.peers_file import MODES
 from limepath.configuration.sharing_settings import DutyMode
@@ -97,7 +97,7 @@
     found = run_simulation(
         instances, targets, MODES[mode], interval, length, seed, loss, doubled, late, chosen, cold=cold
     )
-    conclude(
+    exit_with_results(
         found.rows,
         as_json,
         fault_lines(found.faults),
@@ -144,7 +144,7 @@
 
     chosen = chosen_kinds(only, KINDS, "--only")
     found = drilled(instances, targets, MODES[mode], interval, count, seed, sharing, loss, folder, chosen)
-    conclude(found.rows, as_json, found.said, seed=seed, mode=mode)
+    exit_with_results(found.rows, as_json, found.said, seed=seed, mode=mode)
 
 
 @command.command("check")
@@ -177,7 +177,7 @@
     from limepath.duties.check import explore
 
     found = explore(instances, depth, states, broken)
-    conclude(
+    exit_with_results(
         found.rows, as_json, found.trace, instances=instances, depth=depth, broken=broken, trace=found.trace
     )
 
@@ -212,7 +212,7 @@
         ._asdict()
         .items()
     ]
-    conclude(rows, as_json, instances=instances)
+    exit_with_results(rows, as_json, instances=instances)
 
 
 @command.command("measure")
--- a/limepath/cli/output.py
+++ b/limepath/cli/output.py
@@ -13,7 +13,7 @@
 STATUS_UNUSABLE = 2  # invalid settings or an invalid command line
 
 
-def conclude(
+def exit_with_results(
     rows: Sequence[CheckResult], as_json: bool, lines: Iterable[str] = (), **facts: object
 ) -> NoReturn:
     """Print the results as a table or JSON; exit with status 1 if a bound is exceeded, 0 otherwise."""
