--- a/limepath/configuration/platform.py
+++ b/limepath/configuration/platform.py
@@ -36,7 +36,7 @@
 LAST_ANSWER_AFTER_DEADLINE = 600_000
 # Requests arrive for up to 0.6 s after SIGTERM. A front on a busy core accepts them for longer if SIGKILL
 # comes late enough, and stops DRAINED_BEFORE_LAST_ANSWER before its last answer.
-REQUESTS_ARRIVE = 601_000
+LAST_REQUEST_ARRIVAL = 601_000
 LONGEST_DRAIN_PERIOD = 1_200_000
 DRAINED_BEFORE_LAST_ANSWER = 100_000
 
@@ -214,7 +214,7 @@
     )
     last_answer = int(last_answer_ms) * MILLISECOND
     default_drain_period = min(
-        LONGEST_DRAIN_PERIOD, max(REQUESTS_ARRIVE, last_answer - DRAINED_BEFORE_LAST_ANSWER)
+        LONGEST_DRAIN_PERIOD, max(LAST_REQUEST_ARRIVAL, last_answer - DRAINED_BEFORE_LAST_ANSWER)
     )
     drain_period_ms = require(machine, "leaving_ms", INTEGER, default_drain_period // MILLISECOND, "limits.")
     return _ShutdownTimes(last_answer, int(drain_period_ms) * MILLISECOND)
