--- a/limepath/configuration/decision_settings.py
+++ b/limepath/configuration/decision_settings.py
@@ -48,7 +48,7 @@
     grace: GracePeriods
 
 
-def us(nanoseconds: float) -> int:
+def to_microseconds(nanoseconds: float) -> int:
     """Convert nanoseconds, the unit of durations in the settings, to whole microseconds, rounded down."""
     return int(nanoseconds) // NANOSECONDS_PER_MICROSECOND
 
@@ -94,17 +94,17 @@
         return values[index] if index < len(values) else default
 
     return DeliveryService(
-        latency_objective=us(entry["aim"]),
+        latency_objective=to_microseconds(entry["aim"]),
         objective_stretch=entry.get("aim-stretch", 0.0),
-        deadline=us(entry["deadline"]),
+        deadline=to_microseconds(entry["deadline"]),
         priority_weight=entry.get("worth", 1.0),
         late_share=entry.get("late-worth", 0.0),
         idempotency=IDEMPOTENCY_BY_NAME[entry["idempotency"]],
         key_scope=KEY_SCOPE_BY_NAME[entry.get("key-scope", "all")],
-        retry_window=us(entry.get("repeat-window", 0)),
+        retry_window=to_microseconds(entry.get("repeat-window", 0)),
         streamed=bool(entry.get("stream", False)),
-        max_age=us(per_service("max-age", 0)),
-        stale_grace=us(per_service("class-grace", 0)),
+        max_age=to_microseconds(per_service("max-age", 0)),
+        stale_grace=to_microseconds(per_service("class-grace", 0)),
         stale_share=per_service("class-stale-worth", 0.0),
         uncacheable=bool(per_service("never-kept", False)),
         segmented=bool(per_service("segmented", False)),
@@ -117,8 +117,8 @@
     An overload factor or window of 0 means that overload makes no endpoint fail. The slow start then has no
     load limit to enforce, so its duration is 0.
     """
-    duration = us(duration_ns) if overload_factor and window_ns else 0
-    return SlowStart(share, duration, overload_factor, us(window_ns))
+    duration = to_microseconds(duration_ns) if overload_factor and window_ns else 0
+    return SlowStart(share, duration, overload_factor, to_microseconds(window_ns))
 
 
 def _topology(settings: Mapping[str, Any], family: Mapping[str, Any]) -> Topology:
@@ -146,7 +146,9 @@
         cancellation=limits.get("cancel", False),
         probing=limits.get("probing", False),
         peer_messages=limits.get("peers", False),
-        max_retry_after=us(limits.get("max-retry-after", 0)) if limits.get("retry-after", False) else 0,
+        max_retry_after=to_microseconds(limits.get("max-retry-after", 0))
+        if limits.get("retry-after", False)
+        else 0,
         direct=family.get("direct", False),
         join_fills=family.get("shares-fills", False),
         lateral=LATERAL_BY_NAME[family.get("lateral", "none")],
@@ -156,11 +158,11 @@
 
 def _grace_periods(safety: Mapping[str, Any], family: Mapping[str, Any]) -> GracePeriods:
     return GracePeriods(
-        us(safety["answer-slack"]),
-        us(safety["drain-grace"]),
-        us(family.get("heed-within", 0)),
-        us(family.get("gone-everywhere", 0)),
-        us(safety.get("must-ask-in", 0)),
+        to_microseconds(safety["answer-slack"]),
+        to_microseconds(safety["drain-grace"]),
+        to_microseconds(family.get("heed-within", 0)),
+        to_microseconds(family.get("gone-everywhere", 0)),
+        to_microseconds(safety.get("must-ask-in", 0)),
     )
 
 
--- a/limepath/configuration/platform.py
+++ b/limepath/configuration/platform.py
@@ -232,7 +232,7 @@
     memory_mb = int(require(machine, "memory_mb", COUNT, DEFAULT_MEMORY_MB, "limits."))
     longest_deadline = max(service.deadline for service in arguments["services"])
     shutdown = _shutdown_times(machine, longest_deadline)
-    microseconds = decision_settings.us
+    microseconds = decision_settings.to_microseconds
     connect = microseconds(permitted.get("connect-timeout", DEFAULT_CONNECT_TIMEOUT_NS))
     cache_idle = microseconds(permitted.get("conn-idle", DEFAULT_CACHE_IDLE_NS))
     grace = arguments["grace"]
--- a/limepath/simulator_host/codec.py
+++ b/limepath/simulator_host/codec.py
@@ -5,7 +5,7 @@
 
 import struct
 
-from limepath.configuration.decision_settings import us
+from limepath.configuration.decision_settings import to_microseconds
 from limepath.interface.commands import (
     CancelAttempt,
     CloseIdleConnections,
@@ -97,7 +97,7 @@
         service,
         tenant,
         obj,
-        us(time_left),
+        to_microseconds(time_left),
         size,
         int(group),
         int(part),
@@ -108,7 +108,7 @@
 
 def read_purge(cursor, _):
     group, age, obj = cursor.take(struct.Struct(">HQQ"))
-    return PurgeAnnounced(group, us(age), obj)
+    return PurgeAnnounced(group, to_microseconds(age), obj)
 
 
 def read_attempt_ended(cursor, load_fields):
@@ -121,8 +121,8 @@
         number,
         decode_enum(AttemptOutcome, outcome, "outcome", context),
         decode_endpoint_id(address),
-        us(duration),
-        us(queued),
+        to_microseconds(duration),
+        to_microseconds(queued),
         bool(answered),
         decode_enum(CacheStatus, cache_status, "cache status", context),
         read_load(cursor, load_fields),
@@ -131,7 +131,7 @@
 
 def read_response_started(cursor, _):
     request, number, address, duration = cursor.take(struct.Struct(">IB6sQ"))
-    return ResponseStarted(request, number, decode_endpoint_id(address), us(duration))
+    return ResponseStarted(request, number, decode_endpoint_id(address), to_microseconds(duration))
 
 
 def read_probe_ended(cursor, load_fields):
@@ -139,7 +139,7 @@
     return ProbeEnded(
         decode_endpoint_id(address),
         decode_enum(AttemptOutcome, outcome, "outcome", f"batch {cursor.sequence}"),
-        us(duration),
+        to_microseconds(duration),
         read_load(cursor, load_fields),
     )
 
--- a/limepath/simulator_host/host.py
+++ b/limepath/simulator_host/host.py
@@ -45,7 +45,7 @@
             if front is None:
                 continue
             try:
-                commands = front.handle(decision_settings.us(clock), events)
+                commands = front.handle(decision_settings.to_microseconds(clock), events)
                 records += [codec.write_command(instance, command) for command in commands]
             except Exception as error:  # the protocol reports any exception of the decision engine
                 errors.append(codec.write_error(instance, f"{type(error).__name__}: {error}"))
