--- a/limepath/cli/keys.py
+++ b/limepath/cli/keys.py
@@ -20,7 +20,7 @@
     "--kind", type=click.Choice(making.KINDS), default="ec", show_default=True, help="Type of the key."
 )
 CA, CA_KEY = "ca.pem", "ca.key"
-SECONDS_A_DAY = 86_400
+SECONDS_PER_DAY = 86_400
 
 
 def unix_clock() -> int:
@@ -168,7 +168,7 @@
     """Return the days until a revocation list's next update, or None if the list does not state it."""
     if not revoked.next_update_utc:
         return None
-    return round((revoked.next_update_utc.timestamp() - now / 1e6) / SECONDS_A_DAY, 2)
+    return round((revoked.next_update_utc.timestamp() - now / 1e6) / SECONDS_PER_DAY, 2)
 
 
 def print_rows(rows: list[dict[str, Any]], ending: list[dict[str, Any]], warnings: list[str]) -> None:
--- a/limepath/cli/output.py
+++ b/limepath/cli/output.py
@@ -10,7 +10,7 @@
 from limepath.report_table import CheckResult, all_passed, format_table, json_fields
 
 STATUS_FAILED = 1  # a stated bound is exceeded, or nothing answered
-STATUS_UNUSABLE = 2  # invalid settings or an invalid command line
+STATUS_INVALID = 2  # invalid settings or an invalid command line
 
 
 def exit_with_results(
@@ -27,7 +27,7 @@
     sys.exit(0 if all_passed(rows) else STATUS_FAILED)
 
 
-def fail(error: object, status: int = STATUS_UNUSABLE) -> NoReturn:
+def fail(error: object, status: int = STATUS_INVALID) -> NoReturn:
     """Print the error in one line on standard error; exit with `status`."""
     click.echo(f"limepath: {error}", err=True)
     sys.exit(status)
--- a/limepath/cli/scale_run.py
+++ b/limepath/cli/scale_run.py
@@ -16,9 +16,9 @@
     from limepath.scale.plan import Machine, Plan
     from limepath.scale.run import Options
 
-SHORTEST = 5_000_000  # minimum --duration, in microseconds
-MOST_STRETCH = 20  # a larger factor would exceed the maximum of a duration in the settings
-LONGEST_FOLDER = 80  # characters, because the path of a control socket in it is limited to 107
+MIN_DURATION = 5_000_000  # minimum --duration, in microseconds
+MAX_STRETCH = 20  # a larger factor would exceed the maximum of a duration in the settings
+MAX_FOLDER_LENGTH = 80  # characters, because the path of a control socket in it is limited to 107
 MEMORY_FOLDER = "/dev/shm"  # used if present, because the disk would limit a run with 1000 stores
 
 
@@ -61,7 +61,7 @@
 )
 @click.option(
     "--stretch",
-    type=click.IntRange(1, MOST_STRETCH),
+    type=click.IntRange(1, MAX_STRETCH),
     default=1,
     show_default=True,
     help="Slow the run down by this factor: durations grow, rates fall, results are in the run's time.",
@@ -125,12 +125,12 @@
     """Raise BadSize with the expected value if an option is invalid."""
     from limepath.scale.plan import BadSize
 
-    if duration < SHORTEST:
+    if duration < MIN_DURATION:
         raise BadSize("--duration: expected at least 5s")
     if budget_bytes is not None and budget_bytes <= 0:
         raise BadSize(f"--budget-bytes {budget_bytes:g}: expected more than 0")
-    if folder and len(os.path.abspath(folder)) > LONGEST_FOLDER:
-        raise BadSize(f"--keep {folder}: expected a path of at most {LONGEST_FOLDER} characters")
+    if folder and len(os.path.abspath(folder)) > MAX_FOLDER_LENGTH:
+        raise BadSize(f"--keep {folder}: expected a path of at most {MAX_FOLDER_LENGTH} characters")
     if folder and os.path.isdir(folder) and os.listdir(folder):
         raise BadSize(f"--keep {folder}: expected a new or empty folder")
 
