--- a/limepath/configuration/platform.py
+++ b/limepath/configuration/platform.py
@@ -28,16 +28,16 @@
 DEFAULT_CACHE_IDLE_NS = 30_000_000_000
 CACHE_IDLE_PERCENT = 80  # of the endpoint's idle timeout: the front must close a connection first
 OVERLOAD_RETRY_AFTER_DIVISOR = 10  # the permitted Retry-After divided by this is sent on overload
-LONGEST_CLIENT_DEADLINE = 2  # maximum deadline in a request, in multiples of its service's deadline
+MAX_CLIENT_DEADLINE_FACTOR = 2  # maximum deadline in a request, in multiples of its service's deadline
 
 # Times of the shutdown, in microseconds. By the protocol page, SIGKILL follows SIGTERM no sooner than after
 # the longest deadline (3 s at most) plus 0.7 s.
-LONGEST_DEADLINE_AWAITED = 3_000_000
+MAX_DEADLINE_AWAITED = 3_000_000
 LAST_ANSWER_AFTER_DEADLINE = 600_000
 # Requests arrive for up to 0.6 s after SIGTERM. A front on a busy core accepts them for longer if SIGKILL
 # comes late enough, and stops DRAINED_BEFORE_LAST_ANSWER before its last answer.
 LAST_REQUEST_ARRIVAL = 601_000
-LONGEST_DRAIN_PERIOD = 1_200_000
+MAX_DRAIN_PERIOD = 1_200_000
 DRAINED_BEFORE_LAST_ANSWER = 100_000
 
 MILLISECOND = 1000  # microseconds
@@ -194,7 +194,7 @@
 def _services(settings: Mapping[str, Any], arguments: DecisionArguments) -> dict[bytes, Service]:
     return {
         entry["name"].encode(): Service(
-            index, service.uncacheable, service.deadline * LONGEST_CLIENT_DEADLINE
+            index, service.uncacheable, service.deadline * MAX_CLIENT_DEADLINE_FACTOR
         )
         for index, (entry, service) in enumerate(zip(settings["classes"], arguments["services"], strict=True))
     }
@@ -208,13 +208,13 @@
 
 
 def _shutdown_times(machine: Mapping[str, Any], longest_deadline: int) -> _ShutdownTimes:
-    default_last_answer = min(longest_deadline, LONGEST_DEADLINE_AWAITED) + LAST_ANSWER_AFTER_DEADLINE
+    default_last_answer = min(longest_deadline, MAX_DEADLINE_AWAITED) + LAST_ANSWER_AFTER_DEADLINE
     last_answer_ms = require(
         machine, "last_answer_ms", INTEGER, default_last_answer // MILLISECOND, "limits."
     )
     last_answer = int(last_answer_ms) * MILLISECOND
     default_drain_period = min(
-        LONGEST_DRAIN_PERIOD, max(LAST_REQUEST_ARRIVAL, last_answer - DRAINED_BEFORE_LAST_ANSWER)
+        MAX_DRAIN_PERIOD, max(LAST_REQUEST_ARRIVAL, last_answer - DRAINED_BEFORE_LAST_ANSWER)
     )
     drain_period_ms = require(machine, "leaving_ms", INTEGER, default_drain_period // MILLISECOND, "limits.")
     return _ShutdownTimes(last_answer, int(drain_period_ms) * MILLISECOND)
--- a/limepath/configuration/process_limits.py
+++ b/limepath/configuration/process_limits.py
@@ -8,8 +8,8 @@
 RESERVED_DESCRIPTORS = 64
 ACCEPTED_AT_ONCE = 16  # client connections allowed over the limit while idle ones are being closed
 MAX_EXCESS_CONNECTIONS = 16  # endpoint connections allowed over the limit while idle ones are being closed
-FEWEST_CACHE_CONNECTIONS = 8
-FEWEST_UNDRAINED = 8
+MIN_CACHE_CONNECTIONS = 8
+MIN_UNDRAINED_CONNECTIONS = 8
 # Answers that clients have not yet read may fill half of the memory beyond PROGRAM_MEGABYTES.
 UNDRAINED_BYTES_PER_MEGABYTE = 500_000
 
@@ -87,8 +87,10 @@
     undrained_bytes = (memory_mb - PROGRAM_MEGABYTES) * UNDRAINED_BYTES_PER_MEGABYTE
     return Limits(
         client_connections,
-        max(FEWEST_CACHE_CONNECTIONS, cache_connections),
+        max(MIN_CACHE_CONNECTIONS, cache_connections),
         streams,
-        undrained_connections=max(FEWEST_UNDRAINED, undrained_bytes // Limits._field_defaults["answer"]),
+        undrained_connections=max(
+            MIN_UNDRAINED_CONNECTIONS, undrained_bytes // Limits._field_defaults["answer"]
+        ),
         **others,
     )
