--- a/limepath/configuration/tls_settings.py
+++ b/limepath/configuration/tls_settings.py
@@ -21,16 +21,16 @@
     """Delays before the next connection to a server after a failure; they double up to a maximum.
 
     Attributes:
-        passing: the first delay after a transient failure.
-        passing_most: the maximum delay after transient failures.
-        lasting: the first delay after a failure that an operator must repair.
-        lasting_most: the maximum delay after failures that an operator must repair.
+        transient: the first delay after a transient failure.
+        transient_max: the maximum delay after transient failures.
+        permanent: the first delay after a failure that an operator must repair.
+        permanent_max: the maximum delay after failures that an operator must repair.
     """
 
-    passing: int = 200_000
-    passing_most: int = 5_000_000
-    lasting: int = 5_000_000
-    lasting_most: int = 60_000_000
+    transient: int = 200_000
+    transient_max: int = 5_000_000
+    permanent: int = 5_000_000
+    permanent_max: int = 60_000_000
 
 
 class HandshakePace(NamedTuple):
--- a/limepath/tls/admission.py
+++ b/limepath/tls/admission.py
@@ -150,9 +150,9 @@
             return  # one of several that were under way: told already
         passing = note.failure in PASSING
         first, most = (
-            (self.retry_delays.passing, self.retry_delays.passing_most)
+            (self.retry_delays.transient, self.retry_delays.transient_max)
             if passing
-            else (self.retry_delays.lasting, self.retry_delays.lasting_most)
+            else (self.retry_delays.permanent, self.retry_delays.permanent_max)
         )
         span = min(most, first << min(20, server.failures))
         span = int(span * (0.75 + self.timers.random_fraction() / 2))
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -234,7 +234,7 @@
         for o in doors.handle(0, [want(1)]) + doors.handle(0, [Broken(1, Failure.TIMED_OUT)])
         if isinstance(o, Told)
     ]
-    assert soon.span <= RetryDelays().passing * 1.25
+    assert soon.span <= RetryDelays().transient * 1.25
     (late,) = [
         o
         for o in doors.handle(0, [want(2, 9)]) + doors.handle(0, [Broken(2, Failure.WRONG_NAME)])
