--- a/limepath/configuration/tls_settings.py
+++ b/limepath/configuration/tls_settings.py
@@ -7,14 +7,14 @@
     """Settings of the cache of TLS sessions.
 
     Attributes:
-        most: the maximum number of sessions.
-        each: the maximum number of sessions of one server.
-        longest: the maximum age of a session.
+        max_sessions: the maximum number of sessions.
+        max_per_server: the maximum number of sessions of one server.
+        max_age: the maximum age of a session.
     """
 
-    most: int = 512
-    each: int = 8
-    longest: int = 3_600_000_000
+    max_sessions: int = 512
+    max_per_server: int = 8
+    max_age: int = 3_600_000_000
 
 
 class RetryDelays(NamedTuple):
