--- a/limepath/cli/coldstart.py
+++ b/limepath/cli/coldstart.py
@@ -60,8 +60,8 @@
         click.echo(", ".join(known))
         return
     chosen = () if kinds == "none" else chosen_kinds(kinds, known, "--faults")
-    found = drilled(fronts, seed, chosen, alone, down, keep=folder, sites=sites)
-    exit_with_results(found.rows, as_json, found.said, seed=seed, alone=alone)
+    result = drilled(fronts, seed, chosen, alone, down, keep=folder, sites=sites)
+    exit_with_results(result.rows, as_json, result.said, seed=seed, alone=alone)
 
 
 @command.command("simulate")
@@ -98,8 +98,8 @@
         click.echo(", ".join(KINDS))
         return
     chosen = () if kinds == "none" or alone else chosen_kinds(kinds, KINDS, "--faults")
-    found = simulated(fronts, zones, seed, down, loss, alone, chosen, saved=saved)
-    exit_with_results(found.rows, as_json, found.log, seed=seed, alone=alone, loss=loss)
+    result = simulated(fronts, zones, seed, down, loss, alone, chosen, saved=saved)
+    exit_with_results(result.rows, as_json, result.log, seed=seed, alone=alone, loss=loss)
 
 
 @command.command("tree")
@@ -155,8 +155,8 @@
         return
     chosen = () if kinds == "none" else chosen_kinds(kinds, FAULTS, "--faults")
     plan = Plan(fronts, regions, zones, sites, purges, span, loss, tuple(chosen), cut, broken or "")
-    found = run_tree(plan, seed)
-    exit_with_results(found.rows, as_json, found.log, seed=seed, loss=loss)
+    result = run_tree(plan, seed)
+    exit_with_results(result.rows, as_json, result.log, seed=seed, loss=loss)
 
 
 @command.command("measure")
--- a/limepath/cli/duties.py
+++ b/limepath/cli/duties.py
@@ -94,16 +94,16 @@
         chosen = ()
     elif kinds is not None:
         chosen = chosen_kinds(None if kinds == "every" else kinds, KINDS, "--faults")
-    found = run_simulation(
+    result = run_simulation(
         instances, targets, MODES[mode], interval, length, seed, loss, doubled, late, chosen, cold=cold
     )
     exit_with_results(
-        found.rows,
+        result.rows,
         as_json,
-        fault_lines(found.faults),
+        fault_lines(result.faults),
         seed=seed,
         mode=mode,
-        faults=[fault._asdict() for fault in found.faults],
+        faults=[fault._asdict() for fault in result.faults],
     )
 
 
@@ -143,8 +143,8 @@
     from limepath.testbed.duties import KINDS, drilled
 
     chosen = chosen_kinds(only, KINDS, "--only")
-    found = drilled(instances, targets, MODES[mode], interval, count, seed, sharing, loss, folder, chosen)
-    exit_with_results(found.rows, as_json, found.said, seed=seed, mode=mode)
+    result = drilled(instances, targets, MODES[mode], interval, count, seed, sharing, loss, folder, chosen)
+    exit_with_results(result.rows, as_json, result.said, seed=seed, mode=mode)
 
 
 @command.command("check")
@@ -176,9 +176,15 @@
     """
     from limepath.duties.check import explore
 
-    found = explore(instances, depth, states, broken)
+    result = explore(instances, depth, states, broken)
     exit_with_results(
-        found.rows, as_json, found.trace, instances=instances, depth=depth, broken=broken, trace=found.trace
+        result.rows,
+        as_json,
+        result.trace,
+        instances=instances,
+        depth=depth,
+        broken=broken,
+        trace=result.trace,
     )
 
 
--- a/limepath/cli/keys.py
+++ b/limepath/cli/keys.py
@@ -89,13 +89,15 @@
 def inspect(file: str, as_json: bool) -> None:
     """Show the certificates in FILE."""
     try:
-        found = [shown(each, unix_clock())._asdict() for each in certificates(read(file, "certificate"))]
+        shown_certificates = [
+            shown(each, unix_clock())._asdict() for each in certificates(read(file, "certificate"))
+        ]
     except BadMaterial as error:
         fail_keys(error)
     if as_json:
-        click.echo(json.dumps(found, indent=1))
+        click.echo(json.dumps(shown_certificates, indent=1))
         return
-    for certificate in found:
+    for certificate in shown_certificates:
         for name, value in certificate.items():
             click.echo(f"{name + ':':<14}{', '.join(value) if isinstance(value, tuple) else value}")
         click.echo("")
@@ -120,13 +122,13 @@
     now = unix_clock()
     try:
         settings = tls_file.read(file)
-        found = key_set(settings, now)
+        key_files = key_set(settings, now)
     except ini.SettingError as error:
         fail_keys(error)
     except BadMaterial as error:
         fail_keys(f"{file}: {error}")
-    rows = chain_rows(cast("Chain | None", found.chain), now) + [
-        row for trust in found.trusts for row in trust_rows(trust, now)
+    rows = chain_rows(cast("Chain | None", key_files.chain), now) + [
+        row for trust in key_files.trusts for row in trust_rows(trust, now)
     ]
     warnings = [
         f"[trust {entry.title}] verify: off; certificates of {', '.join(entry.members)} are not verified"
