--- a/limepath/front/endpoint_watch.py
+++ b/limepath/front/endpoint_watch.py
@@ -252,7 +252,9 @@
     def _schedule_reconnect(self, reason: str) -> None:
         """Reconnect after an exponential backoff with a jitter of 50 %."""
         self.log.info("changelog", f"{reason}; reconnecting", after=self.last_seq)
-        backoff = self.limits.change_log_min_backoff << min(MAX_BACKOFF_DOUBLINGS, self.reconnects_without_event)
+        backoff = self.limits.change_log_min_backoff << min(
+            MAX_BACKOFF_DOUBLINGS, self.reconnects_without_event
+        )
         pause = min(self.limits.change_log_max_backoff, backoff)
         self.reconnects_without_event += 1
         self.reconnect_count += 1
--- a/limepath/front/servers.py
+++ b/limepath/front/servers.py
@@ -77,7 +77,7 @@
         """Return whether a new connection fits the limit, or an idle connection can be closed for it.
 
         The idle connection closes one iteration of the event loop later, so the limit is exceeded for that
-        long. CROSSING_CLOSES descriptors are reserved for this.
+        long. MAX_EXCESS_CONNECTIONS descriptors are reserved for this.
         """
         excess = self.connection_count - self.limits.all_cache_connections
         allowed = excess < 0 or excess < MAX_EXCESS_CONNECTIONS and bool(self.idle_connections())
--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -298,7 +298,7 @@
 
 
 def test_attempt_behind_blocked_output_is_not_sent_after_its_client_disconnects(driven):
-    front = driven(cache_connections=1, wait=5_000_000)
+    front = driven(cache_connections=1, connection_wait=5_000_000)
     body, sent, cache = b"z" * 40_000, [], None
     while cache is None or not front.servers.endpoints[1].connections[0].unsent_bytes():
         sent.append(front.viewer().send("/invoke/tarea/1", body, txn=f"{len(sent):016x}", ttl=5000))
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -158,7 +158,7 @@
 def test_idle_cache_connections_are_replaced_within_the_reserved_descriptors(driven):  # noqa: F811
     number = 2 * MAX_EXCESS_CONNECTIONS
     # Timeouts that a slow machine does not reach.
-    front = driven(open_requests=number, wait=BOUND * 1_000_000, connect=BOUND * 1_000_000)
+    front = driven(open_requests=number, connection_wait=BOUND * 1_000_000, connect=BOUND * 1_000_000)
     front.clients.services[b"video"] = (0, False, BOUND * 1_000_000)
     front.servers.limits = front.servers.limits._replace(all_cache_connections=number)
     first, second = Answering("s-1"), Answering("s-2")
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -515,8 +515,10 @@
 
 def test_shutdown_waits_for_a_slow_reader_up_to_the_longest_deadline():
     settings = front_settings(configuration(free_address()), {})
-    assert settings.limits.last_answer_read_timeout == max(service.deadline for service in settings.arguments["services"])
-    reactor, clients, _, _ = build_front(ForwardingDecisions(), last_call=5_000_000)
+    assert settings.limits.last_answer_read_timeout == max(
+        service.deadline for service in settings.arguments["services"]
+    )
+    reactor, clients, _, _ = build_front(ForwardingDecisions(), last_answer_read_timeout=5_000_000)
     clients.listener.port = SimpleNamespace(
         doRead=lambda: None, stopListening=lambda: None, socket=listening()
     )
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -436,7 +436,9 @@
 
 def test_silent_and_endless_clients_are_closed_soon():
     limits = plan_limits(256, 64, 32, open_requests=9)
-    assert max(limits.request_read_timeout, limits.half_close_timeout) + 2 * limits.sweep < 3_000_000  # the longest time until the close
+    assert (
+        max(limits.request_read_timeout, limits.half_close_timeout) + 2 * limits.sweep < 3_000_000
+    )  # the longest time until the close
     with Site() as site:
         silent, half, after = site.viewer(), site.viewer().raw("GET /inv"), site.viewer().send()
         endless = site.viewer().raw("PUT /invoke/tarea/1 HTTP/1.1\r\nContent-Length: 60000000\r\n\r\n")
