--- a/limepath/configuration/decision_settings.py
+++ b/limepath/configuration/decision_settings.py
@@ -1,6 +1,7 @@
-"""From the platform's settings, as JSON gives them, to those of the decision module; all hosts use this.
+"""Converts the settings in the platform's JSON to the settings of the decision module.
 
-The names in the JSON are the platform's. They are mapped to the field's terms here and nowhere else.
+The keys and values in the JSON are named by the platform; only this module maps them to other names. The
+front, the hollow fronts and the simulator host all use it.
 """
 
 from collections.abc import Mapping
@@ -18,7 +19,7 @@
 
 NANOSECONDS_PER_MICROSECOND = 1000
 
-# Load fields that endpoints report
+# Names of reported load values by the names of the fields in load reports
 LOAD_NAMES = {
     "rif": "inflight",
     "q": "queue",
@@ -37,7 +38,7 @@
 
 
 class DecisionArguments(TypedDict):
-    """The keyword arguments of the decision module, beside its seed."""
+    """The keyword arguments of the decision module, except its seed."""
 
     services: tuple[DeliveryService, ...]
     footprint: Topology
@@ -47,8 +48,8 @@
     grace: GracePeriods
 
 
-def us(nanoseconds: float) -> int:
-    """Return nanoseconds, as the settings give durations, in whole microseconds."""
+def to_microseconds(nanoseconds: float) -> int:
+    """Convert nanoseconds, the unit of durations in the settings, to whole microseconds, rounded down."""
     return int(nanoseconds) // NANOSECONDS_PER_MICROSECOND
 
 
@@ -56,7 +57,7 @@
     """Return the settings of the decision module.
 
     Raises:
-        KeyError, TypeError, ValueError: the settings cannot be used.
+        KeyError, TypeError, ValueError: the settings are invalid.
     """
     family = settings.get("family-info", {})
     safety = settings["safety"]
@@ -80,12 +81,12 @@
 
 
 def delivery_service(entry: Mapping[str, Any], index: int, family: Mapping[str, Any]) -> DeliveryService:
-    """Return the settings of one service.
+    """Return the settings of one delivery service.
 
     Args:
-        entry: its entry in `classes`.
-        index: its place there.
-        family: `family-info`, whose lists have a value for each service, or none.
+        entry: the service's entry in `classes`.
+        index: the index of that entry.
+        family: `family-info`, whose lists are empty or have one value for each service.
     """
 
     def per_service(key: str, default: Any) -> Any:
@@ -93,17 +94,17 @@
         return values[index] if index < len(values) else default
 
     return DeliveryService(
-        latency_objective=us(entry["aim"]),
+        latency_objective=to_microseconds(entry["aim"]),
         objective_stretch=entry.get("aim-stretch", 0.0),
-        deadline=us(entry["deadline"]),
+        deadline=to_microseconds(entry["deadline"]),
         priority_weight=entry.get("worth", 1.0),
         late_share=entry.get("late-worth", 0.0),
         idempotency=IDEMPOTENCY_BY_NAME[entry["idempotency"]],
         key_scope=KEY_SCOPE_BY_NAME[entry.get("key-scope", "all")],
-        retry_window=us(entry.get("repeat-window", 0)),
+        retry_window=to_microseconds(entry.get("repeat-window", 0)),
         streamed=bool(entry.get("stream", False)),
-        max_age=us(per_service("max-age", 0)),
-        stale_grace=us(per_service("class-grace", 0)),
+        max_age=to_microseconds(per_service("max-age", 0)),
+        stale_grace=to_microseconds(per_service("class-grace", 0)),
         stale_share=per_service("class-stale-worth", 0.0),
         uncacheable=bool(per_service("never-kept", False)),
         segmented=bool(per_service("segmented", False)),
@@ -113,11 +114,11 @@
 def slow_start(share: float, duration_ns: float, overload_factor: float, window_ns: float) -> SlowStart:
     """Return the settings of a slow start.
 
-    An overload factor or window of 0 says that no endpoint fails by overload: then there is no budget to
-    keep, and the slow start has no duration.
+    An overload factor or window of 0 means that overload makes no endpoint fail. The slow start then has no
+    load limit to enforce, so its duration is 0.
     """
-    duration = us(duration_ns) if overload_factor and window_ns else 0
-    return SlowStart(share, duration, overload_factor, us(window_ns))
+    duration = to_microseconds(duration_ns) if overload_factor and window_ns else 0
+    return SlowStart(share, duration, overload_factor, to_microseconds(window_ns))
 
 
 def _topology(settings: Mapping[str, Any], family: Mapping[str, Any]) -> Topology:
@@ -145,7 +146,9 @@
         cancellation=limits.get("cancel", False),
         probing=limits.get("probing", False),
         peer_messages=limits.get("peers", False),
-        max_retry_after=us(limits.get("max-retry-after", 0)) if limits.get("retry-after", False) else 0,
+        max_retry_after=to_microseconds(limits.get("max-retry-after", 0))
+        if limits.get("retry-after", False)
+        else 0,
         direct=family.get("direct", False),
         join_fills=family.get("shares-fills", False),
         lateral=LATERAL_BY_NAME[family.get("lateral", "none")],
@@ -155,15 +158,15 @@
 
 def _grace_periods(safety: Mapping[str, Any], family: Mapping[str, Any]) -> GracePeriods:
     return GracePeriods(
-        us(safety["answer-slack"]),
-        us(safety["drain-grace"]),
-        us(family.get("heed-within", 0)),
-        us(family.get("gone-everywhere", 0)),
-        us(safety.get("must-ask-in", 0)),
+        to_microseconds(safety["answer-slack"]),
+        to_microseconds(safety["drain-grace"]),
+        to_microseconds(family.get("heed-within", 0)),
+        to_microseconds(family.get("gone-everywhere", 0)),
+        to_microseconds(safety.get("must-ask-in", 0)),
     )
 
 
 def load_fields(settings: Mapping[str, Any]) -> tuple[str, ...]:
-    """Return the names of the load fields that endpoints report, in their order."""
+    """Return the names of the load values that endpoints report, in the order of the report."""
     fields = settings.get("stats", {}).get("fields", ())
     return tuple(LOAD_NAMES.get(name, name) for name in fields)
--- a/limepath/front/endpoint_watch.py
+++ b/limepath/front/endpoint_watch.py
@@ -252,8 +252,10 @@
     def _schedule_reconnect(self, reason: str) -> None:
         """Reconnect after an exponential backoff with a jitter of 50 %."""
         self.log.info("changelog", f"{reason}; reconnecting", after=self.last_seq)
-        backoff = self.limits.feed_pause << min(MAX_BACKOFF_DOUBLINGS, self.reconnects_without_event)
-        pause = min(self.limits.feed_longest_pause, backoff)
+        backoff = self.limits.change_log_min_backoff << min(
+            MAX_BACKOFF_DOUBLINGS, self.reconnects_without_event
+        )
+        pause = min(self.limits.change_log_max_backoff, backoff)
         self.reconnects_without_event += 1
         self.reconnect_count += 1
         jitter = 0.5 + crc32(b"%d:%d" % (self.seed, self.reconnect_count)) / 2**32
@@ -266,13 +268,13 @@
         slowly would otherwise never be waited for long enough.
         """
         stream = self.stream
-        if stream is None or clock() - stream.last_read_at <= self.limits.feed_silence:
+        if stream is None or clock() - stream.last_read_at <= self.limits.change_log_silence_timeout:
             return
         self.log.info("changelog", "no data received within the limit")
         if stream.is_accepted:
             stream.transport.abortConnection()
             return
-        if len(self.unanswered_streams) >= self.limits.feed_unanswered:
+        if len(self.unanswered_streams) >= self.limits.max_unanswered_calls:
             self.unanswered_streams.pop(0).transport.abortConnection()
         self.unanswered_streams.append(stream)
         self.stream = None
--- a/limepath/front/servers.py
+++ b/limepath/front/servers.py
@@ -6,7 +6,7 @@
 from itertools import count
 from typing import TYPE_CHECKING
 
-from limepath.configuration.process_limits import CROSSING_CLOSES
+from limepath.configuration.process_limits import MAX_EXCESS_CONNECTIONS
 from limepath.front.attempt import Attempt, Probe
 from limepath.front.clock import clock
 from limepath.front.reference_clock import ReferenceClock
@@ -56,7 +56,7 @@
         self.probe_numbers = count(1)
         self.connection_count = 0  # established connections and pending connects
         self.connection_limit_reached = False  # an endpoint could not connect because of the limit
-        self.reference = ReferenceClock(limits.skew)
+        self.reference = ReferenceClock(limits.max_clock_skew)
         self.secured = None  # tls.host.TlsConnector if connections to some kinds of servers use TLS
         self.paced = None  # connection_pacing.host.Paced if the fronts share a limit on new connections
 
@@ -77,10 +77,10 @@
         """Return whether a new connection fits the limit, or an idle connection can be closed for it.
 
         The idle connection closes one iteration of the event loop later, so the limit is exceeded for that
-        long. CROSSING_CLOSES descriptors are reserved for this.
+        long. MAX_EXCESS_CONNECTIONS descriptors are reserved for this.
         """
         excess = self.connection_count - self.limits.all_cache_connections
-        allowed = excess < 0 or excess < CROSSING_CLOSES and bool(self.idle_connections())
+        allowed = excess < 0 or excess < MAX_EXCESS_CONNECTIONS and bool(self.idle_connections())
         if not allowed:
             self.connection_limit_reached = True
         return allowed
@@ -153,7 +153,7 @@
 
     def forward(self, command: ForwardRequest, request: ClientRequest, decided_at: int) -> None:
         """Start an attempt; `decided_at` is in microseconds of the front's clock."""
-        attempt = Attempt(request, command, self.names, decided_at, self.limits.wait)
+        attempt = Attempt(request, command, self.names, decided_at, self.limits.connection_wait)
         request.attempt_count += 1
         request.attempts[attempt.number] = attempt
         if not request.is_open or attempt.deadline <= attempt.started_at:
@@ -168,7 +168,7 @@
         """
         number = next(self.probe_numbers)
         tag = b"p%d-e%d" % (number, epoch) if epoch else b"p%d" % number
-        self.endpoints[command.endpoint].send(Probe(command.endpoint, tag, self.limits.wait))
+        self.endpoints[command.endpoint].send(Probe(command.endpoint, tag, self.limits.connection_wait))
 
     def close_idle(self, command: CloseIdleConnections) -> None:
         """Close the connections to an endpoint that have nothing in flight."""
@@ -278,7 +278,7 @@
         is_mid_answer = connection.answer_line or connection.buffer
         if not connection.attempts and silence > self.limits.cache_idle:
             connection.drain()
-        elif is_mid_answer and silence > self.limits.stall:
+        elif is_mid_answer and silence > self.limits.answer_stall_timeout:
             name = connection.endpoint.name
             self.log.info("cache", "stalled in the middle of an answer; connection closed", cache=name)
             connection.close(abort=True)
--- a/limepath/tls/admission.py
+++ b/limepath/tls/admission.py
@@ -188,9 +188,9 @@
             return  # an earlier failure of the handshakes in progress started the backoff and was logged
         transient = event.failure in TRANSIENT_FAILURES
         first, most = (
-            (self.retry_delays.passing, self.retry_delays.passing_most)
+            (self.retry_delays.transient, self.retry_delays.transient_max)
             if transient
-            else (self.retry_delays.lasting, self.retry_delays.lasting_most)
+            else (self.retry_delays.permanent, self.retry_delays.permanent_max)
         )
         backoff = min(most, first << min(20, server.failures))
         backoff = int(backoff * (0.75 + self.timers.random_fraction() / 2))
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -346,7 +346,7 @@
 
 def test_wait_for_a_connection_is_limited_by_heed_within():
     told = SETTINGS | {"family-info": SETTINGS["family-info"] | {"heed-within": 200 * MS}}
-    assert front_settings(configuration(free_address(), settings=told), {}).limits.wait == 200_000
+    assert front_settings(configuration(free_address(), settings=told), {}).limits.connection_wait == 200_000
 
 
 def test_sigterm_answers_all_requests_and_exits_with_status_0():
@@ -442,7 +442,9 @@
 
 def test_silent_and_endless_clients_are_closed_soon():
     limits = plan_limits(256, 64, 32, open_requests=9)
-    assert max(limits.slow, limits.linger) + 2 * limits.sweep < 3_000_000  # the longest time until the close
+    assert (
+        max(limits.request_read_timeout, limits.half_close_timeout) + 2 * limits.sweep < 3_000_000
+    )  # the longest time until the close
     with Site() as site:
         silent, half, after = (
             site.open_client(),
--- a/tests/test_settings_files.py
+++ b/tests/test_settings_files.py
@@ -1,4 +1,4 @@
-"""The peers file and the keys file: read with defaults, or refused with file, section and key."""
+"""Tests of the peers file and the keys file: defaults, and errors that name file, section and key."""
 
 import pytest
 from hypothesis import given
@@ -52,28 +52,36 @@
         (
             "interval = 5s",
             "intervall = 5s",
-            "/peers.ini: [duty probe] intervall: no such key; did you mean 'interval'?",
+            "/peers.ini: [duty probe] intervall: unknown key; did you mean 'interval'?",
         ),
-        ("interval = 5s", "interval = 5", "[duty probe] interval: '5': a duration with its unit"),
-        ("interval = 5s", "interval = 5ms", "[duty probe] interval: '5ms': at least 100ms is wanted"),
+        ("interval = 5s", "interval = 5", "[duty probe] interval: '5': expected a duration with a unit"),
+        ("interval = 5s", "interval = 5ms", "[duty probe] interval: '5ms': expected at least 100ms"),
         ("interval = 5s", "mode = one-ownr", "did you mean 'one-owner'?"),
-        ("interval = 5s", "targets = caches, cachs", "[duty probe] targets: 'caches, cachs': one of"),
-        ("[leases]", "[leasez]", "/peers.ini: [leasez]: no such section; did you mean 'leases'?"),
-        ("voters = n1, n2, n3", "voters = n1, n1", "[leases] voters: 'n1, n1': the same stands twice"),
-        ("voters = n1, n2, n3\n", "[duty b]\nmode = one-owner\n", "[leases] voters: missing; [duty b]"),
-        ("voters = n1, n2, n3", "drift = 30%", "[leases] drift: '30%': at most 0.2 is wanted"),
+        (
+            "interval = 5s",
+            "targets = caches, cachs",
+            "[duty probe] targets: 'caches, cachs': expected one of",
+        ),
+        ("[leases]", "[leasez]", "/peers.ini: [leasez]: unknown section; did you mean 'leases'?"),
+        ("voters = n1, n2, n3", "voters = n1, n1", "[leases] voters: 'n1, n1': duplicate item"),
+        (
+            "voters = n1, n2, n3\n",
+            "[duty b]\nmode = one-owner\n",
+            "[leases] voters: missing; required by mode one-owner of [duty b]",
+        ),
+        ("voters = n1, n2, n3", "drift = 30%", "[leases] drift: '30%': expected at most 0.2"),
         (
             "listen = 127.0.0.1:7946",
             "listen = localhost:1",
-            "[peers] listen: 'localhost:1': an address with a port",
+            "[peers] listen: 'localhost:1': expected an IP address with a port",
         ),
         ("listen = 127.0.0.1:7946", "", "[peers] listen: missing"),
-        ("keys =", "direct = 600ms\nkeys =", "[peers] direct: twice this must be below period"),
-        ("keys = peers.keys", "keys = a\nkeys = b", "[peers] keys: stands twice"),
-        ("name = n1", "name = n 1", "[instance] name: 'n 1': a name of up to 32"),
-        ("[instance]\n", "name\n[instance]\n", "line 1: stands before the first [section]"),
+        ("keys =", "direct = 600ms\nkeys =", "[peers] direct: expected less than half of period"),
+        ("keys = peers.keys", "keys = a\nkeys = b", "[peers] keys: duplicate key"),
+        ("name = n1", "name = n 1", "[instance] name: 'n 1': expected a name of up to 32"),
+        ("[instance]\n", "name\n[instance]\n", "line 1: text before the first [section]"),
         ("[duty probe]\ninterval = 5s\n", "", "[duty NAME]: missing"),
-        ("[duty probe]", "[duty probe]\ninterval = 1s\n[duty probe]", "[duty probe]: stands twice"),
+        ("[duty probe]", "[duty probe]\ninterval = 1s\n[duty probe]", "[duty probe]: duplicate section"),
     ),
 )
 def test_each_error_names_file_section_and_key(tmp_path, old, new, expected):
@@ -84,12 +92,12 @@
     with pytest.raises(SettingError, match="No such file"):
         peers_file.read(str(tmp_path / "none.ini"))
     (tmp_path / "b.ini").write_bytes(b"\xff\xfe")
-    with pytest.raises(SettingError, match="no UTF-8"):
+    with pytest.raises(SettingError, match="not UTF-8"):
         peers_file.read(str(tmp_path / "b.ini"))
 
 
 @given(st.text(max_size=300))
-def test_any_text_is_read_or_refused_with_the_file_named(text):
+def test_any_text_is_accepted_or_rejected_with_an_error_that_names_the_file(text):
     try:
         ini.check_text(text, "x", peers_file.SCHEMA)
     except SettingError as error:
@@ -110,6 +118,6 @@
     "text, expected",
     [("", "no key"), ("ab" * 8, "16 to 64"), ("ab" * 16 + "\n" + "ab" * 16, "line 2")],
 )
-def test_an_error_in_a_keys_file_says_what_is_expected(text, expected):
+def test_an_error_in_a_keys_file_states_what_is_expected(text, expected):
     with pytest.raises(KeyFileError, match=expected):
         parse_keys(text)
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -271,7 +271,7 @@
         + admission.handle(0, [HandshakeFailed(1, Failure.TIMED_OUT)])
         if isinstance(o, LogServerState)
     ]
-    assert transient.backoff <= RetryDelays().passing * 1.25
+    assert transient.backoff <= RetryDelays().transient * 1.25
     (lasting,) = [
         o
         for o in admission.handle(0, [request(2, 9)])
@@ -457,7 +457,7 @@
     assert inspected[0]["names"] == ["front-1", "127.0.0.1"] and 89 < inspected[0]["days_left"] <= 90
     assert (site / "keys/front.key").stat().st_mode & 0o077 == 0
     again = run_keys("issue", site / "keys", "front-1", "--file", "front")
-    assert again.exit_code == 2 and "is there already" in again.output
+    assert again.exit_code == 2 and "already exists" in again.output
     assert (
         run_keys("issue", site / "keys", "front-1", "--file", "front", "--days", "3", "--overwrite").exit_code
         == 0
@@ -514,13 +514,17 @@
     "old, new, message",
     (
         ("verify = on", "verify = off", ""),
-        ("verify = on", "verify = perhaps", "[trust servers] verify: 'perhaps': on or off"),
+        ("verify = on", "verify = perhaps", "[trust servers] verify: 'perhaps': expected on or off"),
         ("members = caches, parents, origin", "members =", "[trust servers] members: missing"),
-        ("{id}.cajas.example.org", "cajas.example.org", "'{id}' is missing"),
+        ("{id}.cajas.example.org", "cajas.example.org", "name: expected a text with '{id}'"),
         ("least = 1.2", "least = 1.1", "[versions] least"),
         ("key = keys/front.key", "", "[client] key: missing"),
-        ("at-once = 4\n", "at-once = 40\n", "above all-at-once"),
-        ("passing = 200ms", "passing = 9s", "[left-alone] passing: above"),
+        (
+            "at-once = 4\n",
+            "at-once = 40\n",
+            "[handshakes] at-once: expected at most the value of all-at-once",
+        ),
+        ("passing = 200ms", "passing = 9s", "[left-alone] passing: expected at most"),
         ("[trust servers]", "[trusts servers]", "did you mean"),
     ),
 )
