--- a/limepath/testbed/coldstart.py
+++ b/limepath/testbed/coldstart.py
@@ -31,9 +31,9 @@
 from limepath.testbed.duties import SETTINGS
 from limepath.testbed.faults import Fault as Way
 from limepath.testbed.faults import Faults, Kind, both_ways
+from limepath.testbed.links import ConnectionLinks, DatagramLinks
 from limepath.testbed.process import HOST, NotStarted, Process, free_ports, raise_descriptors
 from limepath.testbed.stand_ins import StandInCache, StandInListService
-from limepath.testbed.ways import Connections, Datagrams
 
 MS, SECOND = 1000, 1_000_000
 SERVICE = "service"  # a party of the ways
@@ -184,8 +184,8 @@
         )
         self.upon = Faults(Random(seed))
         self.ways, self.passages = (
-            Datagrams(reactor, self.listens, self.upon),
-            Connections(reactor, self.upon),
+            DatagramLinks(reactor, self.listens, self.upon),
+            ConnectionLinks(reactor, self.upon),
         )
         self.service = StandInListService(
             reactor, fronts, lambda who: ZONES[who % len(ZONES)], lambda who: not self.nodes[who].stopped
--- a/limepath/testbed/duties.py
+++ b/limepath/testbed/duties.py
@@ -26,9 +26,9 @@
 from limepath.report_table import CheckResult
 from limepath.testbed.faults import Fault as Way
 from limepath.testbed.faults import Faults, Kind, both_ways
+from limepath.testbed.links import ConnectionLinks, DatagramLinks
 from limepath.testbed.process import HOST, NotStarted, Process, free_ports, raise_descriptors
 from limepath.testbed.stand_ins import StandInCaches, StandInChangeLog
-from limepath.testbed.ways import Connections, Datagrams
 
 MS, SECOND = 1000, 1_000_000
 SPANS = MembershipTimeouts(period=250 * MS, direct=80 * MS, indirect=3, suspicion=3)
@@ -170,8 +170,8 @@
         )
         self.upon = Faults(Random(seed))
         self.ways, self.passages = (
-            Datagrams(reactor, self.listens, self.upon),
-            Connections(reactor, self.upon),
+            DatagramLinks(reactor, self.listens, self.upon),
+            ConnectionLinks(reactor, self.upon),
         )
         if loss:
             everyone = frozenset(range(instances))
--- a/limepath/testbed/ways.py
+++ b/limepath/testbed/links.py
@@ -21,7 +21,7 @@
         self.datagrams.came(self, self.datagrams.at.get(address[1]), datagram)
 
 
-class Datagrams:
+class DatagramLinks:
     """`listens[who]` is the port at which party `who` (an index) listens."""
 
     def __init__(self, reactor, listens, faults):
@@ -85,7 +85,7 @@
             self.way.move(self)
 
 
-class Connections:
+class ConnectionLinks:
     """Ways for connections from party `source` to party `to`, which listens at a port: `open` gives where to
     connect.
     """
--- a/tests/test_testbed.py
+++ b/tests/test_testbed.py
@@ -10,7 +10,7 @@
 from twisted.internet import selectreactor
 
 from limepath.testbed.faults import Fault, Faults, Kind, both_ways
-from limepath.testbed.ways import Connections, Datagrams
+from limepath.testbed.links import ConnectionLinks, DatagramLinks
 
 BOUND = 20
 
@@ -45,7 +45,7 @@
             end.bind(("127.0.0.1", 0))
             end.settimeout(BOUND)
         network.ways = network.do(
-            Datagrams, network.reactor, [end.getsockname()[1] for end in ends], network.faults
+            DatagramLinks, network.reactor, [end.getsockname()[1] for end in ends], network.faults
         )
         network.say = lambda source, text: ends[source].sendto(
             text, ("127.0.0.1", network.ways.reached_at(1 - source))
@@ -96,7 +96,7 @@
 
 def test_a_connection_that_is_cut_stays_open_and_silent_and_goes_on_in_order():
     with Network() as network, socket.create_server(("127.0.0.1", 0)) as server:
-        ways = network.do(Connections, network.reactor, network.faults)
+        ways = network.do(ConnectionLinks, network.reactor, network.faults)
         port = network.do(ways.open, "front", "cache", server.getsockname()[1])
         with socket.create_connection(("127.0.0.1", port), timeout=BOUND) as near:
             far, _ = server.accept()
