--- a/limepath/testbed/__init__.py
+++ b/limepath/testbed/__init__.py
@@ -1,9 +1,9 @@
-"""Several processes of the real program, ways between them and to stand-ins, faults on these, and what came
-of it.
+"""Drills: several processes of the real program with faulty network links between them.
 
-A drill starts `process.Process`es (`limepath run ...`, each with files of its own). Every datagram between
-two of them passes `links.DatagramLinks`, a connection `links.ConnectionLinks`; `faults.Faults`, free of I/O, decides
-what becomes of each piece (passes, is lost, late, doubled, held until others have gone on) and counts where a
-fault took effect: a drill whose fault never did has shown nothing and fails. Stand-ins (caches, the list
-service) are in `stand_ins`. Read `faults` first. One drill file a subsystem; on loopback only.
+A drill starts `process.Process`es (`limepath run ...`, each with its own files) on loopback. Every datagram
+between two of them passes `links.DatagramLinks`, and every connection passes `links.ConnectionLinks`.
+`faults.Faults`, which does no I/O, decides what happens to the data: it passes, or is lost, delayed,
+duplicated or held. It also counts how often each fault took effect, because a drill with a fault that never
+took effect has tested nothing and fails. `stand_ins` has caches and services to connect to; `duties` and
+`coldstart` are the drills of one subsystem each.
 """
--- a/limepath/testbed/coldstart.py
+++ b/limepath/testbed/coldstart.py
@@ -30,7 +30,7 @@
 from limepath.report_table import CheckResult, at_most, seconds
 from limepath.testbed.duties import SETTINGS
 from limepath.testbed.faults import Fault as Way
-from limepath.testbed.faults import Faults, Kind, both_ways
+from limepath.testbed.faults import Faults, Kind, both_directions
 from limepath.testbed.links import ConnectionLinks, DatagramLinks
 from limepath.testbed.process import HOST, NotStarted, Process, free_ports, raise_descriptors
 from limepath.testbed.stand_ins import StandInCache, StandInListService
@@ -407,7 +407,7 @@
             ends.append(lambda: (self.ways.end(name), self.passages.end()))
             limit = bound.stream_still
         elif kind == "cut-from-peers":
-            self.upon.begin(*both_ways(name, Kind.CUT, (one.who,), everyone - {one.who}))
+            self.upon.begin(*both_directions(name, Kind.CUT, (one.who,), everyone - {one.who}))
             ends.append(lambda: self.ways.end(f"{name}>", f"{name}<"))
         elif kind == "one-way":
             self.upon.begin(Way(name, Kind.CUT, frozenset((one.who,)), everyone - {one.who}))
@@ -553,7 +553,10 @@
             drill.alone or well >= 0.9,
         ),
         CheckResult(
-            "faults of the ways that took no effect", len(drill.upon.unfelt()), 0, not drill.upon.unfelt()
+            "faults of the ways that took no effect",
+            len(drill.upon.without_effect()),
+            0,
+            not drill.upon.without_effect(),
         ),
     ]
-    return Found(rows, drill.said + [f"took no effect: {name}" for name in drill.upon.unfelt()])
+    return Found(rows, drill.said + [f"took no effect: {name}" for name in drill.upon.without_effect()])
--- a/limepath/testbed/duties.py
+++ b/limepath/testbed/duties.py
@@ -25,7 +25,7 @@
 from limepath.membership.control import ControlSocketError, request_view
 from limepath.report_table import CheckResult
 from limepath.testbed.faults import Fault as Way
-from limepath.testbed.faults import Faults, Kind, both_ways
+from limepath.testbed.faults import Faults, Kind, both_directions
 from limepath.testbed.links import ConnectionLinks, DatagramLinks
 from limepath.testbed.process import HOST, NotStarted, Process, free_ports, raise_descriptors
 from limepath.testbed.stand_ins import StandInCaches, StandInChangeLog
@@ -333,7 +333,7 @@
             other = frozenset(range(self.count)) - one
             name = f"{kind} at {fault.at}"
             cut = (
-                both_ways(name, Kind.CUT, one, other)
+                both_directions(name, Kind.CUT, one, other)
                 if kind == "halves"
                 else (Way(name, Kind.CUT, one, other),)
             )
@@ -343,7 +343,7 @@
         ):  # what one says lies in the network while the others go on without it, then comes, late
             others = frozenset(range(self.count)) - {fault.who[0]}
             self.died(nodes[0])
-            held = both_ways(f"held at {fault.at}", Kind.HOLD, fault.who, others)
+            held = both_directions(f"held at {fault.at}", Kind.HOLD, fault.who, others)
             if (
                 self.leased
             ):  # its probes too: caches know an older epoch; without one each would count as a double
@@ -512,7 +512,10 @@
         CheckResult("messages per instance and second", round(drill.messages / drill.count / span, 1)),
         CheckResult("bytes per instance and second", round(drill.bytes / drill.count / span)),
         CheckResult(
-            "faults of the ways that took no effect", len(drill.upon.unfelt()), 0, not drill.upon.unfelt()
+            "faults of the ways that took no effect",
+            len(drill.upon.without_effect()),
+            0,
+            not drill.upon.without_effect(),
         ),
         CheckResult("probes per target and interval", round(rounds * drill.plan.interval / max(1, alive), 3)),
     ]
@@ -522,7 +525,7 @@
             f"{', '.join(f'n{who}' for who in fault.who)}"
             for fault in drill.faults
         ]
-        + [f"took no effect: {name}" for name in drill.upon.unfelt()]
+        + [f"took no effect: {name}" for name in drill.upon.without_effect()]
         + drill.said
     )
     return Found(rows, said)
--- a/limepath/testbed/faults.py
+++ b/limepath/testbed/faults.py
@@ -1,8 +1,7 @@
-"""What becomes of a piece of traffic between two parties: decided here, without I/O, and counted where it
-takes effect.
+"""Faults on the traffic between parties: decides without I/O which data is lost, delayed, duplicated or held.
 
-A party is any hashable name. Times are whole microseconds, handed in. A fault is in force from `begin` to
-`end`.
+A party is any hashable name. Times are integers in microseconds. A fault is active from `begin` to `end`, and
+each fault counts how often it took effect.
 """
 
 from collections import Counter
@@ -11,15 +10,18 @@
 
 
 class Kind(Enum):
-    CUT = "cut"  # nothing passes; whoever sends is told nothing
-    LOSE = "lose"  # a share of the pieces is lost; of a connection, which can't lose, they are late instead
-    LATE = "late"  # a share arrives up to `span` later
-    DOUBLE = "double"  # a share of the datagrams arrives twice, the second up to `span` later
-    HOLD = "hold"  # kept back while the fault lasts, delivered in their order when it ends
+    CUT = "cut"  # drops everything; the sender receives no error
+    LOSE = "lose"  # drops a share of datagrams; delays data of connections, as TCP resends it
+    LATE = "late"  # delays a share by up to `span`
+    DOUBLE = "double"  # duplicates a share of datagrams; delays the copy by up to `span`
+    HOLD = "hold"  # holds data while the fault is active, then delivers it in order
 
 
 class Fault(NamedTuple):
-    """From any of `sources` to any of `targets`, one way; `span` in microseconds, `share` of one."""
+    """A fault in one direction, from any of `sources` to any of `targets`.
+
+    `share` is the affected share of the data, from 0 to 1; `span` is the longest delay in microseconds.
+    """
 
     name: str
     kind: Kind
@@ -29,59 +31,68 @@
     span: int = 0
 
 
-def both_ways(name, kind, one, other, **told):
-    """The two faults that part `one` from `other`."""
-    one, other = frozenset(one), frozenset(other)
-    return Fault(f"{name}>", kind, one, other, **told), Fault(f"{name}<", kind, other, one, **told)
+def both_directions(name, kind, parties, others, **options):
+    """Return two faults, one in each direction between `parties` and `others`."""
+    parties, others = frozenset(parties), frozenset(others)
+    return (
+        Fault(f"{name}>", kind, parties, others, **options),
+        Fault(f"{name}<", kind, others, parties, **options),
+    )
 
 
 class Faults:
-    """`chance` is a random.Random of the drill's seed."""
+    """The active faults, the number of effects of each fault, and the datagrams that they hold.
+
+    `random` is a random.Random with the seed of the drill.
+    """
 
-    def __init__(self, chance):
-        self.chance, self.live, self.felt, self.held = chance, {}, Counter(), {}
+    def __init__(self, random):
+        self.random, self.active, self.effects, self.held = random, {}, Counter(), {}
 
     def begin(self, *faults):
         for fault in faults:
-            self.live[fault.name] = fault
+            self.active[fault.name] = fault
             self.held[fault.name] = []
-            self.felt[fault.name] += 0
+            self.effects[fault.name] += 0
 
     def end(self, *names):
-        """Give what was held, in its order, to be delivered now."""
-        kept = []
+        """End faults and return the datagrams that they held, in order, for delivery."""
+        released = []
         for name in names:
-            del self.live[name]
-            kept += self.held.pop(name)
-        return kept
+            del self.active[name]
+            released += self.held.pop(name)
+        return released
+
+    def without_effect(self):
+        """Return the names of the faults, active or ended, that have had no effect."""
+        return sorted(name for name, count in self.effects.items() if not count)
 
-    def unfelt(self):
-        """The names of faults, over or not, that have changed nothing."""
-        return sorted(name for name, times in self.felt.items() if not times)
+    def active_between(self, source, target):
+        return [
+            fault for fault in self.active.values() if source in fault.sources and target in fault.targets
+        ]
 
-    def between(self, source, to):
-        return [fault for fault in self.live.values() if source in fault.sources and to in fault.targets]
+    def delays(self, source, target, datagram=None, ordered=False):
+        """Return the delay of each copy to deliver; an empty result if the data is cut, lost or held.
 
-    def delays(self, source, to, piece=None, ordered=False):
-        """The delays after which copies of a piece arrive; none where it is cut, lost or held. `ordered`: it
-        is of a connection, of which no piece may be lost or doubled; what a network loses of one comes
-        late.
+        `ordered` marks data of a connection, which is never lost or duplicated: the network's losses delay
+        it instead.
         """
         delay, copies = 0, []
-        for fault in self.between(source, to):
+        for fault in self.active_between(source, target):
             if fault.kind in (Kind.CUT, Kind.HOLD):
-                self.felt[fault.name] += 1
-                if fault.kind == Kind.HOLD and not ordered:  # a connection keeps its pieces itself
-                    self.held[fault.name].append((source, to, piece))
+                self.effects[fault.name] += 1
+                if fault.kind == Kind.HOLD and not ordered:  # a connection queues its data itself
+                    self.held[fault.name].append((source, target, datagram))
                 return ()
-            if fault.share < 1 and self.chance.random() >= fault.share:
+            if fault.share < 1 and self.random.random() >= fault.share:
                 continue
             if fault.kind == Kind.DOUBLE and ordered:
                 continue
-            self.felt[fault.name] += 1
+            self.effects[fault.name] += 1
             if fault.kind == Kind.LOSE and not ordered:
                 return ()
-            extra = int(self.chance.random() * fault.span)
+            extra = int(self.random.random() * fault.span)
             if fault.kind == Kind.DOUBLE:
                 copies.append(extra)
             else:
--- a/tests/test_testbed.py
+++ b/tests/test_testbed.py
@@ -9,7 +9,7 @@
 import pytest
 from twisted.internet import selectreactor
 
-from limepath.testbed.faults import Fault, Faults, Kind, both_ways
+from limepath.testbed.faults import Fault, Faults, Kind, both_directions
 from limepath.testbed.links import ConnectionLinks, DatagramLinks
 
 BOUND = 20
@@ -59,10 +59,10 @@
 def felt(network, name, times):
     """Wait until a fault has taken effect so often."""
     for _ in range(BOUND * 100):
-        if network.do(lambda: network.faults.felt[name]) >= times:
+        if network.do(lambda: network.faults.effects[name]) >= times:
             return
         threading.Event().wait(0.01)
-    raise AssertionError(f"{name} took effect {network.faults.felt[name]} times of {times}")
+    raise AssertionError(f"{name} took effect {network.faults.effects[name]} times of {times}")
 
 
 def test_a_held_datagram_arrives_after_what_was_said_later(datagrams):
@@ -103,7 +103,7 @@
             far.settimeout(BOUND)
             near.sendall(b"one")
             assert far.recv(100) == b"one"
-            network.do(network.faults.begin, *both_ways("cut", Kind.CUT, ["front"], ["cache"]))
+            network.do(network.faults.begin, *both_directions("cut", Kind.CUT, ["front"], ["cache"]))
             near.sendall(b"two")
             felt(network, "cut>", 1)
             near.sendall(b"three")
@@ -122,10 +122,10 @@
 
 def test_a_fault_that_changed_nothing_is_told():
     faults = Faults(Random(1))
-    faults.begin(*both_ways("cut", Kind.CUT, ["a"], ["b"]))
+    faults.begin(*both_directions("cut", Kind.CUT, ["a"], ["b"]))
     assert faults.delays("a", "b") == ()
     faults.end("cut>", "cut<")
-    assert faults.unfelt() == ["cut<"]
+    assert faults.without_effect() == ["cut<"]
 
 
 def test_what_a_connection_carries_is_neither_lost_nor_doubled():
@@ -136,7 +136,7 @@
     )
     assert faults.delays("a", "b") == ()
     (delay,) = faults.delays("a", "b", ordered=True)
-    assert 0 <= delay < 1000 and faults.felt == {"loss": 2, "twice": 0}
+    assert 0 <= delay < 1000 and faults.effects == {"loss": 2, "twice": 0}
 
 
 def test_a_cut_drops_one_way_and_what_is_held_comes_at_its_end():
@@ -146,4 +146,4 @@
     faults.begin(Fault("slow", Kind.HOLD, frozenset("b"), frozenset("a")))
     assert (faults.delays("b", "a", "first"), faults.delays("b", "a", "second")) == ((), ())
     assert faults.end("slow") == [("b", "a", "first"), ("b", "a", "second")] and faults.end("cut") == []
-    assert dict(faults.felt) == {"cut": 1, "slow": 2}
+    assert dict(faults.effects) == {"cut": 1, "slow": 2}
