--- a/limepath/scale/hollow_process.py
+++ b/limepath/scale/hollow_process.py
@@ -26,7 +26,7 @@
 from limepath.scale.hollow import HollowFront, NotDone, settings_of
 from limepath.scale.links import Links
 from limepath.scale.quiet_log import CountingLog, LogFile
-from limepath.testbed.process import raise_descriptors
+from limepath.testbed.process import raise_descriptor_limit
 
 READ = 65_536  # bytes of input at a time
 LAST_WORDS = 5  # seconds that the last replies may take
@@ -199,7 +199,7 @@
         return 2
     try:
         config, region_of = read_config(words[0])
-        raise_descriptors()
+        raise_descriptor_limit()
         fleet = Fleet(config, region_of)
     except (BadConfig, OSError) as flaw:
         print(f"limepath: configuration: {flaw}", file=sys.stderr)
--- a/limepath/scale/processes.py
+++ b/limepath/scale/processes.py
@@ -113,11 +113,11 @@
     def is_ready(self):
         """Whether it has said that it is ready, in any life."""
         if not self.was_ready:
-            self.was_ready = any(line.get("event") == "ready" for line in self.lines())
+            self.was_ready = any(line.get("event") == "ready" for line in self.log_records())
         return self.was_ready
 
-    def words(self):
-        return [*super().words(), "--peers", self.path("peers.ini")]
+    def arguments(self):
+        return [*super().arguments(), "--peers", self.path("peers.ini")]
 
     def kill(self):
         self.signal(signal.SIGKILL)
--- a/limepath/testbed/coldstart.py
+++ b/limepath/testbed/coldstart.py
@@ -32,7 +32,7 @@
 from limepath.testbed.faults import Fault as Way
 from limepath.testbed.faults import Faults, Kind, both_directions
 from limepath.testbed.links import ConnectionLinks, DatagramLinks
-from limepath.testbed.process import HOST, NotStarted, Process, free_ports, raise_descriptors
+from limepath.testbed.process import HOST, Process, StartError, free_ports, raise_descriptor_limit
 from limepath.testbed.stand_ins import StandInCache, StandInListService
 
 MS, SECOND = 1000, 1_000_000
@@ -81,8 +81,8 @@
         seeds = [
             f"{HOST}:{drill.ways.reached_at(seed)}" for seed in range(min(3, drill.count)) if seed != who
         ]
-        self.replace("peers.keys", drill.key + "\n")
-        self.replace(
+        self.write_file("peers.keys", drill.key + "\n")
+        self.write_file(
             "peers.ini",
             f"""[instance]
 name = {self.name}
@@ -106,7 +106,7 @@
 ready = {READY}
 """,
         )
-        self.replace(
+        self.write_file(
             "front.json",
             json.dumps(
                 {
@@ -121,8 +121,8 @@
             ),
         )
 
-    def words(self):
-        return super().words() + ([] if self.drill.alone else ["--peers", self.path("peers.ini")])
+    def arguments(self):
+        return super().arguments() + ([] if self.drill.alone else ["--peers", self.path("peers.ini")])
 
     def shown(self):
         try:
@@ -132,7 +132,7 @@
 
     def said_at(self, event):
         """When this life's log first said that, seconds of the wall clock."""
-        lines = [line for line in self.lines() if line.get("event") == event]
+        lines = [line for line in self.log_records() if line.get("event") == event]
         return stamp(lines[-1]) if lines else None
 
 
@@ -238,10 +238,10 @@
         TCP4ClientEndpoint(self.reactor, HOST, self.fronts[node.who], timeout=2).connect(
             Factory.forProtocol(lambda: Asking(done, words))
         ).addErrback(lambda _: done.called or done.callback(0))
-        return done.addCallback(self.answered, node, node.lives, self.let_in, wanted is not None)
+        return done.addCallback(self.answered, node, node.start_count, self.let_in, wanted is not None)
 
     def answered(self, status, node, life, let_in, wave):
-        if node.lives == life and node.running() and not node.stopped:
+        if node.start_count == life and node.running() and not node.stopped:
             if wave:
                 self.wave[status] = self.wave.get(status, 0) + 1
             self.answers[status] = self.answers.get(status, 0) + 1
@@ -337,7 +337,7 @@
         while not so() and self.now() < since + span:
             for node in self.nodes:
                 if node.process.poll() not in (None, -9):
-                    raise NotStarted(f"{node.name}: {[line for line in node.lines()][-3:]}")
+                    raise StartError(f"{node.name}: {[line for line in node.log_records()][-3:]}")
             yield self.pause(100 * MS)
         return self.now() - since
 
@@ -484,7 +484,7 @@
     """
     from twisted.internet import reactor
 
-    raise_descriptors()
+    raise_descriptor_limit()
     flaws = []
     with tempfile.TemporaryDirectory(prefix="limepath-cold-") as scratch:
         drill = Drill(reactor, keep or scratch, fronts, seed, alone, down, caches, sites)
--- a/limepath/testbed/duties.py
+++ b/limepath/testbed/duties.py
@@ -27,7 +27,7 @@
 from limepath.testbed.faults import Fault as Way
 from limepath.testbed.faults import Faults, Kind, both_directions
 from limepath.testbed.links import ConnectionLinks, DatagramLinks
-from limepath.testbed.process import HOST, NotStarted, Process, free_ports, raise_descriptors
+from limepath.testbed.process import HOST, Process, StartError, free_ports, raise_descriptor_limit
 from limepath.testbed.stand_ins import StandInCaches, StandInChangeLog
 
 MS, SECOND = 1000, 1_000_000
@@ -81,7 +81,7 @@
         self.drill = drill
 
     def write_keys(self, keys):
-        self.replace("peers.keys", "\n".join(keys) + "\n")
+        self.write_file("peers.keys", "\n".join(keys) + "\n")
 
     def prepare(self):
         drill, who = self.drill, self.who
@@ -93,7 +93,7 @@
         spans, leasing, plan = SPANS, drill.leasing, drill.plan
         mode = "one-owner" if plan.mode == DutyMode.ONE_OWNER else "at-least-once"
         self.write_keys(drill.keys)
-        self.replace(
+        self.write_file(
             "peers.ini",
             f"""[instance]
 name = {self.name}
@@ -124,7 +124,7 @@
 targets = caches
 """,
         )
-        self.replace(
+        self.write_file(
             "front.json",
             json.dumps(
                 {
@@ -139,8 +139,8 @@
             ),
         )
 
-    def words(self):
-        return super().words() + ["--peers", self.path("peers.ini")]
+    def arguments(self):
+        return super().arguments() + ["--peers", self.path("peers.ini")]
 
     def shown(self):
         return request_view(self.path("peers.sock"), "peers", 2)
@@ -230,8 +230,8 @@
             self.turned_away += 1
             return False
         if epoch:
-            holder = self.owners.setdefault((cache.name, epoch), (who, self.nodes[who].lives))
-            if holder != (who, self.nodes[who].lives):
+            holder = self.owners.setdefault((cache.name, epoch), (who, self.nodes[who].start_count))
+            if holder != (who, self.nodes[who].start_count):
                 self.both_held.append((now, cache.name, epoch))
         cache.epoch = epoch
         self.serves.setdefault((0, cache.name), []).append((now, who))
@@ -250,7 +250,7 @@
         for node in nodes:
             while True:
                 if not node.running() or time.monotonic() > end:
-                    raise NotStarted(f"{node.name}: {[line for line in node.lines()][-3:]}")
+                    raise StartError(f"{node.name}: {[line for line in node.log_records()][-3:]}")
                 try:
                     if node.shown()["me"]["joined"] or not self.sharing or self.count == 1:
                         break
@@ -417,7 +417,7 @@
             for at in (fault.at,)
         ]
         for node in self.nodes:
-            for line in node.lines():
+            for line in node.log_records():
                 if line.get("event") not in ("peer-dead", "gives-way", "fault"):
                     continue
                 at = round(datetime.fromisoformat(line["time"]).timestamp() * 1e6) - self.wall_zero
@@ -440,7 +440,7 @@
     from twisted.internet import reactor
     from twisted.internet.task import LoopingCall
 
-    raise_descriptors()
+    raise_descriptor_limit()
     flaws = []
     with tempfile.TemporaryDirectory(prefix="limepath-drill-") as scratch:
         drill = Drill(
--- a/limepath/testbed/process.py
+++ b/limepath/testbed/process.py
@@ -1,5 +1,6 @@
-"""One process of the program: its files, its start, its end. Signals go to processes that were started here,
-by id.
+"""Starts and signals one process of the program and writes its files.
+
+Only processes started here are signalled, by process id.
 """
 
 import json
@@ -11,47 +12,51 @@
 import sys
 
 HOST = "127.0.0.1"
-LOWEST, HIGHEST = 12_000, 31_000  # ports
+FIRST_PORT, LAST_PORT = 12_000, 31_000  # below the system's range for outgoing connections
 
 
-class NotStarted(Exception):
-    """A process never came up; the text says which and what its log says."""
+class StartError(Exception):
+    """A process did not become ready; the message has its name and the end of its log."""
 
 
 def free_ports(kind, count):
-    """Ports that nothing holds, below those that the system gives to connections, so that none takes them
-    meanwhile.
+    """Return free ports below the range that the system assigns to outgoing connections.
+
+    No outgoing connection can then take one of them before the process binds it.
     """
-    ports, port = [], LOWEST + int.from_bytes(os.urandom(2), "big") % (HIGHEST - LOWEST)
+    ports, port = [], FIRST_PORT + int.from_bytes(os.urandom(2), "big") % (LAST_PORT - FIRST_PORT)
     while len(ports) < count:
-        port = port + 1 if port < HIGHEST else LOWEST
-        with socket.socket(socket.AF_INET, kind) as one:
+        port = port + 1 if port < LAST_PORT else FIRST_PORT
+        with socket.socket(socket.AF_INET, kind) as candidate:
             try:
-                one.bind((HOST, port))
+                candidate.bind((HOST, port))
                 ports.append(port)
             except OSError:
                 pass
     return ports
 
 
-def raise_descriptors():
+def raise_descriptor_limit():
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     resource.setrlimit(resource.RLIMIT_NOFILE, (min(hard, 65_536), hard))
 
 
 class Process:
-    """`limepath run` with the words that `words()` gives; `prepare` writes its files before each start."""
+    """A process of `limepath` with the arguments from `arguments()`.
+
+    `prepare` writes its files; the caller runs it before the first `start`.
+    """
 
     def __init__(self, folder, who):
-        self.who, self.name, self.process, self.lives, self.stopped = who, f"n{who}", None, 0, False
+        self.who, self.name, self.process, self.start_count, self.stopped = who, f"n{who}", None, 0, False
         self.folder = os.path.join(folder, self.name)
         os.makedirs(self.folder, exist_ok=True)
 
     def path(self, name):
         return os.path.join(self.folder, name)
 
-    def replace(self, name, text):
-        """Write a file of this process whole, open to nobody else."""
+    def write_file(self, name, text):
+        """Replace a file of this process atomically; only the owner can read it."""
         with open(
             os.open(self.path(name + ".new"), os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600), "w"
         ) as file:
@@ -59,17 +64,17 @@
         os.replace(self.path(name + ".new"), self.path(name))
 
     def prepare(self):
-        """Write what the process reads at its start."""
+        """Write the files that the process reads when it starts."""
 
-    def words(self):
+    def arguments(self):
         return ["run", "--config", self.path("front.json")]
 
     def start(self):
-        self.lives += 1
+        self.start_count += 1
         self.stopped = False
         with open(self.path("log"), "ab") as log:
             self.process = subprocess.Popen(
-                [sys.executable, "-m", "limepath", *self.words()],
+                [sys.executable, "-m", "limepath", *self.arguments()],
                 stderr=log,
                 stdout=log,
                 stdin=subprocess.DEVNULL,
@@ -86,8 +91,8 @@
             if number == signal.SIGKILL:
                 self.process.wait()
 
-    def lines(self):
-        """The log's lines as objects; what is no JSON comes as an event "unreadable"."""
+    def log_records(self):
+        """Yield the lines of the log as dicts; a line that is not JSON becomes an event "unreadable"."""
         try:
             with open(self.path("log"), encoding="utf-8", errors="replace") as log:
                 for line in log:
--- a/tests/two_versions_fleet.py
+++ b/tests/two_versions_fleet.py
@@ -146,15 +146,15 @@
             "settings": SETTINGS,
             "known": {"seq": 0, "results": []},
         }
-        self.replace("peers.keys", key + "\n")
-        self.replace("peers.ini", settings)
-        self.replace("front.json", json.dumps(told))
+        self.write_file("peers.keys", key + "\n")
+        self.write_file("peers.ini", settings)
+        self.write_file("front.json", json.dumps(told))
 
     def start(self) -> None:
         """Start the process on its folder with the text that it has now."""
         self.prepare()
-        self.lines_before = len(list(self.lines()))
-        self.lives += 1
+        self.lines_before = len(list(self.log_records()))
+        self.start_count += 1
         command = [sys.executable, "-m", "limepath", "run"]
         command += ["--config", self.path("front.json"), "--peers", self.path("peers.ini")]
         with open(self.path("log"), "ab") as log:
@@ -178,7 +178,7 @@
     def logged(self, names: tuple[Name, ...]) -> list[str]:
         """The lines of these events since the last start."""
         words = {self.text.word(name) for name in names}
-        lines = list(self.lines())[self.lines_before :]
+        lines = list(self.log_records())[self.lines_before :]
         return [json.dumps(line) for line in lines if line.get("event") in words]
 
     def view(self, command: Name, *path: Name) -> Any:
