--- a/limepath/testbed/coldstart.py
+++ b/limepath/testbed/coldstart.py
@@ -72,14 +72,14 @@
 class ColdFront(Process):
     """One front of the drill."""
 
-    def __init__(self, drill, who):
-        super().__init__(drill.folder, who)
-        self.drill, self.zone = drill, ZONES[who % len(ZONES)]
+    def __init__(self, drill, index):
+        super().__init__(drill.folder, index)
+        self.drill, self.zone = drill, ZONES[index % len(ZONES)]
 
     def prepare(self):
-        drill, who = self.drill, self.who
+        drill, index = self.drill, self.index
         seeds = [
-            f"{HOST}:{drill.ways.reached_at(seed)}" for seed in range(min(3, drill.count)) if seed != who
+            f"{HOST}:{drill.ways.reached_at(seed)}" for seed in range(min(3, drill.count)) if seed != index
         ]
         self.write_file("peers.keys", drill.key + "\n")
         self.write_file(
@@ -91,8 +91,8 @@
 [log]
 form = json
 [peers]
-listen = {HOST}:{drill.listens[who]}
-advertise = {HOST}:{drill.ways.reached_at(who)}
+listen = {HOST}:{drill.listens[index]}
+advertise = {HOST}:{drill.ways.reached_at(index)}
 seeds = {", ".join(seeds)}
 keys = peers.keys
 [duty probe]
@@ -100,7 +100,7 @@
 [listing]
 fronts = {drill.count}
 calls = {drill.terms.rate:g}
-{drill.tree_lines(who)}
+{drill.tree_lines(index)}
 [caches]
 connections = {CONNECTIONS}
 ready = {READY}
@@ -111,9 +111,9 @@
             json.dumps(
                 {
                     "name": self.name,
-                    "listen": f"{HOST}:{drill.fronts[who]}",
-                    "seed": f"{drill.seed * 1000 + who:x}",
-                    "changelog": f"{HOST}:{drill.calls[who]}",
+                    "listen": f"{HOST}:{drill.fronts[index]}",
+                    "seed": f"{drill.seed * 1000 + index:x}",
+                    "changelog": f"{HOST}:{drill.calls[index]}",
                     "limits": {"memory_mb": 192, "sockets": 256, "leaving_ms": 300},
                     "settings": SETTINGS | {"areas": list(ZONES), "az": ZONES.index(self.zone)},
                     "known": {"seq": 0, "results": []},
@@ -188,13 +188,18 @@
             ConnectionLinks(reactor, self.upon),
         )
         self.service = StandInListService(
-            reactor, fronts, lambda who: ZONES[who % len(ZONES)], lambda who: not self.nodes[who].stopped
+            reactor,
+            fronts,
+            lambda index: ZONES[index % len(ZONES)],
+            lambda index: not self.nodes[index].stopped,
         )
-        self.calls = [self.passages.open(who, SERVICE, port) for who, port in enumerate(self.service.port_of)]
+        self.calls = [
+            self.passages.open(index, SERVICE, port) for index, port in enumerate(self.service.port_of)
+        ]
         self.caches = {f"s-{index}": StandInCache(reactor) for index in range(caches)}
         self.upper = {"p-1": StandInCache(reactor), "o-1": StandInCache(reactor)}
         self.key = f"{self.chance.getrandbits(256):064x}"
-        self.nodes = [ColdFront(self, who) for who in range(fronts)]
+        self.nodes = [ColdFront(self, index) for index in range(fronts)]
         self.drained, self.answers, self.early, self.rows, self.said, self.gets = {}, {}, 0, [], [], 0
         self.let_in, self.waved, self.wave = False, set(), {}
 
@@ -235,7 +240,7 @@
             f"GET /invoke/video/{name:016x} HTTP/1.1\r\nHost: x\r\nX-Txn: {self.gets:016x}\r\n"
             "X-Ttl-Ms: 1500\r\nX-Family: 17\r\nConnection: close\r\n\r\n"
         ).encode()
-        TCP4ClientEndpoint(self.reactor, HOST, self.fronts[node.who], timeout=2).connect(
+        TCP4ClientEndpoint(self.reactor, HOST, self.fronts[node.index], timeout=2).connect(
             Factory.forProtocol(lambda: Asking(done, words))
         ).addErrback(lambda _: done.called or done.callback(0))
         return done.addCallback(self.answered, node, node.start_count, self.let_in, wanted is not None)
@@ -252,8 +257,8 @@
         list is back.
         """
         for node in self.nodes:
-            if node.who not in self.waved and (self.alone or node.said_at("ready")):
-                self.waved.add(node.who)
+            if node.index not in self.waved and (self.alone or node.said_at("ready")):
+                self.waved.add(node.index)
                 for _ in range(WAVE):
                     wait = (1.0 if self.alone else 0.0) + self.chance.random()
                     self.reactor.callLater(wait, self.ask_front, node, self.chance.randrange(OBJECTS))
@@ -318,17 +323,17 @@
     def bound(self):
         return bounds(self.terms, self.count, len(ZONES), self.sites)
 
-    def tree_lines(self, who):
+    def tree_lines(self, index):
         """Settings of the front that stand for its place in the tree, if there is one."""
         if not self.sites:
             return ""
-        return f"site = site{who % self.sites}\nfan-out = {FAN_OUT}"
+        return f"site = site{index % self.sites}\nfan-out = {FAN_OUT}"
 
     def busiest_inner(self):
         """The front with the most children among those that hold no stream."""
-        relays = {stream.who for stream in self.service.streams}
-        shown = [(node.shown(), node) for node in self.nodes if node.running() and node.who not in relays]
-        return max((told["children"], -node.who, node) for told, node in shown if told)[2]
+        relays = {stream.index for stream in self.service.streams}
+        shown = [(node.shown(), node) for node in self.nodes if node.running() and node.index not in relays]
+        return max((told["children"], -node.index, node) for told, node in shown if told)[2]
 
     @inlineCallbacks
     def wait(self, so, span):
@@ -360,7 +365,9 @@
 
     def relays(self, zone):
         return [
-            self.nodes[stream.who] for stream in self.service.streams if self.nodes[stream.who].zone == zone
+            self.nodes[stream.index]
+            for stream in self.service.streams
+            if self.nodes[stream.index].zone == zone
         ]
 
     def tell(self):
@@ -400,17 +407,17 @@
                 node.signal(signal.SIGSTOP)
             ends.append(lambda: [node.signal(signal.SIGCONT) for node in relays])
         elif kind == "relay-held":  # what it says lies in the network, and comes when others have gone on
-            self.upon.begin(Way(name, Kind.HOLD, frozenset((one.who,)), everyone - {one.who}))
+            self.upon.begin(Way(name, Kind.HOLD, frozenset((one.index,)), everyone - {one.index}))
             ends.append(lambda: self.ways.end(name))
         elif kind == "cut-from-service":
-            self.upon.begin(Way(name, Kind.CUT, frozenset((SERVICE,)), frozenset((one.who,))))
+            self.upon.begin(Way(name, Kind.CUT, frozenset((SERVICE,)), frozenset((one.index,))))
             ends.append(lambda: (self.ways.end(name), self.passages.end()))
             limit = bound.stream_still
         elif kind == "cut-from-peers":
-            self.upon.begin(*both_directions(name, Kind.CUT, (one.who,), everyone - {one.who}))
+            self.upon.begin(*both_directions(name, Kind.CUT, (one.index,), everyone - {one.index}))
             ends.append(lambda: self.ways.end(f"{name}>", f"{name}<"))
         elif kind == "one-way":
-            self.upon.begin(Way(name, Kind.CUT, frozenset((one.who,)), everyone - {one.who}))
+            self.upon.begin(Way(name, Kind.CUT, frozenset((one.index,)), everyone - {one.index}))
             ends.append(lambda: self.ways.end(name))
         elif kind == "loss":
             self.upon.begin(Way(name, Kind.LOSE, everyone, everyone, 0.3))
@@ -420,7 +427,7 @@
             relays = [one]
             limit = tree_bounds(self.terms, self.count, len(ZONES), self.sites).inner_lost
             if kind == "inner-held":
-                self.upon.begin(Way(name, Kind.HOLD, frozenset((one.who,)), everyone - {one.who}))
+                self.upon.begin(Way(name, Kind.HOLD, frozenset((one.index,)), everyone - {one.index}))
                 ends.append(lambda: self.ways.end(name))
             else:
                 one.signal(signal.SIGKILL if kind == "inner-killed" else signal.SIGSTOP)
--- a/limepath/testbed/duties.py
+++ b/limepath/testbed/duties.py
@@ -76,19 +76,19 @@
 class Instance(Process):
     """One front that shares its duties."""
 
-    def __init__(self, drill, who):
-        super().__init__(drill.folder, who)
+    def __init__(self, drill, index):
+        super().__init__(drill.folder, index)
         self.drill = drill
 
     def write_keys(self, keys):
         self.write_file("peers.keys", "\n".join(keys) + "\n")
 
     def prepare(self):
-        drill, who = self.drill, self.who
+        drill, index = self.drill, self.index
         seeds = [
             drill.ways.reached_at(seed)
             for seed in range(min(3, drill.count))
-            if seed != who or drill.count == 1
+            if seed != index or drill.count == 1
         ]
         spans, leasing, plan = SPANS, drill.leasing, drill.plan
         mode = "one-owner" if plan.mode == DutyMode.ONE_OWNER else "at-least-once"
@@ -102,8 +102,8 @@
 [log]
 form = json
 [peers]
-listen = {HOST}:{drill.listens[who]}
-advertise = {HOST}:{drill.ways.reached_at(who)}
+listen = {HOST}:{drill.listens[index]}
+advertise = {HOST}:{drill.ways.reached_at(index)}
 seeds = {", ".join(f"{HOST}:{seed}" for seed in seeds) if drill.sharing else ""}
 keys = peers.keys
 period = {spans.period}us
@@ -129,12 +129,12 @@
             json.dumps(
                 {
                     "name": self.name,
-                    "listen": f"{HOST}:{drill.fronts[who]}",
-                    "seed": f"{drill.seed * 1000 + who:x}",
-                    "changelog": f"{HOST}:{drill.changes.ports[who].getHost().port}",
+                    "listen": f"{HOST}:{drill.fronts[index]}",
+                    "seed": f"{drill.seed * 1000 + index:x}",
+                    "changelog": f"{HOST}:{drill.changes.ports[index].getHost().port}",
                     "limits": {"memory_mb": 192, "sockets": 1024, "leaving_ms": 700},
                     "settings": SETTINGS,
-                    "known": {"seq": 1, "results": [{"seq": 1, "fleet": drill.fleet(who)}]},
+                    "known": {"seq": 1, "results": [{"seq": 1, "fleet": drill.fleet(index)}]},
                 }
             ),
         )
@@ -161,7 +161,7 @@
             sharing,
         )
         self.chance, self.spans = Random(seed), SPANS
-        self.leasing = LEASING._replace(voters=tuple(f"n{who}" for who in range(min(instances, 5))))
+        self.leasing = LEASING._replace(voters=tuple(f"n{index}" for index in range(min(instances, 5))))
         self.leased = plan.mode == DutyMode.ONE_OWNER
         self.zero, self.wall_zero = time.monotonic_ns() // 1000, time.time_ns() // 1000
         self.listens, self.fronts = (
@@ -183,7 +183,7 @@
         self.both_held, self.false_deaths, self.gave_way = [], [], []
         self.owners, self.said, self.faults, self.deaths, self.restarted = {}, [], [], [], False
         self.unable, self.down, self.end, self.together = [], None, None, 1
-        self.nodes = [Instance(self, who) for who in range(instances)]
+        self.nodes = [Instance(self, index) for index in range(instances)]
         for _ in range(targets):
             self.come()
 
@@ -193,21 +193,21 @@
     def come(self):
         name = f"t{len(self.born)}"
         ports = [
-            self.passages.open(who, CACHES, port)
-            for who, port in enumerate(self.caches.open(name, self.count))
+            self.passages.open(index, CACHES, port)
+            for index, port in enumerate(self.caches.open(name, self.count))
         ]
         self.entries[name] = ports
         self.targets[name] = self.born[name] = self.now()
         return name
 
-    def fleet(self, who, complete=True):
+    def fleet(self, index, complete=True):
         return {
             "revision": 1 + len(self.changes.events),
             "complete": complete,
             "members": [
                 {
                     "id": name,
-                    "host_port": f"{HOST}:{ports[who]}",
+                    "host_port": f"{HOST}:{ports[index]}",
                     "locality": "sur",
                     "flavor": "box",
                     "cell": 0,
@@ -220,7 +220,7 @@
             ],
         }
 
-    def probed(self, cache, who, epoch):
+    def probed(self, cache, index, epoch):
         """What one cache sees: whether it takes the probe."""
         now = self.now()
         if cache.name in self.gone:
@@ -230,11 +230,11 @@
             self.turned_away += 1
             return False
         if epoch:
-            holder = self.owners.setdefault((cache.name, epoch), (who, self.nodes[who].start_count))
-            if holder != (who, self.nodes[who].start_count):
+            holder = self.owners.setdefault((cache.name, epoch), (index, self.nodes[index].start_count))
+            if holder != (index, self.nodes[index].start_count):
                 self.both_held.append((now, cache.name, epoch))
         cache.epoch = epoch
-        self.serves.setdefault((0, cache.name), []).append((now, who))
+        self.serves.setdefault((0, cache.name), []).append((now, index))
         return True
 
     # The script
@@ -283,13 +283,13 @@
                 self.chance.shuffle(kinds)
             kind = kinds.pop()
             length = self.chance.randrange(3_000, 8_000) * MS
-            who = tuple(
+            affected = tuple(
                 self.chance.sample(range(self.count), self.count // 2 if kind in ("halves", "one-way") else 1)
             )
-            who = tuple(range(self.count)) if kind == "all" else who
+            affected = tuple(range(self.count)) if kind == "all" else affected
             if kind == "held" and (owners := sorted({served[-1][1] for served in self.serves.values()})):
-                who = (self.chance.choice(owners),)  # of one that owns nothing there is nothing to hold
-            fault = Fault(self.now(), kind, who, length)
+                affected = (self.chance.choice(owners),)  # of one that owns nothing there is nothing to hold
+            fault = Fault(self.now(), kind, affected, length)
             self.faults.append(fault)
             yield self.fault(fault)
             self.faults[-1] = fault._replace(length=self.now() - fault.at)
@@ -303,7 +303,7 @@
     @inlineCallbacks
     def fault(self, fault):
         """Cause one fault, let it last, end it."""
-        kind, nodes = fault.kind, [self.nodes[who] for who in fault.who]
+        kind, nodes = fault.kind, [self.nodes[index] for index in fault.who]
         if kind in ("kill", "lost-store", "cut-store", "all"):
             for node in nodes:
                 self.died(node)
@@ -358,7 +358,7 @@
                 self.gone[name] = self.now()
             for _ in gone:
                 self.come()
-            self.changes.tell(lambda who: {"fleet": self.fleet(who)})
+            self.changes.tell(lambda index: {"fleet": self.fleet(index)})
         elif kind == "keys":
             new = f"{self.chance.getrandbits(256):064x}"
             for keys in ([self.keys[0], new], [new, self.keys[0]], [new]):  # known to all, used by all, alone
@@ -377,7 +377,7 @@
         self.passages.end()
 
     def died(self, node):
-        self.deaths.append((self.now(), node.who))
+        self.deaths.append((self.now(), node.index))
 
     @inlineCallbacks
     def again(self, nodes):
@@ -522,7 +522,7 @@
     said = (
         [
             f"at {(fault.at - since) / 1e6:6.1f} s  {fault.kind} for {fault.length / 1e6:.1f} s: "
-            f"{', '.join(f'n{who}' for who in fault.who)}"
+            f"{', '.join(f'n{index}' for index in fault.who)}"
             for fault in drill.faults
         ]
         + [f"took no effect: {name}" for name in drill.upon.without_effect()]
--- a/limepath/testbed/links.py
+++ b/limepath/testbed/links.py
@@ -26,13 +26,13 @@
 
     def __init__(self, reactor, listens, faults):
         self.reactor, self.listens, self.faults = reactor, listens, faults
-        self.at = {port: who for who, port in enumerate(listens)}
+        self.at = {port: index for index, port in enumerate(listens)}
         self.messages = self.bytes = 0
-        self.doors = [Door(self, who) for who in range(len(listens))]
+        self.doors = [Door(self, index) for index in range(len(listens))]
         self.ports = [reactor.listenUDP(0, door, interface=HOST) for door in self.doors]
 
-    def reached_at(self, who):
-        return self.ports[who].getHost().port
+    def reached_at(self, index):
+        return self.ports[index].getHost().port
 
     def came(self, door, source, datagram):
         self.messages += 1
--- a/limepath/testbed/process.py
+++ b/limepath/testbed/process.py
@@ -47,8 +47,14 @@
     `prepare` writes its files; the caller runs it before the first `start`.
     """
 
-    def __init__(self, folder, who):
-        self.who, self.name, self.process, self.start_count, self.stopped = who, f"n{who}", None, 0, False
+    def __init__(self, folder, index):
+        self.index, self.name, self.process, self.start_count, self.stopped = (
+            index,
+            f"n{index}",
+            None,
+            0,
+            False,
+        )
         self.folder = os.path.join(folder, self.name)
         os.makedirs(self.folder, exist_ok=True)
 
--- a/limepath/testbed/regions.py
+++ b/limepath/testbed/regions.py
@@ -17,7 +17,7 @@
     """One call of the list service: nothing passes while its front is cut off."""
 
     def dataReceived(self, data):
-        if self.service.parted(self.who):
+        if self.service.parted(self.index):
             self.service.held += 1
             self.head += data  # it lies in the network
         elif b"\r\n\r\n" in self.head + data and b"Last-Event-ID: " not in self.head + data:
@@ -26,7 +26,7 @@
             super().dataReceived(data)
 
     def go_on(self):
-        if self.service.parted(self.who):
+        if self.service.parted(self.index):
             self.service.held += 1
         else:
             super().go_on()
@@ -37,17 +37,17 @@
     the pieces that a cut kept back.
     """
 
-    def __init__(self, reactor, fronts, zone_of, runs=lambda who: True):
+    def __init__(self, reactor, fronts, zone_of, runs=lambda index: True):
         self.apart, self.held = frozenset(), 0
         super().__init__(reactor, fronts, zone_of, runs)
 
-    def factory(self, who):
-        factory = Factory.forProtocol(lambda: PartedListening(self, who))
+    def factory(self, index):
+        factory = Factory.forProtocol(lambda: PartedListening(self, index))
         factory.noisy = False
         return factory
 
-    def parted(self, who):
-        return who in self.apart
+    def parted(self, index):
+        return index in self.apart
 
     def part(self, fronts):
         self.apart = frozenset(fronts)
@@ -56,12 +56,12 @@
         """End the cut: what waited arrives now, late."""
         was, self.apart = self.apart, frozenset()
         for stream in list(self.streams):
-            if stream.who in was:
+            if stream.index in was:
                 stream.go_on() if stream.greeted else stream.dataReceived(b"")
 
     def beat(self):
         for stream in list(self.streams):
-            if self.parted(stream.who):
+            if self.parted(stream.index):
                 self.held += 1
             elif stream.greeted and self.mode in ("up", "slow"):
                 stream.write(b": here\n\n")
--- a/limepath/testbed/stand_ins.py
+++ b/limepath/testbed/stand_ins.py
@@ -20,8 +20,8 @@
 
     delimiter, MAX_LENGTH = b"\r\n", 4096
 
-    def __init__(self, cache, who):
-        self.cache, self.who = cache, who
+    def __init__(self, cache, index):
+        self.cache, self.index = cache, index
 
     def connectionMade(self):
         self.cache.connections.add(self)
@@ -35,7 +35,7 @@
             return self.transport.loseConnection()
         epoch = re.fullmatch(rb"p\d+-e(\d+)", words[1])
         if not self.cache.deaf:
-            fit = self.cache.asked(self.who, int(epoch[1]) if epoch else 0)
+            fit = self.cache.asked(self.index, int(epoch[1]) if epoch else 0)
             self.transport.write(
                 b"%b %b use=inflight:1;util:0.1 0\r\n\r\n" % (words[1], b"FIT" if fit else b"UNFIT")
             )
@@ -54,9 +54,9 @@
     def open(self, name, instances):
         """Listen for each instance; give the ports."""
         cache = self.caches[name] = self.One(name)
-        cache.asked = lambda who, epoch: self.heard(cache, who, epoch)
-        for who in range(instances):
-            factory = Factory.forProtocol(lambda who=who: Asked(cache, who))
+        cache.asked = lambda index, epoch: self.heard(cache, index, epoch)
+        for index in range(instances):
+            factory = Factory.forProtocol(lambda index=index: Asked(cache, index))
             factory.noisy = False
             cache.ports.append(self.reactor.listenTCP(0, factory, interface=HOST))
         return [port.getHost().port for port in cache.ports]
@@ -72,8 +72,8 @@
 class Followed(Protocol):
     """One front that follows the change log."""
 
-    def __init__(self, log, who):
-        self.log, self.who, self.head = log, who, b""
+    def __init__(self, log, index):
+        self.log, self.index, self.head = log, index, b""
 
     def dataReceived(self, data):
         self.head += data
@@ -83,7 +83,7 @@
             self.log.streams.add(self)
             for number, told in self.log.events:
                 if number > int(last[1]):
-                    self.tell(number, told(self.who))
+                    self.tell(number, told(self.index))
 
     def tell(self, number, told):
         self.transport.write(b"id: %d\ndata: %s\n\n" % (number, json.dumps({"seq": number} | told).encode()))
@@ -99,8 +99,8 @@
 
     def __init__(self, reactor, instances):
         self.streams, self.events, self.ports = set(), [], []
-        for who in range(instances):
-            factory = Factory.forProtocol(lambda who=who: Followed(self, who))
+        for index in range(instances):
+            factory = Factory.forProtocol(lambda index=index: Followed(self, index))
             factory.noisy = False
             self.ports.append(reactor.listenTCP(0, factory, interface=HOST))
 
@@ -108,7 +108,7 @@
         number = 2 + len(self.events)
         self.events.append((number, told))
         for stream in list(self.streams):
-            stream.tell(number, told(stream.who))
+            stream.tell(number, told(stream.index))
 
     def beat(self):
         for stream in self.streams:
@@ -124,8 +124,8 @@
 class Listening(Protocol):
     """One call of the list service by front `who`."""
 
-    def __init__(self, service, who):
-        self.service, self.who, self.head, self.told, self.greeted = service, who, b"", None, False
+    def __init__(self, service, index):
+        self.service, self.index, self.head, self.told, self.greeted = service, index, b"", None, False
 
     def connectionMade(self):
         self.service.came(self)
@@ -173,16 +173,16 @@
     it, and is not counted.
     """
 
-    def __init__(self, reactor, fronts, zone_of, runs=lambda who: True):
+    def __init__(self, reactor, fronts, zone_of, runs=lambda index: True):
         self.reactor, self.mode, self.events, self.streams, self.bytes = reactor, "up", [], set(), 0
         self.runs, self.zone_of, self.most_streams, self.calls, self.ports = runs, zone_of, {}, [], []
         self.port_of = []
-        for who in range(fronts):
-            self.ports.append(reactor.listenTCP(0, self.factory(who), interface=HOST))
-            self.port_of.append(self.ports[who].getHost().port)
+        for index in range(fronts):
+            self.ports.append(reactor.listenTCP(0, self.factory(index), interface=HOST))
+            self.port_of.append(self.ports[index].getHost().port)
 
-    def factory(self, who):
-        factory = Factory.forProtocol(lambda: Listening(self, who))
+    def factory(self, index):
+        factory = Factory.forProtocol(lambda: Listening(self, index))
         factory.noisy = False
         return factory
 
@@ -191,10 +191,10 @@
         if self.mode == "refusing":
             return stream.transport.abortConnection()
         self.streams.add(stream)
-        zone = self.zone_of(stream.who)
+        zone = self.zone_of(stream.index)
         self.most_streams[zone] = max(
             self.most_streams.get(zone, 0),
-            sum(self.zone_of(one.who) == zone and self.runs(one.who) for one in self.streams),
+            sum(self.zone_of(one.index) == zone and self.runs(one.index) for one in self.streams),
         )
 
     def said(self, at):
--- a/tests/two_versions.py
+++ b/tests/two_versions.py
@@ -79,7 +79,7 @@
         front.start()
         self.check("the first front is ready", lambda: len(front.logged((fleet.READY,))))
         statuses = [
-            self.stage.get(front.who, number, 1 + self.chance.randrange(OBJECTS))
+            self.stage.get(front.index, number, 1 + self.chance.randrange(OBJECTS))
             for number in range(1, GETS + 1)
         ]
         self.check("the first front answers GETs", lambda: statuses.count(200))
--- a/tests/two_versions_fleet.py
+++ b/tests/two_versions_fleet.py
@@ -108,7 +108,7 @@
 
     def prepare(self) -> None:
         """Write the front's files; they are the same for either text."""
-        stage, who = self.stage, self.who
+        stage, who = self.stage, self.index
         key = stage.keys[self.text.old]
         settings = f"""[instance]
 name = {self.name}
@@ -269,7 +269,7 @@
 
     def streaming(self) -> set[int]:
         """The fronts that the list service tells events."""
-        return self.do(lambda: {stream.who for stream in self.service.streams})
+        return self.do(lambda: {stream.index for stream in self.service.streams})
 
     def get(self, who: int, number: int, obj: int) -> int:
         """The status that a client's GET gets at a front, 0 where it gets none."""
