--- a/limepath/testbed/coldstart.py
+++ b/limepath/testbed/coldstart.py
@@ -29,7 +29,7 @@
 from limepath.membership.control import ControlSocketError, request_view
 from limepath.report_table import CheckResult, at_most, seconds
 from limepath.testbed.duties import SETTINGS
-from limepath.testbed.faults import Fault as Way
+from limepath.testbed.faults import Fault as LinkFault
 from limepath.testbed.faults import Faults, Kind, both_directions
 from limepath.testbed.links import ConnectionLinks, DatagramLinks
 from limepath.testbed.process import HOST, Process, StartError, free_ports, raise_descriptor_limit
@@ -79,7 +79,9 @@
     def prepare(self):
         drill, index = self.drill, self.index
         seeds = [
-            f"{HOST}:{drill.ways.reached_at(seed)}" for seed in range(min(3, drill.count)) if seed != index
+            f"{HOST}:{drill.datagram_links.proxy_port(seed)}"
+            for seed in range(min(3, drill.count))
+            if seed != index
         ]
         self.write_file("peers.keys", drill.key + "\n")
         self.write_file(
@@ -92,7 +94,7 @@
 form = json
 [peers]
 listen = {HOST}:{drill.listens[index]}
-advertise = {HOST}:{drill.ways.reached_at(index)}
+advertise = {HOST}:{drill.datagram_links.proxy_port(index)}
 seeds = {", ".join(seeds)}
 keys = peers.keys
 [duty probe]
@@ -182,10 +184,10 @@
             free_ports(socket.SOCK_DGRAM, fronts),
             free_ports(socket.SOCK_STREAM, fronts),
         )
-        self.upon = Faults(Random(seed))
-        self.ways, self.passages = (
-            DatagramLinks(reactor, self.listens, self.upon),
-            ConnectionLinks(reactor, self.upon),
+        self.network_faults = Faults(Random(seed))
+        self.datagram_links, self.connection_links = (
+            DatagramLinks(reactor, self.listens, self.network_faults),
+            ConnectionLinks(reactor, self.network_faults),
         )
         self.service = StandInListService(
             reactor,
@@ -194,9 +196,10 @@
             lambda index: not self.nodes[index].stopped,
         )
         self.calls = [
-            self.passages.open(index, SERVICE, port) for index, port in enumerate(self.service.port_of)
+            self.connection_links.open(index, SERVICE, port)
+            for index, port in enumerate(self.service.port_of)
         ]
-        self.caches = {f"s-{index}": StandInCache(reactor) for index in range(caches)}
+        self.caches = {f"s-{number}": StandInCache(reactor) for number in range(caches)}
         self.upper = {"p-1": StandInCache(reactor), "o-1": StandInCache(reactor)}
         self.key = f"{self.chance.getrandbits(256):064x}"
         self.nodes = [ColdFront(self, index) for index in range(fronts)]
@@ -407,28 +410,36 @@
                 node.signal(signal.SIGSTOP)
             ends.append(lambda: [node.signal(signal.SIGCONT) for node in relays])
         elif kind == "relay-held":  # what it says lies in the network, and comes when others have gone on
-            self.upon.begin(Way(name, Kind.HOLD, frozenset((one.index,)), everyone - {one.index}))
-            ends.append(lambda: self.ways.end(name))
+            self.network_faults.begin(
+                LinkFault(name, Kind.HOLD, frozenset((one.index,)), everyone - {one.index})
+            )
+            ends.append(lambda: self.datagram_links.end(name))
         elif kind == "cut-from-service":
-            self.upon.begin(Way(name, Kind.CUT, frozenset((SERVICE,)), frozenset((one.index,))))
-            ends.append(lambda: (self.ways.end(name), self.passages.end()))
+            self.network_faults.begin(
+                LinkFault(name, Kind.CUT, frozenset((SERVICE,)), frozenset((one.index,)))
+            )
+            ends.append(lambda: (self.datagram_links.end(name), self.connection_links.end()))
             limit = bound.stream_still
         elif kind == "cut-from-peers":
-            self.upon.begin(*both_directions(name, Kind.CUT, (one.index,), everyone - {one.index}))
-            ends.append(lambda: self.ways.end(f"{name}>", f"{name}<"))
+            self.network_faults.begin(*both_directions(name, Kind.CUT, (one.index,), everyone - {one.index}))
+            ends.append(lambda: self.datagram_links.end(f"{name}>", f"{name}<"))
         elif kind == "one-way":
-            self.upon.begin(Way(name, Kind.CUT, frozenset((one.index,)), everyone - {one.index}))
-            ends.append(lambda: self.ways.end(name))
+            self.network_faults.begin(
+                LinkFault(name, Kind.CUT, frozenset((one.index,)), everyone - {one.index})
+            )
+            ends.append(lambda: self.datagram_links.end(name))
         elif kind == "loss":
-            self.upon.begin(Way(name, Kind.LOSE, everyone, everyone, 0.3))
-            ends.append(lambda: self.ways.end(name))
+            self.network_faults.begin(LinkFault(name, Kind.LOSE, everyone, everyone, 0.3))
+            ends.append(lambda: self.datagram_links.end(name))
         elif kind in TREE_KINDS:
             one = self.busiest_inner()
             relays = [one]
             limit = tree_bounds(self.terms, self.count, len(ZONES), self.sites).inner_lost
             if kind == "inner-held":
-                self.upon.begin(Way(name, Kind.HOLD, frozenset((one.index,)), everyone - {one.index}))
-                ends.append(lambda: self.ways.end(name))
+                self.network_faults.begin(
+                    LinkFault(name, Kind.HOLD, frozenset((one.index,)), everyone - {one.index})
+                )
+                ends.append(lambda: self.datagram_links.end(name))
             else:
                 one.signal(signal.SIGKILL if kind == "inner-killed" else signal.SIGSTOP)
                 back = one.start if kind == "inner-killed" else lambda: one.signal(signal.SIGCONT)
@@ -478,8 +489,8 @@
             if node.running():
                 node.signal(signal.SIGCONT)
                 node.signal(signal.SIGKILL)
-        self.ways.close()
-        self.passages.close()
+        self.datagram_links.close()
+        self.connection_links.close()
         self.service.close()
         for cache in [*self.caches.values(), *self.upper.values()]:
             cache.close()
@@ -513,7 +524,7 @@
 
 def concluded(drill):
     bound, service, caches = drill.bound(), drill.service, [*drill.caches.values(), *drill.upper.values()]
-    calls = sorted(int(at * 1e6) for at, _, to in drill.passages.history if to == SERVICE)
+    calls = sorted(int(at * 1e6) for at, _, to in drill.connection_links.history if to == SERVICE)
     late = [
         at - drill.drained[name][0]
         for name, cache in drill.caches.items()
@@ -561,9 +572,11 @@
         ),
         CheckResult(
             "faults of the ways that took no effect",
-            len(drill.upon.without_effect()),
+            len(drill.network_faults.without_effect()),
             0,
-            not drill.upon.without_effect(),
+            not drill.network_faults.without_effect(),
         ),
     ]
-    return Found(rows, drill.said + [f"took no effect: {name}" for name in drill.upon.without_effect()])
+    return Found(
+        rows, drill.said + [f"took no effect: {name}" for name in drill.network_faults.without_effect()]
+    )
--- a/limepath/testbed/duties.py
+++ b/limepath/testbed/duties.py
@@ -24,7 +24,7 @@
 from limepath.duties.findings import RunRecord, findings
 from limepath.membership.control import ControlSocketError, request_view
 from limepath.report_table import CheckResult
-from limepath.testbed.faults import Fault as Way
+from limepath.testbed.faults import Fault as LinkFault
 from limepath.testbed.faults import Faults, Kind, both_directions
 from limepath.testbed.links import ConnectionLinks, DatagramLinks
 from limepath.testbed.process import HOST, Process, StartError, free_ports, raise_descriptor_limit
@@ -86,7 +86,7 @@
     def prepare(self):
         drill, index = self.drill, self.index
         seeds = [
-            drill.ways.reached_at(seed)
+            drill.datagram_links.proxy_port(seed)
             for seed in range(min(3, drill.count))
             if seed != index or drill.count == 1
         ]
@@ -103,7 +103,7 @@
 form = json
 [peers]
 listen = {HOST}:{drill.listens[index]}
-advertise = {HOST}:{drill.ways.reached_at(index)}
+advertise = {HOST}:{drill.datagram_links.proxy_port(index)}
 seeds = {", ".join(f"{HOST}:{seed}" for seed in seeds) if drill.sharing else ""}
 keys = peers.keys
 period = {spans.period}us
@@ -168,14 +168,14 @@
             free_ports(socket.SOCK_DGRAM, instances),
             free_ports(socket.SOCK_STREAM, instances),
         )
-        self.upon = Faults(Random(seed))
-        self.ways, self.passages = (
-            DatagramLinks(reactor, self.listens, self.upon),
-            ConnectionLinks(reactor, self.upon),
+        self.network_faults = Faults(Random(seed))
+        self.datagram_links, self.connection_links = (
+            DatagramLinks(reactor, self.listens, self.network_faults),
+            ConnectionLinks(reactor, self.network_faults),
         )
         if loss:
             everyone = frozenset(range(instances))
-            self.upon.begin(Way("loss", Kind.LOSE, everyone, everyone, loss))
+            self.network_faults.begin(LinkFault("loss", Kind.LOSE, everyone, everyone, loss))
         self.caches, self.changes = StandInCaches(reactor, self.probed), StandInChangeLog(reactor, instances)
         self.keys = [f"{self.chance.getrandbits(256):064x}"]
         self.entries, self.targets, self.gone, self.born, self.serves = {}, {}, {}, {}, {}
@@ -193,7 +193,7 @@
     def come(self):
         name = f"t{len(self.born)}"
         ports = [
-            self.passages.open(index, CACHES, port)
+            self.connection_links.open(index, CACHES, port)
             for index, port in enumerate(self.caches.open(name, self.count))
         ]
         self.entries[name] = ports
@@ -267,7 +267,7 @@
         for name in self.targets:  # what came before all were up is not of this drill
             self.targets[name] = self.born[name] = self.now()
         self.serves.clear()
-        self.counted = self.now(), self.ways.messages, self.ways.bytes
+        self.counted = self.now(), self.datagram_links.messages, self.datagram_links.bytes
         self.caches_first = self.now()
         bound = self.bound()
         kinds = []
@@ -335,7 +335,7 @@
             cut = (
                 both_directions(name, Kind.CUT, one, other)
                 if kind == "halves"
-                else (Way(name, Kind.CUT, one, other),)
+                else (LinkFault(name, Kind.CUT, one, other),)
             )
             yield self.under(cut, fault.length)
         elif (
@@ -348,7 +348,9 @@
                 self.leased
             ):  # its probes too: caches know an older epoch; without one each would count as a double
                 held += (
-                    Way(f"probes held at {fault.at}", Kind.HOLD, frozenset(fault.who), frozenset((CACHES,))),
+                    LinkFault(
+                        f"probes held at {fault.at}", Kind.HOLD, frozenset(fault.who), frozenset((CACHES,))
+                    ),
                 )
             yield self.under(held, fault.length + self.bound().take_over)
         elif kind == "targets":
@@ -371,10 +373,10 @@
     @inlineCallbacks
     def under(self, faults, length):
         """Let faults of the ways last, then deliver what they held."""
-        self.upon.begin(*faults)
+        self.network_faults.begin(*faults)
         yield self.pause(length)
-        self.ways.end(*(one.name for one in faults))
-        self.passages.end()
+        self.datagram_links.end(*(one.name for one in faults))
+        self.connection_links.end()
 
     def died(self, node):
         self.deaths.append((self.now(), node.index))
@@ -431,7 +433,7 @@
     def close(self):
         for node in self.nodes:
             node.signal(signal.SIGKILL)
-        for part in (self.caches, self.changes, self.ways, self.passages):
+        for part in (self.caches, self.changes, self.datagram_links, self.connection_links):
             part.close()
 
 
@@ -503,7 +505,7 @@
 def concluded(drill):
     since, messages, size = drill.counted
     span = (drill.end - since) / SECOND
-    drill.messages, drill.bytes = drill.ways.messages - messages, drill.ways.bytes - size
+    drill.messages, drill.bytes = drill.datagram_links.messages - messages, drill.datagram_links.bytes - size
     rounds = sum(len(served) for served in drill.serves.values())
     alive = sum(min(drill.gone.get(name, drill.end), drill.end) - at for name, at in drill.born.items())
     rows = findings(record_of(drill), drill.plan)
@@ -513,9 +515,9 @@
         CheckResult("bytes per instance and second", round(drill.bytes / drill.count / span)),
         CheckResult(
             "faults of the ways that took no effect",
-            len(drill.upon.without_effect()),
+            len(drill.network_faults.without_effect()),
             0,
-            not drill.upon.without_effect(),
+            not drill.network_faults.without_effect(),
         ),
         CheckResult("probes per target and interval", round(rounds * drill.plan.interval / max(1, alive), 3)),
     ]
@@ -525,7 +527,7 @@
             f"{', '.join(f'n{index}' for index in fault.who)}"
             for fault in drill.faults
         ]
-        + [f"took no effect: {name}" for name in drill.upon.without_effect()]
+        + [f"took no effect: {name}" for name in drill.network_faults.without_effect()]
         + drill.said
     )
     return Found(rows, said)
