--- a/limepath/scale/service.py
+++ b/limepath/scale/service.py
@@ -41,7 +41,7 @@
         """Tell the whole list, and go on showing that the service lives."""
         members = [self.member(name) for name in (*self.caches, *self.upper)]
         self.tell(LIST, {"fleet": {"revision": 1, "complete": True, "members": members}})
-        self.repeat(BEAT * self.pace.stretch, self.service.beat)
+        self.repeat(BEAT * self.pace.stretch, self.service.send_keepalives)
 
     def repeat(self, seconds, function):
         loop = LoopingCall(function)
--- a/limepath/testbed/coldstart.py
+++ b/limepath/testbed/coldstart.py
@@ -506,7 +506,7 @@
     flaws = []
     with tempfile.TemporaryDirectory(prefix="limepath-cold-") as scratch:
         drill = Drill(reactor, keep or scratch, fronts, seed, alone, down, caches, sites)
-        beat = LoopingCall(drill.service.beat)
+        beat = LoopingCall(drill.service.send_keepalives)
         beat.start(1.0)
 
         def over(result):
--- a/limepath/testbed/duties.py
+++ b/limepath/testbed/duties.py
@@ -455,7 +455,7 @@
             sharing,
             loss,
         )
-        beat = LoopingCall(drill.changes.beat)
+        beat = LoopingCall(drill.changes.send_keepalives)
         beat.start(0.5)
 
         def over(result):
--- a/limepath/testbed/regions.py
+++ b/limepath/testbed/regions.py
@@ -59,7 +59,7 @@
             if stream.index in was:
                 stream.go_on() if stream.greeted else stream.dataReceived(b"")
 
-    def beat(self):
+    def send_keepalives(self):
         for stream in list(self.streams):
             if self.parted(stream.index):
                 self.held += 1
--- a/limepath/testbed/stand_ins.py
+++ b/limepath/testbed/stand_ins.py
@@ -110,7 +110,7 @@
         for stream in list(self.streams):
             stream.tell(number, told(stream.index))
 
-    def beat(self):
+    def send_keepalives(self):
         for stream in self.streams:
             stream.transport.write(b": here\n\n")
 
@@ -222,7 +222,7 @@
         for stream in list(self.streams):
             stream.transport.abortConnection()
 
-    def beat(self):
+    def send_keepalives(self):
         for stream in list(self.streams):
             if stream.greeted and self.mode in ("up", "slow"):
                 stream.write(b": here\n\n")
--- a/tests/list_service.py
+++ b/tests/list_service.py
@@ -38,5 +38,5 @@
 if __name__ == "__main__":
     service = StandInListService(reactor, int(sys.argv[1]), lambda who: "sur")
     stdio.StandardIO(EventInput(service))
-    LoopingCall(service.beat).start(COMMENT_INTERVAL)
+    LoopingCall(service.send_keepalives).start(COMMENT_INTERVAL)
     reactor.run()
--- a/tests/test_scale_faults.py
+++ b/tests/test_scale_faults.py
@@ -221,7 +221,7 @@
     streams = [stream_of(service, who) for who in range(2)]
     service.part([1])
     service.add({"invalidate": {"bucket": 2, "time": 2}})
-    service.beat()
+    service.send_keepalives()
     told = [stream.transport.value().count(b"data:") for stream in streams]
     assert told == [2, 1] and service.held == 2
 
--- a/tests/two_versions_fleet.py
+++ b/tests/two_versions_fleet.py
@@ -232,7 +232,7 @@
         self.thread = threading.Thread(target=self.reactor.run, args=(False,), daemon=True)
         self.thread.start()
         self.service = self.do(StandInListService, self.reactor, FRONTS, lambda who: "sur")
-        self.beat = LoopingCall(self.service.beat)
+        self.beat = LoopingCall(self.service.send_keepalives)
         self.beat.clock = self.reactor
         self.do(self.beat.start, BEAT)
         names = [f"s-{number}" for number in range(CACHES)] + [f"p-{number}" for number in range(PARENTS)]
