--- a/limepath/scale/service.py
+++ b/limepath/scale/service.py
@@ -102,7 +102,7 @@
         return sum(len(cache.forwards) for cache in (*self.caches.values(), *self.upper.values()))
 
     def connections_at_caches(self):
-        return sum(len(cache.connected) for cache in (*self.caches.values(), *self.upper.values()))
+        return sum(len(cache.connection_times) for cache in (*self.caches.values(), *self.upper.values()))
 
     def close(self):
         for loop in self.loops:
--- a/limepath/testbed/coldstart.py
+++ b/limepath/testbed/coldstart.py
@@ -277,7 +277,7 @@
     def play(self, kinds):
         service = self.service
         service.add({"fleet": {"revision": 1, "complete": True, "members": self.members()}})
-        service.turn("refusing")
+        service.set_mode("refusing")
         for node in self.nodes:
             node.prepare()
         self.zero = time.monotonic_ns() // 1000
@@ -299,7 +299,7 @@
         if not self.alone:
             yield self.wait(lambda: all(node.shown() for node in self.nodes), START * SECOND)
         self.let_in, back = True, time.time()
-        service.turn("up")
+        service.set_mode("up")
         waves = LoopingCall(self.begin_waves)
         waves.start(0.2)
         if not self.alone:
@@ -446,9 +446,9 @@
                 ends.append(back)
         elif kind in ("silent", "slow", "breaking", "still"):
             if kind != "still":  # these are of a service that is called
-                service.turn("refusing")
-            service.turn(kind)
-            self.reactor.callLater(4, service.turn, "up")
+                service.set_mode("refusing")
+            service.set_mode(kind)
+            self.reactor.callLater(4, service.set_mode, "up")
             limit = 4 * SECOND + bound.stream_still
         elif kind == "restored":
             service.restore(len(service.events) - 2)
@@ -535,7 +535,7 @@
     drains = max(bound.relays_lost, 4 * SECOND + bound.stream_still) + SLACK
     well = drill.wave.get(200, 0) / max(1, sum(drill.wave.values()))
     connected = max(
-        most_in(sorted(int(at * 1e6) for at in cache.connected), SECOND // 10) for cache in caches
+        most_in(sorted(int(at * 1e6) for at in cache.connection_times), SECOND // 10) for cache in caches
     )
     pressed = max(most_in(sorted(int(at * 1e6) for at, _ in cache.forwards), SECOND) for cache in caches)
     rows = [
--- a/limepath/testbed/duties.py
+++ b/limepath/testbed/duties.py
@@ -360,7 +360,7 @@
                 self.gone[name] = self.now()
             for _ in gone:
                 self.come()
-            self.changes.tell(lambda index: {"fleet": self.fleet(index)})
+            self.changes.add(lambda index: {"fleet": self.fleet(index)})
         elif kind == "keys":
             new = f"{self.chance.getrandbits(256):064x}"
             for keys in ([self.keys[0], new], [new, self.keys[0]], [new]):  # known to all, used by all, alone
--- a/limepath/testbed/regions.py
+++ b/limepath/testbed/regions.py
@@ -10,10 +10,10 @@
 from twisted.internet.protocol import DatagramProtocol, Factory
 
 from limepath.testbed.process import HOST
-from limepath.testbed.stand_ins import Listening, StandInListService
+from limepath.testbed.stand_ins import ListServiceStream, StandInListService
 
 
-class PartedListening(Listening):
+class RegionalListServiceStream(ListServiceStream):
     """One call of the list service: nothing passes while its front is cut off."""
 
     def dataReceived(self, data):
@@ -25,11 +25,11 @@
         else:
             super().dataReceived(data)
 
-    def go_on(self):
+    def send_pending(self):
         if self.service.parted(self.index):
             self.service.held += 1
         else:
-            super().go_on()
+            super().send_pending()
 
 
 class RegionalListService(StandInListService):
@@ -37,12 +37,12 @@
     the pieces that a cut kept back.
     """
 
-    def __init__(self, reactor, fronts, zone_of, runs=lambda index: True):
+    def __init__(self, reactor, fronts, zone_of, is_running=lambda index: True):
         self.apart, self.held = frozenset(), 0
-        super().__init__(reactor, fronts, zone_of, runs)
+        super().__init__(reactor, fronts, zone_of, is_running)
 
     def factory(self, index):
-        factory = Factory.forProtocol(lambda: PartedListening(self, index))
+        factory = Factory.forProtocol(lambda: RegionalListServiceStream(self, index))
         factory.noisy = False
         return factory
 
@@ -57,13 +57,13 @@
         was, self.apart = self.apart, frozenset()
         for stream in list(self.streams):
             if stream.index in was:
-                stream.go_on() if stream.greeted else stream.dataReceived(b"")
+                stream.send_pending() if stream.head_sent else stream.dataReceived(b"")
 
     def send_keepalives(self):
         for stream in list(self.streams):
             if self.parted(stream.index):
                 self.held += 1
-            elif stream.greeted and self.mode in ("up", "slow"):
+            elif stream.head_sent and self.mode in ("up", "slow"):
                 stream.write(b": here\n\n")
 
 
--- a/limepath/testbed/stand_ins.py
+++ b/limepath/testbed/stand_ins.py
@@ -1,8 +1,8 @@
-"""Stand-ins for drills and tests of several processes: caches that count probes, caches that answer GETs,
-change logs.
+"""Stand-ins for drills and tests of several processes: caches, change logs and the list service.
 
-Caches answer the probe words of the platform's protocol (FIT) and turn an older epoch away (UNFIT). A cache
-listens once for each instance, so that it is known who asks. All on loopback.
+Caches answer the probe commands of the platform's protocol with FIT, or with UNFIT to a probe of an older
+epoch. A server has a separate port for each instance, which identifies the caller. All sockets are on
+loopback.
 """
 
 import json
@@ -15,8 +15,8 @@
 from limepath.testbed.process import HOST
 
 
-class Asked(LineReceiver):
-    """One connection of instance `who` to one cache."""
+class ProbeConnection(LineReceiver):
+    """A connection from the instance `index` to a cache."""
 
     delimiter, MAX_LENGTH = b"\r\n", 4096
 
@@ -30,33 +30,42 @@
         self.cache.connections.discard(self)
 
     def lineReceived(self, line):
-        words = line.split(b" ")
-        if len(words) != 2 or words[0] not in (b"INFO", b"NOOP"):
+        fields = line.split(b" ")
+        if len(fields) != 2 or fields[0] not in (b"INFO", b"NOOP"):
             return self.transport.loseConnection()
-        epoch = re.fullmatch(rb"p\d+-e(\d+)", words[1])
-        if not self.cache.deaf:
-            fit = self.cache.asked(self.index, int(epoch[1]) if epoch else 0)
+        epoch = re.fullmatch(rb"p\d+-e(\d+)", fields[1])
+        if not self.cache.ignores_probes:
+            accepted = self.cache.on_probe(self.index, int(epoch[1]) if epoch else 0)
             self.transport.write(
-                b"%b %b use=inflight:1;util:0.1 0\r\n\r\n" % (words[1], b"FIT" if fit else b"UNFIT")
+                b"%b %b use=inflight:1;util:0.1 0\r\n\r\n" % (fields[1], b"FIT" if accepted else b"UNFIT")
             )
 
 
 class StandInCaches:
-    """All targets: `asked(target, who, epoch)` hears of each probe and gives whether it is taken."""
+    """The caches that instances probe.
 
-    class One:
+    `on_probe(cache, index, epoch)` is called for each probe and returns whether the cache accepts it.
+    """
+
+    class Cache:
         def __init__(self, name):
-            self.name, self.ports, self.connections, self.deaf, self.epoch = name, [], set(), False, 0
+            self.name, self.ports, self.connections, self.ignores_probes, self.epoch = (
+                name,
+                [],
+                set(),
+                False,
+                0,
+            )
 
-    def __init__(self, reactor, asked):
-        self.reactor, self.heard, self.caches = reactor, asked, {}
+    def __init__(self, reactor, on_probe):
+        self.reactor, self.on_probe, self.caches = reactor, on_probe, {}
 
     def open(self, name, instances):
-        """Listen for each instance; give the ports."""
-        cache = self.caches[name] = self.One(name)
-        cache.asked = lambda index, epoch: self.heard(cache, index, epoch)
+        """Listen on a port for each instance and return the ports."""
+        cache = self.caches[name] = self.Cache(name)
+        cache.on_probe = lambda index, epoch: self.on_probe(cache, index, epoch)
         for index in range(instances):
-            factory = Factory.forProtocol(lambda index=index: Asked(cache, index))
+            factory = Factory.forProtocol(lambda index=index: ProbeConnection(cache, index))
             factory.noisy = False
             cache.ports.append(self.reactor.listenTCP(0, factory, interface=HOST))
         return [port.getHost().port for port in cache.ports]
@@ -69,8 +78,8 @@
                 connection.transport.abortConnection()
 
 
-class Followed(Protocol):
-    """One front that follows the change log."""
+class ChangeLogStream(Protocol):
+    """A stream of the change log to one front."""
 
     def __init__(self, log, index):
         self.log, self.index, self.head = log, index, b""
@@ -81,34 +90,35 @@
             last = re.search(rb"Last-Event-ID: (\d+)", self.head)
             self.transport.write(b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n: here\n\n")
             self.log.streams.add(self)
-            for number, told in self.log.events:
+            for number, event_for in self.log.events:
                 if number > int(last[1]):
-                    self.tell(number, told(self.index))
+                    self.send_event(number, event_for(self.index))
 
-    def tell(self, number, told):
-        self.transport.write(b"id: %d\ndata: %s\n\n" % (number, json.dumps({"seq": number} | told).encode()))
+    def send_event(self, number, event):
+        self.transport.write(b"id: %d\ndata: %s\n\n" % (number, json.dumps({"seq": number} | event).encode()))
 
     def connectionLost(self, reason):
         self.log.streams.discard(self)
 
 
 class StandInChangeLog:
-    """Tells events to all that follow; an event is a function of the instance, since caches' addresses
-    differ.
+    """Sends events to all fronts that follow it.
+
+    An event is given as a function of the instance's index, because cache addresses differ between instances.
     """
 
     def __init__(self, reactor, instances):
         self.streams, self.events, self.ports = set(), [], []
         for index in range(instances):
-            factory = Factory.forProtocol(lambda index=index: Followed(self, index))
+            factory = Factory.forProtocol(lambda index=index: ChangeLogStream(self, index))
             factory.noisy = False
             self.ports.append(reactor.listenTCP(0, factory, interface=HOST))
 
-    def tell(self, told):
+    def add(self, event_for):
         number = 2 + len(self.events)
-        self.events.append((number, told))
+        self.events.append((number, event_for))
         for stream in list(self.streams):
-            stream.tell(number, told(stream.index))
+            stream.send_event(number, event_for(stream.index))
 
     def send_keepalives(self):
         for stream in self.streams:
@@ -121,40 +131,53 @@
             stream.transport.abortConnection()
 
 
-class Listening(Protocol):
-    """One call of the list service by front `who`."""
+class ListServiceStream(Protocol):
+    """A call of the list service by the front `index`."""
 
     def __init__(self, service, index):
-        self.service, self.index, self.head, self.told, self.greeted = service, index, b"", None, False
+        self.service, self.index, self.head, self.sent_count, self.head_sent = (
+            service,
+            index,
+            b"",
+            None,
+            False,
+        )
 
     def connectionMade(self):
-        self.service.came(self)
+        self.service.accepted(self)
 
     def dataReceived(self, data):
         self.head += data
-        if b"\r\n\r\n" in self.head and self.told is None:
-            self.told = int(re.search(rb"Last-Event-ID: (\d+)", self.head)[1])
+        if b"\r\n\r\n" in self.head and self.sent_count is None:
+            self.sent_count = int(re.search(rb"Last-Event-ID: (\d+)", self.head)[1])
             if self.service.mode != "silent":
-                self.greet()
+                self.send_head()
 
-    def greet(self):
-        self.greeted = True
+    def send_head(self):
+        self.head_sent = True
         self.write(b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n")
-        self.go_on()
+        self.send_pending()
 
-    def go_on(self):
-        """Tell what is new; a slow service one event each 200 ms, one that breaks off half of the first."""
+    def send_pending(self):
+        """Send the events that the front does not have yet.
+
+        A slow service sends one event each 200 ms; a breaking one closes the connection within the first.
+        """
         service = self.service
-        if service.mode == "breaking" and self.told < len(service.events):
-            self.write(service.said(self.told)[:-9])
+        if service.mode == "breaking" and self.sent_count < len(service.events):
+            self.write(service.encoded_event(self.sent_count)[:-9])
             return self.transport.loseConnection()
-        while self.greeted and self.told < len(service.events) and service.mode not in ("silent", "still"):
-            self.write(service.said(self.told))
-            self.told += 1
-            if service.mode == "slow" and self.told < len(service.events):
-                service.reactor.callLater(0.2, self.go_on)
+        while (
+            self.head_sent
+            and self.sent_count < len(service.events)
+            and service.mode not in ("silent", "still")
+        ):
+            self.write(service.encoded_event(self.sent_count))
+            self.sent_count += 1
+            if service.mode == "slow" and self.sent_count < len(service.events):
+                service.reactor.callLater(0.2, self.send_pending)
                 return
-        if self.greeted and service.mode not in ("silent", "still"):
+        if self.head_sent and service.mode not in ("silent", "still"):
             self.write(b": here\n\n")
 
     def write(self, data):
@@ -167,26 +190,33 @@
 
 
 class StandInListService:
-    """The list service; each front has a port of its own there, so that it is known who calls. `mode`: up,
-    refusing, silent (accepts and says nothing), slow, breaking (off in an event) or still (says nothing
-    more). `runs` tells whether a front is not stopped: one that is holds its stream until the service ends
-    it, and is not counted.
+    """The list service, with a separate port for each front, which identifies the caller.
+
+    `mode` is up, refusing, silent (accepts calls and sends nothing), slow, breaking (closes the connection
+    within an event) or still (sends nothing more). `is_running` returns whether a front is not stopped: a
+    stopped front keeps its stream until the service closes it, and `most_streams` does not count it.
     """
 
-    def __init__(self, reactor, fronts, zone_of, runs=lambda index: True):
+    def __init__(self, reactor, fronts, zone_of, is_running=lambda index: True):
         self.reactor, self.mode, self.events, self.streams, self.bytes = reactor, "up", [], set(), 0
-        self.runs, self.zone_of, self.most_streams, self.calls, self.ports = runs, zone_of, {}, [], []
+        self.is_running, self.zone_of, self.most_streams, self.calls, self.ports = (
+            is_running,
+            zone_of,
+            {},
+            [],
+            [],
+        )
         self.port_of = []
         for index in range(fronts):
             self.ports.append(reactor.listenTCP(0, self.factory(index), interface=HOST))
             self.port_of.append(self.ports[index].getHost().port)
 
     def factory(self, index):
-        factory = Factory.forProtocol(lambda: Listening(self, index))
+        factory = Factory.forProtocol(lambda: ListServiceStream(self, index))
         factory.noisy = False
         return factory
 
-    def came(self, stream):
+    def accepted(self, stream):
         self.calls.append(self.reactor.seconds())
         if self.mode == "refusing":
             return stream.transport.abortConnection()
@@ -194,37 +224,39 @@
         zone = self.zone_of(stream.index)
         self.most_streams[zone] = max(
             self.most_streams.get(zone, 0),
-            sum(self.zone_of(one.index) == zone and self.runs(one.index) for one in self.streams),
+            sum(self.zone_of(other.index) == zone and self.is_running(other.index) for other in self.streams),
         )
 
-    def said(self, at):
-        return b"id: %d\ndata: %s\n\n" % (at + 1, self.events[at])
+    def encoded_event(self, position):
+        return b"id: %d\ndata: %s\n\n" % (position + 1, self.events[position])
 
-    def add(self, told):
-        """Tell an event; give its number."""
-        self.events.append(json.dumps({"seq": len(self.events) + 1} | told).encode())
+    def add(self, event):
+        """Send an event to all streams and return its number."""
+        self.events.append(json.dumps({"seq": len(self.events) + 1} | event).encode())
         for stream in list(self.streams):
-            stream.go_on()
+            stream.send_pending()
         return len(self.events)
 
-    def turn(self, mode):
-        """Behave otherwise from now on; refusing ends the streams too, and after `still` those are of no more
-        use.
+    def set_mode(self, mode):
+        """Change the mode.
+
+        Streams are closed when the new mode is refusing, and when the old one is still or silent, because
+        those streams have missed data.
         """
-        before, self.mode = self.mode, mode
-        if mode == "refusing" or before in ("still", "silent"):
+        old_mode, self.mode = self.mode, mode
+        if mode == "refusing" or old_mode in ("still", "silent"):
             for stream in list(self.streams):
                 stream.transport.abortConnection()
 
     def restore(self, number):
-        """Go back to an older state: its numbers run backwards."""
+        """Go back to the state after event `number`, so that event numbers run backwards."""
         del self.events[number:]
         for stream in list(self.streams):
             stream.transport.abortConnection()
 
     def send_keepalives(self):
         for stream in list(self.streams):
-            if stream.greeted and self.mode in ("up", "slow"):
+            if stream.head_sent and self.mode in ("up", "slow"):
                 stream.write(b": here\n\n")
 
     def close(self):
@@ -234,8 +266,8 @@
             stream.transport.abortConnection()
 
 
-class Answering(LineReceiver):
-    """One connection of a front to a cache that holds all: probes and forwards are answered at once."""
+class CacheConnection(LineReceiver):
+    """A connection of a front to a cache that has every object; it answers probes and forwards at once."""
 
     delimiter, MAX_LENGTH = b"\r\n", 4096
 
@@ -243,43 +275,43 @@
         self.cache, self.body = cache, None
 
     def connectionMade(self):
-        self.cache.connected.append(self.cache.reactor.seconds())
+        self.cache.connection_times.append(self.cache.reactor.seconds())
         self.cache.connections.add(self)
 
     def connectionLost(self, reason):
         self.cache.connections.discard(self)
 
     def lineReceived(self, line):
-        words = line.split(b" ")
-        if words[0] == b"ASK" and len(words) == 4:
-            self.asked = words[1]
-            self.body = int(words[3])
+        fields = line.split(b" ")
+        if fields[0] == b"ASK" and len(fields) == 4:
+            self.attempt = fields[1]
+            self.body = int(fields[3])
             self.setRawMode()
-        elif words[0] in (b"INFO", b"NOOP") and len(words) == 2:
-            self.transport.write(words[1] + b" FIT use=inflight:1;util:0.1 0\r\n\r\n")
+        elif fields[0] in (b"INFO", b"NOOP") and len(fields) == 2:
+            self.transport.write(fields[1] + b" FIT use=inflight:1;util:0.1 0\r\n\r\n")
 
     def rawDataReceived(self, data):
         self.body -= len(data)
-        if self.body <= -2:  # the line end behind the body
+        if self.body <= -2:  # the body and the line end after it are complete
             rest = data[len(data) + self.body + 2 :]
-            self.cache.forwards.append((self.cache.reactor.seconds(), self.asked))
+            self.cache.forwards.append((self.cache.reactor.seconds(), self.attempt))
             self.transport.write(
-                b"%b DONE rev=4be0,since=%d 4\r\nbody\r\n" % (self.asked, time.time() * 1000)
+                b"%b DONE rev=4be0,since=%d 4\r\nbody\r\n" % (self.attempt, time.time() * 1000)
             )
             self.setLineMode(rest)
 
 
 class StandInCache:
-    """A cache, parent or origin that answers GETs; it counts connections and forwards with their times."""
+    """A cache, parent or origin that answers GETs and records the times of connections and forwards."""
 
     def __init__(self, reactor):
-        self.reactor, self.connections, self.connected, self.forwards = reactor, set(), [], []
-        factory = Factory.forProtocol(lambda: Answering(self))
+        self.reactor, self.connections, self.connection_times, self.forwards = reactor, set(), [], []
+        factory = Factory.forProtocol(lambda: CacheConnection(self))
         factory.noisy = False
-        self.listening = reactor.listenTCP(0, factory, interface=HOST, backlog=512)
-        self.port = self.listening.getHost().port
+        self.listening_port = reactor.listenTCP(0, factory, interface=HOST, backlog=512)
+        self.port = self.listening_port.getHost().port
 
     def close(self):
-        self.listening.stopListening()
+        self.listening_port.stopListening()
         for connection in list(self.connections):
             connection.transport.abortConnection()
