--- a/limepath/scale/fleet.py
+++ b/limepath/scale/fleet.py
@@ -31,8 +31,8 @@
 class Fleet:
     """The fronts of a Plan. What samples bring goes to `seen`, the Observations."""
 
-    def __init__(self, plan, folder, configs, seen, doors, pace):
-        self.plan, self.seen, self.doors, self.pace = plan, seen, doors, pace
+    def __init__(self, plan, folder, configs, seen, proxies, pace):
+        self.plan, self.seen, self.proxies, self.pace = plan, seen, proxies, pace
         self.names = [place.name for place in plan.fronts]
         self.who = {name: who for who, name in enumerate(self.names)}
         self.process_of = {who: number for number, share in enumerate(plan.hollow) for who in share}
@@ -89,7 +89,7 @@
 
     def set_links(self, loss, cuts):
         """Replace the faults of all links between fronts; a Deferred."""
-        self.doors.links = Links(loss, tuple(cuts))
+        self.proxies.links = Links(loss, tuple(cuts))
         command = LinksCommand(loss, list(cuts))
         return together([deferToThread(process.do, command) for process in self.hollow])
 
--- a/limepath/scale/run.py
+++ b/limepath/scale/run.py
@@ -23,7 +23,7 @@
 from limepath.scale.service import Around, Clients
 from limepath.scale.strikes import Strikes
 from limepath.testbed.process import StartError, free_ports
-from limepath.testbed.regions import Doors
+from limepath.testbed.regions import RegionProxies
 
 SECOND = 1_000_000
 START, START_EACH = 60 * SECOND, SECOND // 8  # that all may take to be ready, and more by front
@@ -68,7 +68,7 @@
         self.folder, self.zero, self.said, self.roles = folder, None, [], {}
         self.pace, self.say, self.told_at = Pace(options.stretch), say, None
         self.ready = self.settled = self.ended = None
-        self.fleet = self.around = self.doors = None
+        self.fleet = self.around = self.proxies = None
         self.load_before, self.load_after = os.getloadavg(), None
 
     def prepare(self):
@@ -77,17 +77,17 @@
         listens = free_ports(socket.SOCK_DGRAM, len(plan.fronts))
         clients = free_ports(socket.SOCK_STREAM, len(plan.fronts))
         region_of = {port: place.region for port, place in zip(listens, plan.fronts, strict=True)}
-        self.doors = Doors(reactor, Random(f"doors {seed}"), region_of)
+        self.proxies = RegionProxies(reactor, Random(f"doors {seed}"), region_of)
         reached = list(listens)
         for who in plan.real:
-            reached[who] = self.doors.open(listens[who], plan.fronts[who].region)
+            reached[who] = self.proxies.open(listens[who], plan.fronts[who].region)
         runs = lambda who: plan.fronts[who].name not in self.fleet.stopped  # noqa: E731
         self.around = Around(reactor, plan, seed, self.pace, runs)
         addresses = settings.Addresses(listens, reached, clients, self.around.service.port_of)
         self.write(addresses)
         configs = settings.write_processes(self.folder, plan, addresses, seed, self.options.logs)
         self.seen = Observations([place.name for place in plan.fronts])
-        self.fleet = Fleet(plan, self.folder, configs, self.seen, self.doors, self.pace)
+        self.fleet = Fleet(plan, self.folder, configs, self.seen, self.proxies, self.pace)
         ports = {who: clients[who] for who in plan.real}
         well = lambda who: self.seen.well(self.fleet.names[who])  # noqa: E731
         self.clients = Clients(reactor, seed, ports, self.pace, well)
@@ -209,7 +209,7 @@
         self.seen.begin(name, self.pace.now())
 
     def close(self):
-        for part in (self.fleet, self.around, self.doors):
+        for part in (self.fleet, self.around, self.proxies):
             if part:
                 part.close()
 
--- a/limepath/scale/strikes.py
+++ b/limepath/scale/strikes.py
@@ -76,8 +76,8 @@
     def effects(self):
         """{kind: times that it took effect}: fronts killed or stopped, pieces lost or cut."""
         fleet, told = self.fleet, {}
-        lost = fleet.dropped["loss"] + fleet.doors.lost
-        cut = fleet.dropped["cut"] + fleet.doors.cut + self.service.held
+        lost = fleet.dropped["loss"] + fleet.proxies.lost
+        cut = fleet.dropped["cut"] + fleet.proxies.cut + self.service.held
         for fault in self.schedule.faults:
             dropped = {Kind.LOSS: lost, Kind.CUT: cut}
             told[fault.kind] = dropped.get(fault.kind, self.counts[fault.kind])
--- a/limepath/testbed/regions.py
+++ b/limepath/testbed/regions.py
@@ -77,18 +77,18 @@
         return (one, other) in self.cuts or (other, one) in self.cuts
 
 
-class Door(DatagramProtocol):
+class RegionProxy(DatagramProtocol):
     """Where others reach one process: what passes goes on to the port at which it listens."""
 
-    def __init__(self, doors, port, region):
-        self.doors, self.to, self.region = doors, port, region
+    def __init__(self, proxies, port, region):
+        self.proxies, self.to, self.region = proxies, port, region
 
     def datagramReceived(self, datagram, address):
-        if self.doors.passes(address[1], self.region):
+        if self.proxies.passes(address[1], self.region):
             self.transport.write(datagram, (HOST, self.to))
 
 
-class Doors:
+class RegionProxies:
     """A door for each process. `region_of` maps the port that a datagram comes from to a region; `lost` and
     `cut` count what did not pass.
     """
@@ -99,7 +99,7 @@
 
     def open(self, port, region):
         """Give the port of the door to a process of this region that listens at `port`."""
-        self.ports.append(self.reactor.listenUDP(0, Door(self, port, region), interface=HOST))
+        self.ports.append(self.reactor.listenUDP(0, RegionProxy(self, port, region), interface=HOST))
         return self.ports[-1].getHost().port
 
     def passes(self, source, region):
--- a/tests/test_scale_faults.py
+++ b/tests/test_scale_faults.py
@@ -13,7 +13,7 @@
 from limepath.scale.faults import Kind, UnknownFault
 from limepath.scale.observations import Observations
 from limepath.scale.report import at_most_if_stated, fault_rows
-from limepath.testbed.regions import Doors, Links, RegionalListService
+from limepath.testbed.regions import Links, RegionalListService, RegionProxies
 
 SECOND = 1_000_000
 MACHINE = plan.Machine(cores=8, memory=24 << 30)
@@ -189,16 +189,16 @@
 # Links by region
 
 
-def test_doors_lose_a_share_and_cut_pairs_of_regions_and_count_both():
-    doors = Doors(None, Random(1), {1: "r0", 2: "r1", 3: "r2"})
-    assert all(doors.passes(port, "r0") for port in (1, 2, 3))
-    doors.links = Links(0.0, (("r1", "r0"),))
-    assert [doors.passes(port, "r0") for port in (1, 2, 3)] == [True, False, True]
-    assert not doors.passes(1, "r1") and doors.passes(3, "r1")
-    assert (doors.lost, doors.cut) == (0, 2)
-    doors.links = Links(0.05)
-    passed = sum(doors.passes(1, "r0") for _ in range(10_000))
-    assert passed == 10_000 - doors.lost and 400 < doors.lost < 600
+def test_proxies_lose_a_share_and_cut_pairs_of_regions_and_count_both():
+    proxies = RegionProxies(None, Random(1), {1: "r0", 2: "r1", 3: "r2"})
+    assert all(proxies.passes(port, "r0") for port in (1, 2, 3))
+    proxies.links = Links(0.0, (("r1", "r0"),))
+    assert [proxies.passes(port, "r0") for port in (1, 2, 3)] == [True, False, True]
+    assert not proxies.passes(1, "r1") and proxies.passes(3, "r1")
+    assert (proxies.lost, proxies.cut) == (0, 2)
+    proxies.links = Links(0.05)
+    passed = sum(proxies.passes(1, "r0") for _ in range(10_000))
+    assert passed == 10_000 - proxies.lost and 400 < proxies.lost < 600
 
 
 def stream_of(service, who, after=0):
