--- a/limepath/scale/fleet.py
+++ b/limepath/scale/fleet.py
@@ -12,7 +12,7 @@
 from limepath.scale.control import Links as LinksCommand
 from limepath.scale.processes import HollowProcess, RealFront
 from limepath.scale.settings import all_seeds
-from limepath.testbed.regions import Links
+from limepath.testbed.regions import LinkFaults
 
 WAVE = 100  # fronts started at once: all at once, each would pull half-known views of all again and again
 KNOWN = 0.95  # of those that run, that each of them sees before more are started
@@ -89,7 +89,7 @@
 
     def set_links(self, loss, cuts):
         """Replace the faults of all links between fronts; a Deferred."""
-        self.proxies.links = Links(loss, tuple(cuts))
+        self.proxies.link_faults = LinkFaults(loss, tuple(cuts))
         command = LinksCommand(loss, list(cuts))
         return together([deferToThread(process.do, command) for process in self.hollow])
 
--- a/limepath/scale/strikes.py
+++ b/limepath/scale/strikes.py
@@ -38,7 +38,7 @@
         else:
             self.seen.struck(fault.kind, names, self.fleet.pace.now())
         if fault.kind == Kind.CUT:
-            self.service.part(self.fleet.who[name] for name in names)
+            self.service.cut_off_fronts(self.fleet.who[name] for name in names)
             yield self.fleet.set_links(0.0, (fault.regions,))
         elif fault.kind == Kind.RELAY_STOPPED:
             yield self.fleet.pause(names)
--- a/tests/test_scale_faults.py
+++ b/tests/test_scale_faults.py
@@ -13,7 +13,7 @@
 from limepath.scale.faults import Kind, UnknownFault
 from limepath.scale.observations import Observations
 from limepath.scale.report import at_most_if_stated, fault_rows
-from limepath.testbed.regions import Links, RegionalListService, RegionProxies
+from limepath.testbed.regions import LinkFaults, RegionalListService, RegionProxies
 
 SECOND = 1_000_000
 MACHINE = plan.Machine(cores=8, memory=24 << 30)
@@ -192,11 +192,11 @@
 def test_proxies_lose_a_share_and_cut_pairs_of_regions_and_count_both():
     proxies = RegionProxies(None, Random(1), {1: "r0", 2: "r1", 3: "r2"})
     assert all(proxies.passes(port, "r0") for port in (1, 2, 3))
-    proxies.links = Links(0.0, (("r1", "r0"),))
+    proxies.link_faults = LinkFaults(0.0, (("r1", "r0"),))
     assert [proxies.passes(port, "r0") for port in (1, 2, 3)] == [True, False, True]
     assert not proxies.passes(1, "r1") and proxies.passes(3, "r1")
     assert (proxies.lost, proxies.cut) == (0, 2)
-    proxies.links = Links(0.05)
+    proxies.link_faults = LinkFaults(0.05)
     passed = sum(proxies.passes(1, "r0") for _ in range(10_000))
     assert passed == 10_000 - proxies.lost and 400 < proxies.lost < 600
 
@@ -217,18 +217,18 @@
     made.streams.clear()
 
 
-def test_the_list_service_tells_nothing_to_those_that_a_cut_parts_from_it(service):
+def test_the_list_service_sends_nothing_to_fronts_that_are_cut_off(service):
     streams = [stream_of(service, who) for who in range(2)]
-    service.part([1])
+    service.cut_off_fronts([1])
     service.add({"invalidate": {"bucket": 2, "time": 2}})
     service.send_keepalives()
     told = [stream.transport.value().count(b"data:") for stream in streams]
     assert told == [2, 1] and service.held == 2
 
 
-def test_what_a_cut_held_back_arrives_when_it_ends(service):
+def test_data_held_by_a_cut_arrives_when_the_cut_ends(service):
     open_before = stream_of(service, 1)
-    service.part([1])
+    service.cut_off_fronts([1])
     called_meanwhile = stream_of(service, 1)
     service.add({"invalidate": {"bucket": 2, "time": 2}})
     assert not called_meanwhile.transport.value()
