--- a/limepath/cli/coldstart.py
+++ b/limepath/cli/coldstart.py
@@ -55,15 +55,15 @@
 
     Calls, streams and what each front knows are checked against the stated bounds.
     """
-    from limepath.testbed.coldstart import KINDS, TREE_KINDS, drilled
+    from limepath.testbed.coldstart import KINDS, TREE_KINDS, run_drill
 
     known = (*KINDS, *TREE_KINDS) if sites else KINDS
     if kinds == "help":
         click.echo(", ".join(known))
         return
     chosen = () if kinds == "none" else chosen_kinds(kinds, known, "--faults")
-    found = drilled(fronts, seed, chosen, alone, down, keep=folder, sites=sites)
-    conclude(found.rows, as_json, found.said, seed=seed, alone=alone)
+    found = run_drill(fronts, seed, chosen, alone, down, keep=folder, sites=sites)
+    conclude(found.rows, as_json, found.log, seed=seed, alone=alone)
 
 
 @command.command("simulate")
--- a/limepath/cli/duties.py
+++ b/limepath/cli/duties.py
@@ -134,11 +134,11 @@
     folder: str | None,
 ) -> None:
     """Start real fronts on loopback, kill, stop and restart them, and count probes per target."""
-    from limepath.testbed.duties import KINDS, drilled
+    from limepath.testbed.duties import KINDS, run_drill
 
     chosen = chosen_kinds(only, KINDS, "--only")
-    found = drilled(instances, targets, MODES[mode], interval, count, seed, sharing, loss, folder, chosen)
-    conclude(found.rows, as_json, found.said, seed=seed, mode=mode)
+    found = run_drill(instances, targets, MODES[mode], interval, count, seed, sharing, loss, folder, chosen)
+    conclude(found.rows, as_json, found.log, seed=seed, mode=mode)
 
 
 @command.command("check")
--- a/limepath/testbed/coldstart.py
+++ b/limepath/testbed/coldstart.py
@@ -64,9 +64,11 @@
 START = 90  # seconds that all may take
 
 
-class Found(NamedTuple):
+class DrillResult(NamedTuple):
+    """The rows of the report table and the lines of its log."""
+
     rows: list
-    said: list
+    log: list
 
 
 class ColdFront(Process):
@@ -496,8 +498,8 @@
             cache.close()
 
 
-def drilled(fronts, seed=1, kinds=KINDS, alone=False, down=12 * SECOND, caches=24, keep=None, sites=0):
-    """Run a drill in this process's reactor, once; give what was Found. With `sites` the fronts stand in
+def run_drill(fronts, seed=1, kinds=KINDS, alone=False, down=12 * SECOND, caches=24, keep=None, sites=0):
+    """Run a drill in this process's reactor, once; return its DrillResult. With `sites` the fronts stand in
     trees.
     """
     from twisted.internet import reactor
@@ -519,10 +521,10 @@
         reactor.run(installSignalHandlers=False)
         if flaws:
             raise flaws[0].value
-        return concluded(drill)
+        return result_of(drill)
 
 
-def concluded(drill):
+def result_of(drill):
     bound, service, caches = drill.bound(), drill.service, [*drill.caches.values(), *drill.upper.values()]
     calls = sorted(int(at * 1e6) for at, _, to in drill.connection_links.history if to == SERVICE)
     late = [
@@ -577,6 +579,6 @@
             not drill.network_faults.without_effect(),
         ),
     ]
-    return Found(
+    return DrillResult(
         rows, drill.said + [f"took no effect: {name}" for name in drill.network_faults.without_effect()]
     )
--- a/limepath/testbed/duties.py
+++ b/limepath/testbed/duties.py
@@ -68,9 +68,11 @@
 }
 
 
-class Found(NamedTuple):
+class DrillResult(NamedTuple):
+    """The rows of the report table and the lines of its log."""
+
     rows: list
-    said: list
+    log: list
 
 
 class Instance(Process):
@@ -437,8 +439,8 @@
             part.close()
 
 
-def drilled(instances, targets, mode, interval, count, seed, sharing=True, loss=0.0, keep=None, only=KINDS):
-    """Run a drill in this process's reactor, once; give what was Found."""
+def run_drill(instances, targets, mode, interval, count, seed, sharing=True, loss=0.0, keep=None, only=KINDS):
+    """Run a drill in this process's reactor, once; return its DrillResult."""
     from twisted.internet import reactor
     from twisted.internet.task import LoopingCall
 
@@ -470,7 +472,7 @@
         reactor.run(installSignalHandlers=False)
     if flaws:
         raise flaws[0].value
-    return concluded(drill)
+    return result_of(drill)
 
 
 def record_of(drill):
@@ -502,7 +504,7 @@
     )
 
 
-def concluded(drill):
+def result_of(drill):
     since, messages, size = drill.counted
     span = (drill.end - since) / SECOND
     drill.messages, drill.bytes = drill.datagram_links.messages - messages, drill.datagram_links.bytes - size
@@ -530,4 +532,4 @@
         + [f"took no effect: {name}" for name in drill.network_faults.without_effect()]
         + drill.said
     )
-    return Found(rows, said)
+    return DrillResult(rows, said)
