--- a/limepath/testbed/coldstart.py
+++ b/limepath/testbed/coldstart.py
@@ -573,7 +573,7 @@
             drill.alone or well >= 0.9,
         ),
         CheckResult(
-            "faults of the ways that took no effect",
+            "link faults that took no effect",
             len(drill.network_faults.without_effect()),
             0,
             not drill.network_faults.without_effect(),
--- a/limepath/testbed/duties.py
+++ b/limepath/testbed/duties.py
@@ -516,7 +516,7 @@
         CheckResult("messages per instance and second", round(drill.messages / drill.count / span, 1)),
         CheckResult("bytes per instance and second", round(drill.bytes / drill.count / span)),
         CheckResult(
-            "faults of the ways that took no effect",
+            "link faults that took no effect",
             len(drill.network_faults.without_effect()),
             0,
             not drill.network_faults.without_effect(),
--- a/tests/test_cold_start_drill.py
+++ b/tests/test_cold_start_drill.py
@@ -11,7 +11,7 @@
         row["measured"] < row["bound"] + 25 for row in known.values()
     )  # all came to know, however slow
     assert (
-        rows["faults of the ways that took no effect"]["holds"]
+        rows["link faults that took no effect"]["holds"]
         and rows["most streams of one zone, those of stopped processes aside"]["holds"]
     )
     assert "200: " in rows["GETs answered, shed, errored or not taken"]["measured"]
@@ -28,7 +28,7 @@
     status, rows = drill("--fronts", "10", "--sites", "4", "--faults", kinds, "--seed", "2")
     known = {what: row for what, row in rows.items() if ": a drain and a purge" in what}
     assert len(known) == 3 and all(row["measured"] < row["bound"] + 25 for row in known.values()), known
-    assert rows["faults of the ways that took no effect"]["holds"]
+    assert rows["link faults that took no effect"]["holds"]
     assert rows["most streams of one zone, those of stopped processes aside"]["holds"]
     assert rows["GETs answered before any list was confirmed"]["measured"] == 0
 
--- a/tests/test_duty_drill.py
+++ b/tests/test_duty_drill.py
@@ -66,7 +66,7 @@
         "held",
     )
     rows = {row["what"]: row["measured"] for row in output["rows"]}
-    assert rows["faults of the ways that took no effect"] == 0
+    assert rows["link faults that took no effect"] == 0
     assert (
         rows["rounds rejected for an older epoch"] > 0
         and rows["times at which two instances held one slot"] == 0
