--- a/limepath/scale/service.py
+++ b/limepath/scale/service.py
@@ -11,7 +11,7 @@
 from twisted.internet.protocol import Factory
 from twisted.internet.task import LoopingCall
 
-from limepath.testbed.coldstart import Asking
+from limepath.testbed.coldstart import GetRequest
 from limepath.testbed.process import HOST
 from limepath.testbed.regions import RegionalListService
 from limepath.testbed.stand_ins import StandInCache
@@ -163,7 +163,7 @@
         ).encode()
         done.addCallback(self.answered, who)
         endpoint = TCP4ClientEndpoint(self.reactor, HOST, self.ports[who], timeout=CLIENT_TIMEOUT)
-        coming = endpoint.connect(Factory.forProtocol(lambda: Asking(done, request)))
+        coming = endpoint.connect(Factory.forProtocol(lambda: GetRequest(done, request)))
         coming.addErrback(lambda _: done.called or done.callback(0))
 
     def answered(self, status, who):
