--- a/limepath/testbed/coldstart.py
+++ b/limepath/testbed/coldstart.py
@@ -173,6 +173,11 @@
 
 
 class Drill:
+    """Real fronts with the list service, caches and clients, and the faults between them.
+
+    Times are in microseconds since the start.
+    """
+
     def __init__(self, reactor, folder, fronts, seed, alone, down, caches, sites=0):
         self.reactor, self.folder, self.count, self.seed, self.alone, self.down = (
             reactor,
--- a/limepath/testbed/stand_ins.py
+++ b/limepath/testbed/stand_ins.py
@@ -144,7 +144,7 @@
         )
 
     def connectionMade(self):
-        self.service.accepted(self)
+        self.service.add_stream(self)
 
     def dataReceived(self, data):
         self.head += data
@@ -216,7 +216,7 @@
         factory.noisy = False
         return factory
 
-    def accepted(self, stream):
+    def add_stream(self, stream):
         self.calls.append(self.reactor.seconds())
         if self.mode == "refusing":
             return stream.transport.abortConnection()
@@ -241,7 +241,7 @@
         """Change the mode.
 
         Streams are closed when the new mode is refusing, and when the old one is still or silent, because
-        those streams have missed data.
+        those streams are no longer usable.
         """
         old_mode, self.mode = self.mode, mode
         if mode == "refusing" or old_mode in ("still", "silent"):
