--- a/limepath/testbed/coldstart.py
+++ b/limepath/testbed/coldstart.py
@@ -368,7 +368,9 @@
         while not condition() and self.now() < since + limit:
             for node in self.nodes:
                 if node.process.poll() not in (None, -9):
-                    raise StartError(f"{node.name}: {[line for line in node.log_records()][-3:]}")
+                    raise StartError(
+                        f"{node.name} exited unexpectedly; last log records: {[line for line in node.log_records()][-3:]}"
+                    )
             yield self.pause(100 * MS)
         return self.now() - since
 
--- a/limepath/testbed/duties.py
+++ b/limepath/testbed/duties.py
@@ -263,7 +263,9 @@
         for node in nodes:
             while True:
                 if not node.running() or time.monotonic() > end:
-                    raise StartError(f"{node.name}: {[line for line in node.log_records()][-3:]}")
+                    raise StartError(
+                        f"{node.name} did not become ready; last log records: {[line for line in node.log_records()][-3:]}"
+                    )
                 try:
                     if node.view()["me"]["joined"] or not self.sharing or self.count == 1:
                         break
