--- a/limepath/cli/scale_run.py
+++ b/limepath/cli/scale_run.py
@@ -139,7 +139,7 @@
     from limepath.scale.bounds import Budget
     from limepath.scale.processes import HollowFailed
     from limepath.scale.run import Stopped, played
-    from limepath.testbed.process import StartError
+    from limepath.testbed.process import ProcessStartError
 
     budget = Budget() if budget_bytes is None else Budget(bytes_sent=budget_bytes)
     parent = MEMORY_FOLDER if os.path.isdir(MEMORY_FOLDER) else None
@@ -149,7 +149,7 @@
         folder = os.path.abspath(log_folder) if log_folder else scratch
         try:
             run = played(layout, schedule, options, folder, lambda line: click.echo(line, err=True))
-        except (HollowFailed, StartError, Stopped) as error:
+        except (HollowFailed, ProcessStartError, Stopped) as error:
             fail(error, STATUS_FAILED)
         result = report.result_of(run, budget)
     if as_json:
--- a/limepath/scale/run.py
+++ b/limepath/scale/run.py
@@ -22,7 +22,7 @@
 from limepath.scale.pace import Pace
 from limepath.scale.service import Around, Clients
 from limepath.scale.strikes import Strikes
-from limepath.testbed.process import StartError, free_ports
+from limepath.testbed.process import ProcessStartError, free_ports
 from limepath.testbed.regions import RegionProxies
 
 SECOND = 1_000_000
@@ -126,7 +126,7 @@
         yield self.start_in_waves(limit)
         self.ready = yield self.until_whole(limit, self.fleet.serves)
         if not self.ready.lists:
-            raise StartError("no front ever had the list; --keep DIR keeps the logs")
+            raise ProcessStartError("no front ever had the list; --keep DIR keeps the logs")
         yield self.pause(SETTLE)
         yield self.measure()
         promise = self.promise()
--- a/limepath/testbed/coldstart.py
+++ b/limepath/testbed/coldstart.py
@@ -32,7 +32,7 @@
 from limepath.testbed.faults import Fault as LinkFault
 from limepath.testbed.faults import Faults, Kind, both_directions
 from limepath.testbed.links import ConnectionLinks, DatagramLinks
-from limepath.testbed.process import HOST, Process, StartError, free_ports, raise_descriptor_limit
+from limepath.testbed.process import HOST, Process, ProcessStartError, free_ports, raise_descriptor_limit
 from limepath.testbed.stand_ins import StandInCache, StandInListService
 
 MS, SECOND = 1000, 1_000_000  # in microseconds
@@ -368,8 +368,9 @@
         while not condition() and self.now() < since + limit:
             for node in self.nodes:
                 if node.process.poll() not in (None, -9):
-                    raise StartError(
-                        f"{node.name} exited unexpectedly; last log records: {[line for line in node.log_records()][-3:]}"
+                    raise ProcessStartError(
+                        f"{node.name} exited unexpectedly; last log records: "
+                        f"{[line for line in node.log_records()][-3:]}"
                     )
             yield self.pause(100 * MS)
         return self.now() - since
--- a/limepath/testbed/duties.py
+++ b/limepath/testbed/duties.py
@@ -26,7 +26,7 @@
 from limepath.testbed.faults import Fault as LinkFault
 from limepath.testbed.faults import Faults, Kind, both_directions
 from limepath.testbed.links import ConnectionLinks, DatagramLinks
-from limepath.testbed.process import HOST, Process, StartError, free_ports, raise_descriptor_limit
+from limepath.testbed.process import HOST, Process, ProcessStartError, free_ports, raise_descriptor_limit
 from limepath.testbed.stand_ins import StandInCaches, StandInChangeLog
 
 MS, SECOND = 1000, 1_000_000  # in microseconds
@@ -263,8 +263,9 @@
         for node in nodes:
             while True:
                 if not node.running() or time.monotonic() > end:
-                    raise StartError(
-                        f"{node.name} did not become ready; last log records: {[line for line in node.log_records()][-3:]}"
+                    raise ProcessStartError(
+                        f"{node.name} did not become ready; last log records: "
+                        f"{[line for line in node.log_records()][-3:]}"
                     )
                 try:
                     if node.view()["me"]["joined"] or not self.sharing or self.count == 1:
--- a/limepath/testbed/process.py
+++ b/limepath/testbed/process.py
@@ -15,7 +15,7 @@
 FIRST_PORT, LAST_PORT = 12_000, 31_000  # below the system's range for outgoing connections
 
 
-class StartError(Exception):
+class ProcessStartError(Exception):
     """A process did not become ready; the message has its name and the end of its log."""
 
 
