--- a/limepath/cli/coldstart.py
+++ b/limepath/cli/coldstart.py
@@ -53,15 +53,15 @@
 
     The calls, the streams and the list of each front are checked against the stated bounds.
     """
-    from limepath.testbed.coldstart import KINDS, TREE_KINDS, drilled
+    from limepath.testbed.coldstart import KINDS, TREE_KINDS, run_drill
 
     known = (*KINDS, *TREE_KINDS) if sites else KINDS
     if kinds == "help":
         click.echo(", ".join(known))
         return
     chosen = () if kinds == "none" else chosen_kinds(kinds, known, "--faults")
-    result = drilled(fronts, seed, chosen, alone, down, keep=folder, sites=sites)
-    exit_with_results(result.rows, as_json, result.said, seed=seed, alone=alone)
+    result = run_drill(fronts, seed, chosen, alone, down, keep=folder, sites=sites)
+    exit_with_results(result.rows, as_json, result.log, seed=seed, alone=alone)
 
 
 @command.command("simulate")
--- a/limepath/cli/duties.py
+++ b/limepath/cli/duties.py
@@ -140,11 +140,11 @@
     folder: str | None,
 ) -> None:
     """Start real fronts on loopback; kill, stop and restart them; count the probes of each target."""
-    from limepath.testbed.duties import KINDS, drilled
+    from limepath.testbed.duties import KINDS, run_drill
 
     chosen = chosen_kinds(only, KINDS, "--only")
-    result = drilled(instances, targets, MODES[mode], interval, count, seed, sharing, loss, folder, chosen)
-    exit_with_results(result.rows, as_json, result.said, seed=seed, mode=mode)
+    result = run_drill(instances, targets, MODES[mode], interval, count, seed, sharing, loss, folder, chosen)
+    exit_with_results(result.rows, as_json, result.log, seed=seed, mode=mode)
 
 
 @command.command("check")
--- a/limepath/scale/service.py
+++ b/limepath/scale/service.py
@@ -11,7 +11,7 @@
 from twisted.internet.protocol import Factory
 from twisted.internet.task import LoopingCall
 
-from limepath.testbed.coldstart import Asking
+from limepath.testbed.coldstart import GetRequest
 from limepath.testbed.process import HOST
 from limepath.testbed.regions import RegionalListService
 from limepath.testbed.stand_ins import StandInCache
@@ -41,7 +41,7 @@
         """Tell the whole list, and go on showing that the service lives."""
         members = [self.member(name) for name in (*self.caches, *self.upper)]
         self.tell(LIST, {"fleet": {"revision": 1, "complete": True, "members": members}})
-        self.repeat(BEAT * self.pace.stretch, self.service.beat)
+        self.repeat(BEAT * self.pace.stretch, self.service.send_keepalives)
 
     def repeat(self, seconds, function):
         loop = LoopingCall(function)
@@ -102,7 +102,7 @@
         return sum(len(cache.forwards) for cache in (*self.caches.values(), *self.upper.values()))
 
     def connections_at_caches(self):
-        return sum(len(cache.connected) for cache in (*self.caches.values(), *self.upper.values()))
+        return sum(len(cache.connection_times) for cache in (*self.caches.values(), *self.upper.values()))
 
     def close(self):
         for loop in self.loops:
@@ -163,7 +163,7 @@
         ).encode()
         done.addCallback(self.answered, who)
         endpoint = TCP4ClientEndpoint(self.reactor, HOST, self.ports[who], timeout=CLIENT_TIMEOUT)
-        coming = endpoint.connect(Factory.forProtocol(lambda: Asking(done, request)))
+        coming = endpoint.connect(Factory.forProtocol(lambda: GetRequest(done, request)))
         coming.addErrback(lambda _: done.called or done.callback(0))
 
     def answered(self, status, who):
--- a/limepath/scale/strikes.py
+++ b/limepath/scale/strikes.py
@@ -38,7 +38,7 @@
         else:
             self.seen.struck(fault.kind, names, self.fleet.pace.now())
         if fault.kind == Kind.CUT:
-            self.service.part(self.fleet.who[name] for name in names)
+            self.service.cut_off_fronts(self.fleet.who[name] for name in names)
             yield self.fleet.set_links(0.0, (fault.regions,))
         elif fault.kind == Kind.RELAY_STOPPED:
             yield self.fleet.pause(names)
@@ -76,8 +76,8 @@
     def effects(self):
         """{kind: times that it took effect}: fronts killed or stopped, pieces lost or cut."""
         fleet, told = self.fleet, {}
-        lost = fleet.dropped["loss"] + fleet.doors.lost
-        cut = fleet.dropped["cut"] + fleet.doors.cut + self.service.held
+        lost = fleet.dropped["loss"] + fleet.proxies.lost
+        cut = fleet.dropped["cut"] + fleet.proxies.cut + self.service.held
         for fault in self.schedule.faults:
             dropped = {Kind.LOSS: lost, Kind.CUT: cut}
             told[fault.kind] = dropped.get(fault.kind, self.counts[fault.kind])
--- a/tests/two_versions.py
+++ b/tests/two_versions.py
@@ -79,7 +79,7 @@
         front.start()
         self.check("the first front is ready", lambda: len(front.log_events((fleet.READY,))))
         statuses = [
-            self.testbed.get(front.who, number, 1 + self.rng.randrange(OBJECTS))
+            self.testbed.get(front.index, number, 1 + self.rng.randrange(OBJECTS))
             for number in range(1, REQUESTS + 1)
         ]
         self.check("the first front answers GETs", lambda: statuses.count(200))
--- a/tests/two_versions_fleet.py
+++ b/tests/two_versions_fleet.py
@@ -108,7 +108,7 @@
 
     def prepare(self) -> None:
         """Write the front's files, which are the same for both versions."""
-        testbed, who = self.testbed, self.who
+        testbed, who = self.testbed, self.index
         key = testbed.keys[self.version.old]
         settings = f"""[instance]
 name = {self.name}
@@ -146,15 +146,15 @@
             "settings": SETTINGS,
             "known": {"seq": 0, "results": []},
         }
-        self.replace("peers.keys", key + "\n")
-        self.replace("peers.ini", settings)
-        self.replace("front.json", json.dumps(configuration))
+        self.write_file("peers.keys", key + "\n")
+        self.write_file("peers.ini", settings)
+        self.write_file("front.json", json.dumps(configuration))
 
     def start(self) -> None:
         """Start a process of the current `version` in the front's folder."""
         self.prepare()
-        self.log_offset = len(list(self.lines()))
-        self.lives += 1
+        self.log_offset = len(list(self.log_records()))
+        self.start_count += 1
         command = [sys.executable, "-m", "limepath", "run"]
         command += ["--config", self.path("front.json"), "--peers", self.path("peers.ini")]
         with open(self.path("log"), "ab") as log:
@@ -178,7 +178,7 @@
     def log_events(self, names: tuple[Name, ...]) -> list[str]:
         """Return the log lines with these events since the last start."""
         events = {self.version.field(name) for name in names}
-        lines = list(self.lines())[self.log_offset :]
+        lines = list(self.log_records())[self.log_offset :]
         return [json.dumps(line) for line in lines if line.get("event") in events]
 
     def view(self, command: Name, *path: Name) -> Any:
@@ -232,7 +232,7 @@
         self.thread = threading.Thread(target=self.reactor.run, args=(False,), daemon=True)
         self.thread.start()
         self.service = self.call_in_reactor(StandInListService, self.reactor, FRONTS, lambda who: "sur")
-        self.beat = LoopingCall(self.service.beat)
+        self.beat = LoopingCall(self.service.send_keepalives)
         self.beat.clock = self.reactor
         self.call_in_reactor(self.beat.start, BEAT_INTERVAL)
         names = [f"s-{number}" for number in range(CACHES)] + [f"p-{number}" for number in range(PARENTS)]
@@ -269,7 +269,7 @@
 
     def streaming(self) -> set[int]:
         """Return the fronts connected to the list service."""
-        return self.call_in_reactor(lambda: {stream.who for stream in self.service.streams})
+        return self.call_in_reactor(lambda: {stream.index for stream in self.service.streams})
 
     def get(self, who: int, number: int, obj: int) -> int:
         """Return the status of a client's GET at a front, 0 if there is none."""
