--- a/limepath/scale/measured.py
+++ b/limepath/scale/measured.py
@@ -55,7 +55,7 @@
     value: float
 
 
-class Found(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class RoleResult(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """What measuring one role gave."""
 
     series: tuple[Series, ...] = ()
@@ -65,7 +65,7 @@
 
 class Role(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     circumstances: Circumstances
-    found: Found
+    found: RoleResult
 
 
 class Measured(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
--- a/limepath/scale/roles.py
+++ b/limepath/scale/roles.py
@@ -1,8 +1,9 @@
-"""The roles that are measured alone, each in a file of its own that is loaded when it is asked for.
+"""The roles whose cost is measured in isolation, and helpers that their modules share.
 
-`measure()` of each gives a Found (`limepath.scale.measured`). Processor times are user and system time of the
-process measured, never wall-clock time, since the machine may be busy with other work. Each takes a bounded
-time, all together under ten minutes on an idle machine.
+Each role has a module of its own, imported on demand, whose `measure()` returns a RoleResult
+(`limepath.scale.measured`). Processor times are the user and system time of the measured process, not
+wall-clock time, because the machine may run other work. Each measurement takes a bounded time; all together
+take under ten minutes on an idle machine.
 """
 
 import os
@@ -16,13 +17,13 @@
 
 from limepath.scale.measured import Fact
 
-POLL = 0.02  # seconds between looks at a process that is coming up
-PROFILE_SHOWN = 8  # functions
-START_LIMIT = 60  # seconds that a process may take to come up
+POLL_INTERVAL_S = 0.02  # seconds between two reads of the log of a starting process
+PROFILE_FUNCTIONS = 8  # number of functions in a profile's facts
+START_TIMEOUT_S = 60  # seconds that a process may take to start
 
 
 class Role(NamedTuple):
-    """`module` holds `measure()`."""
+    """A measured role; `module` is the name of the module in this package that defines its `measure()`."""
 
     module: str
     purpose: str
@@ -32,61 +33,77 @@
 
 
 ROLES = {
-    "decision": Role("roles_decision", "the decision module: processor time a request by caches and parents"),
-    "idle": Role("roles_idle", "an idle front: memory and processor time by members of its list"),
-    "listing": Role("roles_listing", "a list taken in: time, memory, packed size by members"),
-    "relay": Role("roles_relay", "events at a relay: bytes, datagrams, processor time by followers"),
-    "probes": Role("roles_probes", "check results told to all: bytes by targets and by fronts"),
-    "membership": Role("roles_membership", "membership: set-up apart from running cost, joins, a return"),
-    "view": Role("roles_view", "membership of one front alone, at the whole fleet's size"),
-    "voter": Role("roles_voter", "a voter on leases: processor time of a claim by slots"),
-    "console": Role("roles_console", "what an operator is shown of one front, by instances"),
-    "data": Role("roles_data", "the data path: processor time a request by size of body"),
+    "decision": Role(
+        "roles_decision",
+        "the decision module: processor time per request, by number of caches and of parents",
+    ),
+    "idle": Role("roles_idle", "an idle front: memory and processor time, by members of its list"),
+    "listing": Role(
+        "roles_listing", "loading an endpoint list: processor time, memory and packed size, by members"
+    ),
+    "relay": Role("roles_relay", "events at a relay: bytes, datagrams and processor time, by followers"),
+    "probes": Role("roles_probes", "sharing of check results: bytes, by targets and by fronts"),
+    "membership": Role(
+        "roles_membership", "membership: set-up cost, running cost, a join, the return of a region"
+    ),
+    "view": Role("roles_view", "membership of a single front at the size of the whole fleet"),
+    "voter": Role("roles_voter", "a lease voter: processor time per claim, by slots"),
+    "console": Role(
+        "roles_console", "the membership view of one front as shown to an operator, by instances"
+    ),
+    "data": Role("roles_data", "the data path: processor time per request, by body size"),
 }
 
 
-class Stuck(Exception):
-    """A process that is measured never came up, or ended; the text tells which."""
+class ProcessStartError(Exception):
+    """A process did not log the expected text in time, or ended first; the message holds the log."""
 
 
-def least_cpu(works, rounds=5):
-    """For each of some callables the least processor time of its runs, in microseconds.
+def minimum_cpu_us(functions, rounds=5):
+    """Return the lowest processor time of `rounds` runs of each function, in microseconds.
 
-    Noise only adds to it. They take turns, so that a busy spell of the machine meets all of them.
+    The minimum is taken because noise only adds processor time. The functions run in turn, so that a
+    period of high load on the machine affects all of them.
     """
-    least = [float("inf")] * len(works)
+    minimum_us = [float("inf")] * len(functions)
     for _ in range(rounds):
-        for at, work in enumerate(works):
-            began = time.process_time_ns()
-            work()
-            least[at] = min(least[at], (time.process_time_ns() - began) / 1000)
-    return least
-
-
-def profile_facts(stats):
-    """Facts of the functions with the most own time in a profile's `stats`; waiting is left out."""
-    own = {place: values[2] for place, values in stats.items() if "epoll" not in place[2]}
-    total = sum(own.values())
-    most = sorted(own, key=own.get, reverse=True)[:PROFILE_SHOWN]
+        for index, function in enumerate(functions):
+            start = time.process_time_ns()
+            function()
+            minimum_us[index] = min(minimum_us[index], (time.process_time_ns() - start) / 1000)
+    return minimum_us
+
+
+def hottest_functions(stats):
+    """Return Facts of the functions with the most own time in `stats` of a profile, without epoll."""
+    own_time = {location: values[2] for location, values in stats.items() if "epoll" not in location[2]}
+    total = sum(own_time.values())
+    hottest = sorted(own_time, key=own_time.get, reverse=True)[:PROFILE_FUNCTIONS]
     return tuple(
-        Fact(f"profile {at}", name_of(place), "% of the profiled time", round(100 * own[place] / total, 1))
-        for at, place in enumerate(most, 1)
+        Fact(
+            f"profile {index}",
+            format_profile_location(location),
+            "% of the profiled time",
+            round(100 * own_time[location] / total, 1),
+        )
+        for index, location in enumerate(hottest, 1)
     )
 
 
-def name_of(place):
-    """A profile's place (file, line, function) without the folders of this machine."""
-    path, line, function = place
+def format_profile_location(location):
+    """Format a profile's (file, line, function) with the path relative to the parent of its package."""
+    path, line, function = location
     for package in ("limepath", "twisted"):
         if f"{package}/" in path:
             return f"{package}/{path.rpartition(f'{package}/')[2]}:{line} {function}"
     return function
 
 
-def process_cpu(pid):
-    """Processor time of all threads of a process, in microseconds.
+def process_cpu_us(pid):
+    """Return the processor time of all threads of a process, in microseconds.
 
-    The scheduler's count has nanoseconds (proc(5), schedstat); where the system has none, psutil's ticks do.
+    Uses the scheduler's counters, which have nanosecond resolution (proc(5), schedstat). Falls back to psutil,
+    which has the resolution of a clock tick, where the system does not provide them.
     """
     try:
         total = 0
@@ -99,11 +116,11 @@
         return (times.user + times.system) * 1e6
 
 
-def started(words, log, environment):
-    """Start a Python process of the program with these words, its output in a file."""
+def start_process(arguments, log, environment):
+    """Start a Python process with these arguments and append its output to the file `log`."""
     with open(log, "ab") as output:
         return subprocess.Popen(
-            [sys.executable, *words],
+            [sys.executable, *arguments],
             stdin=subprocess.DEVNULL,
             stdout=output,
             stderr=output,
@@ -111,22 +128,24 @@
         )
 
 
-def await_line(process, log, text):
-    """Wait until the log of a process holds a text; raise Stuck."""
-    end = time.monotonic() + START_LIMIT
-    while time.monotonic() < end:
+def wait_for_log_text(process, log, text):
+    """Wait until the log of a process contains `text`; raise ProcessStartError on failure."""
+    deadline = time.monotonic() + START_TIMEOUT_S
+    while time.monotonic() < deadline:
         with open(log, encoding="utf-8", errors="replace") as file:
             if text in file.read():
                 return
         if process.poll() is not None:
             break
-        time.sleep(POLL)
+        time.sleep(POLL_INTERVAL_S)
     with open(log, encoding="utf-8", errors="replace") as file:
-        raise Stuck(f"{text!r} never came: {file.read()[-300:]!r}")
+        raise ProcessStartError(
+            f"{text!r} not found in the log of the process; its last 300 characters: {file.read()[-300:]!r}"
+        )
 
 
-def end(*processes):
-    """End processes that were started here."""
+def terminate_processes(*processes):
+    """Terminate the processes that still run and wait for all; kill those that do not end within 10 s."""
     for process in processes:
         if process.poll() is None:
             process.terminate()
@@ -139,7 +158,7 @@
 
 
 def settings(zones=1, fronts=1):
-    """A front's settings: one cacheable service, parents and an origin, links between zones."""
+    """Return the settings of a front: one cacheable service, parents, an origin, and links between zones."""
     ms = 1_000_000
     return {
         "az": 0,
@@ -180,12 +199,12 @@
     }
 
 
-def listed(index, address, flavor="box", area="z0"):
-    """A member as the list service words it."""
+def member_entry(index, address, flavor="box", zone="z0"):
+    """Return a member of the endpoint list in the discovery service's format."""
     return {
         "id": f"{flavor[0]}-{index}",
         "host_port": address,
-        "locality": area,
+        "locality": zone,
         "flavor": flavor,
         "cell": index % 4,
         "phase": "in_service",
@@ -195,7 +214,7 @@
 
 
 def configuration(listen, members, changelog="127.0.0.1:9", sockets=1024):
-    """A front's whole configuration, its list known at the start."""
+    """Return the complete configuration of a front whose endpoint list is known at the start."""
     known = {
         "seq": 1,
         "results": [{"seq": 1, "fleet": {"revision": 1, "complete": True, "members": members}}],
--- a/limepath/scale/roles_console.py
+++ b/limepath/scale/roles_console.py
@@ -5,8 +5,8 @@
 
 from limepath.configuration.sharing_settings import DutyMode, DutySettings, LeaseSettings, MembershipTimeouts
 from limepath.duties.instance import Instance
-from limepath.scale.measured import Found, Series
-from limepath.scale.roles import least_cpu
+from limepath.scale.measured import RoleResult, Series
+from limepath.scale.roles import minimum_cpu_us
 from limepath.scale.roles_view import SIZES, fleet
 
 INTERVAL = 5_000_000
@@ -27,12 +27,12 @@
 
 
 def measure():
-    """Give the Found of what is shown."""
+    """Return the RoleResult of what is shown."""
     instances = [instance(size) for size in SIZES]
-    times = least_cpu([partial(shown, one) for one in instances])
+    times = minimum_cpu_us([partial(shown, one) for one in instances])
     text = tuple((size, round(len(shown(one)) / 1000, 2)) for size, one in zip(SIZES, instances, strict=True))
     cpu = tuple((size, round(spent / 1000, 3)) for size, spent in zip(SIZES, times, strict=True))
-    return Found(
+    return RoleResult(
         (
             Series("shown", "one front's view shown", "KB", "instances", text, "real logic"),
             Series("cpu", "the same, at the front", "ms of CPU", "instances", cpu, "real logic"),
--- a/limepath/scale/roles_decision.py
+++ b/limepath/scale/roles_decision.py
@@ -1,7 +1,7 @@
-"""The decision module alone: processor time a request, by caches seen by one front and by parents seen.
+"""Measures the decision module alone: processor time per request, by caches and parents seen by a front.
 
-The real `DecisionEngine` gets requests and the ends of its attempts; nothing else runs. Three of ten requests
-miss at their cache and are filled from a parent.
+The real `DecisionEngine` receives request arrivals and attempt results; nothing else runs. 30% of the
+requests miss at their cache and are filled from a parent.
 """
 
 from random import Random
@@ -19,97 +19,99 @@
     RequestArrived,
     UpdateKind,
 )
-from limepath.scale.measured import Found, Series
-from limepath.scale.roles import least_cpu, settings
+from limepath.scale.measured import RoleResult, Series
+from limepath.scale.roles import minimum_cpu_us, settings
 
 CACHES = (6, 20, 70, 200, 500, 1400)
 PARENTS = (2, 5, 10, 20, 47)
-FEW_PARENTS, FEW_CACHES = 2, 6  # beside the number that varies
-OBJECTS, MISSES = 10_000, 0.3
-COST = 1.5  # microseconds of a request by member, taken for the bound on the number of requests only
-BOUND = 300_000  # microseconds of processor time that one run may take, about
-MOST_REQUESTS, FEWEST_REQUESTS, REPEATS = 3000, 200, 5
+FIXED_PARENTS, FIXED_CACHES = 2, 6  # while the other number varies
+OBJECT_COUNT, MISS_RATIO = 10_000, 0.3
+MEMBER_COST_US = 1.5  # microseconds per request and endpoint; only limits the number of requests
+RUN_BUDGET_US = 300_000  # approximate processor time of one run, in microseconds
+MAX_REQUESTS, MIN_REQUESTS, REPEATS = 3000, 200, 5
 CACHE_KIND, PARENT_KIND, ORIGIN_KIND = 0, 1, 2
-PATIENCE = 5_000_000
+DEADLINE_US = 5_000_000
 
 
-def member(ident, kind):
+def endpoint(endpoint_id, kind):
     zone = 0 if kind == CACHE_KIND else 1
     weight = 6.0 if kind == CACHE_KIND else 30.0
-    return Endpoint(EndpointState.READY, ident, 0, 0, zone, kind, weight)
+    return Endpoint(EndpointState.READY, endpoint_id, 0, 0, zone, kind, weight)
 
 
-def front_of(caches, parents):
-    """An engine that has heard of so many members."""
-    front = DecisionEngine(seed=1, **decision_arguments(settings()))
-    members = [member(1 + index, CACHE_KIND) for index in range(caches)]
-    members += [member(100_000 + index, PARENT_KIND) for index in range(parents)]
-    members.append(member(200_000, ORIGIN_KIND))
-    front.handle(1_000_000, (EndpointListUpdated(UpdateKind.FULL, 1, tuple(members)),))
-    return front
+def engine_with_endpoints(caches, parents):
+    """Return an engine whose endpoint list holds this many caches and parents, and one origin."""
+    engine = DecisionEngine(seed=1, **decision_arguments(settings()))
+    members = [endpoint(1 + index, CACHE_KIND) for index in range(caches)]
+    members += [endpoint(100_000 + index, PARENT_KIND) for index in range(parents)]
+    members.append(endpoint(200_000, ORIGIN_KIND))
+    engine.handle(1_000_000, (EndpointListUpdated(UpdateKind.FULL, 1, tuple(members)),))
+    return engine
 
 
-class Load:
-    """Requests one after another, each carried to its end."""
+class RequestDriver:
+    """Sends requests to an engine one after another and reports the outcome of every attempt."""
 
-    def __init__(self, front, seed):
-        self.front, self.chance, self.now, self.served = front, Random(seed), 2_000_000, 0
+    def __init__(self, engine, seed):
+        self.engine, self.random, self.now, self.served = engine, Random(seed), 2_000_000, 0
 
-    def tell(self, note):
+    def handle_event(self, event):
         self.now += 500
-        orders = self.front.handle(self.now, (note,))
-        return [order for order in orders if isinstance(order, ForwardRequest)]
-
-    def request(self, ident):
-        misses = self.chance.random() < MISSES
-        obj = 1 + self.chance.randrange(OBJECTS)
-        forwards = self.tell(RequestArrived(ident, 0, 0, obj, PATIENCE, 0.0, 0, 0, False, False))
+        commands = self.engine.handle(self.now, (event,))
+        return [command for command in commands if isinstance(command, ForwardRequest)]
+
+    def request(self, request_id):
+        cache_misses = self.random.random() < MISS_RATIO
+        object_id = 1 + self.random.randrange(OBJECT_COUNT)
+        forwards = self.handle_event(
+            RequestArrived(request_id, 0, 0, object_id, DEADLINE_US, 0.0, 0, 0, False, False)
+        )
         number = 0
         while forwards:
             forward = forwards[0]
-            missed = misses and forward.source == forward.endpoint
-            verdict = AttemptOutcome.MISS if missed else AttemptOutcome.SUCCEEDED
+            is_miss = cache_misses and forward.source == forward.endpoint
+            outcome = AttemptOutcome.MISS if is_miss else AttemptOutcome.SUCCEEDED
             ended = AttemptEnded(
-                ident, number, verdict, forward.endpoint, 40_000, 0, not missed, CacheStatus.NONE, {}
+                request_id, number, outcome, forward.endpoint, 40_000, 0, not is_miss, CacheStatus.NONE, {}
             )
-            self.served += not missed
-            forwards, number = self.tell(ended), number + 1
+            self.served += not is_miss
+            forwards, number = self.handle_event(ended), number + 1
 
 
 class Trial:
-    """One size: a front under load, the least processor time of its runs."""
+    """The measurement of one size: a number of requests to one engine, repeated."""
 
     def __init__(self, caches, parents):
-        count = int(BOUND / (40 + COST * (caches + parents)))
-        self.count = max(FEWEST_REQUESTS, min(MOST_REQUESTS, count))
-        self.load, self.asked = Load(front_of(caches, parents), 7), 0
+        count = int(RUN_BUDGET_US / (40 + MEMBER_COST_US * (caches + parents)))
+        self.count = max(MIN_REQUESTS, min(MAX_REQUESTS, count))
+        self.driver, self.requested = RequestDriver(engine_with_endpoints(caches, parents), 7), 0
 
     def run(self):
         for _ in range(self.count):
-            self.asked += 1
-            self.load.request(self.asked)
+            self.requested += 1
+            self.driver.request(self.requested)
 
-    def cost(self, spent):
-        """Microseconds of processor time a request, from those of a run."""
-        if self.load.served < self.asked * 0.99:
-            raise ValueError(f"{self.load.served} of {self.asked} requests served")
-        return round(spent / self.count, 1)
+    def cost(self, cpu_us):
+        """Return microseconds of processor time per request, given those of one run."""
+        if self.driver.served < self.requested * 0.99:
+            raise ValueError(f"{self.driver.served} of {self.requested} requests served")
+        return round(cpu_us / self.count, 1)
 
 
 def costs(sizes):
-    """The cost of each (caches, parents)."""
+    """Return the cost of each (caches, parents), in microseconds of processor time per request."""
     trials = [Trial(caches, parents) for caches, parents in sizes]
     for trial in trials:
         trial.run()
-    spent = least_cpu([trial.run for trial in trials], REPEATS)
-    return [trial.cost(least) for trial, least in zip(trials, spent, strict=True)]
+    cpu_us = minimum_cpu_us([trial.run for trial in trials], REPEATS)
+    return [trial.cost(least) for trial, least in zip(trials, cpu_us, strict=True)]
 
 
 def measure():
-    """Give the Found of the decision module."""
-    caches = tuple(zip(CACHES, costs([(size, FEW_PARENTS) for size in CACHES]), strict=True))
-    parents = tuple(zip(PARENTS, costs([(FEW_CACHES, size) for size in PARENTS]), strict=True))
-    return Found(
+    """Return the RoleResult of the decision module."""
+    caches = tuple(zip(CACHES, costs([(size, FIXED_PARENTS) for size in CACHES]), strict=True))
+    parents = tuple(zip(PARENTS, costs([(FIXED_CACHES, size) for size in PARENTS]), strict=True))
+    return RoleResult(
         (
             Series(
                 "caches",
@@ -129,7 +131,7 @@
             ),
         ),
         notes=(
-            f"{FEW_PARENTS} parents beside the caches, {FEW_CACHES} caches beside the parents; "
-            f"{MISSES:.0%} of the requests miss; least of {REPEATS} runs",
+            f"{FIXED_PARENTS} parents beside the caches, {FIXED_CACHES} caches beside the parents; "
+            f"{MISS_RATIO:.0%} of the requests miss; least of {REPEATS} runs",
         ),
     )
--- a/limepath/scale/roles_listing.py
+++ b/limepath/scale/roles_listing.py
@@ -16,8 +16,8 @@
 from limepath.front.endpoint_entry import EndpointEntry
 from limepath.front.reference_clock import ReferenceClock
 from limepath.interface.events import EndpointListUpdated, UpdateKind
-from limepath.scale.measured import Fact, Found, Series
-from limepath.scale.roles import least_cpu, listed, settings
+from limepath.scale.measured import Fact, RoleResult, Series
+from limepath.scale.roles import member_entry, minimum_cpu_us, settings
 
 SIZES = (100, 200, 500, 1000, 1400, 5000)
 LONGEST = 4_000_000  # bytes of a list, unpacked
@@ -39,7 +39,7 @@
 
 def event(members):
     """The text of an event with a whole list."""
-    told = [listed(index, f"10.{index >> 8}.{index & 255}.7:9001") for index in range(members)]
+    told = [member_entry(index, f"10.{index >> 8}.{index & 255}.7:9001") for index in range(members)]
     return json.dumps({"seq": 1, "fleet": {"revision": 1, "complete": True, "members": told}})
 
 
@@ -95,7 +95,7 @@
 
 
 def measure():
-    """Give the Found of a list taken in."""
+    """Return the RoleResult of a list taken in."""
     texts = [event(size) for size in SIZES]
     lists = [checked(text) for text in texts]
     packs = [held.pack() for held in lists]
@@ -105,7 +105,7 @@
         "pack": [held.pack for held in lists],
         "unpack": [partial(unpack_list, pack, LONGEST) for pack in packs],
     }
-    values = {name: [spent / 1000 for spent in least_cpu(work)] for name, work in works.items()}
+    values = {name: [spent / 1000 for spent in minimum_cpu_us(work)] for name, work in works.items()}
     values |= {
         "memory": [held_bytes(partial(taken_in, text)) / 1e6 for text in texts],
         "shared memory": [held_bytes(partial(checked, text)) / 1e6 for text in texts],
@@ -116,7 +116,7 @@
         name: [(size, round(value, 4)) for size, value in zip(SIZES, values[name], strict=True)]
         for name in TOLD
     }
-    return Found(
+    return RoleResult(
         tuple(
             Series(name, *TOLD[name], "members of the list", tuple(points), "real logic")
             for name, points in rows.items()
--- a/limepath/scale/roles_membership.py
+++ b/limepath/scale/roles_membership.py
@@ -18,7 +18,7 @@
 from limepath.configuration.sharing_settings import DutyMode, DutySettings, LeaseSettings, MembershipTimeouts
 from limepath.duties.world import Node, World
 from limepath.membership.guard import HEADER_BYTES, SEAL_BYTES
-from limepath.scale.measured import Found, Series
+from limepath.scale.measured import RoleResult, Series
 
 SECOND = 1_000_000
 STEADY, JOINS, RETURNS = (125, 250, 500, 1000, 2000), (60, 125, 250, 500, 1000), (30, 60, 125, 250, 500)
@@ -173,13 +173,13 @@
 
 
 def measure():
-    """Give the Found of membership."""
+    """Return the RoleResult of membership."""
     rows = {name: [] for name in TOLD}
     for what, (_, sizes) in WAYS.items():
         for size in sizes:
             for name, value in alone(what, size).items():
                 rows[name].append((size, round(value, 4)))
-    return Found(
+    return RoleResult(
         tuple(
             Series(name, *TOLD[name], "instances", tuple(points), "virtual time")
             for name, points in rows.items()
--- a/limepath/scale/roles_probes.py
+++ b/limepath/scale/roles_probes.py
@@ -5,7 +5,7 @@
 from limepath.configuration.sharing_settings import DutyMode
 from limepath.duties.measure import value
 from limepath.duties.simulate import simulate
-from limepath.scale.measured import Fact, Found, Series
+from limepath.scale.measured import Fact, RoleResult, Series
 
 SECOND = 1_000_000
 TARGETS, FEW_FRONTS = (100, 200, 400, 700, 1000, 1400), 60
@@ -31,7 +31,7 @@
 
 
 def measure():
-    """Give the Found of check results."""
+    """Return the RoleResult of check results."""
     calm = cost(FEW_FRONTS, 0)
     targets = [(size, less(cost(FEW_FRONTS, size), calm)) for size in TARGETS]
     fronts = [(size, less(cost(size, FEW_TARGETS), cost(size, 0))) for size in FRONTS]
@@ -42,7 +42,7 @@
     def points(rows, at):
         return tuple((size, round(costs[at], 4)) for size, costs in rows)
 
-    return Found(
+    return RoleResult(
         (
             Series("bytes", what, "KB/s", by_targets, points(targets, 0), source),
             Series("datagrams", "the same, datagrams", "a second", by_targets, points(targets, 1), source),
--- a/limepath/scale/roles_relay.py
+++ b/limepath/scale/roles_relay.py
@@ -20,7 +20,7 @@
 from limepath.duties.interface import MESSAGES as DUTY_MESSAGES
 from limepath.membership.guard import Guard, Key
 from limepath.membership.interface import MESSAGES
-from limepath.scale.measured import Fact, Found, Series
+from limepath.scale.measured import Fact, RoleResult, Series
 from limepath.scale.roles_listing import purge
 
 FRONTS = (10, 20, 40, 80, 160, 260)  # of one zone; 260 is the zone's size at 5,200 fronts and 20 zones
@@ -167,7 +167,7 @@
 
 
 def measure():
-    """Give the Found of events in a zone."""
+    """Return the RoleResult of events in a zone."""
     names = ("bytes", "datagrams", "cpu", "received", "median bytes")
     rows, facts = {name: [] for name in names}, []
     way = import_module(TREE_ROLE).played if find_spec(TREE) else played
@@ -206,7 +206,7 @@
         "median bytes": ("list traffic sent by the median front", "KB/s"),
     }
     form = "trees below its roots" if find_spec(TREE) else "a star below each relay"
-    return Found(
+    return RoleResult(
         tuple(
             Series(name, *told[name], "fronts of a zone", tuple(rows[name]), "virtual time") for name in names
         ),
--- a/limepath/scale/roles_view.py
+++ b/limepath/scale/roles_view.py
@@ -25,8 +25,8 @@
     SendMessage,
 )
 from limepath.membership.members import Members
-from limepath.scale.measured import Found, Series
-from limepath.scale.roles import profile_facts
+from limepath.scale.measured import RoleResult, Series
+from limepath.scale.roles import hottest_functions
 
 SIZES = (125, 250, 500, 1000, 2000, 5200)
 SECOND = 1_000_000
@@ -129,7 +129,7 @@
     view.run(2 * SECOND)
     profile = cProfile.Profile()
     profile.runcall(view.run, 2 * SECOND + SPAN)
-    return profile_facts(pstats.Stats(profile).stats)
+    return hottest_functions(pstats.Stats(profile).stats)
 
 
 def memory(size):
@@ -147,7 +147,7 @@
 
 
 def measure():
-    """Give the Found of one view."""
+    """Return the RoleResult of one view."""
     costs(SIZES[0])  # the interpreter warms up
     rounds = [[costs(size) for size in SIZES] for _ in range(REPEATS)]
     least = [tuple(map(min, zip(*runs, strict=True))) for runs in zip(*rounds, strict=True)]
@@ -157,7 +157,7 @@
         ("cpu", "running, calm", "% of a core"),
         ("memory", "a view with what it knows of each", "MB"),
     )
-    return Found(
+    return RoleResult(
         tuple(
             Series(
                 name,
--- a/limepath/scale/roles_voter.py
+++ b/limepath/scale/roles_voter.py
@@ -9,8 +9,8 @@
 from limepath.duties.voter import Voter
 from limepath.membership.guard import Guard, Key
 from limepath.membership.interface import MESSAGES, REFUTATION_BITS, MemberRecord
-from limepath.scale.measured import Found, Series
-from limepath.scale.roles import least_cpu
+from limepath.scale.measured import RoleResult, Series
+from limepath.scale.roles import minimum_cpu_us
 from limepath.timer_queue import TimerQueue
 
 SLOTS = (1, 2, 4, 8, 16, 32)
@@ -47,10 +47,10 @@
 
 
 def measure():
-    """Give the Found of a voter."""
+    """Return the RoleResult of a voter."""
     claims = [Claims(slots) for slots in SLOTS]
-    whole = least_cpu([partial(one.run) for one in claims], ROUNDS)
-    beside = least_cpu([one.sealed for one in claims], ROUNDS)
+    whole = minimum_cpu_us([partial(one.run) for one in claims], ROUNDS)
+    beside = minimum_cpu_us([one.sealed for one in claims], ROUNDS)
     asked = WARM + CLAIMS * ROUNDS
     for one in claims:
         if one.granted != asked:
@@ -60,7 +60,7 @@
         for slots, spent, less in zip(SLOTS, whole, beside, strict=True)
     )
     what, size = "a claim renewed, opened and its vote sealed", "slots in the claim"
-    return Found(
+    return RoleResult(
         (Series("claim", what, "us of CPU", size, points, "real logic"),),
         notes=(f"the least of {ROUNDS} runs; no socket, no store: a renewal writes nothing",),
     )
