--- a/limepath/scale/capacity.py
+++ b/limepath/scale/capacity.py
@@ -12,7 +12,7 @@
 from limepath.scale.capacity_lines import Figures
 from limepath.scale.capacity_runs import read_runs
 from limepath.scale.capacity_size import BUDGET, SIZE
-from limepath.scale.estimates import Word
+from limepath.scale.estimates import Provenance
 from limepath.scale.measured import read
 
 FULL = 0.7  # of a core, the most that one process may be given
@@ -96,7 +96,7 @@
             line.what,
             f"{text.number(line.figure.value)} {line.figure.unit}",
             f"{text.number(line.share)} times its budget",
-            line.figure.word.value,
+            line.figure.provenance.value,
         )
         for line in over
     ]
@@ -108,7 +108,11 @@
 
 def row_of(line):
     figure, slope = line.figure, line.figure.slope
-    word = f"**{figure.word.value}**" if figure.word is Word.MISSING else figure.word.value
+    word = (
+        f"**{figure.provenance.value}**"
+        if figure.provenance is Provenance.MISSING
+        else figure.provenance.value
+    )
     budget = "-" if line.budget is None else f"{line.budget:g}"
     error = "-" if slope is None else text.percent(slope.error) + (", wrong" if slope.wrong else "")
     return (
@@ -165,7 +169,7 @@
         processes = (
             "-" if cores.value is None else f"{max(1, -(-int(cores.value * 1000) // int(FULL * 1000)))}"
         )
-        rows.append((what, text.number(caches), text.number(cores.value), processes, cores.word.value))
+        rows.append((what, text.number(caches), text.number(cores.value), processes, cores.provenance.value))
     head = (f"a front of {SIZE.front_requests:,} requests/s sees", "caches", "cores", "processes", "word")
     parts.append(text.table(head, rows))
     return "\n".join(parts)
--- a/limepath/scale/capacity_appendix.py
+++ b/limepath/scale/capacity_appendix.py
@@ -2,7 +2,7 @@
 
 from limepath.scale import capacity_text as text
 from limepath.scale.capacity_runs import broken_rows
-from limepath.scale.slopes import BadPoints, TooFewSizes, fitted
+from limepath.scale.slopes import InvalidPointsError, TooFewSizesError, fit_points
 
 
 def slopes_section(measured):
@@ -22,8 +22,8 @@
     for name, role in measured.roles.items():
         for series in role.found.series:
             try:
-                wrong = fitted(series.points).wrong
-            except (TooFewSizes, BadPoints):
+                wrong = fit_points(series.points).wrong
+            except (TooFewSizesError, InvalidPointsError):
                 continue
             if wrong:
                 found = text.LOOKED_INTO.get((name, series.name), text.NOT_LOOKED_INTO)
@@ -36,14 +36,14 @@
 def slope_row(series):
     start = (series.what, series.size, series.unit)
     try:
-        slope = fitted(series.points)
-    except (TooFewSizes, BadPoints) as flaw:
+        slope = fit_points(series.points)
+    except (TooFewSizesError, InvalidPointsError) as flaw:
         return (*start, f"none: {flaw}", text.sizes(size for size, _ in series.points), *"----")
     return (
         *start,
         text.formula(slope),
         text.sizes(slope.sizes),
-        text.number(slope.kept_out),
+        text.number(slope.held_out_size),
         text.number(slope.measured),
         text.number(slope.predicted),
         text.percent(slope.error) + (", **the model is wrong**" if slope.wrong else ""),
@@ -88,7 +88,7 @@
 
 def reasons_section(lines):
     rows = [
-        (line.role, line.hour.value, line.what, line.figure.word.value, line.figure.reason)
+        (line.role, line.hour.value, line.what, line.figure.provenance.value, line.figure.reason)
         for line in lines
         if line.figure.reason
     ]
--- a/limepath/scale/capacity_lines.py
+++ b/limepath/scale/capacity_lines.py
@@ -3,7 +3,7 @@
 from enum import Enum
 from typing import NamedTuple
 
-from limepath.scale.estimates import Estimate, Word, estimate, missing
+from limepath.scale.estimates import Estimate, Provenance, estimate, missing
 
 
 class Kind(Enum):
@@ -67,4 +67,4 @@
     def fact(self, role, name):
         """A fact as it was measured."""
         one = self.measured.fact(role, name)
-        return missing("not measured") if one is None else Estimate(one.value, Word.MEASURED, one.unit)
+        return missing("not measured") if one is None else Estimate(one.value, Provenance.MEASURED, one.unit)
--- a/limepath/scale/estimates.py
+++ b/limepath/scale/estimates.py
@@ -1,18 +1,18 @@
-"""A figure at the size that is coming, from a measured series: how it was got, and how far it may be trusted.
+"""Estimates a figure at a given size from a measured series, with the provenance of the figure.
 
-Measured where the size lies within the sizes that were measured (between two of them on a straight line),
-extrapolated by the fit beyond them; where the fit's model is wrong, or the fit falls below the largest
-measured figure, the figure is assumed in proportion to the largest size. Free of I/O.
+Within the measured sizes the figure is measured (interpolated linearly between two sizes); beyond them it is
+extrapolated by the fit. Where the fit's model is wrong, or the fit is below the figure of the largest
+measured size, the figure is assumed to be in proportion to that of the largest size. This module does no I/O.
 """
 
 from enum import Enum
 from typing import NamedTuple
 
-from limepath.scale.slopes import BadPoints, Slope, TooFewSizes, fitted
+from limepath.scale.slopes import InvalidPointsError, Slope, TooFewSizesError, fit_points
 
 
-class Word(Enum):
-    """How a figure was got."""
+class Provenance(Enum):
+    """How a figure was obtained, from the most to the least reliable."""
 
     MEASURED = "measured"
     EXTRAPOLATED = "extrapolated"
@@ -21,10 +21,10 @@
 
 
 class Estimate(NamedTuple):
-    """A value at a size; `slope` None where no fit is to be had, `factor` is size by the largest measured."""
+    """A value at a size; `slope` is None without a fit, `factor` is size / largest measured size."""
 
     value: float | None
-    word: Word
+    provenance: Provenance
     unit: str = ""
     size: float = 0
     sizes: tuple = ()
@@ -33,81 +33,83 @@
     reason: str = ""
 
     def times(self, factor, unit, reason=""):
-        """The same in another unit; with a reason, of several, which is assumed."""
+        """Return the estimate multiplied by `factor`, in another unit; assumed if a reason is given."""
         if self.value is None:
             return self
-        word = Word.ASSUMED if reason else self.word
-        told = "; ".join(filter(None, (self.reason, reason)))
-        return self._replace(value=self.value * factor, unit=unit, word=word, reason=told)
+        provenance = Provenance.ASSUMED if reason else self.provenance
+        reasons = "; ".join(filter(None, (self.reason, reason)))
+        return self._replace(value=self.value * factor, unit=unit, provenance=provenance, reason=reasons)
 
 
-MISSING = Estimate(None, Word.MISSING)
+MISSING = Estimate(None, Provenance.MISSING)
 
 
 def assumed(value, unit, reason):
-    """A figure that is worked out and not measured."""
-    return Estimate(value, Word.ASSUMED, unit, reason=reason)
+    """Return an Estimate of a value that was calculated and not measured."""
+    return Estimate(value, Provenance.ASSUMED, unit, reason=reason)
 
 
 def missing(reason):
-    return Estimate(None, Word.MISSING, reason=reason)
+    return Estimate(None, Provenance.MISSING, reason=reason)
 
 
-def between(points, size):
-    """The value on the straight line between the two points around a size."""
+def interpolate(points, size):
+    """Return the value at a size, interpolated linearly between the two nearest points."""
     for (low, one), (high, other) in zip(points, points[1:], strict=False):
         if low <= size <= high:
             return one + (other - one) * (size - low) / (high - low)
     return points[0][1]
 
 
-def below(told, points):
-    """The Estimate for a size under the least that was measured."""
-    slope = told.slope
-    if slope and not slope.wrong and 0 < slope.at(told.size) <= points[0][1]:
-        return told._replace(value=slope.at(told.size), word=Word.EXTRAPOLATED)
-    return told._replace(value=points[0][1], word=Word.ASSUMED, reason="no less than the least size measured")
+def estimate_below_range(result, points):
+    """Return the Estimate for a size below the smallest measured one."""
+    slope = result.slope
+    if slope and not slope.wrong and 0 < slope.at(result.size) <= points[0][1]:
+        return result._replace(value=slope.at(result.size), provenance=Provenance.EXTRAPOLATED)
+    return result._replace(
+        value=points[0][1], provenance=Provenance.ASSUMED, reason="no less than the least size measured"
+    )
 
 
 def estimate(series, size):
-    """The Estimate of a Series, or None, at a size."""
+    """Return the Estimate of a Series at a size; `series` is None where nothing was measured."""
     if series is None:
         return missing("not measured")
     points = sorted(series.points)
     sizes = tuple(at for at, _ in points)
     try:
-        slope = fitted(points)
-    except (TooFewSizes, BadPoints):
+        slope = fit_points(points)
+    except (TooFewSizesError, InvalidPointsError):
         slope = None
-    told = Estimate(0.0, Word.MEASURED, series.unit, size, sizes, max(1.0, size / sizes[-1]), slope)
+    result = Estimate(0.0, Provenance.MEASURED, series.unit, size, sizes, max(1.0, size / sizes[-1]), slope)
     if size < sizes[0]:
-        return below(told, points)
+        return estimate_below_range(result, points)
     if size <= sizes[-1]:
-        return told._replace(value=between(points, size))
+        return result._replace(value=interpolate(points, size))
     largest = points[-1][1]
     if slope is None:
-        value, reason = largest * told.factor, f"{len(sizes)} sizes only: in proportion to the largest"
+        value, reason = largest * result.factor, f"{len(sizes)} sizes only: in proportion to the largest"
     elif slope.wrong:
-        value, reason = largest * told.factor, "the model is wrong: in proportion to the largest size"
+        value, reason = largest * result.factor, "the model is wrong: in proportion to the largest size"
     elif slope.at(size) < largest * (1 - slope.error):
-        value, reason = largest * told.factor, "the fit falls: in proportion to the largest size"
+        value, reason = largest * result.factor, "the fit falls: in proportion to the largest size"
     else:
-        return told._replace(value=slope.at(size), word=Word.EXTRAPOLATED)
-    return told._replace(value=value, word=Word.ASSUMED, reason=reason)
+        return result._replace(value=slope.at(size), provenance=Provenance.EXTRAPOLATED)
+    return result._replace(value=value, provenance=Provenance.ASSUMED, reason=reason)
 
 
 def total(estimates, unit, factor=1.0):
-    """The sum; as little to be trusted as its least trusted part. None among them counts as missing."""
-    present = [one for one in estimates if one.value is not None]
-    if not present:
+    """Return the sum of the estimates with a value, with the provenance of the least reliable one."""
+    measured_parts = [one for one in estimates if one.value is not None]
+    if not measured_parts:
         return missing("no part of it is measured")
-    order = list(Word)
-    word = max((one.word for one in present), key=order.index)
-    lacking = len(present) < len(estimates)
+    order = list(Provenance)
+    provenance = max((one.provenance for one in measured_parts), key=order.index)
+    incomplete = len(measured_parts) < len(estimates)
     return Estimate(
-        factor * sum(one.value for one in present),
-        word,
+        factor * sum(one.value for one in measured_parts),
+        provenance,
         unit,
-        factor=max(one.factor for one in present),
-        reason="without what is not measured" if lacking else "",
+        factor=max(one.factor for one in measured_parts),
+        reason="without what is not measured" if incomplete else "",
     )
--- a/limepath/scale/measure.py
+++ b/limepath/scale/measure.py
@@ -10,7 +10,7 @@
 
 from limepath.scale.measured import Circumstances, Measured, Role, merged, read, write
 from limepath.scale.roles import ROLES
-from limepath.scale.slopes import BadPoints, TooFewSizes, fitted
+from limepath.scale.slopes import InvalidPointsError, TooFewSizesError, fit_points
 
 UNKNOWN = "unknown"
 YARDSTICK = 1_000_000  # turns of a loop
@@ -110,9 +110,9 @@
     axis.plot(sizes[:-1], values[:-1], "o", label="measured")
     axis.plot(sizes[-1:], values[-1:], "s", color="tab:red", label="kept out of the fit")
     try:
-        fit = fitted(series.points)
+        fit = fit_points(series.points)
         axis.plot(sizes, [fit.at(size) for size in sizes], "-", linewidth=1, label=fit.model.value)
-    except (TooFewSizes, BadPoints):
+    except (TooFewSizesError, InvalidPointsError):
         pass
     axis.set_xlabel(series.size)
     axis.set_ylabel(series.unit)
--- a/limepath/scale/roles.py
+++ b/limepath/scale/roles.py
@@ -102,8 +102,8 @@
 def process_cpu_us(pid):
     """Return the processor time of all threads of a process, in microseconds.
 
-    Uses the scheduler's counters, which have nanosecond resolution (proc(5), schedstat). Falls back to psutil,
-    which has the resolution of a clock tick, where the system does not provide them.
+    Uses the scheduler's counters, which have nanosecond resolution (proc(5), schedstat). Where the system
+    does not provide them, falls back to psutil, which has the resolution of a clock tick.
     """
     try:
         total = 0
--- a/limepath/scale/roles_data.py
+++ b/limepath/scale/roles_data.py
@@ -2,9 +2,9 @@
 
 The caches are simulated. They and the clients run in processes of their own (`python -m
 limepath.scale.roles_data cache|load`), so that only the front's time is counted; it includes the kernel's
-work for its sockets on loopback. The clients send requests back to back or at a fixed rate: below its capacity a
-front wakes up for each message separately, so that a request costs more than under full load. An object's
-name encodes its body size and whether the first cache lacks it.
+work for its sockets on loopback. The clients send requests back to back or at a fixed rate: below its
+capacity a front wakes up for each message separately, so that a request costs more than under full load. An
+object's name encodes its body size and whether the first cache lacks it.
 """
 
 import asyncio
@@ -243,8 +243,8 @@
         (
             f"{MEASURE_S:.0f} s each, least of {ROUNDS} rounds; {MISS_CLIENTS} clients where copies are "
             f"lacked, one by {REQUESTS_PER_CLIENT} a second at a pace; {CACHES} caches, {PARENTS} parents on "
-            "loopback; kept-alive connections, plain HTTP; work for loopback sockets is in it, a network card's "
-            "is not",
+            "loopback; kept-alive connections, plain HTTP; work for loopback sockets is in it, a "
+            "network card's is not",
         ),
     )
 
--- a/limepath/scale/roles_listing.py
+++ b/limepath/scale/roles_listing.py
@@ -1,7 +1,8 @@
-"""The list of caches taken in whole: processor time and memory by its members, and its packed size.
+"""Measures loading a complete endpoint list: processor time and memory by its members, and its packed size.
 
-`parse`: the way of a front that follows the change log: the event's text, its entries, the module's list.
-`check`: the way of a front that shares the list: each member checked, kept, packed for the store.
+`parse` loads the list as a front that follows the change log does: it parses the event's text, builds the
+entries and updates the decision module's list. `check` loads it as a front that shares the list does: it
+checks and keeps each member. `pack` and `unpack` convert the list to and from the form of the store.
 """
 
 import json
@@ -20,11 +21,11 @@
 from limepath.scale.roles import member_entry, minimum_cpu_us, settings
 
 SIZES = (100, 200, 500, 1000, 1400, 5000)
-LONGEST = 4_000_000  # bytes of a list, unpacked
+MAX_LIST_BYTES = 4_000_000  # maximum size of an unpacked list
 ZONES, KINDS = ["z0", "hub"], ["box", "parent", "origin"]
 
 
-TOLD = {
+SERIES_TEXTS = {
     "parse": ("a whole list taken in by a front", "ms of CPU"),
     "memory": ("the list in a front", "MB"),
     "check": ("a whole list checked and kept for sharing", "ms of CPU"),
@@ -34,99 +35,101 @@
     "packed": ("the packed list, without purges", "KB"),
     "text": ("the list as the service tells it", "KB"),
 }
-PACKED_MEMBERS, PURGES = 1400, 36  # purges a second
+PACKED_MEMBERS, PURGES_PER_S = 1400, 36  # members; purges per second
 
 
-def event(members):
-    """The text of an event with a whole list."""
-    told = [member_entry(index, f"10.{index >> 8}.{index & 255}.7:9001") for index in range(members)]
-    return json.dumps({"seq": 1, "fleet": {"revision": 1, "complete": True, "members": told}})
+def full_list_event(members):
+    """Return the text of an event with a complete list of this many members."""
+    entries = [member_entry(index, f"10.{index >> 8}.{index & 255}.7:9001") for index in range(members)]
+    return json.dumps({"seq": 1, "fleet": {"revision": 1, "complete": True, "members": entries}})
 
 
-def taken_in(text):
-    """What a front holds of a list: entries and the module's list; kept by the caller to be measured."""
-    told = json.loads(text)
-    reference = ReferenceClock(skew=0)
-    entries = {one["id"]: EndpointEntry(one, ZONES, KINDS, {}, reference) for one in told["fleet"]["members"]}
-    front = DecisionEngine(seed=1, **decision_arguments(settings()))
+def load_in_front(text):
+    """Return a front's entries and decision engine for a list, so that the caller can measure their memory."""
+    event = json.loads(text)
+    clock = ReferenceClock(skew=0)
+    entries = {
+        entry["id"]: EndpointEntry(entry, ZONES, KINDS, {}, clock) for entry in event["fleet"]["members"]
+    }
+    engine = DecisionEngine(seed=1, **decision_arguments(settings()))
     members = tuple(entry.endpoint for entry in entries.values())
-    front.handle(1_000_000, (EndpointListUpdated(UpdateKind.FULL, 1, members),))
-    return entries, front
+    engine.handle(1_000_000, (EndpointListUpdated(UpdateKind.FULL, 1, members),))
+    return entries, engine
 
 
-def checked(text):
-    """What the sharing of the list holds of it."""
-    held = EndpointList()
-    held.apply(parse_event(text))
-    return held
+def apply_to_shared_list(text):
+    """Return the EndpointList that a front keeps in order to share it."""
+    shared_list = EndpointList()
+    shared_list.apply(parse_event(text))
+    return shared_list
 
 
 def purge(number):
-    """An event that purges one object."""
+    """Return the part of an event that purges one object."""
     name = f"{number * 0x9E3779B97F4A7C15 & (1 << 64) - 1:016x}"
     return {"invalidate": {"object": name, "time": 1_790_000_000_000 + 28 * number}}
 
 
-def purges_kept():
-    """How many purges a list holds at PURGES a second: a number, or those of a span."""
-    if most := getattr(endpoint_list, "KEPT_PURGES", None):
-        return most
-    return int(endpoint_list.PURGE_RETENTION_US / 1e6 * PURGES)
+def retained_purges():
+    """Return how many purges a list holds at PURGES_PER_S, limited by number or by retention time."""
+    if max_purges := getattr(endpoint_list, "KEPT_PURGES", None):
+        return max_purges
+    return int(endpoint_list.PURGE_RETENTION_US / 1e6 * PURGES_PER_S)
 
 
-def with_purges():
-    """Kilobytes of a packed list with all the purges that it keeps."""
-    held = checked(event(PACKED_MEMBERS))
-    for number in range(2, 2 + purges_kept()):
-        held.apply({"seq": number} | purge(number))
-    return len(held.pack()) / 1000
+def packed_size_with_purges():
+    """Return the size of a packed list with all the purges that it keeps, in kilobytes."""
+    shared_list = apply_to_shared_list(full_list_event(PACKED_MEMBERS))
+    for number in range(2, 2 + retained_purges()):
+        shared_list.apply({"seq": number} | purge(number))
+    return len(shared_list.pack()) / 1000
 
 
-def held_bytes(make):
-    """Bytes of what `make()` gives."""
+def allocated_bytes(factory):
+    """Return the number of bytes allocated by the result of `factory()`."""
     tracemalloc.start()
     try:
-        kept = make()
+        result = factory()
         size, _ = tracemalloc.get_traced_memory()
     finally:
         tracemalloc.stop()
-    del kept
+    del result
     return size
 
 
 def measure():
     """Return the RoleResult of a list taken in."""
-    texts = [event(size) for size in SIZES]
-    lists = [checked(text) for text in texts]
-    packs = [held.pack() for held in lists]
-    works = {
-        "parse": [partial(taken_in, text) for text in texts],
-        "check": [partial(checked, text) for text in texts],
-        "pack": [held.pack for held in lists],
-        "unpack": [partial(unpack_list, pack, LONGEST) for pack in packs],
+    texts = [full_list_event(size) for size in SIZES]
+    lists = [apply_to_shared_list(text) for text in texts]
+    packed_lists = [shared_list.pack() for shared_list in lists]
+    functions = {
+        "parse": [partial(load_in_front, text) for text in texts],
+        "check": [partial(apply_to_shared_list, text) for text in texts],
+        "pack": [shared_list.pack for shared_list in lists],
+        "unpack": [partial(unpack_list, packed, MAX_LIST_BYTES) for packed in packed_lists],
     }
-    values = {name: [spent / 1000 for spent in minimum_cpu_us(work)] for name, work in works.items()}
+    values = {name: [cpu_us / 1000 for cpu_us in minimum_cpu_us(work)] for name, work in functions.items()}
     values |= {
-        "memory": [held_bytes(partial(taken_in, text)) / 1e6 for text in texts],
-        "shared memory": [held_bytes(partial(checked, text)) / 1e6 for text in texts],
-        "packed": [len(pack) / 1000 for pack in packs],
+        "memory": [allocated_bytes(partial(load_in_front, text)) / 1e6 for text in texts],
+        "shared memory": [allocated_bytes(partial(apply_to_shared_list, text)) / 1e6 for text in texts],
+        "packed": [len(packed) / 1000 for packed in packed_lists],
         "text": [len(text) / 1000 for text in texts],
     }
     rows = {
         name: [(size, round(value, 4)) for size, value in zip(SIZES, values[name], strict=True)]
-        for name in TOLD
+        for name in SERIES_TEXTS
     }
     return RoleResult(
         tuple(
-            Series(name, *TOLD[name], "members of the list", tuple(points), "real logic")
+            Series(name, *SERIES_TEXTS[name], "members of the list", tuple(points), "real logic")
             for name, points in rows.items()
         ),
         (
             Fact(
                 "packed purges",
-                f"a packed list of {PACKED_MEMBERS:,} members and {purges_kept():,} purges",
+                f"a packed list of {PACKED_MEMBERS:,} members and {retained_purges():,} purges",
                 "KB",
-                round(with_purges(), 1),
+                round(packed_size_with_purges(), 1),
             ),
             Fact(
                 "event",
--- a/limepath/scale/slopes.py
+++ b/limepath/scale/slopes.py
@@ -1,12 +1,12 @@
-"""How a cost grows with a size: a fit over at least five sizes, the largest of them predicted and not fitted.
+"""Fits how a cost grows with a size, over at least five sizes; the largest is held out and predicted.
 
 The models, from simple to steep: constant, a + b log2 n, a + b n, a + b n log2 n. Residuals are relative to
-the measured values, since sizes span decades. The rule that chooses: each model's cross-validation error is
-the mean relative error with which it predicts each fitted size from the others; the simplest model is taken
-whose error is within one standard error of the best one's (the one-standard-error rule of Breiman, Friedman,
-Olshen and Stone, Classification and Regression Trees, 1984). The largest size has no part in it. An error of
-its prediction over `WRONG` says that the model is wrong: the figure is looked into, and nothing is to be
-extrapolated with it. Free of I/O.
+the measured values, because sizes span several orders of magnitude. A model is selected by cross-validation:
+the error of a model is the mean relative error with which it predicts each fitted size from the others. The
+simplest model whose error is within one standard error of the lowest one is selected (the one-standard-error
+rule of Breiman, Friedman, Olshen and Stone, Classification and Regression Trees, 1984). The largest size is
+not used in the selection. If the error of its prediction exceeds `MAX_PREDICTION_ERROR`, the model is wrong:
+the figure needs investigation and must not be extrapolated with this model. This module does no I/O.
 """
 
 from enum import Enum
@@ -14,20 +14,20 @@
 
 import numpy
 
-LEAST_SIZES = 5
-WRONG = 0.20  # of the measured value: an error of the prediction over it
+MIN_SIZES = 5
+MAX_PREDICTION_ERROR = 0.20  # relative to the measured value of the largest size
 
 
-class TooFewSizes(ValueError):
-    """Fewer sizes than a fit wants; the text tells how many there are."""
+class TooFewSizesError(ValueError):
+    """There are fewer sizes than a fit needs; the message holds their number."""
 
 
-class BadPoints(ValueError):
-    """Sizes or values that no fit can use: not finite, not positive, or one size twice."""
+class InvalidPointsError(ValueError):
+    """A fit cannot use the sizes or values: one is not finite or not positive, or a size occurs twice."""
 
 
 class Model(Enum):
-    """Growth with the size n; the value is how it is printed."""
+    """A model of growth with the size n; the value of each member is its printed form."""
 
     CONSTANT = "constant"
     LOGARITHMIC = "a + b log2 n"
@@ -35,7 +35,7 @@
     LINEARITHMIC = "a + b n log2 n"
 
     def basis(self, sizes):
-        """The column that `slope` multiplies."""
+        """Return the regressor of each size, which `Coefficients.slope` multiplies."""
         sizes = numpy.asarray(sizes, dtype=float)
         if self is Model.CONSTANT:
             return numpy.zeros_like(sizes)
@@ -52,47 +52,47 @@
 
 
 class Slope(NamedTuple):
-    """A fit and how well it predicted the size that was kept out."""
+    """A fit, and its prediction for the size that was held out of it."""
 
     model: Model
     base: float
     slope: float
-    sizes: tuple  # fitted
-    kept_out: float  # the largest size
-    measured: float  # there
-    predicted: float  # there
+    sizes: tuple  # the fitted sizes
+    held_out_size: float  # the largest size, not fitted
+    measured: float  # value at the held-out size
+    predicted: float  # value at the held-out size
 
     @property
     def error(self):
-        """Of the prediction, relative to what was measured."""
+        """The error of the prediction, relative to the measured value."""
         return abs(self.predicted - self.measured) / self.measured
 
     @property
     def wrong(self):
-        """Whether the model is wrong."""
-        return self.error > WRONG
+        """Whether the error of the prediction is too large to extrapolate with this model."""
+        return self.error > MAX_PREDICTION_ERROR
 
     def at(self, size):
-        """The value that the fit gives for a size."""
+        """Return the value of the fit at a size."""
         return self.base + self.slope * float(self.model.basis([size])[0])
 
 
-def checked(points):
-    """The points (size, value) by size; raise TooFewSizes or BadPoints."""
+def validated_points(points):
+    """Return the points (size, value) sorted by size; raise TooFewSizesError or InvalidPointsError."""
     points = sorted((float(size), float(value)) for size, value in points)
     if any(not (numpy.isfinite(size) and numpy.isfinite(value)) for size, value in points):
-        raise BadPoints("a size or value that is not finite")
+        raise InvalidPointsError("a size or value that is not finite")
     if any(size < 1 or value <= 0 for size, value in points):
-        raise BadPoints("a size below 1, or a value that is not above 0")
+        raise InvalidPointsError("a size below 1, or a value that is not above 0")
     if len({size for size, _ in points}) < len(points):
-        raise BadPoints("one size twice")
-    if len(points) < LEAST_SIZES:
-        raise TooFewSizes(f"{len(points)} sizes; a slope wants {LEAST_SIZES} at least")
+        raise InvalidPointsError("one size twice")
+    if len(points) < MIN_SIZES:
+        raise TooFewSizesError(f"{len(points)} sizes; a slope wants {MIN_SIZES} at least")
     return points
 
 
-def coefficients(model, sizes, values):
-    """Least squares of the relative residuals."""
+def fit_coefficients(model, sizes, values):
+    """Return the Coefficients with the least squares of the relative residuals."""
     values = numpy.asarray(values, dtype=float)
     columns = [1 / values]
     if model is not Model.CONSTANT:
@@ -102,28 +102,28 @@
 
 
 def cross_validation(model, sizes, values):
-    """Mean and standard error of the relative errors with which each point is predicted from the others."""
+    """Return the mean and standard error of the relative errors of predicting each point from the others."""
     errors = []
     for index, (size, value) in enumerate(zip(sizes, values, strict=True)):
         others = [at for at in range(len(sizes)) if at != index]
-        fit = coefficients(model, [sizes[at] for at in others], [values[at] for at in others])
+        fit = fit_coefficients(model, [sizes[at] for at in others], [values[at] for at in others])
         predicted = fit.base + fit.slope * float(model.basis([size])[0])
         errors.append(abs(predicted - value) / value)
     return float(numpy.mean(errors)), float(numpy.std(errors, ddof=1)) / len(errors) ** 0.5
 
 
-def chosen(sizes, values):
-    """The model, by the rule in this module's head."""
+def select_model(sizes, values):
+    """Return the model selected by the rule in the module's docstring."""
     errors = {model: cross_validation(model, sizes, values) for model in Model}
     least, spread = min(errors.values())
     return next(model for model in Model if errors[model][0] <= least + spread)
 
 
-def fitted(points):
-    """Give the Slope of points (size, value); raise TooFewSizes or BadPoints."""
-    *fit, (kept_out, measured) = checked(points)
+def fit_points(points):
+    """Return the Slope of points (size, value); raise TooFewSizesError or InvalidPointsError."""
+    *fit, (held_out_size, measured) = validated_points(points)
     sizes, values = [size for size, _ in fit], [value for _, value in fit]
-    model = chosen(sizes, values)
-    base, slope = coefficients(model, sizes, values)
-    predicted = base + slope * float(model.basis([kept_out])[0])
-    return Slope(model, base, slope, tuple(sizes), kept_out, measured, predicted)
+    model = select_model(sizes, values)
+    base, slope = fit_coefficients(model, sizes, values)
+    predicted = base + slope * float(model.basis([held_out_size])[0])
+    return Slope(model, base, slope, tuple(sizes), held_out_size, measured, predicted)
--- a/tests/test_capacity_page.py
+++ b/tests/test_capacity_page.py
@@ -10,7 +10,7 @@
 import limepath.cli
 from limepath.cli import scale
 from limepath.cli.scale import command
-from limepath.scale.estimates import Word, estimate, total
+from limepath.scale.estimates import Provenance, estimate, total
 from limepath.scale.measured import Series
 
 FILE, PAGE, RUNS = "docs/measurements/scale.json", "docs/CAPACITY.md", "docs/measurements/scale"
@@ -194,7 +194,7 @@
     calm = page.partition("## A calm hour")[2].partition("## What a request costs")[0]
     heads = [line for line in calm.splitlines() if line.startswith(("| cost ", "| role "))]
     assert heads
-    words = {word.value for word in Word}
+    words = {word.value for word in Provenance}
     column = 0
     for line in calm.splitlines():
         cells = [cell.strip().strip("*") for cell in line.strip("| ").split(" | ")]
@@ -236,50 +236,50 @@
 
 def test_within_the_sizes_a_figure_is_measured():
     told = estimate(series(LINE), 120)
-    assert (told.value, told.word, told.factor) == (130.0, Word.MEASURED, 1.0)
+    assert (told.value, told.provenance, told.factor) == (130.0, Provenance.MEASURED, 1.0)
     assert estimate(series(LINE), 160).value == 170.0
 
 
 def test_beyond_the_sizes_it_is_extrapolated_with_its_factor():
     told = estimate(series(LINE), 1600)
-    assert told.word is Word.EXTRAPOLATED and told.factor == 10
+    assert told.provenance is Provenance.EXTRAPOLATED and told.factor == 10
     assert told.value == pytest.approx(1610)
 
 
 def test_with_a_wrong_model_it_is_assumed_in_proportion():
     told = estimate(series([*LINE[:4], (160, 400.0)]), 1600)
-    assert told.word is Word.ASSUMED and told.slope.wrong
+    assert told.provenance is Provenance.ASSUMED and told.slope.wrong
     assert told.value == 4000 and "the model is wrong" in told.reason
 
 
 def test_with_too_few_sizes_it_is_assumed_in_proportion():
     told = estimate(series(LINE[:4]), 800)
-    assert told.word is Word.ASSUMED and told.slope is None
+    assert told.provenance is Provenance.ASSUMED and told.slope is None
     assert told.value == 900
 
 
 def test_what_was_not_measured_is_missing():
     told = estimate(None, 5)
-    assert told.value is None and told.word is Word.MISSING
+    assert told.value is None and told.provenance is Provenance.MISSING
 
 
 def test_below_the_sizes_the_fit_is_used_while_it_gives_no_more():
     told = estimate(series(LINE), 5)
-    assert told.word is Word.EXTRAPOLATED and told.value == pytest.approx(15)
+    assert told.provenance is Provenance.EXTRAPOLATED and told.value == pytest.approx(15)
     wrong = estimate(series([*LINE[:4], (160, 400.0)]), 5)
-    assert wrong.word is Word.ASSUMED and wrong.value == 20
+    assert wrong.provenance is Provenance.ASSUMED and wrong.value == 20
 
 
 def test_a_sum_is_trusted_as_its_least_trusted_part():
     measured, beyond = estimate(series(LINE), 120), estimate(series(LINE), 1600)
     whole = total([measured, beyond], "us")
-    assert whole.word is Word.EXTRAPOLATED and whole.value == measured.value + beyond.value
+    assert whole.provenance is Provenance.EXTRAPOLATED and whole.value == measured.value + beyond.value
     partly = total([measured, estimate(None, 5)], "us")
     assert partly.value == measured.value and "without what is not measured" in partly.reason
-    assert total([estimate(None, 5)], "us").word is Word.MISSING
+    assert total([estimate(None, 5)], "us").provenance is Provenance.MISSING
 
 
 def test_what_is_worked_out_of_a_measured_figure_is_assumed():
     measured = estimate(series(LINE), 120)
-    assert measured.times(0.001, "ms").word is Word.MEASURED
-    assert measured.times(40, "us", "40 of them").word is Word.ASSUMED
+    assert measured.times(0.001, "ms").provenance is Provenance.MEASURED
+    assert measured.times(40, "us", "40 of them").provenance is Provenance.ASSUMED
