--- a/limepath/scale/roles_console.py
+++ b/limepath/scale/roles_console.py
@@ -1,4 +1,4 @@
-"""What an operator is shown of one front: `limepath membership show --json` by the size of its view."""
+"""Measures the output of `limepath membership show --json` for one front, by the size of its view."""
 
 import json
 from functools import partial
@@ -7,31 +7,33 @@
 from limepath.duties.instance import Instance
 from limepath.scale.measured import RoleResult, Series
 from limepath.scale.roles import minimum_cpu_us
-from limepath.scale.roles_view import SIZES, fleet
+from limepath.scale.roles_view import SIZES, member_records
 
-INTERVAL = 5_000_000
+INTERVAL_US = 5_000_000
 
 
 def instance(size):
-    """One instance that knows a whole fleet."""
-    me, *others = fleet(size)
-    plan = DutySettings("probe", DutyMode.AT_LEAST_ONCE, INTERVAL)
-    one = Instance(me, (), MembershipTimeouts(), (plan,), LeaseSettings(), 1)
-    one.preload_members(others)
-    return one
+    """Return an instance whose view holds this many members."""
+    me, *others = member_records(size)
+    duty = DutySettings("probe", DutyMode.AT_LEAST_ONCE, INTERVAL_US)
+    result = Instance(me, (), MembershipTimeouts(), (duty,), LeaseSettings(), 1)
+    result.preload_members(others)
+    return result
 
 
-def shown(one):
-    """The text that goes over the control socket."""
-    return json.dumps(one.view()._asdict())
+def view_text(member):
+    """Return the view as the text that is sent over the control socket."""
+    return json.dumps(member.view()._asdict())
 
 
 def measure():
-    """Return the RoleResult of what is shown."""
+    """Return the RoleResult of the view shown to an operator."""
     instances = [instance(size) for size in SIZES]
-    times = minimum_cpu_us([partial(shown, one) for one in instances])
-    text = tuple((size, round(len(shown(one)) / 1000, 2)) for size, one in zip(SIZES, instances, strict=True))
-    cpu = tuple((size, round(spent / 1000, 3)) for size, spent in zip(SIZES, times, strict=True))
+    times = minimum_cpu_us([partial(view_text, member) for member in instances])
+    text = tuple(
+        (size, round(len(view_text(member)) / 1000, 2)) for size, member in zip(SIZES, instances, strict=True)
+    )
+    cpu = tuple((size, round(cpu_us / 1000, 3)) for size, cpu_us in zip(SIZES, times, strict=True))
     return RoleResult(
         (
             Series("shown", "one front's view shown", "KB", "instances", text, "real logic"),
--- a/limepath/scale/roles_listing.py
+++ b/limepath/scale/roles_listing.py
@@ -45,11 +45,11 @@
 
 
 def load_in_front(text):
-    """Return a front's entries and decision engine for a list, so that the caller can measure their memory."""
+    """Return a front's entries and decision engine for a list; the caller measures their memory."""
     event = json.loads(text)
     clock = ReferenceClock(skew=0)
     entries = {
-        entry["id"]: EndpointEntry(entry, ZONES, KINDS, {}, clock) for entry in event["fleet"]["members"]
+        member["id"]: EndpointEntry(member, ZONES, KINDS, {}, clock) for member in event["fleet"]["members"]
     }
     engine = DecisionEngine(seed=1, **decision_arguments(settings()))
     members = tuple(entry.endpoint for entry in entries.values())
--- a/limepath/scale/roles_tree.py
+++ b/limepath/scale/roles_tree.py
@@ -1,7 +1,7 @@
-"""Events at the fronts of one zone whose fronts have sites, in virtual time: trees in place of stars.
+"""Measures events at the fronts of one zone with sites, in virtual time: trees instead of stars.
 
-The fleet is that of `limepath.discovery.simulate_tree`, with one view on which all agree. Every datagram is
-sealed here as on the socket, and what a front's logic and its seals cost is timed.
+The fleet is that of `limepath.discovery.simulate_tree`, with a single view that all fronts share. Every
+datagram is sealed as on the socket, and the processor time of each front's logic and sealing is measured.
 """
 
 import os
@@ -11,58 +11,66 @@
 from limepath.duties.interface import MESSAGES as DUTY_MESSAGES
 from limepath.membership.guard import Guard, Key
 from limepath.membership.interface import MESSAGES
-from limepath.scale.roles_relay import ARRIVE, EVENTS, LIMIT, SECOND, SPAN, Played, Traffic
+from limepath.scale.roles_relay import (
+    ARRIVAL_LIMIT_US,
+    EVENTS_PER_S,
+    MEASURE_US,
+    SECOND_US,
+    START_LIMIT_US,
+    EventRun,
+    Traffic,
+)
 
-SITE = 21.7  # fronts of a site at 5,200 fronts and 240 sites
-SETTLING = 20 * SECOND  # of events, from the moment that all have the list, before anything is measured
+FRONTS_PER_SITE = 21.7  # with 5,200 fronts at 240 sites
+SETTLING_US = 20 * SECOND_US  # events sent after all fronts have the list and before the measurement
 
 
-class Counted:
-    """Counts what a world's fronts send from now on; `traffic` may be replaced at any time."""
+class DatagramCounter:
+    """Counts the datagrams that a world's fronts send; `traffic` may be replaced at any time."""
 
     def __init__(self, world):
         types, key = (*MESSAGES, *LIST_MESSAGES, *DUTY_MESSAGES), (Key(b"abcd", os.urandom(32)),)
         self.guards = [Guard(key, types) for _ in world.fronts]
-        self.traffic, self.world, self.pass_on = Traffic(), world, world.send
+        self.traffic, self.world, self.send_to_world = Traffic(), world, world.send
         world.send = self.send
 
     def send(self, front, order):
-        began = time.thread_time_ns()
+        start = time.thread_time_ns()
         sealed = self.guards[front.index].seal(front.me, 1, order.message)
-        self.traffic.cpu[front.index] += time.thread_time_ns() - began
-        self.traffic.counted(front.index, self.world.by_token[order.token].index, len(sealed))
-        self.pass_on(front, order)
+        self.traffic.cpu[front.index] += time.thread_time_ns() - start
+        self.traffic.count_datagram(front.index, self.world.by_token[order.token].index, len(sealed))
+        self.send_to_world(front, order)
 
 
 def zone(fronts):
-    """The world of one zone, its fronts at as many sites as they fill, all of them with the list."""
+    """Return the world of one zone with FRONTS_PER_SITE fronts per site, all of which have the list."""
     from limepath.discovery.tree_world import Plan, World
 
-    sites = max(1, round(fronts / SITE))
-    world = World(Plan(fronts=fronts, regions=1, zones=1, sites=sites, rate=EVENTS), 1)
-    world.at(SECOND // 2, world.service.comment)
+    sites = max(1, round(fronts / FRONTS_PER_SITE))
+    world = World(Plan(fronts=fronts, regions=1, zones=1, sites=sites, rate=EVENTS_PER_S), 1)
+    world.at(SECOND_US // 2, world.service.comment)
     for front in world.fronts:
-        world.at(world.chance.randrange(SECOND), front.start)
-    while not world.is_complete() and world.now < LIMIT:
-        world.run(world.now + SECOND)
+        world.at(world.chance.randrange(SECOND_US), front.start)
+    while not world.is_complete() and world.now < START_LIMIT_US:
+        world.run(world.now + SECOND_US)
     return world
 
 
-def played(fronts):
-    """A zone with EVENTS purges a second; give what was Played after SPAN of them."""
+def measure_events(fronts):
+    """Run a zone with EVENTS_PER_S purges per second; return the EventRun of MEASURE_US."""
     from limepath.discovery.simulate_tree import lateness, purge_every
 
     world = zone(fronts)
-    counted, began = Counted(world), world.now
-    world.at(began, purge_every, world, SECOND // EVENTS, began + SETTLING + SPAN)
-    world.run(began + SETTLING)
-    counted.traffic = traffic = Traffic()
+    counter, start = DatagramCounter(world), world.now
+    world.at(start, purge_every, world, SECOND_US // EVENTS_PER_S, start + SETTLING_US + MEASURE_US)
+    world.run(start + SETTLING_US)
+    counter.traffic = traffic = Traffic()
     for front in world.fronts:
-        traffic.timed(front.index, front.logic)
+        traffic.time_logic(front.index, front.logic)
     since = world.now
-    world.run(since + SPAN)
-    until, counted.traffic = world.now, Traffic()
-    world.run(until + ARRIVE)
+    world.run(since + MEASURE_US)
+    until, counter.traffic = world.now, Traffic()
+    world.run(until + ARRIVAL_LIMIT_US)
     late, lost = lateness(world, world.fronts, since, until)
-    settling, _ = lateness(world, world.fronts, began, since)
-    return Played(fronts, traffic, late, lost, settling[-1])
+    settling, _ = lateness(world, world.fronts, start, since)
+    return EventRun(fronts, traffic, late, lost, settling[-1])
--- a/limepath/scale/roles_voter.py
+++ b/limepath/scale/roles_voter.py
@@ -1,4 +1,4 @@
-"""A voter on leases: processor time of a claim by the slots in it, renewed, datagrams opened and sealed."""
+"""Measures a lease voter: processor time of a renewal by its slots, with opening and sealing of datagrams."""
 
 import os
 from functools import partial
@@ -14,53 +14,53 @@
 from limepath.timer_queue import TimerQueue
 
 SLOTS = (1, 2, 4, 8, 16, 32)
-CLAIMS, WARM, ROUNDS = 2000, 10, 15  # of a run; before it; runs
-HOLDER = "n1"
+CLAIMS_PER_RUN, WARM_UP_CLAIMS, RUNS = 2000, 10, 15  # per run; before the first run; runs
+HOLDER_NAME = "n1"
 
 
 class Claims:
-    """Claims of one holder on the same slots, each renewed."""
+    """Repeated claims of one holder on the same slots; each claim after the first is a renewal."""
 
     def __init__(self, slots):
         types, key = (*MESSAGES, *DUTY_MESSAGES), (Key(b"abcd", os.urandom(32)),)
-        self.mine, self.theirs = Guard(key, types), Guard(key, types)
+        self.voter_guard, self.holder_guard = Guard(key, types), Guard(key, types)
         self.voter = Voter(TimerQueue(1), LeaseSettings(), (), 0, True)
         self.voter.silent_until = 0
-        self.news = MemberRecord(7, HOLDER, "127.0.0.1", 7946, 1 << REFUTATION_BITS, 1)
+        self.holder = MemberRecord(7, HOLDER_NAME, "127.0.0.1", 7946, 1 << REFUTATION_BITS, 1)
         self.claim, self.granted = LeaseRequest(0, 1, tuple((slot, 1) for slot in range(slots))), 0
-        self.run(WARM)
+        self.run(WARM_UP_CLAIMS)
 
-    def run(self, count=CLAIMS):
-        for datagram in [self.theirs.seal(self.news, 1, self.claim) for _ in range(count)]:
-            self.one(datagram)
+    def run(self, count=CLAIMS_PER_RUN):
+        for datagram in [self.holder_guard.seal(self.holder, 1, self.claim) for _ in range(count)]:
+            self.handle_claim(datagram)
 
-    def one(self, datagram):
-        sender, _, claim = self.mine.open(datagram)
+    def handle_claim(self, datagram):
+        sender, _, claim = self.voter_guard.open(datagram)
         vote = self.voter.handle_request((sender.name, sender.session_token), claim)
-        self.mine.seal(self.news, sender.session_token, vote)
+        self.voter_guard.seal(self.holder, sender.session_token, vote)
         self.granted += len(vote.granted) == len(claim.slots)
 
-    def sealed(self):
-        """What `run` does beside the voter's part."""
-        for _ in range(CLAIMS):
-            self.theirs.seal(self.news, 1, self.claim)
+    def seal_claims(self):
+        """Seal the claims of one run as `run` does, without the voter's part."""
+        for _ in range(CLAIMS_PER_RUN):
+            self.holder_guard.seal(self.holder, 1, self.claim)
 
 
 def measure():
     """Return the RoleResult of a voter."""
     claims = [Claims(slots) for slots in SLOTS]
-    whole = minimum_cpu_us([partial(one.run) for one in claims], ROUNDS)
-    beside = minimum_cpu_us([one.sealed for one in claims], ROUNDS)
-    asked = WARM + CLAIMS * ROUNDS
+    run_us = minimum_cpu_us([partial(one.run) for one in claims], RUNS)
+    sealing_us = minimum_cpu_us([one.seal_claims for one in claims], RUNS)
+    expected = WARM_UP_CLAIMS + CLAIMS_PER_RUN * RUNS
     for one in claims:
-        if one.granted != asked:
-            raise ValueError(f"{asked - one.granted} of {asked} claims denied")
+        if one.granted != expected:
+            raise ValueError(f"{expected - one.granted} of {expected} claims denied")
     points = tuple(
-        (slots, round((spent - less) / CLAIMS, 2))
-        for slots, spent, less in zip(SLOTS, whole, beside, strict=True)
+        (slots, round((total - sealing) / CLAIMS_PER_RUN, 2))
+        for slots, total, sealing in zip(SLOTS, run_us, sealing_us, strict=True)
     )
-    what, size = "a claim renewed, opened and its vote sealed", "slots in the claim"
+    title, size = "a claim renewed, opened and its vote sealed", "slots in the claim"
     return RoleResult(
-        (Series("claim", what, "us of CPU", size, points, "real logic"),),
-        notes=(f"the least of {ROUNDS} runs; no socket, no store: a renewal writes nothing",),
+        (Series("claim", title, "us of CPU", size, points, "real logic"),),
+        notes=(f"the least of {RUNS} runs; no socket, no store: a renewal writes nothing",),
     )
