--- a/limepath/cli/scale.py
+++ b/limepath/cli/scale.py
@@ -60,7 +60,7 @@
     """
     from limepath.scale.capacity import write_page
     from limepath.scale.measure import measure_roles
-    from limepath.scale.measured import DamagedFile
+    from limepath.scale.measured import DamagedFileError
     from limepath.scale.roles import ROLES
 
     if list_roles:
@@ -74,7 +74,7 @@
     try:
         measure_roles(file, roles or tuple(ROLES), say=lambda line: click.echo(line, err=True))
         write_page(file, page, runs)
-    except DamagedFile as error:
+    except DamagedFileError as error:
         fail(error, DAMAGED)
     click.echo(page)
 
@@ -90,7 +90,7 @@
     Status 1 where page and file differ, with the first line that does; 2 for a missing or damaged file.
     """
     from limepath.scale.capacity import first_difference, write_page
-    from limepath.scale.measured import DamagedFile
+    from limepath.scale.measured import DamagedFileError
 
     try:
         if write:
@@ -98,7 +98,7 @@
             click.echo(page)
             return
         difference = first_difference(file, page, runs)
-    except DamagedFile as error:
+    except DamagedFileError as error:
         fail(error, DAMAGED)
     if difference:
         fail(difference, DIFFERS)
--- a/limepath/scale/capacity.py
+++ b/limepath/scale/capacity.py
@@ -41,7 +41,7 @@
 
 
 def page(file, runs):
-    """Give the page's text; raise DamagedFile."""
+    """Give the page's text; raise DamagedFileError."""
     measured, saved = read(file), read_runs(runs)
     figures = Figures(measured)
     calm = [lines(figures) for lines in CALM]
@@ -220,7 +220,7 @@
 
 
 def write_page(file, path, runs):
-    """Write the page; raise DamagedFile, with nothing written, where its input cannot be used."""
+    """Write the page; raise DamagedFileError, with nothing written, where its input cannot be used."""
     told = page(file, runs)
     os.makedirs(os.path.dirname(os.path.abspath(path)), exist_ok=True)
     with open(path + ".new", "w", encoding="utf-8") as out:
--- a/limepath/scale/capacity_runs.py
+++ b/limepath/scale/capacity_runs.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from limepath.scale.measured import DamagedFile
+from limepath.scale.measured import DamagedFileError
 
 
 class Statistics(msgspec.Struct, frozen=True):
@@ -47,16 +47,16 @@
 
 
 def read_runs(folder):
-    """Give [(file name, Run)] of a folder, in the order of sizes; raise DamagedFile."""
+    """Give [(file name, Run)] of a folder, in the order of sizes; raise DamagedFileError."""
     found = []
     for path in sorted(glob.glob(os.path.join(folder, "*.json"))):
         try:
             with open(path, "rb") as file:
                 found.append((os.path.basename(path), msgspec.json.decode(file.read(), type=Run)))
         except OSError as flaw:
-            raise DamagedFile(f"{path}: {flaw.strerror}") from None
+            raise DamagedFileError(f"{path}: {flaw.strerror}") from None
         except (msgspec.DecodeError, UnicodeDecodeError) as flaw:
-            raise DamagedFile(f"{path}: {' '.join(str(flaw).split())}") from None
+            raise DamagedFileError(f"{path}: {' '.join(str(flaw).split())}") from None
     return sorted(found, key=lambda one: (one[1].sizes.get("fronts", 0), one[0]))
 
 
--- a/limepath/scale/measure.py
+++ b/limepath/scale/measure.py
@@ -1,4 +1,4 @@
-"""Measures roles, merges what was found into the measured file, draws its charts."""
+"""Measures roles, merges the results into the measured file and draws a chart of each role."""
 
 import os
 import platform
@@ -8,26 +8,28 @@
 import time
 from datetime import UTC, datetime
 
-from limepath.scale.measured import Circumstances, Measured, Role, merged, read, write
+from limepath.scale.measured import Circumstances, Measured, Role, merge_roles, read, write
 from limepath.scale.roles import ROLES
 from limepath.scale.slopes import InvalidPointsError, TooFewSizesError, fit_points
 
 UNKNOWN = "unknown"
-YARDSTICK = 1_000_000  # turns of a loop
+YARDSTICK_ITERATIONS = 1_000_000  # iterations of the loop
 COLUMNS, WIDTH, HEIGHT, DPI = 3, 5.2, 3.4, 80
 
 
 def revision():
-    """The text's git revision, with "+changes" where files differ from it; "unknown" outside a clone."""
-    here = os.path.dirname(os.path.abspath(__file__))
+    """Return the git revision, with "+changes" if files were modified; "unknown" outside a clone."""
+    directory = os.path.dirname(os.path.abspath(__file__))
     try:
-        told = [
-            subprocess.run(["git", "-C", here, *words], capture_output=True, text=True, check=True).stdout
-            for words in (("rev-parse", "--short=12", "HEAD"), ("status", "--porcelain", "--", "."))
+        outputs = [
+            subprocess.run(
+                ["git", "-C", directory, *arguments], capture_output=True, text=True, check=True
+            ).stdout
+            for arguments in (("rev-parse", "--short=12", "HEAD"), ("status", "--porcelain", "--", "."))
         ]
     except (OSError, subprocess.CalledProcessError):
         return UNKNOWN
-    return told[0].strip() + ("+changes" if told[1].strip() else "")
+    return outputs[0].strip() + ("+changes" if outputs[1].strip() else "")
 
 
 def command_line():
@@ -35,17 +37,17 @@
 
 
 def yardstick():
-    """Milliseconds of processor time for a fixed piece of work in plain Python."""
-    began, total = time.process_time(), 0
-    for number in range(YARDSTICK):
+    """Return the processor time of a fixed calculation in plain Python, in milliseconds."""
+    start, total = time.process_time(), 0
+    for number in range(YARDSTICK_ITERATIONS):
         total += number % 7
-    return round(1000 * (time.process_time() - began), 1)
+    return round(1000 * (time.process_time() - start), 1)
 
 
-def measured_role(name):
-    """Measure one role; give the Role."""
-    load, speed, began = os.getloadavg()[0], yardstick(), time.monotonic()
-    found = ROLES[name].measure()
+def measure_role(name):
+    """Measure one role; return its Role."""
+    load_before, yardstick_before, start = os.getloadavg()[0], yardstick(), time.monotonic()
+    result = ROLES[name].measure()
     return Role(
         Circumstances(
             command=command_line(),
@@ -55,33 +57,33 @@
             machine=platform.machine(),
             python=platform.python_version(),
             system=platform.system(),
-            load=(round(load, 1), round(os.getloadavg()[0], 1)),
-            yardstick=(speed, yardstick()),
-            seconds=round(time.monotonic() - began, 1),
+            load=(round(load_before, 1), round(os.getloadavg()[0], 1)),
+            yardstick=(yardstick_before, yardstick()),
+            seconds=round(time.monotonic() - start, 1),
         ),
-        found,
+        result,
     )
 
 
 def measure_roles(path, names, say):
-    """Measure these roles one after another; the file holds each as soon as it is there.
+    """Measure these roles one after another; write the file after each of them.
 
-    Raises DamagedFile, before anything is measured, where the file exists and cannot be read.
+    Raises DamagedFileError, before anything is measured, if the file exists and cannot be read.
     """
     measured = read(path) if os.path.exists(path) else Measured()
     for name in names:
         say(f"{name}: {ROLES[name].purpose}")
-        role = measured_role(name)
-        measured = merged(measured, {name: role})
+        role = measure_role(name)
+        measured = merge_roles(measured, {name: role})
         write(path, measured)
         for series in role.found.series:
             say(f"  {series.what}: " + ", ".join(f"{size:g}: {value:g}" for size, value in series.points))
-        chart(name, role, os.path.join(os.path.dirname(path), f"scale-{name}.png"))
+        save_chart(name, role, os.path.join(os.path.dirname(path), f"scale-{name}.png"))
         say(f"  {role.circumstances.seconds} s")
 
 
-def chart(name, role, path):
-    """All series of a role, each with its fit and the size that was kept out of it."""
+def save_chart(name, role, path):
+    """Draw all series of a role to a PNG file, each with its fit and the held-out size."""
     import matplotlib
 
     matplotlib.use("Agg")
@@ -97,15 +99,15 @@
     )
     for axis in axes.flat[len(series) :]:
         axis.set_visible(False)
-    for axis, one in zip(axes.flat, series, strict=False):
-        draw(axis, one)
+    for axis, one_series in zip(axes.flat, series, strict=False):
+        draw_series(axis, one_series)
     figure.suptitle(f"{name} ({role.circumstances.revision}, {role.circumstances.date[:10]})")
     figure.tight_layout()
     figure.savefig(path, dpi=DPI, metadata={"Software": None})
     pyplot.close(figure)
 
 
-def draw(axis, series):
+def draw_series(axis, series):
     sizes, values = zip(*series.points, strict=True)
     axis.plot(sizes[:-1], values[:-1], "o", label="measured")
     axis.plot(sizes[-1:], values[-1:], "s", color="tab:red", label="kept out of the fit")
--- a/limepath/scale/measured.py
+++ b/limepath/scale/measured.py
@@ -1,7 +1,8 @@
-"""The measured file: what each role cost at which sizes, with command, revision, date and machine. Typed.
+"""Types, reading and writing of the measured file: the cost of each role by size.
 
-One Role holds one role's series and facts with the circumstances of its own run, so that single roles can be
-measured again and merged. The file is read whole or refused (DamagedFile).
+A Role holds the series and facts of one role with the circumstances of its own run (command, revision, date,
+machine), so that single roles can be measured again and merged. A file that is not entirely valid is rejected
+(DamagedFileError).
 """
 
 import math
@@ -9,18 +10,19 @@
 
 import msgspec
 
-FORMAT = 1
+FORMAT_VERSION = 1
 
 
-class DamagedFile(Exception):
-    """The file is missing, unreadable or not of this format; the text is one line."""
+class DamagedFileError(Exception):
+    """The file is missing, unreadable or not of this format; the message is one line."""
 
 
 class Circumstances(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Of one run.
+    """The conditions of one run.
 
-    `load` is the load average of one minute before and after; `yardstick` the milliseconds of processor time
-    that a fixed piece of work took then: a core that others share is slower. `seconds` is wall-clock time.
+    `load` is the load average over one minute before and after the run. `yardstick` is the processor time of
+    a fixed calculation before and after the run, in milliseconds; it is longer on a core that other work
+    shares. `seconds` is wall-clock time.
     """
 
     command: str
@@ -36,7 +38,7 @@
 
 
 class Series(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One cost over sizes. `points` are (size, value) with the value in `unit`."""
+    """One cost at several sizes. `points` are (size, value) with the value in `unit`."""
 
     name: str
     what: str
@@ -56,7 +58,7 @@
 
 
 class RoleResult(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What measuring one role gave."""
+    """The result of measuring one role."""
 
     series: tuple[Series, ...] = ()
     facts: tuple[Fact, ...] = ()
@@ -69,51 +71,53 @@
 
 
 class Measured(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """All roles by name."""
+    """The content of the measured file: all roles by name."""
 
-    format: int = FORMAT
+    format: int = FORMAT_VERSION
     roles: dict[str, Role] = {}
 
     def series(self, role, name):
-        """One Series, or None where it was not measured."""
+        """Return one Series, or None if it was not measured."""
         found = self.roles[role].found.series if role in self.roles else ()
-        return next((one for one in found if one.name == name), None)
+        return next((entry for entry in found if entry.name == name), None)
 
     def fact(self, role, name):
-        """One Fact, or None where it was not measured."""
+        """Return one Fact, or None if it was not measured."""
         found = self.roles[role].found.facts if role in self.roles else ()
-        return next((one for one in found if one.name == name), None)
+        return next((entry for entry in found if entry.name == name), None)
 
 
 def read(path):
-    """Give the Measured that a file holds; raise DamagedFile."""
+    """Return the content of a measured file; raise DamagedFileError."""
     try:
         with open(path, "rb") as file:
             measured = msgspec.json.decode(file.read(), type=Measured)
-    except OSError as flaw:
-        raise DamagedFile(f"{path}: {flaw.strerror}") from None
-    except (msgspec.DecodeError, UnicodeDecodeError) as flaw:
-        raise DamagedFile(f"{path}: {' '.join(str(flaw).split())}") from None
-    if measured.format != FORMAT:
-        raise DamagedFile(f"{path}: format {measured.format}; this program reads {FORMAT}")
+    except OSError as error:
+        raise DamagedFileError(f"{path}: {error.strerror}") from None
+    except (msgspec.DecodeError, UnicodeDecodeError) as error:
+        raise DamagedFileError(f"{path}: {' '.join(str(error).split())}") from None
+    if measured.format != FORMAT_VERSION:
+        raise DamagedFileError(f"{path}: unsupported format {measured.format}; expected {FORMAT_VERSION}")
     for name, role in measured.roles.items():
         for series in role.found.series:
             sizes = [size for size, _ in series.points]
             if not sizes or len(set(sizes)) < len(sizes):
-                raise DamagedFile(f"{path}: {name}: {series.name}: no points, or one size twice")
+                raise DamagedFileError(f"{path}: {name}: {series.name}: no points, or a size occurs twice")
             if any(size <= 0 or value < 0 or not math.isfinite(value) for size, value in series.points):
-                raise DamagedFile(f"{path}: {name}: {series.name}: a size or value below 0")
+                raise DamagedFileError(
+                    f"{path}: {name}: {series.name}: a size not above 0, or a value below 0 or not finite"
+                )
     return measured
 
 
 def write(path, measured):
-    """Put the file in the place of the old one whole."""
+    """Replace the file atomically."""
     os.makedirs(os.path.dirname(os.path.abspath(path)), exist_ok=True)
     with open(path + ".new", "wb") as file:
         file.write(msgspec.json.format(msgspec.json.encode(measured), indent=1) + b"\n")
     os.replace(path + ".new", path)
 
 
-def merged(measured, roles):
-    """The Measured with these roles (name to Role) in place of the former ones."""
-    return Measured(FORMAT, dict(sorted((measured.roles | roles).items())))
+def merge_roles(measured, roles):
+    """Return `measured` with these roles (name to Role) added or replaced."""
+    return Measured(FORMAT_VERSION, dict(sorted((measured.roles | roles).items())))
