--- a/limepath/scale/bounds.py
+++ b/limepath/scale/bounds.py
@@ -1,8 +1,8 @@
-"""What the settings promise of a scale run, and the operators' budgets, computed: the run is judged by these.
+"""Bounds that a scale run is checked against, computed from its settings and the operators' budgets.
 
-Times are whole microseconds, rates are by second. The promises are those of `listing.bounds` and of the
-membership (`membership.bounds`); SLACK is added to times, for a machine that plays the whole
-fleet, and a sample's span, for what is seen by samples only.
+Times are whole microseconds, rates are per second. The bounds are those of the endpoint list
+(`discovery.bounds`) and of membership (`membership.bounds`). SLACK_US is added to times because one machine
+simulates the whole fleet, and SAMPLE_INTERVAL_US to times that are only observed by samples.
 """
 
 from math import ceil, log
@@ -13,30 +13,32 @@
 from limepath.membership.bounds import detection_time, dissemination_time
 from limepath.scale.faults import LOSS, Kind
 
-tree_bounds = getattr(listing, "tree_bounds", None)  # a text before the tree has none
+tree_bounds = getattr(listing, "tree_bounds", None)  # None in versions without the tree
 
-SECOND = 1_000_000
-REQUIRED = 7_300_000  # a purge is done everywhere within that (issue 35)
-CPU_SHARE = 0.035  # of a core, for all control of a front (issue 35)
-MEMORY = 128_000_000  # bytes of a front (issue 35)
-BYTES = 24_000  # sent a second by a front for control (issue 35)
-STORM = 4.0  # times the calm's worst second, that any front may send in a fault
-SLACK = 2 * SECOND
-SAMPLE = SECOND  # between samples
+SECOND_US = 1_000_000
+PURGE_LIMIT_US = 7_300_000  # maximum time until a purge is done on all fronts (issue 35)
+CPU_SHARE_LIMIT = 0.035  # fraction of a core for all control work of a front (issue 35)
+MEMORY_LIMIT_BYTES = 128_000_000  # memory of a front (issue 35)
+SENT_BYTES_PER_S = 24_000  # control traffic that a front sends (issue 35)
+MAX_FAULT_TRAFFIC_FACTOR = (
+    4.0  # limit of a front's traffic in a fault, relative to the calm phase's worst second
+)
+SLACK_US = 2 * SECOND_US
+SAMPLE_INTERVAL_US = SECOND_US
 
 
 class Budget(NamedTuple):
-    """What the operators allow one front for control."""
+    """The operators' limits for the control work of one front."""
 
-    bytes_sent: float = BYTES
-    cpu_share: float = CPU_SHARE
-    memory: float = MEMORY
-    purge: int = REQUIRED
-    storm: float = STORM
+    bytes_sent: float = SENT_BYTES_PER_S
+    cpu_share: float = CPU_SHARE_LIMIT
+    memory: float = MEMORY_LIMIT_BYTES
+    purge: int = PURGE_LIMIT_US
+    fault_traffic_factor: float = MAX_FAULT_TRAFFIC_FACTOR
 
 
 class Shape(NamedTuple):
-    """The sizes that bounds depend on, and events a second."""
+    """The sizes of a fleet that bounds depend on, and the rate of events per second."""
 
     fronts: int
     zones: int
@@ -44,45 +46,51 @@
     rate: float
 
 
-class Promise(NamedTuple):
-    """Bounds of one run; None where the settings state nothing of the kind, as the star of relays does."""
+class RunBounds(NamedTuple):
+    """The bounds of one run; None where the settings define no such bound, as with a star of relays."""
 
-    event: dict[str, int]  # by phase: until an event is at all fronts that no fault struck
-    late_known: int  # from a cut until each front behind it knows that it is late
-    whole_again: dict[str, int]  # by kind of fault: from its end until each front that it struck is whole
-    disagreement: int  # from the last change until all views are one
-    children: int | None  # fronts that one sends events to
-    list_bytes: float | None  # sent a second for the list by the busiest front, nothing failing
-    window: int | None  # the longest cut after which events still come one by one
+    event: dict[str, int]  # by phase: until an event is at all fronts that are not affected by a fault
+    lateness_detection: int  # from a cut until each front behind it has detected that its list is late
+    recovery_time: dict[str, int]  # by kind of fault: from its end until each affected front has recovered
+    disagreement: int  # from the last change until all views agree
+    children: int | None  # maximum number of fronts that a front sends events to
+    list_bytes: float | None  # bytes per second that the busiest front sends for the list without faults
+    window: int | None  # the longest cut after which events are still sent one by one
     budget: Budget
 
 
 BUDGET = Budget()
 
 
-def tree_of(peers, shape):
-    """The TreeBounds, or None where the settings make no tree."""
+def tree_bounds_of(peers, shape):
+    """Return the TreeBounds, or None where the settings define no tree."""
     if tree_bounds is None or not peers.listing.site:
         return None
     return tree_bounds(peers.listing, shape.fronts, shape.zones, shape.sites)
 
 
-def promised(peers, shape, phases, schedule, budget=BUDGET):
-    """The Promise of a run: `peers` is the PeersOpening of its settings as stated, `phases` the names of its
-    phases, `schedule` its faults.
+def compute_run_bounds(peers, shape, phases, schedule, budget=BUDGET):
+    """Return the RunBounds of a run.
+
+    `peers` is the PeersSettings of the run's stated settings, `phases` the names of its phases, `schedule` its
+    faults.
     """
-    tree = tree_of(peers, shape)
-    told = listing_bounds(peers.listing._replace(ready=0.0), shape.fronts, shape.zones)
-    events = shape.rate * schedule.end / SECOND
-    within = {phase: event_bound(peers, told, tree, phase, shape.fronts * events) for phase in phases}
-    return Promise(
-        event={phase: min(budget.purge, bound + SLACK) for phase, bound in within.items()},
-        late_known=(tree or told).known_late + SLACK + SAMPLE,
-        whole_again={fault.kind: whole_again(told, tree, fault, shape) for fault in schedule.faults},
+    tree = tree_bounds_of(peers, shape)
+    list_bounds = listing_bounds(peers.listing._replace(ready=0.0), shape.fronts, shape.zones)
+    events = shape.rate * schedule.end / SECOND_US
+    event_bounds = {
+        phase: event_bound(peers, list_bounds, tree, phase, shape.fronts * events) for phase in phases
+    }
+    return RunBounds(
+        event={phase: min(budget.purge, bound + SLACK_US) for phase, bound in event_bounds.items()},
+        lateness_detection=(tree or list_bounds).known_late + SLACK_US + SAMPLE_INTERVAL_US,
+        recovery_time={
+            fault.kind: recovery_time(list_bounds, tree, fault, shape) for fault in schedule.faults
+        },
         disagreement=detection_time(peers.spans, shape.fronts)
         + dissemination_time(peers.spans, shape.fronts)
-        + SLACK
-        + SAMPLE,
+        + SLACK_US
+        + SAMPLE_INTERVAL_US,
         children=tree and tree.children,
         list_bytes=tree and tree.steady_state_bytes(shape.rate),
         window=tree and peers.listing.window,
@@ -90,28 +98,28 @@
     )
 
 
-def event_bound(peers, told, tree, phase, pieces):
-    """Until an event is everywhere in a phase, on a machine that is not busy."""
+def event_bound(peers, list_bounds, tree, phase, deliveries):
+    """Return the time until an event is at all fronts in a phase, on a machine that is not busy."""
     if phase == "calm":
-        return (tree or told).event
+        return (tree or list_bounds).event
     if phase == Kind.LOSS:
-        return (tree or told).event + lost_in_a_row(pieces, LOSS) * peers.listing.beat
+        return (tree or list_bounds).event + longest_loss_run(deliveries, LOSS) * peers.listing.beat
     if tree:
         return max(tree.inner_lost, tree.root_lost)
-    return told.relays_lost
+    return list_bounds.relays_lost
 
 
-def lost_in_a_row(pieces, loss):
-    """The longest run of losses that is expected once in so many pieces."""
-    return max(1, ceil(log(max(2, pieces)) / log(1 / loss)))
+def longest_loss_run(deliveries, loss):
+    """Return the length of the longest run of losses that is expected once in this many deliveries."""
+    return max(1, ceil(log(max(2, deliveries)) / log(1 / loss)))
 
 
-def whole_again(told, tree, fault, shape):
-    """From the end of a fault until each front that it struck has all events and knows it."""
+def recovery_time(list_bounds, tree, fault, shape):
+    """Return the time from the end of a fault until each affected front has all events."""
     if tree is None:
-        bound = told.ready
+        bound = list_bounds.ready
     elif fault.kind == Kind.CUT:
         bound = tree.recovery_time(shape.rate, fault.until - fault.at)
     else:
         bound = max(tree.rejoined, tree.recovery_time(shape.rate, fault.until - fault.at))
-    return bound + SLACK + SAMPLE
+    return bound + SLACK_US + SAMPLE_INTERVAL_US
--- a/limepath/scale/delivery.py
+++ b/limepath/scale/delivery.py
@@ -4,7 +4,7 @@
 from hdrh.histogram import HdrHistogram
 
 from limepath.report_table import CheckResult, at_most, seconds
-from limepath.scale.bounds import REQUIRED, SAMPLE
+from limepath.scale.bounds import PURGE_LIMIT_US, SAMPLE_INTERVAL_US
 from limepath.scale.service import LIST, PURGE
 
 SHARES = {"50%": 0.5, "99%": 0.99, "all": 1.0}  # of the fronts that an event has reached
@@ -19,7 +19,7 @@
     def __init__(self, run, promise):
         self.run, self.promise, self.seen = run, promise, run.seen
         issued = run.around.issued[1:]  # the first is the whole list, told before anybody is up
-        horizon = max(promise.event.values(), default=REQUIRED)
+        horizon = max(promise.event.values(), default=PURGE_LIMIT_US)
         moments = [at for _, at in run.around.issued]
         names, real = run.fleet.names, {run.fleet.names[who] for who in run.plan.real}
         hollow = [name for name in names if name not in real]
@@ -65,7 +65,7 @@
         if not self.real_counts.any():
             return []
         worst = self.real_times[1:][self.real_counts[1:]].max(initial=0)
-        bound = max(self.promise.event.values()) + SAMPLE
+        bound = max(self.promise.event.values()) + SAMPLE_INTERVAL_US
         what = "an event at all real fronts, asked once a second, worst, s"
         if numpy.isinf(worst):
             return [CheckResult(what, "never", seconds(bound), False)]
--- a/limepath/scale/report.py
+++ b/limepath/scale/report.py
@@ -84,7 +84,7 @@
             ),
         ]
         if phase != "calm" and calm_peak:
-            peak, bound = told["peak_bytes"]["worst"], budget.storm * calm_peak["worst"]
+            peak, bound = told["peak_bytes"]["worst"], budget.fault_traffic_factor * calm_peak["worst"]
             rows.append(at_most(f"{phase}: most bytes sent in a sample, a second", round(peak), round(bound)))
     children, held = run.seen.most_followers, promise.children
     rows.append(at_most_if_stated("most fronts that one sends events to", children, held))
@@ -114,7 +114,7 @@
     for kind, spans in run.seen.whole_again.items():
         worst = seconds(max(spans.values()))
         what = f"{kind.value}: {len(spans)} fronts whole again after it, worst, s"
-        rows.append(at_most(what, worst, seconds(promise.whole_again[kind])))
+        rows.append(at_most(what, worst, seconds(promise.recovery_time[kind])))
     if run.seen.returning:
         away = Counter(back.kind.value for back in run.seen.returning.values())
         for kind, count in away.items():
@@ -143,7 +143,9 @@
             behind,
             len(hollow) >= behind,
         ),
-        at_most("cut: until each knew, s", seconds(max(hollow, default=0)), seconds(promise.late_known)),
+        at_most(
+            "cut: until each knew, s", seconds(max(hollow, default=0)), seconds(promise.lateness_detection)
+        ),
         at_most_if_stated("cut: events that those behind it were not told one by one", skipped(run), once),
     ]
 
--- a/limepath/scale/run.py
+++ b/limepath/scale/run.py
@@ -15,7 +15,7 @@
 
 from limepath.configuration import peers_file
 from limepath.scale import settings
-from limepath.scale.bounds import SAMPLE, Shape, promised
+from limepath.scale.bounds import SAMPLE_INTERVAL_US, Shape, compute_run_bounds
 from limepath.scale.faults import Kind
 from limepath.scale.fleet import Fleet
 from limepath.scale.observations import Observations, role_in
@@ -104,10 +104,10 @@
         self.stated = peers_file.read(stated)
 
     def promise(self, **budget):
-        """The Promise of this run, by its settings as stated."""
+        """The RunBounds of this run, by its settings as stated."""
         sizes, phases = self.plan.sizes, [phase.name for phase in self.seen.phases]
         shape = Shape(sizes.fronts, sizes.zones, sizes.sites, sizes.purges + sizes.settings_changes)
-        return promised(self.stated, shape, phases, self.schedule, **budget)
+        return compute_run_bounds(self.stated, shape, phases, self.schedule, **budget)
 
     def now(self):
         return self.pace.now() - self.zero
@@ -130,7 +130,7 @@
         yield self.pause(SETTLE)
         yield self.measure()
         promise = self.promise()
-        limit = max([promise.disagreement, *promise.whole_again.values()])
+        limit = max([promise.disagreement, *promise.recovery_time.values()])
         self.settled = yield self.until_whole(limit, lambda: not self.seen.returning)
         self.seen.finish()
         self.load_after = os.getloadavg()
@@ -144,7 +144,7 @@
             yield self.fleet.start(names)
             started += names
             while len(started) < len(self.plan.fronts) and self.now() < limit:
-                yield self.pause(SAMPLE // 2)
+                yield self.pause(SAMPLE_INTERVAL_US // 2)
                 yield self.fleet.sample()
                 self.progress(f"{len(started)} started, the median sees {self.fleet.median_view()}")
                 if self.fleet.know_each_other(started):
@@ -170,7 +170,7 @@
             )
             if standing.whole and also() or standing.took > limit:
                 return standing
-            yield self.pause(SAMPLE // 2)
+            yield self.pause(SAMPLE_INTERVAL_US // 2)
 
     @inlineCallbacks
     def measure(self):
@@ -182,7 +182,11 @@
         self.begin_phase(CALM)
         steps = self.strikes.steps()
         while self.now() < self.schedule.end:
-            until = min(steps[0][0] if steps else self.schedule.end, self.now() + SAMPLE, self.schedule.end)
+            until = min(
+                steps[0][0] if steps else self.schedule.end,
+                self.now() + SAMPLE_INTERVAL_US,
+                self.schedule.end,
+            )
             yield self.pause(until - self.now())
             yield self.fleet.sample()
             self.progress(f"{self.seen.phase}, {self.around.number()} events told")
--- a/limepath/scale/use.py
+++ b/limepath/scale/use.py
@@ -27,7 +27,7 @@
 
 
 def front_role(run, name):
-    """Return the role of a hollow front ("root relay", "inner node" or "leaf"), or "real" for a real front."""
+    """Return the role of a hollow front ("root relay", "inner node", "leaf"), or "real"."""
     if run.fleet.who[name] in run.fleet.real:
         return "real"
     return run.roles.get(name, "leaf")
--- a/tests/test_scale_faults.py
+++ b/tests/test_scale_faults.py
@@ -248,8 +248,8 @@
 
 
 def test_the_more_pieces_the_longer_a_run_of_losses_is_expected():
-    assert bounds.lost_in_a_row(100, 0.05) == 2
-    assert bounds.lost_in_a_row(1000 * 36 * 60, 0.05) == 5
+    assert bounds.longest_loss_run(100, 0.05) == 2
+    assert bounds.longest_loss_run(1000 * 36 * 60, 0.05) == 5
 
 
 def promise_of(listing, kinds=(), purge=7_300_000):
@@ -257,13 +257,13 @@
     made = faults.schedule(LAYOUT, kinds, 100 * SECOND, 1)
     phases = ["calm", *(kind.value for kind in kinds)]
     shape = bounds.Shape(40, 4, 8, 36.0)
-    return bounds.promised(peers, shape, phases, made, bounds.Budget(purge=purge))
+    return bounds.compute_run_bounds(peers, shape, phases, made, bounds.Budget(purge=purge))
 
 
 def test_an_event_has_the_time_that_the_settings_promise_and_never_more_than_the_operators():
     promise = promise_of(DiscoverySettings(fronts=40), (Kind.LOSS, Kind.RACK))
     assert promise.event["calm"] < promise.event["loss"] < promise.event["rack"] == 7_300_000
-    assert set(promise.whole_again) == {Kind.LOSS, Kind.RACK}
+    assert set(promise.recovery_time) == {Kind.LOSS, Kind.RACK}
     assert promise_of(DiscoverySettings(fronts=40), purge=1_000_000).event == {"calm": 1_000_000}
 
 
