--- a/limepath/scale/estimates.py
+++ b/limepath/scale/estimates.py
@@ -21,7 +21,7 @@
 
 
 class Estimate(NamedTuple):
-    """A value at a size; `slope` is None without a fit, `factor` is size / largest measured size."""
+    """A value at a size; `slope` is None without a fit, `factor` is size / largest measured, at least 1."""
 
     value: float | None
     provenance: Provenance
--- a/limepath/scale/roles_idle.py
+++ b/limepath/scale/roles_idle.py
@@ -27,7 +27,7 @@
 from limepath.testbed.process import HOST, free_ports
 
 SIZES = (8, 200, 500, 1000, 1400, 5000)
-SETTLE_S, MEASURE_S, PROFILE_RUN_S = 4.0, 30.0, 20.0  # seconds
+SETTLE_S, MEASURE_S, PROFILE_RUN_S = 4.0, 30.0, 20.0
 PROFILED_MEMBERS, START_RUNS = 1400, 3
 CLOSED_ADDRESS, SHORT_LIST_SIZE = f"{HOST}:9", 8
 PEERS_TEMPLATE = """[instance]
