--- a/limepath/scale/bounds.py
+++ b/limepath/scale/bounds.py
@@ -72,7 +72,8 @@
 def compute_run_bounds(peers, shape, phases, schedule, budget=BUDGET):
     """Return the RunBounds of a run.
 
-    `peers` is the PeersSettings of the run as stated, `phases` the names of its phases, `schedule` its faults.
+    `peers` is the PeersSettings of the run as stated, `phases` are the names of its phases, `schedule` its
+    faults.
     """
     tree = tree_bounds_of(peers, shape)
     list_bounds = listing_bounds(peers.listing._replace(ready=0.0), shape.fronts, shape.zones)
