--- a/limepath/cli/scale.py
+++ b/limepath/cli/scale.py
@@ -66,7 +66,7 @@
     """
     from limepath.scale.capacity import write_page
     from limepath.scale.measure import measure_roles
-    from limepath.scale.measured import DamagedFile
+    from limepath.scale.measured import DamagedFileError
     from limepath.scale.roles import ROLES
 
     if list_roles:
@@ -80,7 +80,7 @@
     try:
         measure_roles(file, roles or tuple(ROLES), say=lambda line: click.echo(line, err=True))
         write_page(file, page, runs)
-    except DamagedFile as error:
+    except DamagedFileError as error:
         fail(error, DAMAGED)
     click.echo(page)
 
@@ -96,7 +96,7 @@
     Status 1 and the first differing line if they differ; 2 for a missing or damaged file.
     """
     from limepath.scale.capacity import first_difference, write_page
-    from limepath.scale.measured import DamagedFile
+    from limepath.scale.measured import DamagedFileError
 
     try:
         if write:
@@ -104,7 +104,7 @@
             click.echo(page)
             return
         difference = first_difference(file, page, runs)
-    except DamagedFile as error:
+    except DamagedFileError as error:
         fail(error, DAMAGED)
     if difference:
         fail(difference, DIFFERS)
