--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -42,11 +42,14 @@
 def disconnect_for_long(client, disconnect=None):
     """Disconnect the client and return once its FIN or reset has waited at the front for LATE seconds."""
     client_port = f":{client.socket.getsockname()[1]:04X}"
+    front_port = f":{client.socket.getpeername()[1]:04X}"
     (disconnect or client.close)()
     wait_for(
         lambda: (
             not any(
-                columns[2].endswith(client_port) and columns[3] == "01"  # TCP_ESTABLISHED
+                columns[1].endswith(front_port)
+                and columns[2].endswith(client_port)
+                and columns[3] == "01"  # TCP_ESTABLISHED
                 for columns in connections()
             )
         )
@@ -55,6 +58,21 @@
     wait_for(lambda: time.monotonic() - since > LATE)
 
 
+def test_a_disconnect_is_detected_beside_another_connection_with_the_same_client_port():
+    """The system may give one port to connections to different addresses, also of tests that run in parallel."""
+    with Site() as site, open_listener() as other_listener:
+        host, port = site.listen_address.split(":")
+        client, other = socket.socket(), socket.socket()
+        with client, other:
+            for connection in (client, other):
+                connection.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+            other.bind(("127.0.0.1", 0))
+            client.bind(other.getsockname())
+            other.connect(other_listener.getsockname())
+            client.connect((host, int(port)))
+            disconnect_for_long(SimpleNamespace(socket=client), client.close)
+
+
 def first_request_id(site, server):
     """Return the id of the first request that this server receives, after another client sent OTHER_ID."""
     other_client = site.open_client().send(txn=OTHER_ID)
