--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -59,7 +59,7 @@
 
 
 def test_a_disconnect_is_detected_beside_another_connection_with_the_same_client_port():
-    """The system may give one port to connections to different addresses, also of tests that run in parallel."""
+    """The system may give one port to several connections, also to those of tests that run in parallel."""
     with Site() as site, open_listener() as other_listener:
         host, port = site.listen_address.split(":")
         client, other = socket.socket(), socket.socket()
